--- /dev/null
+++ b/tests/compatibility/leases_and_gossip.rs
@@ -0,0 +1,1 @@
+//! The lease server's database, lease and consensus frames, gossip datagrams.
