--- /dev/null
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -0,0 +1,201 @@
+//! The lease server's database: a file written by the previous version, opened, read value by value, and written on.
+
+use std::path::{Path, PathBuf};
+
+use honeyknot::keeper::disk::{Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner};
+use honeyknot_quorum::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+
+use super::fixture::{all, decode_hex, encode, one, path};
+use super::lease_table::{
+    TOKENS_FROM, hard_state, lease_parameters, log_entry, recorded_commands, renew, replica_snapshot,
+};
+
+/// The database as rows of an offset, a length, and the bytes that fill it by repetition; all others are zero.
+const DATABASE: &str = "lease_database.txt";
+/// The raw values of its tables.
+const VALUES: &str = "lease_database_values.txt";
+const FILE_NAME: &str = "keeper.redb";
+const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
+const MARKS: TableDefinition<u64, u64> = TableDefinition::new("marks");
+const PEER_MARKS: [(u64, u64); 2] = [(1, 0x1111_2222_3333_4444), (3, 0x5555_6666_7777_8888)];
+
+pub fn owner() -> DatabaseOwner {
+    DatabaseOwner { fleet: "alpha".into(), keepers: 3, me: 2 }
+}
+
+fn owner_mark(content: &DatabaseContent) -> u64 {
+    content.mark
+}
+
+/// The writes that lead to the recorded database, in order.
+pub fn recorded_writes(lease_table: Vec<u8>) -> [ReplicaWrite; 3] {
+    let before = ReplicaWrite {
+        state: Some(hard_state(6, 1, 39)),
+        snapshot: None,
+        drop_from: Some(39),
+        entries: vec![log_entry(39, 6, &[]), log_entry(40, 6, &recorded_commands())],
+    };
+    let compaction =
+        ReplicaWrite { snapshot: Some(replica_snapshot(40, 6, lease_table)), ..ReplicaWrite::default() };
+    let after = ReplicaWrite {
+        state: Some(hard_state(8, 3, 41)),
+        snapshot: None,
+        drop_from: Some(41),
+        entries: vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])],
+    };
+    [before, compaction, after]
+}
+
+/// A folder that is removed at its end.
+pub struct TemporaryFolder(pub PathBuf);
+
+impl TemporaryFolder {
+    pub fn new(name: &str) -> TemporaryFolder {
+        let name = format!("honeyknot-compatibility-{name}-{}", std::process::id());
+        let folder = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&folder).expect("a temporary folder");
+        TemporaryFolder(folder)
+    }
+
+    fn with_recorded_database(name: &str) -> TemporaryFolder {
+        let folder = TemporaryFolder::new(name);
+        std::fs::write(folder.0.join(FILE_NAME), recorded_database()).expect("the folder takes a file");
+        folder
+    }
+}
+
+impl Drop for TemporaryFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The bytes of the recorded file.
+fn recorded_database() -> Vec<u8> {
+    let text = std::fs::read_to_string(path(DATABASE)).expect("the fixture file is readable");
+    let mut lines = text.lines().filter(|line| !line.starts_with('#'));
+    let length = lines.next().and_then(|line| line.strip_prefix("length ")).expect("the file's length");
+    let mut bytes = vec![0; length.parse().expect("a number")];
+    for line in lines {
+        let [offset, length, hex] = line.split(' ').collect::<Vec<_>>()[..] else { panic!("three columns") };
+        let (offset, length): (usize, usize) =
+            (offset.parse().expect("an offset"), length.parse().expect("a length"));
+        let row = decode_hex(hex).into_iter().cycle().take(length);
+        bytes.splice(offset..offset + length, row);
+    }
+    bytes
+}
+
+/// Every value in the tables of a database, by table and key.
+pub fn raw_values(folder: &Path) -> Vec<(String, Vec<u8>)> {
+    let database = Database::open(folder.join(FILE_NAME)).expect("the database opens");
+    let transaction = database.begin_read().expect("a read transaction");
+    let mut values = Vec::new();
+    for row in transaction.open_table(KEPT).expect("the table is there").iter().expect("it is readable") {
+        let (key, value) = row.expect("the row is readable");
+        values.push((format!("kept/{}", key.value()), value.value().to_vec()));
+    }
+    for row in transaction.open_table(LOG).expect("the table is there").iter().expect("it is readable") {
+        let (key, value) = row.expect("the row is readable");
+        values.push((format!("log/{}", key.value()), value.value().to_vec()));
+    }
+    for row in transaction.open_table(MARKS).expect("the table is there").iter().expect("it is readable") {
+        let (key, value) = row.expect("the row is readable");
+        values.push((format!("marks/{}", key.value()), value.value().to_le_bytes().to_vec()));
+    }
+    values
+}
+
+/// Writes into a new database what the recorded one was written with.
+pub fn write_anew(folder: &Path) -> DatabaseContent {
+    let (database, content) = LeaseDatabase::open(folder, owner(), Some(TOKENS_FROM)).expect("it is created");
+    for write in recorded_writes(one("lease_table.txt", "table")) {
+        database.write(&write).expect("the database takes the write");
+    }
+    for (replica, mark) in PEER_MARKS {
+        database.remember(replica, mark).expect("the database takes the mark");
+    }
+    content
+}
+
+fn open_recorded(folder: &TemporaryFolder) -> (LeaseDatabase, DatabaseContent) {
+    LeaseDatabase::open(&folder.0, owner(), None).expect("the recorded database opens")
+}
+
+#[test]
+fn a_database_of_the_previous_version_opens_with_its_recorded_content() {
+    let folder = TemporaryFolder::with_recorded_database("content");
+    let (_database, content) = open_recorded(&folder);
+    assert_eq!(content.kept.state, hard_state(8, 3, 41));
+    assert_eq!(content.kept.snapshot, Some(replica_snapshot(40, 6, one("lease_table.txt", "table"))));
+    let entries = vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])];
+    assert_eq!(content.kept.entries, entries);
+    assert_eq!(content.tokens_from, TOKENS_FROM);
+    assert_eq!(content.marks.into_iter().collect::<Vec<_>>(), PEER_MARKS);
+}
+
+#[test]
+fn a_database_of_the_previous_version_holds_the_recorded_values() {
+    let folder = TemporaryFolder::with_recorded_database("values");
+    assert_eq!(raw_values(&folder.0), all(VALUES));
+}
+
+#[test]
+fn each_value_read_from_a_database_of_the_previous_version_is_encoded_unchanged() {
+    let folder = TemporaryFolder::with_recorded_database("encoded");
+    let (_database, content) = open_recorded(&folder);
+    let mark = owner_mark(&content);
+    assert_eq!(encode(&(owner(), TOKENS_FROM, mark)), one(VALUES, "kept/founded"));
+    assert_eq!(encode(&content.kept.state), one(VALUES, "kept/state"));
+    assert_eq!(encode(&content.kept.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
+    for entry in &content.kept.entries {
+        assert_eq!(encode(entry), one(VALUES, &format!("log/{}", entry.index)));
+    }
+}
+
+#[test]
+fn a_new_database_holds_the_recorded_values_after_the_recorded_writes() {
+    let folder = TemporaryFolder::new("anew");
+    let content = write_anew(&folder.0);
+    let mut expected = all(VALUES);
+    let (_, owner_value) =
+        expected.iter_mut().find(|(label, _)| label == "kept/founded").expect("the owner is recorded");
+    // The mark is drawn anew for each database.
+    *owner_value = encode(&(owner(), TOKENS_FROM, owner_mark(&content)));
+    assert_eq!(raw_values(&folder.0), expected);
+}
+
+#[test]
+fn a_database_of_the_previous_version_is_written_on() {
+    let folder = TemporaryFolder::with_recorded_database("written-on");
+    let (database, _) = open_recorded(&folder);
+    let entry = log_entry(43, 8, &[renew("sweep", 70_001, 2)]);
+    let write = ReplicaWrite { entries: vec![entry.clone()], ..ReplicaWrite::default() };
+    database.write(&write).expect("the database takes the write");
+    drop(database);
+    let mut expected = all(VALUES);
+    let after_last_entry = expected.iter().position(|(label, _)| label == "log/42").expect("an entry") + 1;
+    expected.insert(after_last_entry, ("log/43".into(), encode(&entry)));
+    assert_eq!(raw_values(&folder.0), expected);
+}
+
+#[test]
+fn a_replica_starts_from_a_database_of_the_previous_version_at_its_term() {
+    let folder = TemporaryFolder::with_recorded_database("replica");
+    let (_database, content) = open_recorded(&folder);
+    let settings = ReplicaSettings {
+        terms: lease_parameters(),
+        me: 2,
+        keepers: 3,
+        tick: 50_000,
+        election: 1_000_000,
+        compact_after: 4_096,
+        tokens_from: content.tokens_from,
+    };
+    let replica = Replica::new(settings, content.kept).expect("the content is sound");
+    assert_eq!(replica.term(), 8);
+    let indices: Vec<u64> = replica.log_from(0).iter().map(|entry| entry.index).collect();
+    assert_eq!(indices, [41, 42]);
+}
--- /dev/null
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -0,0 +1,168 @@
+//! Frames between a lease client and a lease server, and the greeting of both kinds of connection.
+
+use std::time::Duration;
+
+use honeyknot::leases::wire::{
+    Frame as LeaseFrame, Hello as Greeting, Reader as FrameReader, Who as GreetingSender, dial, send, welcome,
+};
+use honeyknot_leases::{
+    Answer as LeaseAnswer, Command as LeaseCommand, Refusal as LeaseRefusal, Said as CommandResult,
+};
+use honeyknot_quorum::{Told as Response, View as LeaseView};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+use super::fixture::{assert_labels, one};
+use super::lease_table::{command_variants, fencing_token};
+
+const FRAMES: &str = "lease_frames.txt";
+const GREETINGS: &str = "lease_greetings.txt";
+const TIMEOUT: Duration = Duration::from_secs(10);
+const REJECTION: &str = "fleet `beta`, here `alpha`";
+
+fn request(id: u64, commands: Vec<LeaseCommand>) -> LeaseFrame {
+    LeaseFrame::Ask { id, commands }
+}
+
+fn response(id: u64, response: Response) -> LeaseFrame {
+    LeaseFrame::Told { id, told: response }
+}
+
+fn results(answers: Vec<(LeaseAnswer, u64)>) -> Response {
+    let results = answers.into_iter().map(|(answer, again)| CommandResult { answer, again });
+    Response::Answers(results.collect())
+}
+
+fn rejected(refusal: LeaseRefusal) -> LeaseAnswer {
+    LeaseAnswer::No(refusal)
+}
+
+fn lease_view() -> LeaseView {
+    LeaseView {
+        task: "sweep".into(),
+        holder: "relay-a".into(),
+        token: fencing_token(70_001),
+        renewals: 12,
+        known_for: 3_000_000,
+        left: 8_500_000,
+        revoked: true,
+    }
+}
+
+/// One frame for each variant of request, response, answer and refusal.
+pub fn client_frames() -> Vec<(&'static str, LeaseFrame)> {
+    let commands = command_variants().into_iter().map(|(_, command)| command).collect();
+    let refused = |id, refusal| response(id, results(vec![(rejected(refusal), 0)]));
+    vec![
+        ("request_commands", request(501, commands)),
+        ("request_all_leases", request(502, Vec::new())),
+        ("answer_held", response(503, results(vec![(LeaseAnswer::Held(fencing_token(70_001)), 0)]))),
+        ("answer_free", response(504, results(vec![(LeaseAnswer::Free, 0)]))),
+        ("answer_taken", response(505, results(vec![(rejected(LeaseRefusal::Taken), 2_500_000)]))),
+        ("answer_ended", refused(506, LeaseRefusal::Ended)),
+        ("answer_renewed", refused(507, LeaseRefusal::Renewed)),
+        ("answer_unheard", refused(508, LeaseRefusal::Unheard)),
+        ("answer_full", refused(509, LeaseRefusal::Full)),
+        ("answer_name", refused(510, LeaseRefusal::Name)),
+        ("answer_slots", refused(511, LeaseRefusal::Slots)),
+        ("leases", response(512, Response::Leases(vec![lease_view()]))),
+        ("other_leader", response(513, Response::Elsewhere(Some(3)))),
+        ("no_leader", response(514, Response::Elsewhere(None))),
+        ("busy", response(515, Response::Busy)),
+    ]
+}
+
+fn greeting(from: GreetingSender) -> Greeting {
+    Greeting { who: from, fleet: "alpha".into(), keepers: 3, terms: (10_000_000, 1_000, 500_000) }
+}
+
+/// The first frame of each kind of dialing side.
+pub fn greetings() -> [(&'static str, Greeting); 2] {
+    [
+        ("server", greeting(GreetingSender::Keeper(2, 0x0123_4567_89ab_cdef))),
+        ("client", greeting(GreetingSender::Client("relay-a".into()))),
+    ]
+}
+
+/// The listening side's result of a greeting, with the label of the frame that tells it.
+pub fn greeting_results() -> [(&'static str, Result<(), String>); 2] {
+    [("accepted", Ok(())), ("rejected", Err(REJECTION.into()))]
+}
+
+/// Reads the one frame of these bytes.
+pub async fn read_frame(bytes: &[u8]) -> LeaseFrame {
+    let mut reader = FrameReader::new(bytes);
+    let frame = reader.next().await.expect("the frame is readable").expect("there is a frame");
+    assert_eq!(reader.next().await.expect("the stream ends between frames"), None);
+    frame
+}
+
+/// Writes a frame as a connection carries it.
+pub async fn write_frame(frame: &LeaseFrame) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    send(&mut bytes, frame, TIMEOUT).await.expect("memory takes the frame");
+    bytes
+}
+
+#[tokio::test]
+async fn a_client_frame_from_the_previous_version_is_read_and_written_unchanged() {
+    assert_labels(FRAMES, client_frames().iter().map(|(label, _)| *label));
+    for (label, frame) in client_frames() {
+        let bytes = one(FRAMES, label);
+        assert_eq!(read_frame(&bytes).await, frame, "{label} is read");
+        assert_eq!(write_frame(&frame).await, bytes, "{label} is written");
+    }
+}
+
+#[tokio::test]
+async fn a_greeting_from_the_previous_version_is_read_and_answered_unchanged() {
+    for (label, expected) in greetings() {
+        let bytes = one(GREETINGS, label);
+        for (result_label, result) in greeting_results() {
+            let mut answer = Vec::new();
+            let mut seen = None;
+            let check = |greeting: &Greeting| {
+                seen = Some(greeting.clone());
+                result.clone()
+            };
+            let welcomed = welcome(&mut FrameReader::new(&bytes[..]), &mut answer, check).await;
+            assert_eq!(seen.as_ref(), Some(&expected), "{label} is read");
+            assert_eq!(welcomed.is_ok(), result.is_ok(), "{label} is {result_label}");
+            assert_eq!(answer, one(GREETINGS, result_label), "{result_label} is written");
+        }
+    }
+}
+
+#[tokio::test]
+async fn a_dialing_side_writes_the_recorded_greeting_and_reads_the_recorded_result() {
+    for (label, greeting) in greetings() {
+        for (result_label, result) in greeting_results() {
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+            let address = listener.local_addr().expect("the listener has an address");
+            let (expected, answer) = (one(GREETINGS, label), one(GREETINGS, result_label));
+            let listen = async {
+                let (mut stream, _) = listener.accept().await.expect("a connection");
+                let mut received = vec![0; expected.len()];
+                stream.read_exact(&mut received).await.expect("a whole greeting");
+                stream.write_all(&answer).await.expect("the result is taken");
+                (received, stream)
+            };
+            let (dialed, (received, _stream)) = tokio::join!(dial(address, &greeting, TIMEOUT), listen);
+            assert_eq!(received, expected, "{label} is written");
+            match result {
+                Ok(()) => assert!(dialed.is_ok(), "{result_label} is read"),
+                Err(reason) => {
+                    let error = dialed.err().expect("a rejection is an error");
+                    assert_eq!(error.kind(), std::io::ErrorKind::PermissionDenied);
+                    assert!(error.to_string().contains(&reason), "{result_label} gives its reason");
+                }
+            }
+        }
+    }
+}
+
+#[test]
+fn all_recorded_greetings_are_covered() {
+    let labels = greetings().map(|(label, _)| label).into_iter();
+    assert_labels(GREETINGS, labels.chain(greeting_results().map(|(label, _)| label)));
+}
--- /dev/null
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -0,0 +1,176 @@
+//! Commands in log entries, and the snapshot of the lease table.
+
+use honeyknot_leases::{
+    Answer as LeaseAnswer, Book as LeaseTable, Command as LeaseCommand, Terms as LeaseParameters,
+    Token as FencingToken,
+};
+use honeyknot_quorum::{
+    Entry as LogEntry, Kept as PersistedState, Snapshot as ReplicaSnapshot, State as HardState,
+};
+
+use super::fixture::{all, assert_labels, decode, encode, one};
+
+const COMMANDS: &str = "lease_commands.txt";
+const TABLE: &str = "lease_table.txt";
+/// Fencing tokens of the recorded table are greater than this.
+pub const TOKENS_FROM: u64 = 70_000;
+const LEASE_MICROS: u64 = 10_000_000;
+
+pub fn lease_parameters() -> LeaseParameters {
+    LeaseParameters::new(LEASE_MICROS)
+}
+
+pub fn fencing_token(number: u64) -> FencingToken {
+    FencingToken(number)
+}
+
+pub fn acquire(task: &str, slots: u32, holder: &str, nonce: u64, unanswered: u32) -> LeaseCommand {
+    let (task, holder) = (task.to_owned(), holder.to_owned());
+    LeaseCommand::Acquire { task, slots, holder, nonce, unheard: unanswered }
+}
+
+pub fn renew(task: &str, token: u64, unanswered: u32) -> LeaseCommand {
+    LeaseCommand::Renew { task: task.to_owned(), token: fencing_token(token), unheard: unanswered }
+}
+
+pub fn release(task: &str, token: u64) -> LeaseCommand {
+    LeaseCommand::Release { task: task.to_owned(), token: fencing_token(token) }
+}
+
+pub fn revoke(task: &str, token: u64) -> LeaseCommand {
+    LeaseCommand::Revoke { task: task.to_owned(), token: fencing_token(token) }
+}
+
+pub fn expire(task: &str, token: u64, renewals: u64) -> LeaseCommand {
+    LeaseCommand::Expire { task: task.to_owned(), token: fencing_token(token), renewals }
+}
+
+pub fn log_entry(index: u64, term: u64, commands: &[LeaseCommand]) -> LogEntry {
+    let data = if commands.is_empty() { Vec::new() } else { encode(&commands) };
+    LogEntry { index, term, data }
+}
+
+pub fn replica_snapshot(index: u64, term: u64, table: Vec<u8>) -> ReplicaSnapshot {
+    ReplicaSnapshot { index, term, book: table }
+}
+
+pub fn hard_state(term: u64, vote: u64, commit: u64) -> HardState {
+    HardState { term, vote, commit }
+}
+
+pub fn persisted_state(
+    state: HardState, snapshot: Option<ReplicaSnapshot>, entries: Vec<LogEntry>,
+) -> PersistedState {
+    PersistedState { state, snapshot, entries }
+}
+
+/// Each variant, with a different value in each field.
+pub fn command_variants() -> [(&'static str, LeaseCommand); 5] {
+    [
+        ("acquire", acquire("sweep", 2, "relay-a", 901, 3)),
+        ("renew", renew("sweep", 70_001, 4)),
+        ("release", release("rebuild", 70_002)),
+        ("revoke", revoke("sweep", 70_003)),
+        ("expire", expire("audit", 70_004, 300)),
+    ]
+}
+
+/// The commands that lead to the recorded table.
+pub fn recorded_commands() -> Vec<LeaseCommand> {
+    vec![
+        acquire("sweep", 2, "relay-a", 901, 0),
+        acquire("sweep", 2, "relay-b", 902, 0),
+        acquire("rebuild", 1, "relay-a", 903, 0),
+        acquire("audit", 1, "relay-c", 904, 0),
+        renew("sweep", 70_001, 0),
+        renew("sweep", 70_001, 0),
+        revoke("sweep", 70_002),
+        release("rebuild", 70_001),
+        expire("audit", 70_001, 0),
+    ]
+}
+
+fn empty_table() -> LeaseTable {
+    LeaseTable::founded(TOKENS_FROM)
+}
+
+fn apply_all(table: &mut LeaseTable, commands: &[LeaseCommand]) {
+    for command in commands {
+        table.apply(&lease_parameters(), command);
+    }
+}
+
+/// Each lease as task, holder, nonce, token, renewals, and whether it is revoked.
+fn leases(table: &LeaseTable) -> Vec<(&str, &str, u64, u64, u64, bool)> {
+    let rows = table.leases().map(|(task, lease)| {
+        (task, lease.holder.as_str(), lease.nonce, lease.token.0, lease.renewals, lease.revoked)
+    });
+    rows.collect()
+}
+
+#[test]
+fn a_lease_command_from_the_previous_version_is_read_and_written_unchanged() {
+    assert_labels(COMMANDS, command_variants().iter().map(|(label, _)| *label));
+    for (label, command) in command_variants() {
+        let bytes = one(COMMANDS, label);
+        assert_eq!(decode::<LeaseCommand>(&bytes), command, "{label} is read");
+        assert_eq!(encode(&command), bytes, "{label} is written");
+    }
+}
+
+#[test]
+fn a_log_entry_from_the_previous_version_is_read_and_written_unchanged() {
+    let bytes = one(TABLE, "entry");
+    let entry: LogEntry = decode(&bytes);
+    assert_eq!((entry.index, entry.term), (41, 7));
+    assert_eq!(decode::<Vec<LeaseCommand>>(&entry.data), recorded_commands());
+    assert_eq!(encode(&log_entry(41, 7, &recorded_commands())), bytes);
+
+    let bytes = one(TABLE, "entry_without_commands");
+    assert_eq!(decode::<LogEntry>(&bytes), log_entry(42, 8, &[]));
+    assert_eq!(encode(&log_entry(42, 8, &[])), bytes);
+}
+
+#[test]
+fn a_hard_state_from_the_previous_version_is_read_and_written_unchanged() {
+    let bytes = one(TABLE, "hard_state");
+    assert_eq!(decode::<HardState>(&bytes), hard_state(8, 3, 300));
+    assert_eq!(encode(&hard_state(8, 3, 300)), bytes);
+}
+
+#[test]
+fn a_lease_table_snapshot_from_the_previous_version_is_read_and_written_unchanged() {
+    let bytes = one(TABLE, "snapshot");
+    let snapshot: ReplicaSnapshot = decode(&bytes);
+    let table_bytes = one(TABLE, "table");
+    assert_eq!(snapshot, replica_snapshot(40, 6, table_bytes.clone()));
+    assert_eq!(encode(&snapshot), bytes);
+
+    let table: LeaseTable = decode(&table_bytes);
+    let expected = [("sweep", "relay-a", 901, 70_001, 2, false), ("sweep", "relay-b", 902, 70_002, 0, true)];
+    assert_eq!(leases(&table), expected);
+    assert_eq!(encode(&table), table_bytes);
+}
+
+#[test]
+fn the_recorded_commands_lead_to_the_recorded_lease_table() {
+    let entry: LogEntry = decode(&one(TABLE, "entry"));
+    let mut table = empty_table();
+    apply_all(&mut table, &decode::<Vec<LeaseCommand>>(&entry.data));
+    assert_eq!(encode(&table), one(TABLE, "table"));
+}
+
+#[test]
+fn a_recorded_lease_table_gives_the_next_fencing_token_of_each_task() {
+    let mut table: LeaseTable = decode(&one(TABLE, "table"));
+    for (task, next) in [("audit", 70_002), ("rebuild", 70_002), ("sweep", 70_003), ("new", 70_001)] {
+        let answer = table.apply(&lease_parameters(), &acquire(task, 3, "relay-d", 905, 0));
+        assert_eq!(answer, LeaseAnswer::Held(fencing_token(next)), "{task}");
+    }
+}
+
+#[test]
+fn all_recorded_table_fixtures_are_covered() {
+    assert_labels(TABLE, ["table", "snapshot", "entry", "entry_without_commands", "hard_state"]);
+    assert!(all(TABLE).iter().all(|(_, bytes)| !bytes.is_empty()));
+}
