--- /dev/null
+++ b/tests/compatibility/relay/metrics.rs
@@ -0,0 +1,270 @@
+//! Names of metrics, what sinks are sent, counters that outlast the process, and frames that wait on disk.
+
+use std::fs;
+
+use honeyknot_gauges::book::{Reading as Sample, Value as SampleValue};
+use honeyknot_gauges::collectd::{self, Received, Security};
+use honeyknot_gauges::graphite::{self, Paths};
+use honeyknot_gauges::names::{Family as MetricFamily, Kind as MetricKind, NAMES as METRIC_FAMILIES};
+use honeyknot_gauges::records;
+use honeyknot_gauges::state::{Spread as HistogramState, State as PersistentCounters, Total as Counter};
+use honeyknot_gauges::{Book as MetricsRegistry, Plan as MetricsPlan};
+use tokio::io::{AsyncBufReadExt, BufReader};
+use tokio::net::TcpListener;
+
+use super::loopback::{case, config};
+use super::process::Folder as ScratchFolder;
+use super::{address, fixture, fixture_text, start_relay};
+
+/// Name, kind, unit, tag and the tag's values, separated by tabs.
+pub const METRIC_NAMES: &str = "metric-names.tsv";
+/// The file is named as in the folder that lasts.
+const SNAPSHOT: &str = "state-0000000000000007.snap";
+/// The file is named as in the folder of a spool.
+const SEGMENT: &str = "wait-0000000000000001.spool";
+/// When the samples of the fixtures were taken, in Unix microseconds.
+const TAKEN_AT: u64 = 1_700_000_000_250_000;
+/// The interval of the sink, in microseconds.
+const INTERVAL: u64 = 10_000_000;
+/// The random bytes of the encrypted fixture.
+const INITIALIZATION_VECTOR: [u8; 16] = *b"0123456789abcdef";
+/// Values of an open tag in the fixed registry.
+const SERIES_CAP: usize = 2;
+
+/// The registry that the fixtures were written from: families of every kind, and a tag beyond its cap.
+fn registry() -> MetricsRegistry {
+    let mut registry = MetricsRegistry::new(SERIES_CAP);
+    registry.add(MetricFamily::Requests, 0, 9_007_199_254_740_993);
+    registry.count(MetricFamily::Refused, "closing");
+    registry.add(MetricFamily::Attempts, 0, 3);
+    registry.add_open(MetricFamily::Placed, "tema", 4);
+    registry.add_open(MetricFamily::Placed, "kasoa east", 2);
+    registry.add_open(MetricFamily::Placed, "accra-north", 7);
+    registry.set(MetricFamily::Sessions, 12.0);
+    registry.set(MetricFamily::RollAge, 1.5);
+    for us in [900, 1_500, 1_500, 250_000] {
+        registry.record(MetricFamily::Setup, us);
+    }
+    registry
+}
+
+fn sample() -> Sample {
+    registry().read(TAKEN_AT)
+}
+
+fn kind_word(kind: MetricKind) -> &'static str {
+    match kind {
+        MetricKind::Total => "total",
+        MetricKind::Gauge => "gauge",
+        MetricKind::Histogram => "histogram",
+    }
+}
+
+#[test]
+fn metrics_have_the_names_kinds_units_and_tags_of_the_previous_version() {
+    let lines = METRIC_FAMILIES.iter().map(|family| {
+        let (kind, values) = (kind_word(family.kind), family.values.join(","));
+        format!("{}\t{kind}\t{}\t{}\t{values}\n", family.name, family.unit, family.tag)
+    });
+    assert_eq!(lines.collect::<String>(), fixture_text(METRIC_NAMES));
+}
+
+#[test]
+fn a_sample_is_told_to_graphite_as_plaintext_as_by_the_previous_version() {
+    let text = fixture_text("graphite-nodes.txt");
+    assert!(text.contains("honeyknot.n0.refused.reason.closing 1 1700000000\n"));
+    assert!(text.contains("honeyknot.n0.placed.site.others 7 1700000000\n"));
+    assert_eq!(graphite::lines("honeyknot.n0", &sample(), Paths::Nodes), text);
+    let tagged = fixture_text("graphite-tags.txt");
+    assert!(tagged.contains("honeyknot.n0.refused;reason=closing 1 1700000000\n"));
+    assert_eq!(graphite::lines("honeyknot.n0", &sample(), Paths::Tags), tagged);
+}
+
+#[test]
+fn a_sample_is_told_to_graphite_as_a_pickle_as_by_the_previous_version() {
+    let frame = fixture("graphite.pickle");
+    let points = graphite::read_pickle(&frame).expect("a pickle");
+    let point = |path: &str, value| (path.to_owned(), (1_700_000_000, value));
+    assert!(points.contains(&point("honeyknot.n0.placed.site.tema", 4.0)));
+    assert!(points.contains(&point("honeyknot.n0.setup.count", 4.0)));
+    assert!(points.contains(&point("honeyknot.n0.roll_age", 1.5)));
+    let written = graphite::pickles("honeyknot.n0", &sample(), Paths::Nodes).expect("a pickle");
+    assert_eq!(written, [frame]);
+}
+
+/// Packets of a fixture, written as one line of hexadecimal digits each.
+fn packets(name: &str) -> Vec<Vec<u8>> {
+    let byte = |digits: &[u8]| {
+        let digits = std::str::from_utf8(digits).expect("digits");
+        u8::from_str_radix(digits, 16).expect("two digits")
+    };
+    let packet = |line: &str| line.as_bytes().chunks(2).map(byte).collect();
+    fixture_text(name).lines().map(packet).collect()
+}
+
+fn write_packets(security: &Security) -> Vec<Vec<u8>> {
+    collectd::packets("n0", "relay", &sample(), INTERVAL, security, || INITIALIZATION_VECTOR)
+}
+
+/// The first point of the registry, as collectd receives it.
+fn first_received() -> Received {
+    Received {
+        host: "n0".into(),
+        instance: "relay".into(),
+        kind: "derive".into(),
+        name: "requests".into(),
+        at: TAKEN_AT,
+        value: SampleValue::Total(9_007_199_254_740_993),
+    }
+}
+
+fn assert_packets(name: &str, security: &Security, passwords: Option<collectd::Passwords>) {
+    let frozen = packets(name);
+    let received: Vec<Received> =
+        frozen.iter().flat_map(|packet| collectd::read(packet, passwords).expect("a packet")).collect();
+    assert_eq!(received.first(), Some(&first_received()));
+    assert_eq!(received.len(), sample().points.len());
+    assert_eq!(write_packets(security), frozen);
+}
+
+#[test]
+fn a_sample_is_told_to_collectd_as_by_the_previous_version() {
+    assert_packets("collectd-plain.hex", &Security::None, None);
+}
+
+#[test]
+fn a_signed_or_encrypted_sample_is_told_to_collectd_as_by_the_previous_version() {
+    let (user, password) = ("edge".to_owned(), "secret".to_owned());
+    let passwords = |name: &str| (name == "edge").then(|| "secret".to_owned());
+    let sign = Security::Sign { user: user.clone(), password: password.clone() };
+    assert_packets("collectd-signed.hex", &sign, Some(&passwords));
+    assert_packets("collectd-encrypted.hex", &Security::Encrypt { user, password }, Some(&passwords));
+}
+
+#[test]
+fn a_sample_is_told_to_collectd_as_text_as_by_the_previous_version() {
+    let text = collectd::putvals("n0", "relay", &sample(), INTERVAL);
+    assert_eq!(text, fixture_text("collectd-putval.txt"));
+}
+
+fn counter(name: &str, value: &str, total: u64) -> Counter {
+    Counter { name: name.into(), value: value.into(), total }
+}
+
+fn histogram(name: &str, counts: &[(u64, u64)]) -> HistogramState {
+    HistogramState { name: name.into(), counts: counts.to_vec() }
+}
+
+/// What the snapshot of the fixtures says.
+fn persistent_counters() -> PersistentCounters {
+    PersistentCounters {
+        relay: "n0".into(),
+        at: TAKEN_AT,
+        lives: 3,
+        totals: vec![
+            counter("requests", "", 9_007_199_254_740_993),
+            counter("refused", "closing", 1),
+            counter("attempts", "up", 3),
+            counter("placed", "kasoa east", 2),
+            counter("placed", "others", 7),
+            counter("placed", "tema", 4),
+        ],
+        spreads: vec![
+            histogram("setup", &[(903, 1), (1_503, 2), (250_879, 1)]),
+            histogram("refusal", &[]),
+            histogram("message", &[]),
+            histogram("probe", &[]),
+            histogram("loop_lag", &[]),
+        ],
+    }
+}
+
+#[test]
+fn persistent_counters_of_the_previous_version_are_read_and_written_unchanged() {
+    let bytes = fixture(SNAPSHOT);
+    let counters = PersistentCounters::decode(&bytes).expect("a sound snapshot");
+    assert_eq!(counters, persistent_counters());
+    assert_eq!(counters.encode().expect("a snapshot"), bytes);
+}
+
+#[test]
+fn a_registry_is_restored_from_persistent_counters_of_the_previous_version_and_saved_unchanged() {
+    let bytes = fixture(SNAPSHOT);
+    let counters = PersistentCounters::decode(&bytes).expect("a sound snapshot");
+    let mut registry = MetricsRegistry::new(SERIES_CAP);
+    assert_eq!(registry.restore(&counters), 0);
+    assert_eq!(registry.state("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
+}
+
+/// The frames of the fixture's segment and the points that each holds.
+fn spooled_frames() -> [(&'static [u8], u32); 2] {
+    [
+        (b"honeyknot.n0.requests 5 1699999980\nhoneyknot.n0.served 4 1699999980\n", 2),
+        (b"honeyknot.n0.requests 6 1699999990\n", 1),
+    ]
+}
+
+#[test]
+fn a_spool_segment_of_the_previous_version_is_read_and_written_unchanged() {
+    let bytes = fixture(SEGMENT);
+    assert_eq!(records::sound(&bytes), (bytes.len(), 2, 3));
+    let (mut at, mut written) = (0, Vec::new());
+    for (frame, points) in spooled_frames() {
+        let record = records::first(&bytes[at..]).expect("a sound record");
+        assert_eq!((&record.frame[..], record.points), (frame, points));
+        written.extend(records::encode(&record.frame, record.points).expect("a record"));
+        at += record.size;
+    }
+    assert_eq!(written, bytes);
+}
+
+/// Lines that a Graphite gets, up to and with the one that begins so.
+async fn lines_up_to(sink: &TcpListener, beginning: &str) -> Vec<String> {
+    let (stream, _) = sink.accept().await.expect("a connection");
+    let mut got = BufReader::new(stream).lines();
+    let mut lines = Vec::new();
+    while let Some(line) = got.next_line().await.expect("a line") {
+        let last = line.starts_with(beginning);
+        lines.push(line);
+        if last {
+            return lines;
+        }
+    }
+    panic!("no `{beginning}` in {lines:?}");
+}
+
+#[test]
+fn a_relay_takes_up_the_folder_of_the_previous_version_and_sends_what_waited_there_first() {
+    case(async {
+        let scratch = ScratchFolder::new("frozen-metrics");
+        let spool = scratch.0.join("spool-main_sink");
+        fs::create_dir(&spool).expect("a folder");
+        fs::write(scratch.0.join(SNAPSHOT), fixture(SNAPSHOT)).expect("a file");
+        fs::write(spool.join(SEGMENT), fixture(SEGMENT)).expect("a file");
+        let sink = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let at = sink.local_addr().expect("an address");
+        let text = format!(
+            "state {}\nsink main.sink {{\n  graphite {at}\n  interval 1s\n  spool 4MiB\n}}\n",
+            scratch.0.display()
+        );
+        let plan = MetricsPlan::read("metrics.conf", &text, |_| Err("no key file".into()));
+        let mut config = config(&[], 256, address("127.0.0.1:1")).expect("a sound configuration");
+        config.metrics = Some(plan.expect("a sound file"));
+        let _relay = start_relay(config, None).await;
+        let lines = lines_up_to(&sink, "honeyknot.n0.placed.site.tema ").await;
+        let waited: Vec<u8> = spooled_frames().iter().flat_map(|(frame, _)| frame.to_vec()).collect();
+        let waited = String::from_utf8(waited).expect("text");
+        assert_eq!(lines[..3], waited.lines().collect::<Vec<_>>());
+        let total = |path: &str| {
+            let line = lines[3..].iter().find_map(|line| line.strip_prefix(path)).expect("a series");
+            line.trim_start().split(' ').next().map(str::to_owned).expect("a value")
+        };
+        assert_eq!(total("honeyknot.n0.requests "), "9007199254740993");
+        assert_eq!(total("honeyknot.n0.refused.reason.closing "), "1");
+        assert_eq!(total("honeyknot.n0.placed.site.tema "), "4");
+        assert!(scratch.0.join("state-0000000000000008.snap").exists());
+        let next = fs::read(scratch.0.join("state-0000000000000008.snap")).expect("a snapshot");
+        let next = PersistentCounters::decode(&next).expect("a sound snapshot");
+        assert_eq!((next.relay.as_str(), next.lives), ("n0", 4));
+    });
+}
--- /dev/null
+++ b/tests/compatibility/relay/operator_files.rs
@@ -0,0 +1,226 @@
+//! Operators' files as they stood in `deploy/` before the renames: what each line means, and how a fault is told.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use honeyknot::leases::plan::Plan as LeasesPlan;
+use honeyknot_gauges::collectd::Security;
+use honeyknot_gauges::graphite::Paths;
+use honeyknot_gauges::plan::{Plan as MetricsPlan, Protocol, Sink};
+use honeyknot_neighbors::Plan as NeighborsPlan;
+use honeyknot_sites::Plan as SitesPlan;
+
+use super::{address, fixture_text};
+
+/// The sites that the deployment has.
+const SITES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
+
+/// Reads a sites file; all faults as text.
+pub fn read_sites(file: &str) -> Result<SitesPlan, String> {
+    let sites = SITES.map(str::to_owned);
+    SitesPlan::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
+}
+
+fn read_neighbors(file: &str) -> Result<NeighborsPlan, String> {
+    NeighborsPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+}
+
+fn read_metrics(file: &str) -> Result<MetricsPlan, String> {
+    let no_key = |_: &str| Err("no key file".to_owned());
+    MetricsPlan::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
+}
+
+fn read_leases(file: &str) -> Result<LeasesPlan, String> {
+    LeasesPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+}
+
+fn names(words: &[&str]) -> Vec<String> {
+    words.iter().map(|word| (*word).to_owned()).collect()
+}
+
+#[test]
+fn a_sites_file_of_the_previous_version_means_what_it_meant() {
+    let tiers = [
+        ("accra-north", vec![names(&["accra-east", "tema"]), names(&["kasoa"])]),
+        ("accra-east", vec![names(&["accra-north", "kasoa"]), names(&["tema"])]),
+        ("tema", vec![names(&["accra-east", "accra-north"]), names(&["kasoa"])]),
+        ("kasoa", vec![names(&["accra-east"]), names(&["accra-north", "tema"])]),
+    ];
+    let meant = SitesPlan {
+        tiers: tiers.into_iter().map(|(home, tiers)| (home.to_owned(), tiers)).collect(),
+        spill_limit: 0.25,
+        receive: BTreeMap::new(),
+        leave_limit: 0.8,
+        overflow: 0.25,
+        relays: BTreeMap::new(),
+        skew: 1.0,
+        session_load: 0.03,
+        deck_cost: 3.0,
+        spill_at: 0.6,
+        yield_at: 0.7,
+        give_back_at: 0.85,
+        lost_below: 0.1,
+        back_above: 0.4,
+        small_after: 5_000_000,
+        silent_servers: 2,
+        ramp: 9_000_000,
+        spread: 1_500_000,
+        settle: 5_000_000,
+        hold: 4_000_000,
+        hold_most: 120_000_000,
+        forget: 120_000_000,
+        moves_per_s: 4.0,
+        home_below: 0.55,
+        news_skew: 3_000_000,
+        claim: 10_000_000,
+        usual_half: 600_000_000,
+        come_back: (150_000, 600_000),
+    };
+    assert_eq!(read_sites("sites.conf"), Ok(meant));
+}
+
+#[test]
+fn a_sites_file_with_every_directive_changed_means_what_it_meant() {
+    let meant = SitesPlan {
+        tiers: BTreeMap::from([("tema".to_owned(), vec![names(&["kasoa"])])]),
+        spill_limit: 0.31,
+        receive: BTreeMap::from([("kasoa".to_owned(), 0.15)]),
+        leave_limit: 0.32,
+        overflow: 0.33,
+        relays: BTreeMap::from([("tema".to_owned(), 12)]),
+        skew: 2.5,
+        session_load: 0.04,
+        deck_cost: 5.0,
+        spill_at: 0.51,
+        yield_at: 0.72,
+        give_back_at: 0.93,
+        lost_below: 0.14,
+        back_above: 0.45,
+        small_after: 6_000_000,
+        silent_servers: 7,
+        ramp: 8_000_000,
+        spread: 1_100_000,
+        settle: 12_000_000,
+        hold: 13_000_000,
+        hold_most: 180_000_000,
+        forget: 240_000_000,
+        moves_per_s: 9.0,
+        home_below: 0.5,
+        news_skew: 1_900_000,
+        claim: 21_000_000,
+        usual_half: 720_000_000,
+        come_back: (160_000, 700_000),
+    };
+    assert_eq!(read_sites("sites-all.conf"), Ok(meant));
+}
+
+#[test]
+fn a_neighbors_file_of_the_previous_version_means_what_it_meant() {
+    let meant = NeighborsPlan {
+        fleet: "example".into(),
+        port: 7500,
+        seeds: vec![address("127.0.0.1:7500"), address("127.0.0.2:7500")],
+        witnesses: 3,
+        plain: false,
+    };
+    assert_eq!(read_neighbors("neighbors.conf"), Ok(meant));
+}
+
+fn sink(name: &str, protocol: Protocol, at: &str) -> Sink {
+    Sink {
+        name: name.into(),
+        protocol,
+        address: address(at),
+        interval: Duration::from_secs(10),
+        prefix: "honeyknot".into(),
+        buffer: 1 << 20,
+        spool: 0,
+        fill: 20.0,
+    }
+}
+
+#[test]
+fn a_metrics_file_of_the_previous_version_means_what_it_meant() {
+    let plan = read_metrics("metrics.conf").expect("a sound file");
+    let meant = [
+        sink("graphite", Protocol::GraphiteLines(Paths::Nodes), "127.0.0.1:2003"),
+        sink("collectd", Protocol::Collectd(Security::None), "127.0.0.1:25826"),
+    ];
+    assert_eq!(plan.sinks, meant);
+    assert_eq!((plan.cap, plan.state), (64, None));
+}
+
+#[test]
+fn a_metrics_file_with_every_directive_changed_means_what_it_meant() {
+    let text = fixture_text("metrics-all.conf");
+    let key = |file: &str| Ok((format!("user of {file}"), "secret".to_owned()));
+    let plan = MetricsPlan::read("metrics-all.conf", &text, key).expect("a sound file");
+    let security = |file: &str| (format!("user of {file}"), "secret".to_owned());
+    let (signer, encrypter) = (security("sign.key"), security("encrypt.key"));
+    let meant = [
+        Sink {
+            interval: Duration::from_secs(2),
+            prefix: "edge".into(),
+            buffer: 8 << 10,
+            spool: 64 << 20,
+            fill: 7.0,
+            ..sink("pickles", Protocol::GraphitePickle(Paths::Tags), "127.0.0.1:2004")
+        },
+        sink(
+            "signed",
+            Protocol::Collectd(Security::Sign { user: signer.0, password: signer.1 }),
+            "127.0.0.1:25826",
+        ),
+        sink(
+            "encrypted",
+            Protocol::Collectd(Security::Encrypt { user: encrypter.0, password: encrypter.1 }),
+            "127.0.0.1:25827",
+        ),
+    ];
+    assert_eq!(plan.sinks, meant);
+    assert_eq!((plan.cap, plan.state), (9, Some("counts".into())));
+}
+
+#[test]
+fn a_leases_file_of_the_previous_version_means_what_it_meant() {
+    let plan = read_leases("leases.conf").expect("a sound file");
+    assert_eq!(plan.fleet, "example");
+    let replicas = [(1, "127.0.0.1:7401"), (2, "127.0.0.1:7402"), (3, "127.0.0.1:7403")];
+    assert_eq!(plan.keepers, replicas.map(|(number, at)| (number, address(at))).into());
+    let terms = plan.terms;
+    assert_eq!((terms.lease, terms.drift_ppm, terms.margin), (10_000_000, 1_000, 500_000));
+    assert_eq!(plan.election, 1_000_000);
+}
+
+#[test]
+fn a_plain_network_is_allowed_by_the_same_word_as_before() {
+    let neighbors = read_neighbors("neighbors-plain.conf").expect("a sound file");
+    assert!(neighbors.plain);
+    assert_eq!(neighbors.seeds, [address("192.0.2.1:7500")]);
+    let leases = read_leases("leases-plain.conf").expect("a sound file");
+    assert_eq!(leases.keepers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
+}
+
+#[test]
+fn a_wrong_directive_in_a_sites_file_is_told_by_the_same_text_as_before() {
+    let told = read_sites("sites-wrong.conf").expect_err("a fault");
+    assert_eq!(told + "\n", fixture_text("sites-wrong.txt"));
+}
+
+#[test]
+fn a_wrong_directive_in_a_neighbors_file_is_told_by_the_same_text_as_before() {
+    let told = read_neighbors("neighbors-wrong.conf").expect_err("a fault");
+    assert_eq!(told + "\n", fixture_text("neighbors-wrong.txt"));
+}
+
+#[test]
+fn a_wrong_directive_in_a_metrics_file_is_told_by_the_same_text_as_before() {
+    let told = read_metrics("metrics-wrong.conf").expect_err("a fault");
+    assert_eq!(told + "\n", fixture_text("metrics-wrong.txt"));
+}
+
+#[test]
+fn a_wrong_directive_in_a_leases_file_is_told_by_the_same_text_as_before() {
+    let told = read_leases("leases-wrong.conf").expect_err("a fault");
+    assert_eq!(told + "\n", fixture_text("leases-wrong.txt"));
+}
