--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -6,7 +6,7 @@
 
 use honeyknot::relay::process::config::Config;
 use honeyknot::relay::process::handover::{ByHand, Folder as HotRestartFolder, Word as HotRestartMessage};
-use serde_json::json;
+use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
 use tokio::time::sleep;
@@ -85,26 +85,71 @@
     let plain: Vec<HotRestartMessage> = messages.iter().filter(is_plain).cloned().collect();
     assert_eq!(plain, plain_messages());
     for (line, message) in text.lines().zip(&messages) {
-        let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let value: Value = serde_json::from_str(line).expect("JSON");
         assert_eq!(value["say"], tag(message));
     }
 }
 
+/// The form of a connection that is passed on: what differs between the fixture's lines.
+struct PassedConnection {
+    to_client: &'static [u8],
+    to_server: &'static [u8],
+    inside_line: bool,
+    last: &'static str,
+    unanswered: Option<u64>,
+    load: Option<f64>,
+}
+
+impl PassedConnection {
+    fn value(&self) -> Value {
+        json!({
+            "say": "session",
+            "head": b"OPEN 9b1f 7f3a c=study,d=26000,g=5c0f,x=1\r\n".as_slice(),
+            "server": "s-1",
+            "to_client": self.to_client,
+            "to_server": self.to_server,
+            "watch": {"kept": self.to_client, "inside": self.inside_line},
+            "last": self.last,
+            "unanswered": self.unanswered,
+            "load": self.load,
+        })
+    }
+}
+
+/// The connections of the fixture, in its order.
+fn passed_connections() -> [PassedConnection; 4] {
+    let idle = |last, unanswered, load| PassedConnection {
+        to_client: b"",
+        to_server: b"",
+        inside_line: false,
+        last,
+        unanswered,
+        load,
+    };
+    [
+        PassedConnection {
+            to_client: b"OK par",
+            to_server: b"PING 1\r\n",
+            inside_line: true,
+            ..idle("Bye", Some(1_700_000_000_000_005), Some(0.25))
+        },
+        idle("Move", None, Some(1.0)),
+        PassedConnection { to_server: b"\xff\x00", ..idle("Err", Some(0), None) },
+        idle("Other", None, None),
+    ]
+}
+
 #[test]
 fn a_connection_passed_on_by_the_previous_version_is_read_and_written_unchanged() {
     let text = fixture_text(MESSAGES);
     let passed: Vec<&str> = text.lines().filter(|line| tag(&decode(line)) == "session").collect();
-    let heads: Vec<serde_json::Value> =
-        passed.iter().map(|line| serde_json::to_value(decode(line)).expect("a message has a form")).collect();
-    let last_lines: Vec<&str> = heads.iter().map(|value| value["last"].as_str().expect("a word")).collect();
-    assert_eq!(last_lines, ["Bye", "Move", "Err", "Other"]);
-    let first = &heads[0];
-    assert_eq!(first["head"], json!(b"OPEN 9b1f 7f3a c=study,d=26000,g=5c0f,x=1\r\n".as_slice()));
-    assert_eq!((&first["server"], &first["to_server"]), (&json!("s-1"), &json!(b"PING 1\r\n".as_slice())));
-    assert_eq!((&first["unanswered"], &first["load"]), (&json!(1_700_000_000_000_005_u64), &json!(0.25)));
-    let last = &heads[3];
-    assert_eq!((&last["unanswered"], &last["load"]), (&json!(null), &json!(null)));
-    assert_eq!(last["watch"], json!({"kept": [], "inside": false}));
+    let meant = passed_connections().map(|connection| connection.value());
+    assert_eq!(passed.len(), meant.len());
+    for (line, meant) in passed.into_iter().zip(meant) {
+        let message = decode(line);
+        assert_eq!(serde_json::to_value(&message).expect("a message has a form"), meant);
+        assert_eq!(encode(&message), line);
+    }
 }
 
 /// A configuration that knows the endpoints in the fixtures; `s-4` is draining.
