--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -1,1 +1,663 @@
 //! The simulator's wire, recorded days of events, and the configuration of each site at hand.
+//!
+//! `fixtures/simulator/days` holds, for each recorded day, the lines that the program was given and the lines that it
+//! wrote, compressed. As every random draw comes from the seed in the input, equal output means that the same draws
+//! were made in the same order. `fixtures/simulator/settings` holds configurations, each beside the values read from it.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Display;
+use std::fs;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Stdio};
+use std::thread;
+
+use serde_json::{Value, json};
+
+use honeyknot::interface::{
+    Class, Discovery, Effect, ForwardMode, ReportSource, Scope, ServerEntry, ServerState, Settings, Tenant,
+    Weights,
+};
+use honeyknot::relay::process::config::Config;
+use honeyknot::relay::servers::roll::RollNews;
+use honeyknot::wire::{self, Names};
+
+/// The program that speaks the simulator's wire on standard input and output.
+const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-wirehost");
+/// The day that is also played through that program.
+const ADAPTER_DAY: &str = "fleet-of-300-silent";
+
+/// The fewest recorded days, and the fewest actions over all of them.
+const MIN_DAYS: usize = 10;
+const MIN_ACTIONS: usize = 20_000;
+
+/// Actions that the decisions take. The wire has four more, `withdraw`, `getList`, `letGo` and `publish`, which the
+/// decisions took nowhere when the days were recorded, and `broken`, which reports a panic.
+const ACTIONS_TAKEN: [&str; 8] =
+    ["goAway", "handOff", "journalLine", "probe", "reject", "respondError", "track", "wakeMe"];
+const LIST_MODES: [&str; 4] = ["all", "changes", "refused", "remembered"];
+const OUTCOME_STATUSES: [u64; 8] = [200, 410, 499, 500, 502, 503, 504, 598];
+const PROBE_STATUSES: [u64; 5] = [200, 500, 502, 503, 504];
+
+// ---- Recorded days -------------------------------------------------------------------------------------------
+
+struct Day {
+    name: String,
+    input: Vec<u8>,
+    output: Vec<u8>,
+}
+
+fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility/fixtures/simulator")
+}
+
+fn compressed(path: &Path) -> Vec<u8> {
+    let bytes = fs::read(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    zstd::decode_all(&bytes[..]).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn recorded_day(name: &str) -> Day {
+    let folder = fixtures().join("days");
+    Day {
+        name: name.to_owned(),
+        input: compressed(&folder.join(format!("{name}.input.zst"))),
+        output: compressed(&folder.join(format!("{name}.output.zst"))),
+    }
+}
+
+fn recorded_days() -> Vec<Day> {
+    let files = fs::read_dir(fixtures().join("days")).expect("the folder of recorded days");
+    let names = files.map(|file| file.expect("a file").file_name().into_string().expect("UTF-8"));
+    let names: BTreeSet<String> =
+        names.filter_map(|name| name.strip_suffix(".input.zst").map(str::to_owned)).collect();
+    names.iter().map(|name| recorded_day(name)).collect()
+}
+
+/// Runs the wire over the input within this process; the answer is all that it wrote, or why it stopped.
+fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
+    let mut output = Vec::new();
+    wire::run(input, &mut output).map_err(|fault| fault.to_string())?;
+    Ok(output)
+}
+
+/// Where two texts first differ, by line from 1.
+fn first_difference(expected: &[u8], found: &[u8]) -> Option<String> {
+    if expected == found {
+        return None;
+    }
+    let lines = |bytes: &[u8]| -> Vec<String> {
+        bytes.split(|b| *b == b'\n').map(|line| String::from_utf8_lossy(line).into_owned()).collect()
+    };
+    let (expected, found) = (lines(expected), lines(found));
+    let same = expected.iter().zip(&found).take_while(|(a, b)| a == b).count();
+    let line = |lines: &[String]| lines.get(same).cloned().unwrap_or_else(|| "nothing".into());
+    Some(format!("line {}: expected {}, found {}", same + 1, line(&expected), line(&found)))
+}
+
+fn difference_of_day(day: &Day) -> Option<String> {
+    let difference = match answer(&day.input) {
+        Ok(output) => first_difference(&day.output, &output)?,
+        Err(fault) => fault,
+    };
+    Some(format!("{}: {difference}", day.name))
+}
+
+/// The messages of a text of lines.
+fn messages(text: &[u8]) -> Vec<Vec<Value>> {
+    let text = std::str::from_utf8(text).expect("UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("an array of JSON")).collect()
+}
+
+fn name_of(message: &[Value]) -> &str {
+    message[0].as_str().expect("a message's name")
+}
+
+#[test]
+fn recorded_days_give_the_same_actions_line_by_line() {
+    let days = recorded_days();
+    assert!(days.len() >= MIN_DAYS, "{} days", days.len());
+    let differences: Vec<String> = thread::scope(|scope| {
+        let runs: Vec<_> = days.iter().map(|day| scope.spawn(|| difference_of_day(day))).collect();
+        runs.into_iter().filter_map(|run| run.join().expect("a day is played")).collect()
+    });
+    assert!(
+        differences.is_empty(),
+        "{} of {} days differ:\n{}",
+        differences.len(),
+        days.len(),
+        differences.join("\n")
+    );
+}
+
+#[test]
+fn recorded_day_through_the_adapter_program_gives_the_same_bytes() {
+    let day = recorded_day(ADAPTER_DAY);
+    let mut adapter = Command::new(ADAPTER)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()
+        .expect("the adapter starts");
+    let mut stdin = adapter.stdin.take().expect("its input");
+    let input = day.input.clone();
+    let writer = thread::spawn(move || stdin.write_all(&input));
+    let output = adapter.wait_with_output().expect("its output");
+    writer.join().expect("a writer").expect("the adapter reads all its input");
+    assert!(output.status.success(), "{:?}", output.status);
+    assert_eq!(first_difference(&day.output, &output.stdout), None, "{}", day.name);
+}
+
+#[test]
+fn recorded_days_hold_every_event_of_the_wire_and_every_action_that_is_taken() {
+    let (mut events, mut actions) = (BTreeMap::new(), BTreeMap::new());
+    let (mut modes, mut outcomes, mut probes) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    for day in recorded_days() {
+        for message in messages(&day.input) {
+            *events.entry(name_of(&message).to_owned()).or_insert(0usize) += 1;
+            match name_of(&message) {
+                "targets" => drop(modes.insert(message[4].as_str().expect("a mode").to_owned())),
+                "verdict" => drop(outcomes.insert(message[3].as_u64().expect("a status"))),
+                "healthResult" => drop(probes.insert(message[3].as_u64().expect("a status"))),
+                _ => {}
+            }
+        }
+        for message in messages(&day.output) {
+            *actions.entry(name_of(&message).to_owned()).or_insert(0usize) += 1;
+        }
+    }
+    let told: BTreeSet<&str> = events.keys().map(String::as_str).collect();
+    let wire = site_wire("harbour-desk");
+    let kinds = |direction: &str| -> Vec<&Value> {
+        wire[direction].as_object().expect("messages by kind").values().collect()
+    };
+    for event in kinds("events") {
+        assert!(told.contains(event["name"].as_str().expect("a name")), "{event} is in no recorded day");
+    }
+    let batches = actions.remove("finished").expect("batches");
+    assert_eq!(Some(&batches), events.get("go"));
+    assert_eq!(actions.keys().map(String::as_str).collect::<Vec<_>>(), ACTIONS_TAKEN);
+    assert!(actions.values().sum::<usize>() >= MIN_ACTIONS, "{actions:?}");
+    assert_eq!(modes.iter().map(String::as_str).collect::<Vec<_>>(), LIST_MODES);
+    assert_eq!(outcomes.into_iter().collect::<Vec<_>>(), OUTCOME_STATUSES);
+    assert_eq!(probes.into_iter().collect::<Vec<_>>(), PROBE_STATUSES);
+}
+
+// ---- The wire ------------------------------------------------------------------------------------------------
+
+/// The description of the wire that lies with a site.
+fn site_wire(site: &str) -> Value {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("deploy/sites/{site}/wire.json"));
+    let text = fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    serde_json::from_slice(&text).expect("JSON")
+}
+
+/// How many values each message has, by its name.
+fn arities(wire: &Value, direction: &str) -> BTreeMap<String, usize> {
+    let kinds = wire[direction].as_object().expect("messages by kind").values();
+    let arity = |kind: &Value| {
+        let fields = kind["fields"].as_array().expect("fields").len();
+        (kind["name"].as_str().expect("a name").to_owned(), fields)
+    };
+    kinds.map(arity).collect()
+}
+
+#[test]
+fn messages_of_recorded_days_have_the_values_that_each_sites_wire_lists() {
+    for site in SITES {
+        let wire = site_wire(site);
+        let (events, actions) = (arities(&wire, "events"), arities(&wire, "actions"));
+        let day = recorded_day(ADAPTER_DAY);
+        let check = |text: &[u8], arities: &BTreeMap<String, usize>, frame: &[&str]| {
+            for message in messages(text) {
+                let name = name_of(&message);
+                if !frame.contains(&name) {
+                    assert_eq!(Some(&(message.len() - 1)), arities.get(name), "{site}: {name}");
+                }
+            }
+        };
+        check(&day.input, &events, &["round", "go"]);
+        check(&day.output, &actions, &["finished"]);
+    }
+}
+
+/// A batch that starts an instance with one server, `10.0.0.1:80`.
+fn start(settings: &Value) -> String {
+    let page = json!(["page", 3, [["big", 1.0, "10.0.0.1:80", null, "x", 0, "Ready"]]]);
+    let lines = [
+        json!(["round", 5_000_000, 1]),
+        json!(["configure", "balancer_0", 7, settings]),
+        page,
+        json!(["targets", "balancer_0", 1, 3, "remembered"]),
+        json!(["go"]),
+    ];
+    lines.map(|line| format!("{line}\n")).concat()
+}
+
+fn small_settings() -> Value {
+    json!({"family": "conn", "discovery": "on_request", "telemetry": {"source": "pull"}, "zones": ["x"],
+        "shapes": ["big"], "services": [{"name": "feed", "effect": "idempotent", "hardLimitUs": 1_000_000}],
+        "permissions": {"probing": true, "maxAttempts": 3}, "rules": {"startCapacity": 0.2}})
+}
+
+#[test]
+fn one_of_each_event_is_taken_and_answered_with_the_same_bytes() {
+    let events = r#"["round",6000000,2]
+["jobIn","balancer_0",12,1500,1000000,"feed",false,true,null,false,"p:1","s-1"]
+["fromPeer","balancer_0",2,"68692037"]
+["reminder","balancer_0",1]
+["go"]
+["round",6002000,3]
+["healthResult","balancer_0","10.0.0.1:80",200,1500,{"x0":0.3,"odd":1}]
+["go"]
+["round",6010000,4]
+["headers","balancer_0",12,0,"10.0.0.1:80",8000]
+["hintUpdate","balancer_0",12,0,"10.0.0.1:80",1,900.5]
+["hintUpdate","balancer_0",12,0,"10.0.0.1:80",2,40]
+["handover","balancer_0",13,"s-2",false,"10.0.0.1:80",false,null,"feed",null,1200,240000,false]
+["dropped","balancer_0",13]
+["verdict","balancer_0",12,200,0,true,"10.0.0.1:80",18500,null]
+["targets","balancer_0",2,0,"refused"]
+["kill","balancer_0"]
+["go"]
+"#;
+    let expected = ONE_OF_EACH;
+    let output = answer((start(&small_settings()) + events).as_bytes()).expect("a sound input");
+    assert_eq!(first_difference(expected.as_bytes(), &output), None);
+}
+
+const ONE_OF_EACH: &str = r#"["wakeMe","balancer_0",200000,0]
+["wakeMe","balancer_0",0,1]
+["finished",1]
+["probe","balancer_0","10.0.0.1:80"]
+["wakeMe","balancer_0",30000,14]
+["track","balancer_0",true]
+["finished",2]
+["handOff","balancer_0",12,"10.0.0.1:80",998000]
+["finished",3]
+["wakeMe","balancer_0",395881,1]
+["finished",4]
+"#;
+
+#[test]
+fn broken_lines_and_settings_stop_the_wire_with_the_same_words() {
+    let with = |path: &str, value: Value| {
+        let mut settings = small_settings();
+        let (parent, name) = path.rsplit_once('/').expect("a path");
+        settings.pointer_mut(parent).expect("a parent")[name] = value;
+        start(&settings)
+    };
+    let after_start = |line: &str| format!("{}[\"round\",6000000,2]\n{line}\n", start(&small_settings()));
+    for (input, expected) in [
+        (
+            with("/rules/startCapacity", json!(1.5)),
+            "batch 1, line 2: settings: start_capacity is not within 0 and 1",
+        ),
+        (
+            with("/rules/overloadFactor", json!(0.0)),
+            "batch 1, line 2: settings: overload_factor is not a positive number",
+        ),
+        (
+            with("/rules/coldUs", json!(40_000_000_000_000_u64)),
+            "batch 1, line 2: setting `rules.coldUs` is 40000000000000; at most a year, 31536000000000 us, is allowed",
+        ),
+        (
+            with("/services/0/worth", json!(-1.0)),
+            "batch 1, line 2: settings: a class has a worth that is not a number of 0 or more",
+        ),
+        (
+            with("/services/0/worth", json!("much")),
+            "batch 1, line 2: setting `services[0].worth` has a wrong type",
+        ),
+        (
+            with("/tariffs", json!({"moves": -1.0})),
+            "batch 1, line 2: settings: a price is not a number of 0 or more",
+        ),
+        (
+            with("/permissions/probing", json!("yes")),
+            "batch 1, line 2: setting `permissions.probing` has a wrong type",
+        ),
+        (with("/zones", json!([1])), "batch 1, line 2: setting `zones` holds no names"),
+        (after_start("{"), "batch 2, line 2: not JSON: EOF while parsing an object at line 1 column 1"),
+        (after_start(r#"["nonsense","balancer_0"]"#), "batch 2, line 2: unknown message `nonsense`"),
+        (
+            after_start(r#"["reminder","balancer_9",1]"#),
+            "batch 2, line 2: `reminder` for an instance that is not configured",
+        ),
+        (
+            after_start(r#"["verdict","balancer_0",1,201,0,true,"10.0.0.1:80",1]"#),
+            "batch 2, line 2: `verdict`: value 3 is not a known outcome",
+        ),
+        (
+            after_start(r#"["fromPeer","balancer_0",1,"abc"]"#),
+            "batch 2, line 2: bytes are pairs of hex digits",
+        ),
+        (
+            after_start(r#"["dropped","balancer_0",4294967296]"#),
+            "batch 2, line 2: `dropped`: value 2 is not a number below 2^32",
+        ),
+        (after_start(r#"["dropped","balancer_0",1,2]"#), "batch 2, line 2: `dropped` has 3 values, not 2"),
+        (start(&json!([])), "batch 1, line 2: settings are an object"),
+    ] {
+        assert_eq!(answer(input.as_bytes()).expect_err("a fault"), expected);
+    }
+}
+
+// ---- Settings ------------------------------------------------------------------------------------------------
+
+/// The sites at hand.
+const SITES: [&str; 2] = ["harbour-desk", "ridge-library"];
+
+fn settings_file(name: &str) -> Vec<u8> {
+    let path = fixtures().join("settings").join(name);
+    fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// Values under the names that the wire gives them, one a line.
+#[derive(Default)]
+struct Fields(String);
+
+impl Fields {
+    fn add(&mut self, name: impl Display, value: impl Display) {
+        self.0.push_str(&format!("{name} = {value}\n"));
+    }
+
+    fn add_settings(&mut self, settings: &Settings) {
+        let Settings { permissions, rules, goal, prices, .. } = settings;
+        self.add("fleetSize", settings.fleet_size);
+        self.add("me", settings.index);
+        self.add("zone", place(settings.zone.map(|zone| zone.0)));
+        for (number, class) in settings.classes.iter().enumerate() {
+            self.add_class(&format!("services.{number}"), class);
+        }
+        for (number, tenant) in settings.tenants.iter().enumerate() {
+            self.add_tenant(&format!("tenants.{number}"), tenant);
+        }
+        self.add("overShareWorth", settings.over_share_worth);
+        self.add("worthBy work", settings.worth_by_work);
+        self.add("clientHabits.marksRetry", settings.marks_retry);
+        self.add("discovery", discovery(settings.discovery));
+        self.add("telemetry.source", report_source(settings.reports));
+        self.add("weights", weights(settings.weights));
+        self.add("familyInfo.mode", forward_mode(settings.mode));
+        self.add("familyInfo.parkUs", settings.park);
+        self.add("familyInfo.groups", settings.groups);
+        self.add("familyInfo.tellsLoad", settings.tells_load);
+        self.add("familyInfo.tellsDelay", settings.tells_delay);
+        self.add("roundUs", settings.tick);
+        self.add("brings connections home", settings.homing);
+        self.add("permissions.mayCancel", permissions.cancel);
+        self.add("permissions.peers", permissions.peers);
+        self.add("permissions.probing", permissions.probes);
+        self.add("permissions.retryAfter", permissions.retry_after);
+        self.add("permissions.secondCopies", permissions.second_copies);
+        self.add("permissions.maxAttempts", permissions.max_attempts);
+        self.add("permissions.maxOpen", permissions.max_open);
+        self.add("permissions.maxRetryAfterUs", permissions.max_retry_after);
+        self.add("permissions.multiplex", permissions.multiplex);
+        self.add("permissions.idleCloseUs", permissions.idle_close);
+        self.add("permissions.connectTimeoutUs", permissions.connect_timeout);
+        self.add("permissions.cpuUsPerRequest", permissions.cpu_per_request);
+        self.add("permissions.cpuUsPerS", permissions.cpu_per_second);
+        self.add("rules.graceToAnswerUs", rules.answer_grace);
+        self.add("rules.mustAskInUs", rules.must_ask_in);
+        self.add("rules.startCapacity", rules.start_capacity);
+        self.add("rules.coldUs", rules.cold);
+        self.add("rules.stopSendingWithinUs", rules.drain_grace);
+        self.add("rules.overloadFactor", rules.overload_factor);
+        self.add("rules.fallUs", rules.fall);
+        self.add("resultMix.whole", goal.whole);
+        self.add("resultMix.worstClass", goal.worst_class);
+        self.add("resultMix.worstTenant", goal.worst_tenant);
+        self.add("resultMix.worstWindow", goal.worst_window);
+        self.add("tariffs.connection", prices.connection);
+        self.add("tariffs.crossZone", prices.cross_zone);
+        self.add("tariffs.discovery", prices.discovery);
+        self.add("tariffs.fleet", prices.fleet);
+        self.add("tariffs.handshake", prices.handshake);
+        self.add("tariffs.lateFail", prices.late_fail);
+        self.add("tariffs.moves", prices.moves);
+        self.add("tariffs.origin", prices.origin);
+        self.add("tariffs.peer", prices.peer);
+        self.add("tariffs.probe", prices.probe);
+        self.add("tariffs.waste", prices.waste);
+    }
+
+    fn add_class(&mut self, path: &str, class: &Class) {
+        self.add(format!("{path}.aimUs"), class.aim);
+        self.add(format!("{path}.aimStretch"), class.aim_stretch);
+        self.add(format!("{path}.hardLimitUs"), class.deadline);
+        self.add(format!("{path}.effect"), effect(class.effect));
+        self.add(format!("{path}.lateShare"), class.late_share);
+        self.add(format!("{path}.stream"), class.stream);
+        self.add(format!("{path}.worth"), class.worth);
+        self.add(format!("{path}.messageAimUs"), class.message_aim);
+    }
+
+    fn add_tenant(&mut self, path: &str, tenant: &Tenant) {
+        self.add(format!("{path}.quotaPerS"), tenant.quota_per_s);
+        self.add(format!("{path}.tenantQuotaConnections"), tenant.quota_connections);
+        self.add(format!("{path}.fraction"), tenant.fraction);
+    }
+
+    /// The places of names; only those of the file at hand are asked for.
+    fn add_names(&mut self, names: &Names, settings: &Value) {
+        self.add("names of classes", names.classes().join(" "));
+        self.add("names of zones", names.zones().join(" "));
+        for name in listed(&settings["services"]) {
+            self.add(format!("class {name}"), place(names.class(&name).map(|id| id.0)));
+        }
+        for name in listed(&settings["tenants"]) {
+            self.add(format!("tenant {name}"), place(names.tenant(&name).map(|id| id.0)));
+        }
+        for name in listed(&settings["zones"]) {
+            self.add(format!("zone {name}"), place(names.zone(&name).map(|id| id.0)));
+        }
+        for name in listed(&settings["shapes"]) {
+            self.add(format!("shape {name}"), place(names.kind(&name).map(|id| id.0)));
+        }
+        self.add("class nobody", place(names.class("nobody").map(|id| id.0)));
+        let report = names.load_report(|name| {
+            let fields =
+                ["x0", "x1", "busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"];
+            fields.iter().position(|field| *field == name).map(|place| place as f64 + 0.5)
+        });
+        self.add("report x0", number(report.load));
+        self.add("report x1", number(report.backlog_s));
+        self.add("report busy_reqs", number(report.inflight));
+        self.add("report pending", number(report.queue));
+        self.add("report cpu_share", number(report.utilization));
+        self.add("report svc_ms", number(report.latency_ms));
+        self.add("report served_ps", number(report.served_per_s));
+        self.add("report failed_ps", number(report.errors_per_s));
+    }
+
+    fn add_config(&mut self, config: &Config) {
+        self.add("name", &config.name);
+        self.add("listen", config.listen);
+        self.add("discovery address", config.discovery);
+        self.add("admin_addr", config.admin.map_or("none".into(), |at: SocketAddr| at.to_string()));
+        self.add("seed", config.seed);
+        self.add("limits.sockets", config.sockets);
+        self.add("files of sites, metrics, neighbors", {
+            config.sites.is_some() || config.metrics.is_some() || config.neighbors.is_some()
+        });
+        if let Some(known) = &config.known {
+            self.add_known(known);
+        }
+    }
+
+    fn add_known(&mut self, known: &RollNews) {
+        self.add("known.version", known.version);
+        self.add("known.full", known.whole);
+        for (number, entry) in known.entries.iter().enumerate() {
+            self.add_entry(&format!("known.servers.{number}"), entry);
+        }
+        for (id, address) in &known.addresses {
+            self.add(format!("known address of {}", id.0), address);
+        }
+    }
+
+    fn add_entry(&mut self, path: &str, entry: &ServerEntry) {
+        self.add(format!("{path}.id"), &entry.server.0);
+        self.add(format!("{path}.kind"), place(entry.kind.map(|kind| kind.0)));
+        self.add(format!("{path}.weight"), entry.weight);
+        self.add(format!("{path}.started in us"), entry.started);
+        self.add(format!("{path}.zone"), place(entry.zone.map(|zone| zone.0)));
+        self.add(format!("{path}.cell"), entry.cell.0);
+        self.add(format!("{path}.state"), server_state(entry.state));
+    }
+}
+
+fn place(place: Option<usize>) -> String {
+    place.map_or("none".into(), |place| place.to_string())
+}
+
+fn number(number: Option<f64>) -> String {
+    number.map_or("none".into(), |number| number.to_string())
+}
+
+/// The names in a list of names or of objects with names.
+fn listed(list: &Value) -> Vec<String> {
+    let items = list.as_array().into_iter().flatten();
+    items.filter_map(|item| item.as_str().or(item["name"].as_str()).map(str::to_owned)).collect()
+}
+
+fn effect(effect: Effect) -> String {
+    match effect {
+        Effect::Idempotent => "idempotent".into(),
+        Effect::AtMostOnce => "at_most_once".into(),
+        Effect::Deduplicated { scope, window } => {
+            format!("deduplicated in {} for {window}", self::scope(scope))
+        }
+    }
+}
+
+fn scope(scope: Scope) -> &'static str {
+    match scope {
+        Scope::All => "all",
+        Scope::Zone => "zone",
+        Scope::Cell => "cell",
+    }
+}
+
+fn discovery(discovery: Discovery) -> &'static str {
+    match discovery {
+        Discovery::Pushed => "pushed",
+        Discovery::OnRequest => "on_request",
+    }
+}
+
+fn report_source(source: ReportSource) -> &'static str {
+    match source {
+        ReportSource::Outcomes => "piggyback",
+        ReportSource::Probes => "pull",
+        ReportSource::Nowhere => "silent",
+    }
+}
+
+fn weights(weights: Weights) -> &'static str {
+    match weights {
+        Weights::Nothing => "silent",
+        Weights::Nominal => "nominal",
+        Weights::Rough => "rough",
+        Weights::Live => "live",
+    }
+}
+
+fn forward_mode(mode: ForwardMode) -> &'static str {
+    match mode {
+        ForwardMode::Proxy => "proxy",
+        ForwardMode::Pass => "pass",
+    }
+}
+
+fn server_state(state: ServerState) -> &'static str {
+    match state {
+        ServerState::Ready => "active",
+        ServerState::Draining => "leaving",
+        ServerState::Gone => "left",
+    }
+}
+
+#[test]
+fn settings_of_each_site_give_the_same_typed_values() {
+    for site in SITES {
+        let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
+        let (settings, names) = wire::settings(&value).expect("sound settings");
+        let mut fields = Fields::default();
+        fields.add_settings(&settings);
+        fields.add_names(&names, &value);
+        let expected = settings_file(&format!("{site}.fields.txt"));
+        assert_eq!(first_difference(&expected, fields.0.as_bytes()), None, "{site}");
+    }
+}
+
+#[test]
+fn settings_of_each_site_use_the_names_of_its_own_file() {
+    for site in SITES {
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("deploy/sites/{site}/{site}.toml"));
+        let text = fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
+        for list in ["services", "tenants", "shapes", "tiers"] {
+            for name in listed(&value[list]) {
+                assert!(text.contains(&format!("name = \"{name}\"\n")), "{site}: {name}");
+            }
+        }
+        let zones: Vec<String> = listed(&value["zones"]).iter().map(|zone| format!("{zone:?}")).collect();
+        assert!(text.contains(&format!("zones = [{}]", zones.join(", "))), "{site}");
+    }
+}
+
+#[test]
+fn configuration_of_serve_gives_the_same_typed_values() {
+    let text = settings_file("serve.json");
+    let config = Config::read(&text, |_| None).expect("a sound configuration");
+    let value: Value = serde_json::from_slice(&text).expect("JSON");
+    let mut fields = Fields::default();
+    fields.add_config(&config);
+    fields.add_settings(&config.settings);
+    fields.add_names(&config.names, &value["settings"]);
+    assert_eq!(first_difference(&settings_file("serve.fields.txt"), fields.0.as_bytes()), None);
+}
+
+#[test]
+fn environment_goes_before_the_configuration_of_serve() {
+    let variable = |name: &str| match name {
+        "EDGE_NAME" => Some("n8".to_owned()),
+        "EDGE_LISTEN" => Some("10.0.0.9:5001".to_owned()),
+        "EDGE_DISCOVERY" => Some("10.2.0.2:8501".to_owned()),
+        "EDGE_ADMIN_ADDR" => Some("127.0.0.1:9002".to_owned()),
+        _ => None,
+    };
+    let config = Config::read(&settings_file("serve.json"), variable).expect("a sound configuration");
+    assert_eq!(config.name, "n8");
+    assert_eq!(config.listen.to_string(), "10.0.0.9:5001");
+    assert_eq!(config.discovery.to_string(), "10.2.0.2:8501");
+    assert_eq!(config.admin.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9002"));
+}
+
+#[test]
+fn broken_configurations_of_serve_give_the_same_words() {
+    let whole: Value = serde_json::from_slice(&settings_file("serve.json")).expect("JSON");
+    for (path, value, expected) in [
+        ("/listen", json!("here"), "`listen` is no address: here"),
+        ("/seed", json!("xyz"), "`seed` is no hex number: xyz"),
+        ("/limits/sockets", json!("many"), "`limits.sockets` is no whole number"),
+        ("/known/servers/0/state", json!("odd"), "`known`: s-1 has no known state"),
+        ("/known/servers/0/addr", json!(null), "`known`: a card server has no address"),
+        ("/settings/services/0/aimUs", json!("soon"), "setting `services[0].aimUs` has a wrong type"),
+        (
+            "/settings/familyInfo/parkUs",
+            json!(40_000_000_000_000_u64),
+            "setting `familyInfo.parkUs` is 40000000000000; at most a year, 31536000000000 us, is allowed",
+        ),
+        ("/settings", json!(null), "settings are an object"),
+        ("/admin_addr", json!("10.0.0.4:5000"), "`admin_addr` is where clients connect: 10.0.0.4:5000"),
+    ] {
+        let mut broken = whole.clone();
+        *broken.pointer_mut(path).expect("a place") = value;
+        let text = broken.to_string();
+        let error = Config::read(text.as_bytes(), |_| None).err().expect("an error");
+        assert_eq!(error, expected, "{path}");
+    }
+}
