--- a/Makefile
+++ b/Makefile
@@ -2,8 +2,8 @@
 
 # A whole world on loopback that loses and regains a site while one looks. ARGS="--for 20s" ends it by itself.
 try:
-	cargo build --release --locked -p honeyknot -p honeyknot-lab
-	target/release/honeyknot-lab try $(ARGS)
+	cargo build --release --locked -p honeyknot-relay -p honeyknot-testbed
+	target/release/honeyknot-testbed try $(ARGS)
 
 build:
 	cargo build --release --locked
@@ -18,7 +18,7 @@
 
 # EDGE_CONFIG names the configuration's file.
 run: build
-	target/release/honeyknot serve
+	target/release/honeyknot-relay serve
 
 check-config: build
-	target/release/honeyknot check-config
+	target/release/honeyknot-relay check-config
--- a/crates/decisions/tests/blind.rs
+++ b/crates/balancer/tests/blind.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use honeyknot_decisions::blind::guess;
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::blind::guess;
+use honeyknot_balancer::interface::*;
 
 /// Settings of a deployment with no reports and no probes; times and costs are another's than the usual ones.
 fn told_nothing(fleet_size: u32) -> Settings {
--- a/crates/decisions/tests/breaker.rs
+++ b/crates/balancer/tests/breaker.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use honeyknot_decisions::breaker::{Breaker, HALF_OPEN};
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::breaker::{Breaker, HALF_OPEN};
+use honeyknot_balancer::interface::*;
 
 #[test]
 fn it_is_half_open_after_its_time_and_closed_by_a_placement() {
--- a/crates/decisions/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -1,7 +1,7 @@
 //! What all balancers together send to a cold server: sums over instances that know nothing of each other.
 
-use honeyknot_decisions::cold::{self, Slots};
-use honeyknot_decisions::interface::{Micros, Rules};
+use honeyknot_balancer::cold::{self, Slots};
+use honeyknot_balancer::interface::{Micros, Rules};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use honeyknot_decisions::Balancer;
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::Balancer;
+use honeyknot_balancer::interface::*;
 
 pub const SECOND: Micros = 1_000_000;
 pub const START: Micros = 1_000 * SECOND;
--- a/crates/decisions/tests/decide.rs
+++ b/crates/balancer/tests/decide.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use common::*;
-use honeyknot_decisions::Balancer;
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::Balancer;
+use honeyknot_balancer::interface::*;
 
 fn three(load: f64) -> [(&'static str, Option<f64>); 3] {
     [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
--- a/crates/decisions/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use common::*;
-use honeyknot_decisions::Balancer;
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::Balancer;
+use honeyknot_balancer::interface::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/decisions/tests/withheld.rs
+++ b/crates/balancer/tests/withheld.rs
@@ -1,8 +1,8 @@
 //! Card servers out by hand, whatever the roll says of them meanwhile.
 
-use honeyknot_decisions::Withheld;
-use honeyknot_decisions::interface::*;
-use honeyknot_decisions::withheld::Unknown;
+use honeyknot_balancer::Withheld;
+use honeyknot_balancer::interface::*;
+use honeyknot_balancer::withheld::Unknown;
 
 fn id(name: &str) -> ServerId {
     ServerId(name.into())
--- a/crates/decisions/tests/zones.rs
+++ b/crates/balancer/tests/zones.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use honeyknot_decisions::interface::*;
-use honeyknot_decisions::zones::{GROUP_COST, copy_cost, slowdown};
+use honeyknot_balancer::interface::*;
+use honeyknot_balancer::zones::{GROUP_COST, copy_cost, slowdown};
 
 const ZONES: usize = 4;
 const SERVERS: [&str; 12] =
--- a/crates/listing/src/belief.rs
+++ b/crates/discovery/src/belief.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_decisions::interface::{Micros, ServerEntry, ServerId, ServerState};
+use honeyknot_balancer::interface::{Micros, ServerEntry, ServerId, ServerState};
 
 /// How long an older list must last before what it lacks is taken for gone: a service that fills its list from nothing is
 /// given this long.
--- a/crates/listing/tests/agent.rs
+++ b/crates/discovery/tests/agent.rs
@@ -3,8 +3,8 @@
 
 mod service;
 
-use honeyknot_decisions::interface::Micros;
-use honeyknot_listing::{Call, Caller, Told, Trouble};
+use honeyknot_balancer::interface::Micros;
+use honeyknot_discovery::{Call, Caller, Told, Trouble};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use service::{S, roll};
--- a/crates/listing/tests/caller.rs
+++ b/crates/discovery/tests/caller.rs
@@ -2,8 +2,8 @@
 
 mod service;
 
-use honeyknot_decisions::interface::{Micros, ServerState};
-use honeyknot_listing::{Call, Caller, Roll, State, Told, Trouble};
+use honeyknot_balancer::interface::{Micros, ServerState};
+use honeyknot_discovery::{Call, Caller, Roll, State, Told, Trouble};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use service::{S, entry, roll};
--- a/crates/listing/tests/clock.rs
+++ b/crates/discovery/tests/clock.rs
@@ -2,8 +2,8 @@
 
 mod service;
 
-use honeyknot_decisions::interface::Micros;
-use honeyknot_listing::{Call, Caller, Roll, Told, Trouble, clock};
+use honeyknot_balancer::interface::Micros;
+use honeyknot_discovery::{Call, Caller, Roll, Told, Trouble, clock};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use service::{S, roll};
--- a/crates/listing/tests/service/mod.rs
+++ b/crates/discovery/tests/service/mod.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use honeyknot_decisions::interface::{CellId, Micros, ServerEntry, ServerId, ServerState};
-use honeyknot_listing::{Call, Caller, Roll, Told, Trouble};
+use honeyknot_balancer::interface::{CellId, Micros, ServerEntry, ServerId, ServerState};
+use honeyknot_discovery::{Call, Caller, Roll, Told, Trouble};
 
 /// A call that has waited longer than this is turned away ...
 const TOO_LONG: Micros = 2_000_000;
--- a/crates/neighbors/src/plan.rs
+++ b/crates/gossip/src/plan.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use honeyknot_conf::{Faults, Section, parse, units};
+use honeyknot_operator_config::{Faults, Section, parse, units};
 
 /// The operators' settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/neighbors/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_decisions::interface::{Micros, ServerId};
+use honeyknot_balancer::interface::{Micros, ServerId};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::number_of;
--- a/crates/neighbors/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use honeyknot_decisions::interface::Micros;
-use honeyknot_neighbors::{DATAGRAM, Dropped, Finding, Found, Neighbors, Peer, Plan, View, witnesses};
+use honeyknot_balancer::interface::Micros;
+use honeyknot_gossip::{DATAGRAM, Dropped, Finding, Found, Neighbors, Peer, Plan, View, witnesses};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/overload/src/probes.rs
+++ b/crates/health-check-budget/src/probes.rs
@@ -12,8 +12,8 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_decisions::interface::{LoadReport, Micros, Outcome};
-use honeyknot_neighbors::{Finding, Found, View, witnesses};
+use honeyknot_balancer::interface::{LoadReport, Micros, Outcome};
+use honeyknot_gossip::{Finding, Found, View, witnesses};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/overload/tests/probes.rs
+++ b/crates/health-check-budget/tests/probes.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use honeyknot_decisions::interface::{LoadReport, Micros, Outcome};
-use honeyknot_neighbors::{Neighbors, Peer, Plan, View};
-use honeyknot_overload::{Asking, Probes};
+use honeyknot_balancer::interface::{LoadReport, Micros, Outcome};
+use honeyknot_gossip::{Neighbors, Peer, Plan, View};
+use honeyknot_health_check_budget::{Asking, Probes};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -126,7 +126,7 @@
     let mut fleet = Fleet::new(40, 4);
     fleet.pass(9 * S, true);
     let alive = fleet.relays[&0].view.alive.clone();
-    let gone = honeyknot_neighbors::witnesses(&alive, 1, 3);
+    let gone = honeyknot_gossip::witnesses(&alive, 1, 3);
     fleet.relays.retain(|_, relay| !gone.contains(&relay.view.me));
     assert_eq!(fleet.relays.len(), 37);
     let from = fleet.now;
@@ -152,7 +152,7 @@
     let mut fleet = Fleet::new(12, 1);
     fleet.pass(9 * S, true);
     let alive = fleet.relays[&0].view.alive.clone();
-    let chosen = honeyknot_neighbors::witnesses(&alive, 0, 3);
+    let chosen = honeyknot_gossip::witnesses(&alive, 0, 3);
     let other = fleet
         .relays
         .iter()
--- a/crates/quorum/src/keeper.rs
+++ b/crates/lease-consensus/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use honeyknot_leases::{Answer, Book, Command, Refusal, Said, Terms, Token, Turnstile, Watchman};
+use honeyknot_lease::{Answer, Book, Command, Refusal, Said, Terms, Token, Turnstile, Watchman};
 use raft::eraftpb;
 use raft::{Config, RawNode, Ready, StateRole, Storage};
 use serde::{Deserialize, Serialize};
--- a/crates/quorum/src/lib.rs
+++ b/crates/lease-consensus/src/lib.rs
@@ -15,7 +15,7 @@
 pub use log::{Kept, Write};
 
 /// Microseconds.
-pub type Micros = honeyknot_leases::Micros;
+pub type Micros = honeyknot_lease::Micros;
 
 /// The number of a keeper, from 1.
 pub type KeeperId = u64;
--- a/crates/quorum/tests/days.rs
+++ b/crates/lease-consensus/tests/days.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_leases::{Claims, Micros, Permit, Planted, Skewed, Terms, Token, Wish};
-use honeyknot_quorum::{Ask, Keeper, Kept, Letter, Out, Settings, Told};
+use honeyknot_lease::{Claims, Micros, Permit, Planted, Skewed, Terms, Token, Wish};
+use honeyknot_lease_consensus::{Ask, Keeper, Kept, Letter, Out, Settings, Told};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/leases/tests/claims.rs
+++ b/crates/lease/tests/claims.rs
@@ -1,6 +1,6 @@
 //! The claims of relays against a book that answers at once, or not.
 
-use honeyknot_leases::{
+use honeyknot_lease::{
     Answer, Book, Claims, Command, MOST_UNHEARD, Micros, Refusal, Said, Sending, Terms, Turnstile, Watchman,
     Wish,
 };
--- a/crates/leases/tests/days.rs
+++ b/crates/lease/tests/days.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use honeyknot_leases::{
+use honeyknot_lease::{
     Answer, Asked, Book, Command, Holder, Micros, Permit, Planted, Refusal, Skewed, Terms, Token, Watchman,
 };
 use rand::{Rng, SeedableRng};
--- a/crates/leases/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use honeyknot_leases::{
+use honeyknot_lease::{
     Answer, Book, Command, Holder, Known, Micros, Permit, Planted, Refusal, Terms, Token, Watchman,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
--- a/crates/leases/tests/rates.rs
+++ b/crates/lease/tests/rates.rs
@@ -1,6 +1,6 @@
 //! Clocks compared by messages that take their time.
 
-use honeyknot_leases::{Micros, Rates, Shown};
+use honeyknot_lease::{Micros, Rates, Shown};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/gauges/src/plan.rs
+++ b/crates/metrics/src/plan.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use honeyknot_conf::{Directive, Faults, Section, parse, units};
+use honeyknot_operator_config::{Directive, Faults, Section, parse, units};
 
 use crate::collectd::Security;
 use crate::graphite::Paths;
--- a/crates/gauges/tests/formats.rs
+++ b/crates/metrics/tests/formats.rs
@@ -1,11 +1,11 @@
 //! The formats byte by byte, the book's bounds, and random bytes against the reader.
 
-use honeyknot_gauges::book::{OTHERS, Point, Reading, Value};
-use honeyknot_gauges::collectd::{PACKET, Security, Unread, packets, putvals, read};
-use honeyknot_gauges::graphite::{Paths, lines, pickles, read_pickle};
-use honeyknot_gauges::names::{Family, Kind, NAMES};
-use honeyknot_gauges::state::State;
-use honeyknot_gauges::{Book, collectd};
+use honeyknot_metrics::book::{OTHERS, Point, Reading, Value};
+use honeyknot_metrics::collectd::{PACKET, Security, Unread, packets, putvals, read};
+use honeyknot_metrics::graphite::{Paths, lines, pickles, read_pickle};
+use honeyknot_metrics::names::{Family, Kind, NAMES};
+use honeyknot_metrics::state::State;
+use honeyknot_metrics::{Book, collectd};
 use proptest::prelude::*;
 
 fn point(name: &'static str, tag: Option<(&'static str, &str)>, value: Value) -> Point {
@@ -165,7 +165,7 @@
 fn the_operators_table_is_the_codes() {
     let page = include_str!("../../../docs/operate/metrics.md");
     let told: Vec<&str> = page.lines().skip_while(|l| !l.starts_with("| name | kind")).skip(2).collect();
-    let row = |name: &honeyknot_gauges::names::Name| {
+    let row = |name: &honeyknot_metrics::names::Name| {
         let values: Vec<String> = name.values.iter().map(|v| format!("`{v}`")).collect();
         let kind = format!("{:?}", name.kind).to_lowercase();
         format!(
--- a/crates/gauges/tests/plan.rs
+++ b/crates/metrics/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The operators' file for sinks.
 
-use honeyknot_gauges::Plan;
-use honeyknot_gauges::plan::Protocol;
+use honeyknot_metrics::Plan;
+use honeyknot_metrics::plan::Protocol;
 
 fn secret(path: &str) -> Result<(String, String), String> {
     match path {
--- a/crates/conf/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use honeyknot_conf::{Directive, Section, parse, units};
+use honeyknot_operator_config::{Directive, Section, parse, units};
 use proptest::prelude::*;
 
 fn told(text: &str) -> String {
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! processes of their own, so that each can be killed, stopped and started alone.
 //!
 //! [`run`] plays a day: it starts the parts, carries out a [`script`], and reads the books of the far side together when the day
-//! is over. A part is this program again (`honeyknot-lab part KIND`): its first line on standard input is its
+//! is over. A part is this program again (`honeyknot-testbed part KIND`): its first line on standard input is its
 //! [`Plan`], further lines steer it, and when standard input ends it ends, with all that it has started. So nothing is left
 //! behind, however the harness ends.
 //!
--- a/crates/lab/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -17,7 +17,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use honeyknot_conf::{Directive, parse, units};
+use honeyknot_operator_config::{Directive, parse, units};
 
 use super::links::Fault;
 use super::{link_kind, stretch};
--- a/crates/lab/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot::leases::client::Client;
-use honeyknot_leases::Wish;
+use honeyknot_lease::Wish;
+use honeyknot_relay::leases::client::Client;
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
--- a/crates/lab/src/leases/keeper.rs
+++ b/crates/testbed/src/leases/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::io::BufRead;
 
-use honeyknot::keeper::{Seat, run};
+use honeyknot_relay::keeper::{Seat, run};
 
 use crate::fleet::Plan;
 
--- a/crates/lab/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -14,8 +14,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use honeyknot::leases::{Clock, boot_clock, plan};
-use honeyknot_leases::{Planted, Skewed};
+use honeyknot_lease::{Planted, Skewed};
+use honeyknot_relay::leases::{Clock, boot_clock, plan};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{Link, Plan};
--- a/crates/lab/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -6,10 +6,10 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use honeyknot::leases::plan;
-use honeyknot::leases::staff;
-use honeyknot::leases::wire::{Hello, Who};
-use honeyknot_quorum::Told;
+use honeyknot_lease_consensus::Told;
+use honeyknot_relay::leases::plan;
+use honeyknot_relay::leases::staff;
+use honeyknot_relay::leases::wire::{Hello, Who};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 //! honeyknot's laboratory: a world of its own on loopback, and experiments on it.
 //!
 //! Card servers, the roll, the front layer and clients are stand-ins of this repository that fail on command; relays
-//! are real processes of the program `honeyknot`. The stand-ins keep books ([`books`]) of what they have seen, and
+//! are real processes of the program `honeyknot-relay`. The stand-ins keep books ([`books`]) of what they have seen, and
 //! every verdict rests on those alone. Nothing of this is linked into the relay.
 
 pub mod asked;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use honeyknot_lab::day::{Day, Report, SPILL_SLACK, play};
-use honeyknot_lab::fleet;
-use honeyknot_lab::fleet::starts::ColdStart;
-use honeyknot_lab::leases;
-use honeyknot_lab::scenario::Scenario;
-use honeyknot_lab::simulated::{Simulation, simulate};
-use honeyknot_lab::world::{Size, World};
-use honeyknot_leases::Planted;
-use honeyknot_sites::Plan;
+use honeyknot_lease::Planted;
+use honeyknot_testbed::day::{Day, Report, SPILL_SLACK, play};
+use honeyknot_testbed::fleet;
+use honeyknot_testbed::fleet::starts::ColdStart;
+use honeyknot_testbed::leases;
+use honeyknot_testbed::scenario::Scenario;
+use honeyknot_testbed::simulated::{Simulation, simulate};
+use honeyknot_testbed::world::{Size, World};
+use honeyknot_zone_failover::Plan;
 use tokio::signal::unix::{SignalKind, signal};
 
 /// honeyknot's laboratory: a world of its own on loopback, and experiments on it.
@@ -255,7 +255,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(why) => {
-            eprintln!("honeyknot-lab: {why}");
+            eprintln!("honeyknot-testbed: {why}");
             ExitCode::from(2)
         }
     }
@@ -409,7 +409,7 @@
         seed: args.seed,
         relays: usize::from(args.relays),
         folder,
-        program: args.day.program.map_or_else(honeyknot_lab::world::relays::program, Ok)?,
+        program: args.day.program.map_or_else(honeyknot_testbed::world::relays::program, Ok)?,
         leases: leases::Keeping {
             keepers: usize::from(args.keepers),
             lease_ms: args.lease_ms,
@@ -469,7 +469,7 @@
         cold_cards: args.cold,
         links: Vec::new(),
         folder,
-        program: args.day.program.map_or_else(honeyknot_lab::world::relays::program, Ok)?,
+        program: args.day.program.map_or_else(honeyknot_testbed::world::relays::program, Ok)?,
         part: (0, 1),
         ..fleet::Plan::default()
     };
--- a/crates/lab/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -1,7 +1,7 @@
 //! The decisions on sites at size: many relays' parts in one process on a virtual clock, no sockets.
 //!
 //! Each relay hears the roll's news at a time of its own and gets reports late; within the reach that its part allows,
-//! a card server is drawn by weight, without the decision module. So what holds here is held by `crates/sites` alone.
+//! a card server is drawn by weight, without the decision module. So what holds here is held by `crates/zone-failover` alone.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use honeyknot_decisions::interface::{
+use honeyknot_balancer::interface::{
     CellId, GroupKey, ListUpdate, Micros, Reach, RequestId, ServerEntry, ServerId, ServerState, ZoneId,
 };
-use honeyknot_sites::{Do, Plan, Setup, Sites, Verdict};
+use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal, Poisson, Zipf};
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/world/relays.rs
+++ b/crates/testbed/src/world/relays.rs
@@ -1,4 +1,4 @@
-//! Relays as real processes of the program `honeyknot`.
+//! Relays as real processes of the program `honeyknot-relay`.
 
 use std::fs::File;
 use std::io;
@@ -28,11 +28,11 @@
 pub fn program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program's place is unknown: {e}"))?;
     let folders = own.ancestors().skip(1).take(2);
-    let found = folders.map(|folder| folder.join("honeyknot")).find(|p| p.is_file());
+    let found = folders.map(|folder| folder.join("honeyknot-relay")).find(|p| p.is_file());
     found.ok_or_else(|| {
         let profile = if cfg!(debug_assertions) { "" } else { " --release" };
         format!(
-            "the relay's program is not beside {}; build it with: cargo build{profile} --locked -p honeyknot",
+            "the relay's program is not beside {}; build it with: cargo build{profile} --locked -p honeyknot-relay",
             own.display()
         )
     })
--- a/crates/lab/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -2,15 +2,15 @@
 
 use std::path::PathBuf;
 
-use honeyknot_lab::fleet::book::{Line, Seen, Word};
-use honeyknot_lab::fleet::report::{Aims, Report, report};
-use honeyknot_lab::fleet::run::{Net, play};
-use honeyknot_lab::fleet::{Held, Plan, script};
+use honeyknot_testbed::fleet::book::{Line, Seen, Word};
+use honeyknot_testbed::fleet::report::{Aims, Report, report};
+use honeyknot_testbed::fleet::run::{Net, play};
+use honeyknot_testbed::fleet::{Held, Plan, script};
 
 /// The relay's program, which is built beside the laboratory's.
 fn program() -> PathBuf {
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-lab"));
-    let program = lab.with_file_name("honeyknot");
+    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
+    let program = lab.with_file_name("honeyknot-relay");
     assert!(program.is_file(), "build the whole workspace first: cargo build --workspace");
     program
 }
@@ -43,7 +43,7 @@
     };
     let script = script::read("day", day.text).expect("a sound script");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-lab"));
+    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
     let never = std::future::pending();
     let played = tokio::task::LocalSet::new().block_on(&runtime, play(&plan, &script, lab, never));
     let played = played.expect("a day");
--- a/crates/lab/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -6,13 +6,13 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use honeyknot_lab::fleet::book::{Asked, End, Line, Seen, Word};
-use honeyknot_lab::fleet::report::{Aims, Report, report};
-use honeyknot_lab::fleet::run::Net;
-use honeyknot_lab::fleet::starts::ColdStart;
-use honeyknot_lab::fleet::{Held, Link, Plan, script};
+use honeyknot_testbed::fleet::book::{Asked, End, Line, Seen, Word};
+use honeyknot_testbed::fleet::report::{Aims, Report, report};
+use honeyknot_testbed::fleet::run::Net;
+use honeyknot_testbed::fleet::starts::ColdStart;
+use honeyknot_testbed::fleet::{Held, Link, Plan, script};
 
-const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
 
 fn plan(folder: &Path, seed: u64, net: &Net) -> Plan {
     Plan {
--- a/crates/lab/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -3,17 +3,17 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use honeyknot_lab::fleet::Plan;
-use honeyknot_lab::fleet::run::Net;
-use honeyknot_lab::leases::Keeping;
-use honeyknot_lab::leases::report::Report;
-use honeyknot_lab::leases::run::{Scenario, play};
-use honeyknot_leases::Planted;
+use honeyknot_lease::Planted;
+use honeyknot_testbed::fleet::Plan;
+use honeyknot_testbed::fleet::run::Net;
+use honeyknot_testbed::leases::Keeping;
+use honeyknot_testbed::leases::report::Report;
+use honeyknot_testbed::leases::run::{Scenario, play};
 
 /// A day of three keepers and eight holders with leases of a second.
 fn day(scenario: Scenario, planted: Option<Planted>, seed: u64, seconds: u64) -> Report {
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-lab"));
-    let program = lab.with_file_name("honeyknot");
+    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
+    let program = lab.with_file_name("honeyknot-relay");
     assert!(program.is_file(), "build the whole workspace first: cargo build --workspace");
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(seed).expect("free addresses");
--- a/crates/lab/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use honeyknot_lab::day::{Day, Report, play};
-use honeyknot_lab::scenario::Scenario;
-use honeyknot_lab::simulated::{Outcome, Simulation, simulate};
-use honeyknot_lab::world::Size;
-use honeyknot_sites::Plan;
+use honeyknot_testbed::day::{Day, Report, play};
+use honeyknot_testbed::scenario::Scenario;
+use honeyknot_testbed::simulated::{Outcome, Simulation, simulate};
+use honeyknot_testbed::world::Size;
+use honeyknot_zone_failover::Plan;
 
 fn size() -> Size {
     Size {
@@ -65,7 +65,7 @@
     for scenario in all {
         for seed in 0..4 {
             let o = simulate(&simulation(scenario, seed)).expect("a day");
-            assert!(o.worst_spill <= 0.25 + honeyknot_lab::day::SPILL_SLACK, "{o:?}");
+            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::day::SPILL_SLACK, "{o:?}");
             assert_eq!(o.servers_pushed_over, 0, "{o:?}");
             assert!(o.worst_moves_per_s <= 12, "{o:?}");
         }
--- a/crates/lab/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use honeyknot_lab::fleet::book::{Line, Seen, Word};
-use honeyknot_lab::fleet::run::{Net, Played, play};
-use honeyknot_lab::fleet::{Held, Plan, script};
+use honeyknot_testbed::fleet::book::{Line, Seen, Word};
+use honeyknot_testbed::fleet::run::{Net, Played, play};
+use honeyknot_testbed::fleet::{Held, Plan, script};
 
-const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
 const S: u64 = 1_000_000;
 
 /// The relay's program, beside the laboratory's.
 fn program() -> PathBuf {
-    Path::new(LAB).with_file_name("honeyknot")
+    Path::new(LAB).with_file_name("honeyknot-relay")
 }
 
 fn day(relays: usize, neighbors: bool, text: &str) -> Played {
--- a/crates/sites/src/book.rs
+++ b/crates/zone-failover/src/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use honeyknot_decisions::interface::{GroupKey, Micros, RequestId, ServerId, ZoneId};
+use honeyknot_balancer::interface::{GroupKey, Micros, RequestId, ServerId, ZoneId};
 
 /// A session in the book.
 pub struct Entry {
--- a/crates/sites/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -21,7 +21,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use honeyknot_decisions::interface::*;
+use honeyknot_balancer::interface::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/sites/src/plan.rs
+++ b/crates/zone-failover/src/plan.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use honeyknot_conf::{Directive, Faults, Section, parse, units};
-use honeyknot_decisions::interface::Micros;
+use honeyknot_balancer::interface::Micros;
+use honeyknot_operator_config::{Directive, Faults, Section, parse, units};
 
 /// The operators' settings for sites. [`Plan::default`] holds what an empty file means.
 #[derive(Clone, Debug, PartialEq)]
@@ -189,7 +189,7 @@
     fn read_tiers(&mut self, top: &Section, directive: &Directive, sites: &[String]) {
         let mut block = top.block(directive);
         let mut seen: Vec<String> = Vec::new();
-        let mut site = |section: &Section, word: &honeyknot_conf::Word| {
+        let mut site = |section: &Section, word: &honeyknot_operator_config::Word| {
             let name = section.word("site", word, |text| known(text, sites))?;
             if seen.contains(&name) {
                 section.fault(word, format!("the site `{name}` is named again"));
--- a/crates/sites/tests/sites.rs
+++ b/crates/zone-failover/tests/sites.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use honeyknot_decisions::interface::*;
-use honeyknot_sites::site::Standing;
-use honeyknot_sites::{Do, Plan, Setup, Sites, Verdict};
+use honeyknot_balancer::interface::*;
+use honeyknot_zone_failover::site::Standing;
+use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 
 const S: Micros = 1_000_000;
 const START: Micros = 1_000 * S;
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -1,12 +1,12 @@
-//! `honeyknot metrics`: the names of all series, and captured packets and snapshots made readable.
+//! `honeyknot-relay metrics`: the names of all series, and captured packets and snapshots made readable.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use honeyknot_gauges::collectd;
-use honeyknot_gauges::names::NAMES;
-use honeyknot_gauges::state::State;
-use honeyknot_gauges::{Value, graphite};
+use honeyknot_metrics::collectd;
+use honeyknot_metrics::names::NAMES;
+use honeyknot_metrics::state::State;
+use honeyknot_metrics::{Value, graphite};
 
 use crate::relay::process::config::secret;
 
@@ -39,7 +39,7 @@
 }
 
 fn names() -> String {
-    let line = |n: &honeyknot_gauges::names::Name| {
+    let line = |n: &honeyknot_metrics::names::Name| {
         let kind = format!("{:?}", n.kind).to_lowercase();
         format!("{}\t{kind}\t{}\t{}\t{}\t{}\n", n.name, n.unit, n.tag, n.values.join(","), n.help)
     };
@@ -49,7 +49,7 @@
 fn decode(file: &Path, key: Option<&str>) -> Result<String, String> {
     let told = |why: String| format!("{}: {why}", file.display());
     let bytes = std::fs::read(file).map_err(|e| told(e.to_string()))?;
-    if bytes.starts_with(honeyknot_gauges::state::MAGIC) {
+    if bytes.starts_with(honeyknot_metrics::state::MAGIC) {
         let state = State::decode(&bytes).map_err(|e| told(e.to_string()))?;
         return Ok(snapshot(&state));
     }
--- a/src/keeper/disk.rs
+++ b/src/keeper/disk.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use honeyknot_quorum::{KeeperId, Kept, State, Write};
+use honeyknot_lease_consensus::{KeeperId, Kept, State, Write};
 use rand::TryRngCore;
 use rand::rngs::OsRng;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
--- a/src/keeper/lines.rs
+++ b/src/keeper/lines.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_quorum::{KeeperId, Letter};
+use honeyknot_lease_consensus::{KeeperId, Letter};
 use rand::{Rng, SeedableRng};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -1,8 +1,8 @@
-//! `honeyknot keeper`: the engine, its disk and its wire round the lease book.
+//! `honeyknot-relay keeper`: the engine, its disk and its wire round the lease book.
 //!
 //! One task owns the [`Keeper`]: letters and asks come to it by a queue, ticks by a timer; whatever it wants written is on disk before
 //! anything that follows from it leaves. It decides nothing about who holds what, and no relay needs it to serve.
-//! Memory: the book and the log's tail (`honeyknot-quorum`), [`MOST_CLIENTS`] connections with [`QUEUE`] frames each.
+//! Memory: the book and the log's tail (`honeyknot-lease-consensus`), [`MOST_CLIENTS`] connections with [`QUEUE`] frames each.
 
 pub mod disk;
 mod lines;
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_leases::{Command, Micros, Rates, Shown};
-use honeyknot_quorum::{Ask, Keeper, KeeperId, Letter, Out, Settings};
+use honeyknot_lease::{Command, Micros, Rates, Shown};
+use honeyknot_lease_consensus::{Ask, Keeper, KeeperId, Letter, Out, Settings};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
--- a/src/leases/client.rs
+++ b/src/leases/client.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_leases::{Claims, NotNow, Permit, Token, Wish};
-use honeyknot_quorum::{KeeperId, Told};
+use honeyknot_lease::{Claims, NotNow, Permit, Token, Wish};
+use honeyknot_lease_consensus::{KeeperId, Told};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
--- a/src/leases/mod.rs
+++ b/src/leases/mod.rs
@@ -1,7 +1,7 @@
 //! Leases as clients of keepers see them: the operators' file, the wire, a relay's client, and the calls of staff.
 //!
 //! The file comes in as text, frames by sockets; permits go out to whoever acts. What is asked and when is
-//! `honeyknot-leases`'s to say. Nothing here votes, and no relay needs it to serve.
+//! `honeyknot-lease`'s to say. Nothing here votes, and no relay needs it to serve.
 
 pub mod client;
 pub mod plan;
--- a/src/leases/plan.rs
+++ b/src/leases/plan.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot_conf::{Faults, Section, parse, units};
-use honeyknot_leases::Terms;
+use honeyknot_lease::Terms;
+use honeyknot_operator_config::{Faults, Section, parse, units};
 
 use crate::interface::Micros;
 
--- a/src/leases/staff.rs
+++ b/src/leases/staff.rs
@@ -1,12 +1,12 @@
-//! The calls of staff: `honeyknot lease list|show|release|watch`.
+//! The calls of staff: `honeyknot-relay lease list|show|release|watch`.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use clap::Subcommand;
-use honeyknot_leases::{Answer, Command, Token};
-use honeyknot_quorum::{KeeperId, Told, View};
+use honeyknot_lease::{Answer, Command, Token};
+use honeyknot_lease_consensus::{KeeperId, Told, View};
 use tokio::time::timeout;
 
 use super::plan::Plan;
--- a/src/leases/wire.rs
+++ b/src/leases/wire.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use honeyknot_leases::Command;
-use honeyknot_quorum::{KeeperId, Letter, Told};
+use honeyknot_lease::Command;
+use honeyknot_lease_consensus::{KeeperId, Letter, Told};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,4 +10,4 @@
 pub mod relay;
 pub mod wire;
 
-pub use honeyknot_decisions::{Balancer, Withheld, decide, interface};
+pub use honeyknot_balancer::{Balancer, Withheld, decide, interface};
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,12 +4,12 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use honeyknot::admin::ask;
-use honeyknot::inspect::{self, Show};
-use honeyknot::keeper::{self, Seat};
-use honeyknot::leases::{plan::Plan, staff};
-use honeyknot::logger::{self, Form};
-use honeyknot::relay::{
+use honeyknot_relay::admin::ask;
+use honeyknot_relay::inspect::{self, Show};
+use honeyknot_relay::keeper::{self, Seat};
+use honeyknot_relay::leases::{plan::Plan, staff};
+use honeyknot_relay::logger::{self, Form};
+use honeyknot_relay::relay::{
     self,
     process::config::{Config, OperatorFiles},
 };
@@ -17,7 +17,7 @@
 
 /// Relay for the long-lived study sessions of the `accra-study` deployment.
 #[derive(Parser)]
-#[command(version)]
+#[command(version, display_name = "honeyknot")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
--- a/src/neighbors/mod.rs
+++ b/src/neighbors/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use honeyknot_neighbors::{DATAGRAM, Dropped, Finding, Neighbors, NotTrusted, Peer, Plan, View, card_number};
-use honeyknot_overload::{Asking, Probes};
+use honeyknot_gossip::{DATAGRAM, Dropped, Finding, Neighbors, NotTrusted, Peer, Plan, View, card_number};
+use honeyknot_health_check_budget::{Asking, Probes};
 use tracing::{info, warn};
 
 use crate::interface::*;
--- a/src/relay/counts/lasting.rs
+++ b/src/relay/counts/lasting.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use honeyknot_gauges::state::State;
+use honeyknot_metrics::state::State;
 use tracing::warn;
 
 /// Snapshots that are kept.
--- a/src/relay/counts/meter.rs
+++ b/src/relay/counts/meter.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use honeyknot_gauges::{Book, Family, Plan, Reading};
+use honeyknot_metrics::{Book, Family, Plan, Reading};
 use serde_json::json;
 use tracing::{info, warn};
 
--- a/src/relay/counts/sinks.rs
+++ b/src/relay/counts/sinks.rs
@@ -8,8 +8,8 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::time::Duration;
 
-use honeyknot_gauges::plan::{Plan, Protocol, Sink};
-use honeyknot_gauges::{Family, Reading, collectd, graphite};
+use honeyknot_metrics::plan::{Plan, Protocol, Sink};
+use honeyknot_metrics::{Family, Reading, collectd, graphite};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::net::{TcpStream, UdpSocket};
--- a/src/relay/counts/spool.rs
+++ b/src/relay/counts/spool.rs
@@ -9,7 +9,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use honeyknot_gauges::records::{self, Record};
+use honeyknot_metrics::records::{self, Record};
 
 use super::lasting::numbered;
 
--- a/src/relay/counts/waiting.rs
+++ b/src/relay/counts/waiting.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use honeyknot_gauges::Family;
-use honeyknot_gauges::plan::Sink;
-use honeyknot_gauges::records::Record;
+use honeyknot_metrics::Family;
+use honeyknot_metrics::plan::Sink;
+use honeyknot_metrics::records::Record;
 use tokio::task::spawn_blocking;
 use tracing::{info, warn};
 
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -15,10 +15,10 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-use honeyknot_gauges::{Book, Family};
-use honeyknot_listing::{Caller, State};
-use honeyknot_neighbors::Plan as NeighborPlan;
-use honeyknot_sites::{Sites, Verdict};
+use honeyknot_discovery::{Caller, State};
+use honeyknot_gossip::Plan as NeighborPlan;
+use honeyknot_metrics::{Book, Family};
+use honeyknot_zone_failover::{Sites, Verdict};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
--- a/src/relay/process/config.rs
+++ b/src/relay/process/config.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use honeyknot_gauges as gauges;
-use honeyknot_neighbors as neighbors;
-use honeyknot_sites::Plan;
+use honeyknot_gossip as neighbors;
+use honeyknot_metrics as gauges;
+use honeyknot_zone_failover::Plan;
 use serde_json::Value;
 
 use crate::interface::Settings;
--- a/src/relay/process/handover.rs
+++ b/src/relay/process/handover.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use honeyknot_decisions::withheld::Absence;
+use honeyknot_balancer::withheld::Absence;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
--- a/src/relay/process/shutdown.rs
+++ b/src/relay/process/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::future::Future;
 
-use honeyknot_gauges::Family;
+use honeyknot_metrics::Family;
 use tokio::signal::unix::{SignalKind, signal as listen_for};
 use tracing::info;
 
--- a/src/relay/servers/held.rs
+++ b/src/relay/servers/held.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use honeyknot_decisions::withheld::Unknown;
-use honeyknot_gauges::Family;
-use honeyknot_listing::Trouble;
+use honeyknot_balancer::withheld::Unknown;
+use honeyknot_discovery::Trouble;
+use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
 use super::roll::{Ask, Failure, RollNews};
--- a/src/relay/servers/roll.rs
+++ b/src/relay/servers/roll.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bytes::{Buf, BytesMut};
-use honeyknot_listing::{Call, Caller, Roll, State, Told, Trouble};
+use honeyknot_discovery::{Call, Caller, Roll, State, Told, Trouble};
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/src/relay/servers/sites.rs
+++ b/src/relay/servers/sites.rs
@@ -1,7 +1,7 @@
 //! Between the relay and [`Sites`]: tells it what happens on the sockets and carries out what it wants.
 
-use honeyknot_gauges::Family;
-use honeyknot_sites::{Do, Plan, Setup, Sites, Verdict};
+use honeyknot_metrics::Family;
+use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 use tracing::info;
 
 use super::probe::Errand;
--- a/src/relay/servers/witness.rs
+++ b/src/relay/servers/witness.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use honeyknot_overload::Asking;
+use honeyknot_health_check_budget::Asking;
 use tracing::{info, trace};
 
 use super::probe::Errand;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -71,7 +71,7 @@
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
-    let state = honeyknot_gauges::Book::new(1).state("n0", 5_000_000, 2).encode().expect("a snapshot");
+    let state = honeyknot_metrics::Book::new(1).state("n0", 5_000_000, 2).encode().expect("a snapshot");
     let file = folder.0.join("state");
     fs::write(&file, &state).expect("a file");
     let output = run(&["metrics", "decode", &file.display().to_string()]);
@@ -79,12 +79,12 @@
     fs::write(&file, &state[..state.len() - 1]).expect("a file");
     let (code, text) = told(&run(&["metrics", "decode", &file.display().to_string()]));
     assert!(code == Some(2) && text.contains("the snapshot has"), "{text}");
-    let packet = honeyknot_gauges::collectd::packets(
+    let packet = honeyknot_metrics::collectd::packets(
         "n0",
         "relay",
-        &honeyknot_gauges::Book::new(1).read(5_000_000),
+        &honeyknot_metrics::Book::new(1).read(5_000_000),
         1_000_000,
-        &honeyknot_gauges::collectd::Security::None,
+        &honeyknot_metrics::collectd::Security::None,
         || [0; 16],
     );
     fs::write(&file, &packet[0]).expect("a file");
--- a/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
+++ b/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use honeyknot_neighbors::{
+use honeyknot_gossip::{
     Finding as HealthObservation, Found as HealthCheckOutcome, Joined as AggregatedHealth,
     Neighbors as GossipMember, Peer as MemberId, Plan as GossipConfig, Said as MemberObservation,
     View as GossipView,
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -2,8 +2,10 @@
 
 use std::path::{Path, PathBuf};
 
-use honeyknot::keeper::disk::{Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner};
-use honeyknot_quorum::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
+use honeyknot_lease_consensus::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
+use honeyknot_relay::keeper::disk::{
+    Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 use super::fixture::{all, decode_hex, encode, one, path};
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use honeyknot::leases::wire::{
-    Frame as LeaseFrame, Hello as Greeting, Reader as FrameReader, Who as GreetingSender, dial, send, welcome,
-};
-use honeyknot_leases::{
+use honeyknot_lease::{
     Answer as LeaseAnswer, Command as LeaseCommand, Refusal as LeaseRefusal, Said as CommandResult,
 };
-use honeyknot_quorum::{Told as Response, View as LeaseView};
+use honeyknot_lease_consensus::{Told as Response, View as LeaseView};
+use honeyknot_relay::leases::wire::{
+    Frame as LeaseFrame, Hello as Greeting, Reader as FrameReader, Who as GreetingSender, dial, send, welcome,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -1,10 +1,10 @@
 //! Commands in log entries, and the snapshot of the lease table.
 
-use honeyknot_leases::{
+use honeyknot_lease::{
     Answer as LeaseAnswer, Book as LeaseTable, Command as LeaseCommand, Terms as LeaseParameters,
     Token as FencingToken,
 };
-use honeyknot_quorum::{
+use honeyknot_lease_consensus::{
     Entry as LogEntry, Kept as PersistedState, Snapshot as ReplicaSnapshot, State as HardState,
 };
 
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -2,11 +2,11 @@
 
 use std::collections::VecDeque;
 
-use honeyknot::leases::wire::Frame as LeaseFrame;
-use honeyknot_quorum::{
+use honeyknot_lease_consensus::{
     Ask as ClientRequest, Entry as LogEntry, Keeper as Replica, Letter as PeerMessage, Out as ReplicaAction,
     Settings as ReplicaSettings, Snapshot as ReplicaSnapshot,
 };
+use honeyknot_relay::leases::wire::Frame as LeaseFrame;
 use serde::{Deserialize, Serialize};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
@@ -52,7 +52,7 @@
     }
 }
 
-fn client_request(id: u64, commands: Vec<honeyknot_leases::Command>) -> ClientRequest {
+fn client_request(id: u64, commands: Vec<honeyknot_lease::Command>) -> ClientRequest {
     ClientRequest { from: 1, id, commands }
 }
 
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use honeyknot::relay::process::config::Config;
-use honeyknot::relay::process::handover::Folder as HotRestartFolder;
-use honeyknot::relay::{Listeners, serve_on};
+use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::process::handover::Folder as HotRestartFolder;
+use honeyknot_relay::relay::{Listeners, serve_on};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
--- a/tests/compatibility/relay/admin.rs
+++ b/tests/compatibility/relay/admin.rs
@@ -1,7 +1,7 @@
 //! Operators' commands on the admin address, their answers, and the keys of the figures.
 
-use honeyknot::admin::call::{self, Call as AdminCommand};
-use honeyknot_listing::State as DiscoveryState;
+use honeyknot_discovery::State as DiscoveryState;
+use honeyknot_relay::admin::call::{self, Call as AdminCommand};
 use serde_json::Value;
 
 use super::loopback::{Relay, case, listen};
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -4,8 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use honeyknot::relay::process::config::Config;
-use honeyknot::relay::process::handover::{ByHand, Folder as HotRestartFolder, Word as HotRestartMessage};
+use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::process::handover::{
+    ByHand, Folder as HotRestartFolder, Word as HotRestartMessage,
+};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -2,13 +2,13 @@
 
 use std::fs;
 
-use honeyknot_gauges::book::{Reading as Sample, Value as SampleValue};
-use honeyknot_gauges::collectd::{self, Received, Security};
-use honeyknot_gauges::graphite::{self, Paths};
-use honeyknot_gauges::names::{Family as MetricFamily, Kind as MetricKind, NAMES as METRIC_FAMILIES};
-use honeyknot_gauges::records;
-use honeyknot_gauges::state::{Spread as HistogramState, State as PersistentCounters, Total as Counter};
-use honeyknot_gauges::{Book as MetricsRegistry, Plan as MetricsPlan};
+use honeyknot_metrics::book::{Reading as Sample, Value as SampleValue};
+use honeyknot_metrics::collectd::{self, Received, Security};
+use honeyknot_metrics::graphite::{self, Paths};
+use honeyknot_metrics::names::{Family as MetricFamily, Kind as MetricKind, NAMES as METRIC_FAMILIES};
+use honeyknot_metrics::records;
+use honeyknot_metrics::state::{Spread as HistogramState, State as PersistentCounters, Total as Counter};
+use honeyknot_metrics::{Book as MetricsRegistry, Plan as MetricsPlan};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpListener;
 
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use honeyknot::leases::plan::Plan as LeasesPlan;
-use honeyknot_gauges::collectd::Security;
-use honeyknot_gauges::graphite::Paths;
-use honeyknot_gauges::plan::{Plan as MetricsPlan, Protocol, Sink};
-use honeyknot_neighbors::Plan as NeighborsPlan;
-use honeyknot_sites::Plan as SitesPlan;
+use honeyknot_gossip::Plan as NeighborsPlan;
+use honeyknot_metrics::collectd::Security;
+use honeyknot_metrics::graphite::Paths;
+use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
+use honeyknot_relay::leases::plan::Plan as LeasesPlan;
+use honeyknot_zone_failover::Plan as SitesPlan;
 
 use super::{address, fixture_text};
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -15,16 +15,16 @@
 
 use serde_json::{Value, json};
 
-use honeyknot::interface::{
+use honeyknot_relay::interface::{
     Class, Discovery, Effect, ForwardMode, ReportSource, Scope, ServerEntry, ServerState, Settings, Tenant,
     Weights,
 };
-use honeyknot::relay::process::config::Config;
-use honeyknot::relay::servers::roll::RollNews;
-use honeyknot::wire::{self, Names};
+use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::servers::roll::RollNews;
+use honeyknot_relay::wire::{self, Names};
 
 /// The program that speaks the simulator's wire on standard input and output.
-const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-wirehost");
+const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-simulator-adapter");
 /// The day that is also played through that program.
 const ADAPTER_DAY: &str = "fleet-of-300-silent";
 
--- a/tests/keepers.rs
+++ b/tests/keepers.rs
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use honeyknot::leases::plan::Plan;
-use honeyknot::leases::staff;
-use honeyknot_leases::{Answer, Command as Lease, Refusal, Token};
-use honeyknot_quorum::Told;
+use honeyknot_lease::{Answer, Command as Lease, Refusal, Token};
+use honeyknot_lease_consensus::Told;
+use honeyknot_relay::leases::plan::Plan;
+use honeyknot_relay::leases::staff;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_honeyknot");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_honeyknot-relay");
 
 /// Three keepers in a folder of their own; killed when dropped.
 struct Keepers {
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot::relay::process::config::Config;
-use honeyknot::relay::{Listeners, serve_on};
+use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::{Listeners, serve_on};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -8,8 +8,8 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use honeyknot_gauges::book::Value;
-use honeyknot_gauges::collectd::read;
+use honeyknot_metrics::book::Value;
+use honeyknot_metrics::collectd::read;
 use process::{Folder, Relay, answer, config, free};
 
 /// A Graphite that hands on every line it gets.
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,10 +1,12 @@
 //! Random cuts of valid messages and random garbage against every parser of the relay, from fixed seeds.
 
 use bytes::{Bytes, BytesMut};
-use honeyknot::relay::clients::lines::{LONGEST, LineWatch, SessionHead, Word, first_line, report_value};
-use honeyknot::relay::process::config::Config;
-use honeyknot::relay::servers::roll::{read_roll, take_answer};
-use honeyknot::wire::Names;
+use honeyknot_relay::relay::clients::lines::{
+    LONGEST, LineWatch, SessionHead, Word, first_line, report_value,
+};
+use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::servers::roll::{read_roll, take_answer};
+use honeyknot_relay::wire::Names;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -46,7 +46,7 @@
 }
 
 pub fn honeyknot(config: &Path, words: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_honeyknot"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"));
     command.args(words).env("EDGE_CONFIG", config);
     for name in [
         "EDGE_NAME",
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot::relay::process::config::Config;
+use honeyknot_relay::relay::process::config::Config;
 use loopback::{
     OPEN, Relay, answer, call, case, config, config_text, line, list, listen, open, rest, say, session,
     standing,
@@ -372,7 +372,7 @@
         let ((old, old_at), (new, new_at)) = (listen().await, listen().await);
         let file = std::env::temp_dir().join(format!("honeyknot-{}.json", std::process::id()));
         std::fs::write(&file, config_text(&[], 256, old_at)).expect("a file");
-        let program = std::process::Command::new(env!("CARGO_BIN_EXE_honeyknot"))
+        let program = std::process::Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"))
             .arg("serve")
             .env("EDGE_CONFIG", &file)
             .env("EDGE_LISTEN", "127.83.5.1:5077")
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,9 +7,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use honeyknot::Balancer;
-use honeyknot::interface::*;
-use honeyknot::relay::process::config::Config;
+use honeyknot_relay::Balancer;
+use honeyknot_relay::interface::*;
+use honeyknot_relay::relay::process::config::Config;
 use loopback::config_value;
 use serde_json::{Value, json};
 
--- a/tests/wheel.rs
+++ b/tests/wheel.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot::relay::process::shutdown::due_now;
-use honeyknot::relay::wheel::{TICK, Wheel};
+use honeyknot_relay::relay::process::shutdown::due_now;
+use honeyknot_relay::relay::wheel::{TICK, Wheel};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -12,7 +12,7 @@
 "rules":{"startCapacity":0.2,"coldUs":1000000,"overloadFactor":3.0,"fallUs":1000000,"stopSendingWithinUs":500000}}"#;
 
 fn run(input: &str) -> (Option<i32>, Vec<Value>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_honeyknot-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_honeyknot-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
