--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/balancer.rs
@@ -22,14 +22,14 @@
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::blind::{self, Throttle, is_blind};
-use crate::breaker::Breaker;
-use crate::cold::{self, Slots};
+use crate::circuit_breaker::Breaker;
 use crate::estimates::{blend, trust};
-use crate::health::Health;
 use crate::interface::*;
+use crate::outlier_detection::Health;
 use crate::rendezvous::{draw, race};
-use crate::zones;
+use crate::slow_start::{self, Slots};
+use crate::unreported_load::{self, Throttle, is_blind};
+use crate::zone_affinity;
 
 /// Housekeeping interval: fine enough to pace moves within a drain of a few seconds.
 const TICK: Micros = 200_000;
@@ -309,7 +309,7 @@
             born: now,
             fleet: Fleet {
                 mean_load: 0.5,
-                unit: blind::unit(&settings, UNIT_GUESS),
+                unit: unreported_load::unit(&settings, UNIT_GUESS),
                 room: f64::INFINITY,
                 ..Fleet::default()
             },
@@ -863,7 +863,7 @@
         let dropped = outcome == Outcome::Reset && !mid_flow && !over;
         let blind = is_blind(&self.settings);
         if let Some(server) = self.servers.get_mut(&at).filter(|_| dropped || outcome == Outcome::Full) {
-            let least = if blind { blind::after_failure(dropped) } else { FULL };
+            let least = if blind { unreported_load::after_failure(dropped) } else { FULL };
             if blind {
                 self.throttle.lost(now);
             }
@@ -1013,7 +1013,7 @@
 
     /// How much crossing zones slows a server down in the race of a group whose copy costs so much.
     fn far(&self, server: &Server, copy: f64) -> f64 {
-        if self.near(server) { 1.0 } else { zones::slowdown(self.settings.prices.cross_zone, copy) }
+        if self.near(server) { 1.0 } else { zone_affinity::slowdown(self.settings.prices.cross_zone, copy) }
     }
 
     /// What it costs each connection of the request's group that the own zone has a server of its own for it.
@@ -1021,7 +1021,7 @@
         // Where loads are reported, the spill to other zones is what spares a full one.
         let Some(group) = request.group.as_ref().filter(|_| is_blind(&self.settings)) else { return 0.0 };
         let near = self.fleet.near as f64 / self.fleet.ready.max(1) as f64;
-        zones::copy_cost(self.group_share(group) * self.standing as f64 * self.balancers() * near)
+        zone_affinity::copy_cost(self.group_share(group) * self.standing as f64 * self.balancers() * near)
     }
 
     /// Load over capacity as it probably is now: the report as far as its age lets it be trusted, the fleet's
@@ -1030,7 +1030,8 @@
         let warmth = self.warmth(server, now);
         let (mut usual, blind) = (self.fleet.mean_load, is_blind(&self.settings));
         if blind {
-            usual = blind::guess(usual, server.standing.len(), self.fleet.own * server.size() * warmth);
+            usual =
+                unreported_load::guess(usual, server.standing.len(), self.fleet.own * server.size() * warmth);
         }
         let (reported, at) = server.load.unwrap_or((usual, 0));
         let trust = trust(at, now);
@@ -1057,11 +1058,11 @@
     }
 
     fn warmth(&self, server: &Server, now: Micros) -> f64 {
-        cold::warmth(&self.settings.rules, server.entry.started, now)
+        slow_start::warmth(&self.settings.rules, server.entry.started, now)
     }
 
     fn slot_rate(&self, server: &Server) -> f64 {
-        cold::rate(&self.settings.rules, server.size() / self.fleet.unit.max(1e-6), self.balancers())
+        slow_start::rate(&self.settings.rules, server.size() / self.fleet.unit.max(1e-6), self.balancers())
     }
 
     /// Whether a cold server can have a connection of this balancer now; a warm one always can.
@@ -1248,7 +1249,7 @@
             inflight_load / inflight
         } else if own > 0 && (sizes > 0.0 || blind) && now.saturating_sub(self.born) >= SETTLE {
             let own_load = self.fleet.mean_load * all_sizes / self.balancers();
-            (own_load + blind::unit(&self.settings, UNIT_GUESS) * FEW) / (own as f64 + FEW)
+            (own_load + unreported_load::unit(&self.settings, UNIT_GUESS) * FEW) / (own as f64 + FEW)
         } else {
             self.fleet.unit
         };
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Balancer`](crate::decide::Balancer) and what comes out of it. All times are whole microseconds:
+//! What goes into a [`Balancer`](crate::balancer::Balancer) and what comes out of it. All times are whole microseconds:
 //! [`Micros`] is a point on a clock of the caller's choice, or a span on it.
 
 use std::sync::Arc;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,16 +5,16 @@
 //! reads a clock and draws every random number from its seed, so that sockets, the simulator's wire, a test or a
 //! virtual clock can drive it alike, and the same events give the same actions.
 
-pub mod blind;
-pub mod breaker;
-pub mod cold;
-pub mod decide;
+pub mod balancer;
+pub mod circuit_breaker;
 pub mod estimates;
-pub mod health;
 pub mod interface;
+pub mod maintenance;
+pub mod outlier_detection;
 pub mod rendezvous;
-pub mod withheld;
-pub mod zones;
+pub mod slow_start;
+pub mod unreported_load;
+pub mod zone_affinity;
 
-pub use decide::Balancer;
-pub use withheld::Withheld;
+pub use balancer::Balancer;
+pub use maintenance::Withheld;
--- a/crates/balancer/tests/breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use honeyknot_balancer::breaker::{Breaker, HALF_OPEN};
+use honeyknot_balancer::circuit_breaker::{Breaker, HALF_OPEN};
 use honeyknot_balancer::interface::*;
 
 #[test]
--- a/crates/balancer/tests/withheld.rs
+++ b/crates/balancer/tests/maintenance.rs
@@ -2,7 +2,7 @@
 
 use honeyknot_balancer::Withheld;
 use honeyknot_balancer::interface::*;
-use honeyknot_balancer::withheld::Unknown;
+use honeyknot_balancer::maintenance::Unknown;
 
 fn id(name: &str) -> ServerId {
     ServerId(name.into())
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -1,6 +1,6 @@
 //! The decision module stays a page that a newcomer can read.
 
-const MODULE: &str = include_str!("../src/decide.rs");
+const MODULE: &str = include_str!("../src/balancer.rs");
 
 #[test]
 fn module_is_short() {
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What all balancers together send to a cold server: sums over instances that know nothing of each other.
 
-use honeyknot_balancer::cold::{self, Slots};
 use honeyknot_balancer::interface::{Micros, Rules};
+use honeyknot_balancer::slow_start::{self, Slots};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -33,7 +33,7 @@
 /// When each call of all balancers came, if every one of them uses every slot that is open from `from` on.
 fn calls(rules: &Rules, holds: f64, balancers: usize, from: Micros, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let rate = cold::rate(rules, holds, balancers as f64);
+    let rate = slow_start::rate(rules, holds, balancers as f64);
     let mut slots: Vec<Slots> = (0..balancers).map(|_| Slots::new(rng.random())).collect();
     let mut calls = Vec::new();
     for step in from / (20 * MS)..rules.cold / (20 * MS) {
@@ -52,7 +52,7 @@
 fn fullest(rules: &Rules, holds: f64, calls: &[Micros], k: f64) -> f64 {
     let part = |(i, from): (usize, &Micros)| {
         let there = calls[i..].iter().take_while(|at| **at < from + rules.fall).count() as f64;
-        let capacity = cold::warmth(rules, START, from + rules.fall) * holds / rules.cold as f64;
+        let capacity = slow_start::warmth(rules, START, from + rules.fall) * holds / rules.cold as f64;
         let n = rules.overload_factor * capacity * rules.fall as f64;
         there / (n + k * n.sqrt() + k)
     };
--- a/crates/balancer/tests/blind.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use honeyknot_balancer::blind::guess;
 use honeyknot_balancer::interface::*;
+use honeyknot_balancer::unreported_load::guess;
 
 /// Settings of a deployment with no reports and no probes; times and costs are another's than the usual ones.
 fn told_nothing(fleet_size: u32) -> Settings {
--- a/crates/balancer/tests/zones.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use honeyknot_balancer::interface::*;
-use honeyknot_balancer::zones::{GROUP_COST, copy_cost, slowdown};
+use honeyknot_balancer::zone_affinity::{GROUP_COST, copy_cost, slowdown};
 
 const ZONES: usize = 4;
 const SERVERS: [&str; 12] =
--- a/crates/testbed/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use honeyknot_lease::Wish;
-use honeyknot_relay::leases::client::Client;
+use honeyknot_relay::lease_client::client::Client;
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
--- a/crates/testbed/src/leases/keeper.rs
+++ b/crates/testbed/src/leases/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::io::BufRead;
 
-use honeyknot_relay::keeper::{Seat, run};
+use honeyknot_relay::lease_server::{Seat, run};
 
 use crate::fleet::Plan;
 
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 use honeyknot_lease::{Planted, Skewed};
-use honeyknot_relay::leases::{Clock, boot_clock, plan};
+use honeyknot_relay::lease_client::{Clock, boot_clock, plan};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{Link, Plan};
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use honeyknot_lease_consensus::Told;
-use honeyknot_relay::leases::plan;
-use honeyknot_relay::leases::staff;
-use honeyknot_relay::leases::wire::{Hello, Who};
+use honeyknot_relay::lease_client::plan;
+use honeyknot_relay::lease_client::staff;
+use honeyknot_relay::lease_client::wire::{Hello, Who};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -17,8 +17,8 @@
 use tracing::warn;
 
 use crate::interface::Micros;
-use crate::relay::clients::farewell;
-use crate::relay::wheel::Timers;
+use crate::relay::connections::graceful_close;
+use crate::relay::timer_wheel::Timers;
 use call::{Bad, Call};
 
 /// Callers at a time. Their descriptors are kept out of what sessions and the crowd may hold.
@@ -97,7 +97,7 @@
         () = timers.nap(PATIENCE) => false,
     };
     if sent {
-        farewell::end(&timers, stream).await;
+        graceful_close::end(&timers, stream).await;
     }
 }
 
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -8,7 +8,7 @@
 use honeyknot_metrics::state::State;
 use honeyknot_metrics::{Value, graphite};
 
-use crate::relay::process::config::secret;
+use crate::relay::lifecycle::config::secret;
 
 /// What to show.
 #[derive(clap::Subcommand)]
--- a/src/keeper/lines.rs
+++ b/src/lease_server/lines.rs
@@ -15,8 +15,8 @@
 use tracing::{info, warn};
 
 use super::{Heard, MOST_CLIENTS, QUEUE};
-use crate::leases::Clock;
-use crate::leases::wire::{self, Frame, Hello, Reader, Who};
+use crate::lease_client::Clock;
+use crate::lease_client::wire::{self, Frame, Hello, Reader, Who};
 
 /// A client that takes this long to read one frame is closed.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/src/keeper/mod.rs
+++ b/src/lease_server/mod.rs
@@ -21,9 +21,9 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout_at};
 use tracing::{error, info, warn};
 
-use crate::leases::plan::Plan;
-use crate::leases::wire::{Frame, Hello, Who};
-use crate::leases::{Clock, boot_clock};
+use crate::lease_client::plan::Plan;
+use crate::lease_client::wire::{Frame, Hello, Who};
+use crate::lease_client::{Clock, boot_clock};
 use disk::{Disk, Founding};
 
 /// Connections of clients at the most.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,12 +2,12 @@
 #![doc = include_str!("../README.md")]
 
 pub mod admin;
+pub mod gossip;
 pub mod inspect;
-pub mod keeper;
-pub mod leases;
+pub mod lease_client;
+pub mod lease_server;
 pub mod logger;
-pub mod neighbors;
 pub mod relay;
 pub mod wire;
 
-pub use honeyknot_balancer::{Balancer, Withheld, decide, interface};
+pub use honeyknot_balancer::{Balancer, Withheld, balancer, interface};
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,12 +6,12 @@
 use clap::{Parser, Subcommand};
 use honeyknot_relay::admin::ask;
 use honeyknot_relay::inspect::{self, Show};
-use honeyknot_relay::keeper::{self, Seat};
-use honeyknot_relay::leases::{plan::Plan, staff};
+use honeyknot_relay::lease_client::{plan::Plan, staff};
+use honeyknot_relay::lease_server::{self, Seat};
 use honeyknot_relay::logger::{self, Form};
 use honeyknot_relay::relay::{
     self,
-    process::config::{Config, OperatorFiles},
+    lifecycle::config::{Config, OperatorFiles},
 };
 use tracing::level_filters::LevelFilter;
 
@@ -97,7 +97,7 @@
         },
         Command::Keeper { leases, seat, log, log_form } => {
             logger::start(log, log_form);
-            Plan::load(&leases).and_then(|plan| keeper::serve(&plan, &seat))
+            Plan::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
         }
         Command::Lease { leases, call } => Plan::load(&leases).and_then(|plan| staff::call(&plan, &call)),
         Command::Version => {
--- a/src/relay/clients/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::lines::{self, SessionHead, Word, report_value};
+use super::protocol::{self, SessionHead, Word, report_value};
 use crate::interface::*;
 use crate::relay::{Order, Placement, Shared};
 
@@ -75,7 +75,7 @@
 async fn read_answer(relay: &Shared, mut server: TcpStream) -> Came {
     let mut bytes = BytesMut::with_capacity(512);
     let end = loop {
-        match lines::first_line(&bytes) {
+        match protocol::first_line(&bytes) {
             Ok(Some(end)) => break end,
             Ok(None) => {}
             Err(_) => return Came::Ended(Outcome::Error, None),
--- a/src/relay/clients/standing.rs
+++ b/src/relay/connections/established.rs
@@ -9,11 +9,11 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::farewell::end;
-use super::lines::{LineWatch, MOVE, SessionHead, Word};
-use super::session::{BUFFER, Client, SeatGuard};
+use super::graceful_close::end;
+use super::handshake::{BUFFER, Client, SeatGuard};
+use super::protocol::{LineWatch, MOVE, SessionHead, Word};
 use crate::interface::*;
-use crate::relay::wheel::Timers;
+use crate::relay::timer_wheel::Timers;
 use crate::relay::{Order, Shared};
 
 /// A client's line without a whole line back for this long: the card server is silent there and the client is moved.
--- a/src/relay/clients/farewell.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 use crate::interface::Micros;
-use crate::relay::wheel::Timers;
+use crate::relay::timer_wheel::Timers;
 
 /// What is read of a connection that gets its last line, at the most: closing with unread bytes may reset the
 /// connection before that line is read, and a client that floods must not be read for ever.
--- a/src/relay/clients/session.rs
+++ b/src/relay/connections/handshake.rs
@@ -9,13 +9,13 @@
 use tracing::debug;
 
 use super::attempt::{Came, Sent, dial, dial_again};
-use super::crowd::Place;
-use super::farewell::{FAREWELL, end};
-use super::lines::{self, FAILED, Malformed, SessionHead};
-use super::standing::pump;
+use super::established::pump;
+use super::graceful_close::{FAREWELL, end};
+use super::idle::Place;
+use super::protocol::{self, FAILED, Malformed, SessionHead};
 use crate::interface::*;
-use crate::relay::counts::meter::Answer;
-use crate::relay::wheel::Timers;
+use crate::relay::metrics::recorder::Answer;
+use crate::relay::timer_wheel::Timers;
 use crate::relay::{Held, Order, Placement, Shared};
 
 /// A connection that has not asked for a session after this is ended, however slowly its line drips and however
@@ -39,7 +39,7 @@
         // a request that arrives as the connection is shut, and would be lost without an answer.
         Ok(Some(First::Rests)) => {
             place.answered();
-            side.farewell(&lines::busy(0)).await;
+            side.farewell(&protocol::busy(0)).await;
         }
         Ok(Some(First::Asks(head))) => {
             let head = *head;
@@ -94,7 +94,7 @@
             if !self.bytes.is_empty() {
                 return Err(Malformed("more than a first line before any answer"));
             }
-            if lines::bare(&line) != b"PING" {
+            if protocol::bare(&line) != b"PING" {
                 return SessionHead::parse(line).map(|head| Some(First::Asks(Box::new(head))));
             }
             let answer: &[u8] = if relay.borrow().closing() { b"BUSY\r\n" } else { b"PONG\r\n" };
@@ -109,13 +109,13 @@
     /// Reads until a line is whole; none if the client leaves before it begins one.
     async fn line(&mut self, place: &mut Place) -> Result<Option<usize>, Malformed> {
         loop {
-            if let Some(end) = lines::first_line(&self.bytes)? {
+            if let Some(end) = protocol::first_line(&self.bytes)? {
                 return Ok(Some(end));
             }
             match self.stream.read_buf(&mut self.bytes).await {
                 Ok(0) if !self.bytes.is_empty() => return Err(Malformed("a first line is cut short")),
                 Ok(0) | Err(_) => return Ok(None),
-                Ok(_) if lines::may_open(&self.bytes) => place.speaks(),
+                Ok(_) if protocol::may_open(&self.bytes) => place.speaks(),
                 Ok(_) => {}
             }
         }
@@ -199,7 +199,7 @@
         };
         relay.borrow_mut().meter_refused(reason, None);
         relay.borrow_mut().meter_head(&head, Answer::Busy);
-        let line = lines::busy(come_back(&relay));
+        let line = protocol::busy(come_back(&relay));
         return client.farewell(&line).await;
     };
     let asked = relay.borrow_mut().ask(&head);
@@ -321,7 +321,7 @@
 fn final_line(order: &Order) -> Vec<u8> {
     match order {
         // Rounded up: a client that comes back too early is turned away again.
-        Order::Refuse(after) => lines::busy(after.div_ceil(1_000)),
+        Order::Refuse(after) => protocol::busy(after.div_ceil(1_000)),
         _ => FAILED.to_vec(),
     }
 }
@@ -332,7 +332,7 @@
     let Some(_second) = relay.borrow().hold_descriptor() else {
         relay.borrow_mut().meter_refused("descriptors", None);
         relay.borrow_mut().meter_head(&head, Answer::Busy);
-        let line = lines::busy(come_back(&relay));
+        let line = protocol::busy(come_back(&relay));
         return client.farewell(&line).await;
     };
     let (timers, due) = (client.timers.clone(), relay.borrow().adopts_until());
--- a/src/relay/clients/door.rs
+++ b/src/relay/connections/listener.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::error;
 
-use super::session;
+use super::handshake;
 use crate::relay::{Held, Shared};
 
 /// Pause after a failed accept: out of descriptors or memory, which passes as sessions end.
@@ -51,7 +51,7 @@
             Ok((client, _)) => {
                 trouble = false;
                 let held = Held::new(&descriptors);
-                crowd.admit(|place| session::serve(relay.clone(), client, held, place));
+                crowd.admit(|place| handshake::serve(relay.clone(), client, held, place));
                 // Guards against letting in a whole crowd before the first of them could say what it wants: it
                 // would be turned out as the oldest.
                 tokio::task::yield_now().await;
--- a/src/relay/clients/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -4,9 +4,9 @@
 //! to each session by a queue of its own. Nothing here chooses a card server.
 
 mod attempt;
-pub mod crowd;
-pub(in crate::relay) mod door;
-pub mod farewell;
-pub mod lines;
-pub mod session;
-pub mod standing;
+pub mod established;
+pub mod graceful_close;
+pub mod handshake;
+pub mod idle;
+pub(in crate::relay) mod listener;
+pub mod protocol;
--- a/src/relay/servers/roll.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -15,8 +15,8 @@
 
 use crate::interface::*;
 use crate::relay::Shared;
-use crate::relay::clients::lines::address;
-use crate::relay::wheel::Timers;
+use crate::relay::connections::protocol::address;
+use crate::relay::timer_wheel::Timers;
 use crate::wire::Names;
 
 /// A connection that is not up after this counts as a failed call: one lost packet is sent again after a second.
--- a/src/relay/servers/held.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use honeyknot_balancer::withheld::Unknown;
+use honeyknot_balancer::maintenance::Unknown;
 use honeyknot_discovery::Trouble;
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
-use super::roll::{Ask, Failure, RollNews};
+use super::discovery_client::{Ask, Failure, RollNews};
 use crate::interface::*;
 use crate::relay::Relay;
 
--- a/src/relay/servers/probe.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::interface::*;
-use crate::relay::clients::lines::{Word, first_line, report_value};
+use crate::relay::connections::protocol::{Word, first_line, report_value};
 use crate::relay::{Held, Shared};
 
 /// A probe without an answer after this has failed.
--- a/src/relay/servers/witness.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -5,7 +5,7 @@
 use honeyknot_health_check_budget::Asking;
 use tracing::{info, trace};
 
-use super::probe::Errand;
+use super::health_check::Errand;
 use crate::interface::*;
 use crate::relay::{Relay, Shared};
 
--- a/src/relay/servers/sites.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -4,9 +4,9 @@
 use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 use tracing::info;
 
-use super::probe::Errand;
+use super::health_check::Errand;
 use crate::interface::*;
-use crate::relay::process::config::Config;
+use crate::relay::lifecycle::config::Config;
 use crate::relay::{Order, Relay};
 use crate::wire::Names;
 
--- a/src/relay/process/operators.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -3,10 +3,10 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use super::handover;
+use super::hot_restart;
 use crate::admin::Desk;
 use crate::relay::Shared;
-use crate::relay::wheel::Timers;
+use crate::relay::timer_wheel::Timers;
 
 impl Desk for Shared {
     fn timers(&self) -> Rc<Timers> {
@@ -23,6 +23,6 @@
 
     fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
         let relay = self.clone();
-        async move { handover::by_hand(&relay, &id, out).await }
+        async move { hot_restart::by_hand(&relay, &id, out).await }
     }
 }
--- a/src/relay/process/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -9,8 +9,8 @@
 use serde_json::Value;
 
 use crate::interface::Settings;
-use crate::relay::clients::lines::address;
-use crate::relay::servers::roll::{RollNews, read_roll};
+use crate::relay::connections::protocol::address;
+use crate::relay::endpoints::discovery_client::{RollNews, read_roll};
 use crate::wire::{self, Names};
 
 /// Descriptors to live within where no limit is told.
--- a/src/relay/process/handover.rs
+++ b/src/relay/lifecycle/hot_restart.rs
@@ -4,8 +4,8 @@
 //! listening descriptor, gets ready, and takes over: the old one stops accepting before the new one begins. The link
 //! between the two then stays, so that each sees the other's end, and a call of operators at one holds at both.
 
-mod kept;
-mod line;
+mod state_directory;
+mod takeover_channel;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use honeyknot_balancer::withheld::Absence;
+use honeyknot_balancer::maintenance::Absence;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -22,12 +22,12 @@
 use tracing::{info, warn};
 
 use crate::interface::*;
-use crate::relay::clients::door;
-use crate::relay::clients::standing::{self, Bundle, Passed};
-use crate::relay::wheel::Timers;
+use crate::relay::connections::established::{self, Bundle, Passed};
+use crate::relay::connections::listener;
+use crate::relay::timer_wheel::Timers;
 use crate::relay::{Relay, Shared};
-pub use kept::Folder;
-use line::Line;
+pub use state_directory::Folder;
+use takeover_channel::Line;
 
 /// A process that does not answer for this long is stuck.
 const ANSWER: Micros = 1_000_000;
@@ -193,7 +193,7 @@
         None => {
             let kept = folder.read();
             relay.borrow_mut().take_by_hand(kept);
-            door::open(&relay, &listener);
+            listener::open(&relay, &listener);
         }
         Some(incumbent) => take_over(&relay, &folder, &listener, incumbent).await?,
     }
@@ -240,7 +240,7 @@
         let notes = relay.borrow_mut().link(Stage::TookOver);
         tokio::task::spawn_local(talk(relay.clone(), folder.clone(), None, line, notes));
     }
-    door::open(relay, listener);
+    listener::open(relay, listener);
     info!(target: "handover", old_lives = relay.borrow().tenure.link.is_some(), "took over");
     Ok(())
 }
@@ -327,7 +327,7 @@
     };
     if !relay.borrow().closing() {
         warn!(target: "handover", "it had taken over: clients are let in here again");
-        door::open(&relay, &listener);
+        listener::open(&relay, &listener);
         match folder.publish() {
             Ok(offered) => drop(offer_again(relay, folder, listener, offered)),
             Err(why) => warn!(target: "handover", why, "no process can take over from this one"),
@@ -363,7 +363,7 @@
 ) -> bool {
     match word {
         Word::Take if listener.is_some() => {
-            door::close(relay);
+            listener::close(relay);
             if let Some(link) = &mut relay.borrow_mut().tenure.link {
                 link.stage = Stage::HandedOver;
             }
@@ -389,7 +389,7 @@
                 link.lent = link.lent.saturating_sub(2);
             }
             if let (Some(client), Some(server)) = sockets
-                && let Err(why) = standing::take_up(relay, bundle, client, server)
+                && let Err(why) = established::take_up(relay, bundle, client, server)
             {
                 warn!(target: "handover", %why, "a session that was passed here cannot be taken up");
             }
--- a/src/relay/process/mod.rs
+++ b/src/relay/lifecycle/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! In come signals, files and the other process; out go calls to the hub.
 
+mod admin_service;
 pub mod config;
-pub mod handover;
-mod operators;
+pub mod graceful_shutdown;
+pub mod hot_restart;
 pub mod reload;
-pub mod shutdown;
--- a/src/relay/process/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -6,7 +6,7 @@
 
 use super::config::Config;
 use crate::relay::Shared;
-use crate::relay::counts::sinks;
+use crate::relay::metrics::exporter;
 
 /// Configurations as they were read again, or why one could not be.
 pub type Reloads = UnboundedReceiver<Result<Config, String>>;
@@ -32,7 +32,7 @@
                 info!(target: "reload", discovery = %config.discovery, descriptors = config.sockets, "applied");
                 relay.borrow_mut().reconfigure(&config);
                 if let Some(plan) = &config.metrics {
-                    sinks::run(&relay, plan, &config.name);
+                    exporter::run(&relay, plan, &config.name);
                 }
             }
             Err(why) => warn!(target: "reload", why, "the configuration held stays in use"),
--- a/src/relay/counts/sinks.rs
+++ b/src/relay/metrics/exporter.rs
@@ -18,8 +18,8 @@
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep_until, timeout};
 use tracing::{info, warn};
 
-use super::meter;
-use super::waiting::Waiting;
+use super::recorder;
+use super::spool_queue::Waiting;
 use crate::relay::{Held, Shared};
 
 /// Readings that wait in memory where there is a spool: older ones wait on disk.
@@ -212,7 +212,7 @@
             _ = ticks.tick() => {
                 let reading = relay.borrow_mut().reading();
                 // What a later life would not know of must not be told: a total would fall.
-                if !meter::save(&relay, reading.at).await {
+                if !recorder::save(&relay, reading.at).await {
                     continue;
                 }
                 let lasts = relay.borrow().counts_last();
--- a/src/relay/counts/mod.rs
+++ b/src/relay/metrics/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! In come plain calls from where things happen; out go readings. Nothing here acts on a figure.
 
-pub(in crate::relay) mod lasting;
-pub(in crate::relay) mod meter;
-pub(in crate::relay) mod sinks;
+pub(in crate::relay) mod exporter;
+pub(in crate::relay) mod persistent_counters;
+pub(in crate::relay) mod recorder;
 pub(in crate::relay) mod spool;
-pub(in crate::relay) mod waiting;
+pub(in crate::relay) mod spool_queue;
--- a/src/relay/counts/meter.rs
+++ b/src/relay/metrics/recorder.rs
@@ -7,9 +7,9 @@
 use serde_json::json;
 use tracing::{info, warn};
 
-use super::lasting::Folder;
+use super::persistent_counters::Folder;
 use crate::interface::*;
-use crate::relay::clients::lines::SessionHead;
+use crate::relay::connections::protocol::SessionHead;
 use crate::relay::{Relay, Shared};
 use crate::wire::Names;
 
--- a/src/relay/counts/spool.rs
+++ b/src/relay/metrics/spool.rs
@@ -11,7 +11,7 @@
 
 use honeyknot_metrics::records::{self, Record};
 
-use super::lasting::numbered;
+use super::persistent_counters::numbered;
 
 /// A segment is closed when it is as large as this.
 const SEGMENT: u64 = 1 << 20;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -3,12 +3,12 @@
 //! Everything runs on one thread. Each study session is a task (`session`) that talks to the relay by plain
 //! calls and gets its orders by a queue of its own; no borrow of the relay is held across an await.
 
-pub mod clients;
 pub mod clock;
-pub mod counts;
-pub mod process;
-pub mod servers;
-pub mod wheel;
+pub mod connections;
+pub mod endpoints;
+pub mod lifecycle;
+pub mod metrics;
+pub mod timer_wheel;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,25 +25,25 @@
 use tracing::{info, trace};
 
 use crate::admin;
+use crate::gossip::Neighborhood;
 use crate::interface::*;
-use crate::neighbors::Neighborhood;
 use crate::wire::Names;
 use crate::{Balancer, Withheld};
-use clients::crowd::Crowd;
-use clients::door;
-use clients::lines::SessionHead;
 use clock::Clock;
-use counts::meter::{self, Answer};
-use counts::sinks;
-use process::config::{Config, OperatorFiles};
-use process::handover::{self, Folder, Incumbent, Tenure};
-use process::{reload, shutdown};
-use servers::delays::{self, Delays};
-use servers::probe::{self, Errand};
-use servers::roll::{self, Ask, RollNews};
-use servers::sites;
-use servers::witness;
-use wheel::{Alarm, Timers};
+use connections::idle::Crowd;
+use connections::listener;
+use connections::protocol::SessionHead;
+use endpoints::discovery_client::{self, Ask, RollNews};
+use endpoints::health_check::{self, Errand};
+use endpoints::message_latency::{self, Delays};
+use endpoints::shared_health_check;
+use endpoints::zone_failover;
+use lifecycle::config::{Config, OperatorFiles};
+use lifecycle::hot_restart::{self, Folder, Incumbent, Tenure};
+use lifecycle::{graceful_shutdown, reload};
+use metrics::exporter;
+use metrics::recorder::{self, Answer};
+use timer_wheel::{Alarm, Timers};
 
 /// Descriptors kept for all that is no session: standard streams, the runtime's own, listener and discovery.
 const RESERVE: usize = 32;
@@ -158,9 +158,9 @@
     /// What is counted.
     book: Book,
     /// Where the counts outlast the relay, if anywhere.
-    lasting: Option<meter::Lasting>,
+    lasting: Option<recorder::Lasting>,
     /// The sinks that are fed, by name.
-    sinks: BTreeMap<String, sinks::Running>,
+    sinks: BTreeMap<String, exporter::Running>,
     /// The sites of the card servers.
     zones: BTreeMap<ServerId, ZoneId>,
     /// When discovery last answered.
@@ -196,7 +196,7 @@
         let born = timers.clock.now();
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
-        let sites = sites::start(config.sites, &mut settings, &config.names, config.seed, born)?;
+        let sites = zone_failover::start(config.sites, &mut settings, &config.names, config.seed, born)?;
         let enter = |plan: &NeighborPlan| {
             Neighborhood::enter(plan, config.listen, settings.fleet_size, config.seed)
                 .map_err(|e| e.to_string())
@@ -211,11 +211,11 @@
             entries: Vec::new(),
             addresses: Vec::new(),
         });
-        let caller = roll::caller(&settings, config.seed, &known, born);
+        let caller = discovery_client::caller(&settings, config.seed, &known, born);
         let relay = Rc::new_cyclic(|me| {
             RefCell::new(Relay {
                 timers,
-                book: meter::open(&config.metrics, &config.names),
+                book: recorder::open(&config.metrics, &config.names),
                 names: config.names,
                 balancer,
                 version: 0,
@@ -549,7 +549,7 @@
 
     fn errand(&mut self, server: ServerId, errand: Errand) {
         let Some(me) = self.me.upgrade() else { return };
-        let probe = self.probes.entry(server.clone()).or_insert_with(|| probe::start(me, server));
+        let probe = self.probes.entry(server.clone()).or_insert_with(|| health_check::start(me, server));
         let _ = probe.send(errand);
     }
 
@@ -676,21 +676,22 @@
 }
 
 async fn serve_here(config: Config, files: OperatorFiles) -> Result<(), String> {
-    let stop = shutdown::signal()?;
+    let stop = graceful_shutdown::signal()?;
     let reloads = reload::signal(move || Config::again(&files))?;
-    let folder = config.admin.and_then(|_| handover::folder(config.listen)).map(Rc::new);
+    let folder = config.admin.and_then(|_| hot_restart::folder(config.listen)).map(Rc::new);
     let met = match &folder {
-        Some(folder) => handover::knock(folder).await?,
+        Some(folder) => hot_restart::knock(folder).await?,
         None => None,
     };
     let (clients, from) = match met {
         Some((listener, from)) => (listener, Some(from)),
         None => {
             let told = |e| format!("{}: {e}", config.listen);
-            (door::open_listener(config.listen).map_err(told)?, None)
+            (listener::open_listener(config.listen).map_err(told)?, None)
         }
     };
-    let admin = config.admin.map(|at| door::open_listener(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
+    let admin =
+        config.admin.map(|at| listener::open_listener(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
     serve_on(Listeners { clients, admin: admin.transpose()?, folder, from }, config, stop, reloads).await
 }
 
@@ -722,13 +723,13 @@
         if let Some(folder) = &plan.state {
             relay.borrow_mut().take_up_counts(folder, &name);
         }
-        sinks::run(&relay, &plan, &name);
+        exporter::run(&relay, &plan, &name);
     }
-    tokio::task::spawn_local(roll::follow(relay.clone(), discovery, caller, asks));
+    tokio::task::spawn_local(discovery_client::follow(relay.clone(), discovery, caller, asks));
     tokio::task::spawn_local(turn_wheel(relay.clone()));
     tokio::task::spawn_local(tell_delays(relay.clone()));
     if relay.borrow().neighbors.is_some() {
-        tokio::task::spawn_local(witness::bear(relay.clone()));
+        tokio::task::spawn_local(shared_health_check::bear(relay.clone()));
     }
     if let Some(admin) = listeners.admin {
         tokio::task::spawn_local(admin::serve(relay.clone(), admin));
@@ -737,10 +738,10 @@
     let clients = Rc::new(listeners.clients);
     let taken_over = match listeners.folder {
         Some(folder) => {
-            tokio::task::spawn_local(handover::enter(relay.clone(), folder, clients, listeners.from))
+            tokio::task::spawn_local(hot_restart::enter(relay.clone(), folder, clients, listeners.from))
         }
         None => {
-            door::open(&relay, &clients);
+            listener::open(&relay, &clients);
             tokio::task::spawn_local(std::future::pending())
         }
     };
@@ -751,7 +752,7 @@
             return Err(why);
         },
     }
-    shutdown::drain(relay).await;
+    graceful_shutdown::drain(relay).await;
     info!(target: "relay", name, "stopped");
     Ok(())
 }
@@ -773,7 +774,7 @@
 async fn tell_delays(relay: Shared) {
     let timers = relay.borrow().timers.clone();
     loop {
-        timers.nap(delays::LOOK).await;
+        timers.nap(message_latency::LOOK).await;
         relay.borrow_mut().tell_delays();
         relay.borrow_mut().measure_delay();
         relay.borrow_mut().tend_sites();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use crate::decide::Balancer;
+use crate::Balancer;
 use crate::interface::*;
 
 /// Why the adapter stopped: the batch, the line in it and what is wrong.
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use honeyknot_relay::admin::call::{self, Bad, Call};
-use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::{OPEN, Relay, case, config, config_text, line, listen, open, rest, say, session};
 use proptest::prelude::*;
 use serde_json::Value;
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use honeyknot_lease_consensus::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
-use honeyknot_relay::keeper::disk::{
+use honeyknot_relay::lease_server::disk::{
     Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner,
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -6,7 +6,7 @@
     Answer as LeaseAnswer, Command as LeaseCommand, Refusal as LeaseRefusal, Said as CommandResult,
 };
 use honeyknot_lease_consensus::{Told as Response, View as LeaseView};
-use honeyknot_relay::leases::wire::{
+use honeyknot_relay::lease_client::wire::{
     Frame as LeaseFrame, Hello as Greeting, Reader as FrameReader, Who as GreetingSender, dial, send, welcome,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -6,7 +6,7 @@
     Ask as ClientRequest, Entry as LogEntry, Keeper as Replica, Letter as PeerMessage, Out as ReplicaAction,
     Settings as ReplicaSettings, Snapshot as ReplicaSnapshot,
 };
-use honeyknot_relay::leases::wire::Frame as LeaseFrame;
+use honeyknot_relay::lease_client::wire::Frame as LeaseFrame;
 use serde::{Deserialize, Serialize};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use honeyknot_relay::relay::process::config::Config;
-use honeyknot_relay::relay::process::handover::Folder as HotRestartFolder;
+use honeyknot_relay::relay::lifecycle::config::Config;
+use honeyknot_relay::relay::lifecycle::hot_restart::Folder as HotRestartFolder;
 use honeyknot_relay::relay::{Listeners, serve_on};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use honeyknot_relay::relay::process::config::Config;
-use honeyknot_relay::relay::process::handover::{
+use honeyknot_relay::relay::lifecycle::config::Config;
+use honeyknot_relay::relay::lifecycle::hot_restart::{
     ByHand, Folder as HotRestartFolder, Word as HotRestartMessage,
 };
 use serde_json::{Value, json};
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -7,7 +7,7 @@
 use honeyknot_metrics::collectd::Security;
 use honeyknot_metrics::graphite::Paths;
 use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
-use honeyknot_relay::leases::plan::Plan as LeasesPlan;
+use honeyknot_relay::lease_client::plan::Plan as LeasesPlan;
 use honeyknot_zone_failover::Plan as SitesPlan;
 
 use super::{address, fixture_text};
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -19,8 +19,8 @@
     Class, Discovery, Effect, ForwardMode, ReportSource, Scope, ServerEntry, ServerState, Settings, Tenant,
     Weights,
 };
-use honeyknot_relay::relay::process::config::Config;
-use honeyknot_relay::relay::servers::roll::RollNews;
+use honeyknot_relay::relay::endpoints::discovery_client::RollNews;
+use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::wire::{self, Names};
 
 /// The program that speaks the simulator's wire on standard input and output.
--- a/tests/crowd.rs
+++ b/tests/idle_connections.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use honeyknot_relay::relay::clients::crowd::{Crowd, Place};
+use honeyknot_relay::relay::connections::idle::{Crowd, Place};
 use tokio::task::{LocalSet, yield_now};
 
 /// Tells that its task has ended.
--- a/tests/keepers.rs
+++ b/tests/lease_servers.rs
@@ -9,8 +9,8 @@
 
 use honeyknot_lease::{Answer, Command as Lease, Refusal, Token};
 use honeyknot_lease_consensus::Told;
-use honeyknot_relay::leases::plan::Plan;
-use honeyknot_relay::leases::staff;
+use honeyknot_relay::lease_client::plan::Plan;
+use honeyknot_relay::lease_client::staff;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_honeyknot-relay");
 
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::relay::{Listeners, serve_on};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,11 +1,11 @@
 //! Random cuts of valid messages and random garbage against every parser of the relay, from fixed seeds.
 
 use bytes::{Bytes, BytesMut};
-use honeyknot_relay::relay::clients::lines::{
+use honeyknot_relay::relay::connections::protocol::{
     LONGEST, LineWatch, SessionHead, Word, first_line, report_value,
 };
-use honeyknot_relay::relay::process::config::Config;
-use honeyknot_relay::relay::servers::roll::{read_roll, take_answer};
+use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
+use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::wire::Names;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::{
     OPEN, Relay, answer, call, case, config, config_text, line, list, listen, open, rest, say, session,
     standing,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -9,7 +9,7 @@
 
 use honeyknot_relay::Balancer;
 use honeyknot_relay::interface::*;
-use honeyknot_relay::relay::process::config::Config;
+use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::config_value;
 use serde_json::{Value, json};
 
--- a/tests/wheel.rs
+++ b/tests/timer_wheel.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_relay::relay::process::shutdown::due_now;
-use honeyknot_relay::relay::wheel::{TICK, Wheel};
+use honeyknot_relay::relay::lifecycle::graceful_shutdown::due_now;
+use honeyknot_relay::relay::timer_wheel::{TICK, Wheel};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
