--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -24,12 +24,12 @@
 
 use crate::circuit_breaker::Breaker;
 use crate::estimates::{blend, trust};
-use crate::interface::*;
 use crate::outlier_detection::Health;
 use crate::rendezvous::{draw, race};
 use crate::slow_start::{self, Slots};
 use crate::unreported_load::{self, Throttle, is_blind};
 use crate::zone_affinity;
+use crate::*;
 
 /// Housekeeping interval: fine enough to pace moves within a drain of a few seconds.
 const TICK: Micros = 200_000;
@@ -136,7 +136,7 @@
 /// A line of the table, with what this balancer knows of the server.
 #[derive(Default)]
 struct Server {
-    entry: ServerEntry,
+    entry: Endpoint,
     hash: u64,
     /// Load over capacity as last reported, and when.
     load: Option<(f64, Micros)>,
@@ -164,14 +164,14 @@
 
 impl Server {
     fn ready(&self) -> bool {
-        self.entry.state == ServerState::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// Sends a probe unless one is out.
     fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.probe_sent.is_none() {
             self.probe_sent = Some(now);
-            out.push(Action::Probe(self.entry.server.clone()));
+            out.push(Action::CheckHealth(self.entry.id.clone()));
         }
     }
 
@@ -196,9 +196,9 @@
     request: Request,
     deadline: Micros,
     attempts: u32,
-    out: Option<ServerId>,
+    out: Option<EndpointId>,
     /// Servers that failed this request.
-    tried: BTreeSet<ServerId>,
+    tried: BTreeSet<EndpointId>,
     /// The first server on which it may have run, and when it was sent there.
     may_have_run: Option<(Option<ZoneId>, CellId, Micros)>,
     sent_at: Micros,
@@ -213,7 +213,7 @@
 /// A held request: until when, and whose probe answers it waits for.
 struct Hold {
     until: Micros,
-    probes: BTreeSet<ServerId>,
+    probes: BTreeSet<EndpointId>,
 }
 
 /// A server in the races that decide about a request.
@@ -224,7 +224,7 @@
     wide: f64,
     client: f64,
     warmth: f64,
-    id: &'a ServerId,
+    id: &'a EndpointId,
 }
 
 /// What the table says of the fleet as a whole.
@@ -246,15 +246,15 @@
 pub struct Balancer {
     settings: Settings,
     rng: Pcg64Mcg,
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     flows: BTreeMap<RequestId, Flow>,
     held: BTreeSet<RequestId>,
     /// Where clients were last seen.
-    homes: BTreeMap<ClientKey, (ServerId, Micros)>,
+    homes: BTreeMap<SessionKey, (EndpointId, Micros)>,
     /// Clients that were asked to move, and from where.
-    moved: BTreeMap<ClientKey, (ServerId, Micros)>,
+    moved: BTreeMap<SessionKey, (EndpointId, Micros)>,
     /// Own standing connections of each group.
-    groups: BTreeMap<GroupKey, usize>,
+    groups: BTreeMap<AffinityGroup, usize>,
     /// Own standing connections.
     standing: usize,
     throttle: Throttle,
@@ -274,7 +274,7 @@
 
 /// What seeds the race of the request's group.
 fn group_salt(request: &Request) -> Option<u64> {
-    request.group.as_ref().map(|group| xxh3_64_with_seed(group.0.as_bytes(), 2))
+    request.affinity_group.as_ref().map(|group| xxh3_64_with_seed(group.0.as_bytes(), 2))
 }
 
 impl Balancer {
@@ -282,16 +282,16 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Balancer, SettingsError> {
         let rules = &settings.rules;
         let sound = |number: f64| number >= 0.0 && number.is_finite();
-        if !(0.0..=1.0).contains(&rules.start_capacity) {
+        if !(0.0..=1.0).contains(&rules.initial_capacity) {
             return Err(SettingsError("start_capacity is not within 0 and 1"));
         }
         if !sound(rules.overload_factor) || rules.overload_factor == 0.0 {
             return Err(SettingsError("overload_factor is not a positive number"));
         }
-        if !settings.classes.iter().all(|c| sound(c.worth)) {
+        if !settings.classes.iter().all(|c| sound(c.priority_weight)) {
             return Err(SettingsError("a class has a worth that is not a number of 0 or more"));
         }
-        if !sound(settings.prices.cross_zone) || !sound(settings.prices.moves) {
+        if !sound(settings.prices.cross_zone) || !sound(settings.prices.migration) {
             return Err(SettingsError("a price is not a number of 0 or more"));
         }
         Ok(Balancer {
@@ -327,76 +327,81 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
-            out.push(Action::Timer { delay: TICK, token: TICK_TOKEN });
-            if self.settings.discovery == Discovery::OnRequest {
-                let spread = ASK_SPREAD.min(self.settings.rules.must_ask_in / 3);
-                out.push(Action::Timer { delay: self.rng.random_range(0..=spread), token: ASK_TOKEN });
+            out.push(Action::SetTimer { delay: TICK, token: TICK_TOKEN });
+            if self.settings.discovery == DiscoveryMode::OnRequest {
+                let spread = ASK_SPREAD.min(self.settings.rules.max_list_age / 3);
+                out.push(Action::SetTimer { delay: self.rng.random_range(0..=spread), token: ASK_TOKEN });
             }
         }
         match event {
-            Event::Servers { update, .. } => self.take_list(now, update, out),
+            Event::EndpointsUpdated { update, .. } => self.take_list(now, update, out),
             Event::Request(request) => self.take_request(now, request, out),
-            Event::Adopted(request, server) => self.adopt(now, request, server),
-            Event::Established { id, server, .. } => self.established(now, id, server),
-            Event::Outcome { id, outcome, closed, server, report, .. } => {
+            Event::ConnectionAdopted(request, server) => self.adopt(now, request, server),
+            Event::ConnectionEstablished { id, endpoint: server, .. } => self.established(now, id, server),
+            Event::AttemptEnded { id, outcome, closed, endpoint: server, report, .. } => {
                 self.take_outcome(now, id, outcome, closed, server, report, out)
             }
-            Event::Abandoned(id) => self.close(id),
-            Event::Probed { server, outcome, report, .. } => self.probed(now, server, outcome, report, out),
-            Event::Noted { id, server, note, .. } => self.noted(now, id, server, note, out),
-            Event::Timer(TICK_TOKEN) => self.tick(now, out),
-            Event::Timer(ASK_TOKEN) => out.push(Action::Watch(true)),
-            Event::Timer(token) => self.hold_over(now, token, out),
-            Event::Told { .. } => {}
+            Event::ClientLeft(id) => self.close(id),
+            Event::HealthCheckEnded { endpoint: server, outcome, report, .. } => {
+                self.probed(now, server, outcome, report, out)
+            }
+            Event::ConnectionUpdated { id, endpoint: server, update: note, .. } => {
+                self.noted(now, id, server, note, out)
+            }
+            Event::TimerFired(TICK_TOKEN) => self.tick(now, out),
+            Event::TimerFired(ASK_TOKEN) => out.push(Action::Watch(true)),
+            Event::TimerFired(token) => self.hold_over(now, token, out),
+            Event::PeerMessage { .. } => {}
         }
     }
 
     /// Servers that are listed as ready and get nothing new, as they look ill.
-    pub fn suspects(&self) -> impl Iterator<Item = &ServerId> {
-        self.servers.values().filter(|s| s.ready() && s.health.suspect()).map(|s| &s.entry.server)
+    pub fn suspects(&self) -> impl Iterator<Item = &EndpointId> {
+        self.servers.values().filter(|s| s.ready() && s.health.suspect()).map(|s| &s.entry.id)
     }
 
     // ---- The table ---------------------------------------------------------------------------------------
 
-    fn take_list(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Action>) {
+    fn take_list(&mut self, now: Micros, update: EndpointUpdate, out: &mut Vec<Action>) {
         let (entries, whole) = match update {
-            ListUpdate::Failed => {
+            EndpointUpdate::Failed => {
                 // A refused call is a sign that all ask at once: wait longer each time, and not in step.
                 let wait = ASK_AGAIN << self.asks_failed.min(3);
                 self.asks_failed += 1;
                 let delay = self.rng.random_range(wait / 2..=wait + wait / 2);
-                out.push(Action::Timer { delay, token: ASK_TOKEN });
+                out.push(Action::SetTimer { delay, token: ASK_TOKEN });
                 return;
             }
-            ListUpdate::Cached(entries) | ListUpdate::Full(entries) => (entries, true),
-            ListUpdate::Delta(entries) => (entries, false),
+            EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (entries, true),
+            EndpointUpdate::Delta(entries) => (entries, false),
         };
         self.asks_failed = 0;
         if whole {
-            let named: BTreeSet<&ServerId> = entries.iter().map(|e| &e.server).collect();
-            let lost: Vec<ServerId> = self.servers.keys().filter(|id| !named.contains(id)).cloned().collect();
+            let named: BTreeSet<&EndpointId> = entries.iter().map(|e| &e.id).collect();
+            let lost: Vec<EndpointId> =
+                self.servers.keys().filter(|id| !named.contains(id)).cloned().collect();
             for id in lost {
-                self.leave(now, &id, ServerState::Gone);
+                self.leave(now, &id, EndpointState::Removed);
             }
         }
         for entry in entries.iter() {
             match entry.state {
-                ServerState::Ready => self.join(entry),
+                EndpointState::Ready => self.join(entry),
                 state => {
-                    if state == ServerState::Draining && !self.servers.contains_key(&entry.server) {
+                    if state == EndpointState::Draining && !self.servers.contains_key(&entry.id) {
                         self.join(entry);
                     }
-                    self.leave(now, &entry.server, state);
+                    self.leave(now, &entry.id, state);
                 }
             }
         }
         self.survey(now);
     }
 
-    fn join(&mut self, entry: &ServerEntry) {
+    fn join(&mut self, entry: &Endpoint) {
         let mut standing = BTreeSet::new();
-        if let Some(known) = self.servers.get_mut(&entry.server) {
-            if known.entry.started == entry.started && known.ready() {
+        if let Some(known) = self.servers.get_mut(&entry.id) {
+            if known.entry.started_at == entry.started_at && known.ready() {
                 known.entry = entry.clone();
                 return;
             }
@@ -404,20 +409,20 @@
             standing = std::mem::take(&mut known.standing);
         }
         let server = Server {
-            hash: xxh3_64_with_seed(entry.server.0.as_bytes(), 0),
+            hash: xxh3_64_with_seed(entry.id.0.as_bytes(), 0),
             entry: entry.clone(),
             standing,
             slots: Slots::new(self.rng.random()),
             ..Server::default()
         };
-        self.servers.insert(entry.server.clone(), server);
+        self.servers.insert(entry.id.clone(), server);
     }
 
     /// A server drains or is gone: it takes nothing new, and what stands there is flagged and moved.
-    fn leave(&mut self, now: Micros, id: &ServerId, state: ServerState) {
+    fn leave(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
         let Some(server) = self.servers.get_mut(id) else { return };
-        if state == ServerState::Gone
-            && let (ServerState::Draining, Some(told)) = (server.entry.state, server.leaving)
+        if state == EndpointState::Removed
+            && let (EndpointState::Draining, Some(told)) = (server.entry.state, server.leaving)
         {
             // The shortest drain seen sets the pace of the next.
             let lasted = now.saturating_sub(told);
@@ -426,7 +431,7 @@
         let first = server.leaving.is_none();
         server.entry.state = state;
         server.leaving.get_or_insert(now);
-        if state == ServerState::Gone {
+        if state == EndpointState::Removed {
             self.plan_moves(now, id, 1.0, SHED_TIME);
         } else if first {
             let lasts = self.drain_seen.unwrap_or(DRAIN_TIMEOUT / DRAIN_CAUTION);
@@ -438,7 +443,7 @@
     ///
     /// A balancer holds few of the server's connections, so each is drawn: the classes' parts of all its own
     /// load tell which classes have to go, and all balancers together take about the part that is wanted.
-    fn plan_moves(&mut self, now: Micros, id: &ServerId, part: f64, within: Micros) {
+    fn plan_moves(&mut self, now: Micros, id: &EndpointId, part: f64, within: Micros) {
         let count = self.settings.classes.len();
         let mut classes: Vec<(f64, f64)> = (0..count).map(|i| (self.dearness(ClassId(i)), 0.0)).collect();
         for flow in self.flows.values().filter(|f| f.standing) {
@@ -494,10 +499,10 @@
         }
         for id in due {
             let Some(flow) = self.flows.get(&id) else { continue };
-            if let (Some(key), Some(from)) = (&flow.request.key, &flow.out) {
+            if let (Some(key), Some(from)) = (&flow.request.session_key, &flow.out) {
                 self.moved.insert(key.clone(), (from.clone(), now));
             }
-            out.push(Action::Move(id));
+            out.push(Action::Migrate(id));
             self.close(id);
         }
     }
@@ -512,21 +517,23 @@
         let near = self.servers.values().filter(|s| self.near(s) && !s.slow(now));
         let near = near.filter(|s| self.weight(s, now) > 0.0).map(|s| (self.estimate(s, now), s));
         let Some((load, near)) = near.min_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-        let near = near.entry.server.clone();
+        let near = near.entry.id.clone();
         let stood = self.flows.iter().rev().filter(|(_, f)| f.standing && now >= f.sent_at + STRAY_STAYS);
         let stood = stood.filter_map(|(id, f)| Some((*id, f, self.servers.get(f.out.as_ref()?)?)));
         let away = |f: &Flow, s: &Server| self.far(s, self.copy_cost(&f.request)) > 1.0;
         let strays =
             stood.filter(
-                |(_, f, s)| if away(f, s) { self.settings.homing } else { self.stray(&f.request, s, now) },
+                |(_, f, s)| {
+                    if away(f, s) { self.settings.rebalancing } else { self.stray(&f.request, s, now) }
+                },
             );
         let strays =
             strays.filter(|(_, _, s)| s.moves.is_none()).map(|(id, _, s)| (self.estimate(s, now), id, s));
         let Some((_, id, from)) = strays.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-        let from = from.entry.server.clone();
+        let from = from.entry.id.clone();
         if let Some(server) = self.servers.get_mut(&near).filter(|s| !s.fresh(now)) {
             // Where it may not be asked, a report that comes with an answer is waited for.
-            if self.settings.permissions.probes {
+            if self.settings.permissions.health_checks {
                 server.probe(now, out);
             }
         } else if let Some(server) = self.servers.get_mut(&from).filter(|_| load < HOME_LOAD) {
@@ -537,12 +544,12 @@
     // ---- Requests ----------------------------------------------------------------------------------------
 
     fn flow(&mut self, now: Micros, request: Request) -> Flow {
-        if let Some(hint) = request.hint {
+        if let Some(hint) = request.expected_load {
             blend(&mut self.mean_work, hint);
         }
         Flow {
-            deadline: now.saturating_add(request.time_left),
-            load: request.hint,
+            deadline: now.saturating_add(request.time_remaining),
+            load: request.expected_load,
             request,
             sent_at: now,
             ..Flow::default()
@@ -556,14 +563,14 @@
         self.route(now, id, out);
     }
 
-    fn adopt(&mut self, now: Micros, request: Request, server: ServerId) {
+    fn adopt(&mut self, now: Micros, request: Request, server: EndpointId) {
         let id = request.id;
         let flow = Flow { attempts: 1, out: Some(server.clone()), ..self.flow(now, request) };
         self.flows.insert(id, flow);
         self.established(now, id, server);
     }
 
-    fn established(&mut self, now: Micros, id: RequestId, at: ServerId) {
+    fn established(&mut self, now: Micros, id: RequestId, at: EndpointId) {
         self.alive(now, &at);
         let Some(flow) = self.flows.get_mut(&id) else { return };
         if flow.over {
@@ -571,10 +578,10 @@
         }
         flow.standing = true;
         self.standing += 1;
-        if let Some(group) = &flow.request.group {
+        if let Some(group) = &flow.request.affinity_group {
             *self.groups.entry(group.clone()).or_insert(0) += 1;
         }
-        if let Some(key) = &flow.request.key {
+        if let Some(key) = &flow.request.session_key {
             self.homes.insert(key.clone(), (at.clone(), now));
         }
         if let Some(server) = self.servers.get_mut(&at) {
@@ -588,16 +595,16 @@
     }
 
     /// The request's reach and the rules of repetition: whether it may be sent to this server now.
-    fn may_send(&self, flow: &Flow, entry: &ServerEntry, now: Micros) -> bool {
-        let reach = flow.request.reach.holds(entry.zone);
+    fn may_send(&self, flow: &Flow, entry: &Endpoint, now: Micros) -> bool {
+        let reach = flow.request.allowed_zones.contains(entry.zone);
         let Some((zone, cell, since)) = flow.may_have_run.filter(|_| reach) else { return reach };
-        match self.class(flow).map(|c| c.effect) {
-            Some(Effect::Idempotent) => true,
-            Some(Effect::Deduplicated { scope, window }) => {
+        match self.class(flow).map(|c| c.idempotency) {
+            Some(Idempotency::Idempotent) => true,
+            Some(Idempotency::IdempotencyKey { scope, window }) => {
                 let within = match scope {
-                    Scope::All => true,
-                    Scope::Zone => entry.zone == zone,
-                    Scope::Cell => entry.cell == cell && entry.zone == zone,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => entry.zone == zone,
+                    DeduplicationScope::Cell => entry.cell == cell && entry.zone == zone,
                 };
                 within && now.saturating_sub(since) < window
             }
@@ -607,9 +614,13 @@
 
     /// Whether a refusal, which tells the client that a repeat is harmless, would be true.
     fn may_refuse(&self, flow: &Flow) -> bool {
-        let effect = self.class(flow).map(|c| c.effect);
-        let harmless =
-            matches!(effect, Some(Effect::Idempotent | Effect::Deduplicated { scope: Scope::All, .. }));
+        let effect = self.class(flow).map(|c| c.idempotency);
+        let harmless = matches!(
+            effect,
+            Some(
+                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
+            )
+        );
         harmless || flow.may_have_run.is_none()
     }
 
@@ -617,7 +628,7 @@
         f64::from(self.settings.fleet_size.max(1))
     }
 
-    fn class(&self, flow: &Flow) -> Option<&Class> {
+    fn class(&self, flow: &Flow) -> Option<&RequestClass> {
         self.settings.classes.get(flow.request.class.0)
     }
 
@@ -628,7 +639,7 @@
         flow.held = None;
         let left = flow.deadline.saturating_sub(now);
         let spent = flow.attempts >= self.settings.permissions.max_attempts.max(1);
-        if spent || left <= LEAST_TRY.min(flow.request.time_left / 2) {
+        if spent || left <= LEAST_TRY.min(flow.request.time_remaining / 2) {
             return self.finish(flow, out);
         }
         let home = self.home(&flow, now);
@@ -689,23 +700,25 @@
     /// Holds a request for about the given time, if a whole attempt still fits after it. Guards against
     /// holding a request that is as good as given up until its deadline: it is refused at once instead.
     fn wait(&mut self, now: Micros, flow: &mut Flow, about: Micros, out: &mut Vec<Action>) -> bool {
-        let attempt = self.class(flow).map_or(LEAST_TRY, |c| c.aim).max(LEAST_TRY);
+        let attempt = self.class(flow).map_or(LEAST_TRY, |c| c.latency_objective).max(LEAST_TRY);
         let delay = self.rng.random_range(about / 2..=about + about / 2);
         if now + delay + attempt > flow.deadline {
             return false;
         }
         flow.rounds = 0;
         flow.held = Some(Hold { until: now + delay, probes: BTreeSet::new() });
-        out.push(Action::Timer { delay, token: TimerToken(HOLD_TOKENS + u64::from(flow.request.id.0)) });
+        out.push(Action::SetTimer { delay, token: TimerToken(HOLD_TOKENS + u64::from(flow.request.id.0)) });
         true
     }
 
     /// Probes the best candidates whose report is stale; true if the request now waits for answers.
     fn sample(
-        &mut self, now: Micros, flow: &mut Flow, home: Option<&ServerId>, ranking: &[ServerId],
+        &mut self, now: Micros, flow: &mut Flow, home: Option<&EndpointId>, ranking: &[EndpointId],
         out: &mut Vec<Action>,
     ) -> bool {
-        if !self.settings.permissions.probes || self.settings.reports == ReportSource::Nowhere {
+        if !self.settings.permissions.health_checks
+            || self.settings.load_reports == LoadReportSource::Unavailable
+        {
             return false;
         }
         // The second round only asks for a winner that the first round's answers brought up.
@@ -717,7 +730,7 @@
         let any = self.rng.random_range(0..self.servers.len().max(1));
         let any =
             self.servers.values().nth(any).filter(|s| flow.rounds == 0 && s.ready() && !s.health.suspect());
-        let any = any.map(|s| s.entry.server.clone());
+        let any = any.map(|s| s.entry.id.clone());
         for id in home.into_iter().chain(ranking).take(size).chain(any.as_ref()) {
             let Some(server) = self.servers.get_mut(id) else { continue };
             if server.fresh(now) {
@@ -735,18 +748,18 @@
         }
         flow.held = Some(Hold { until, probes });
         let token = TimerToken(HOLD_TOKENS + u64::from(flow.request.id.0));
-        out.push(Action::Timer { delay: until - now, token });
+        out.push(Action::SetTimer { delay: until - now, token });
         true
     }
 
     /// Where this client's connection was last, if it may go there.
-    fn home(&self, flow: &Flow, now: Micros) -> Option<ServerId> {
-        let key = flow.request.key.as_ref().filter(|key| !self.moved.contains_key(*key))?;
+    fn home(&self, flow: &Flow, now: Micros) -> Option<EndpointId> {
+        let key = flow.request.session_key.as_ref().filter(|key| !self.moved.contains_key(*key))?;
         let (id, _) = self.homes.get(key)?;
         let server = self.servers.get(id)?;
         let grace = self.settings.rules.drain_grace / 2;
         let drains_still = flow.request.mid_flow
-            && server.entry.state == ServerState::Draining
+            && server.entry.state == EndpointState::Draining
             && server.leaving.is_some_and(|told| now.saturating_sub(told) < grace);
         let fit = (server.ready() || drains_still) && !flow.tried.contains(id);
         (fit && self.may_send(flow, &server.entry, now)).then(|| id.clone())
@@ -756,9 +769,9 @@
     fn no_room(&mut self, now: Micros, mut flow: Flow, out: &mut Vec<Action>) {
         self.breaker.no_room(now);
         let any_ready = self.servers.values().any(|s| s.ready() && !s.health.suspect());
-        let open = self.servers.values().filter(|s| s.ready() && !flow.tried.contains(&s.entry.server));
+        let open = self.servers.values().filter(|s| s.ready() && !flow.tried.contains(&s.entry.id));
         let open = open.filter(|s| self.may_send(&flow, &s.entry, now) && self.slot_open(s, now));
-        let open = open.map(|s| (self.estimate(s, now), s.entry.server.clone()));
+        let open = open.map(|s| (self.estimate(s, now), s.entry.id.clone()));
         let (best, blind) = (open.min_by(|a, b| a.0.total_cmp(&b.0)), is_blind(&self.settings));
         match best {
             // Without any report it cannot know that the fleet is full and must not refuse for it.
@@ -780,11 +793,11 @@
 
     /// Worth of a class for each unit of load, from 0 to 1 over the classes.
     fn dearness(&self, class: ClassId) -> f64 {
-        let value = |(i, class): (usize, &Class)| {
+        let value = |(i, class): (usize, &RequestClass)| {
             let work = self.class_work.get(i).copied().flatten().filter(|w| *w > 0.0);
-            match (self.settings.worth_by_work, work, self.mean_work) {
-                (false, Some(work), Some(mean)) => class.worth * mean / work,
-                _ => class.worth,
+            match (self.settings.weight_by_work, work, self.mean_work) {
+                (false, Some(work), Some(mean)) => class.priority_weight * mean / work,
+                _ => class.priority_weight,
             }
         };
         let values = || self.settings.classes.iter().enumerate().map(value);
@@ -792,28 +805,29 @@
         if most > 0.0 { own.unwrap_or(0.0) / most } else { 1.0 }
     }
 
-    fn send(&mut self, now: Micros, mut flow: Flow, id: ServerId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Micros, mut flow: Flow, id: EndpointId, out: &mut Vec<Action>) {
         let units = self.units(&flow);
         let rate = self.servers.get(&id).map_or(0.0, |s| self.slot_rate(s));
         let told = !is_blind(&self.settings);
         if let Some(server) = self.servers.get_mut(&id) {
             server.recent.extend(told.then_some((now, units)));
-            server.slots.take(&self.settings.rules, server.entry.started, now, rate);
+            server.slots.take(&self.settings.rules, server.entry.started_at, now, rate);
         }
         self.breaker.placed();
-        let _ = flow.request.key.as_ref().map(|key| self.moved.remove(key));
-        let aim = self.class(&flow).map_or(flow.request.time_left, |c| c.aim).max(LEAST_TRY);
+        let _ = flow.request.session_key.as_ref().map(|key| self.moved.remove(key));
+        let aim =
+            self.class(&flow).map_or(flow.request.time_remaining, |c| c.latency_objective).max(LEAST_TRY);
         let timeout = aim.min(flow.deadline.saturating_sub(now)).max(1);
         self.under_way.0 += units;
         flow.attempts += 1;
         flow.out = Some(id.clone());
         flow.sent_at = now;
         flow.rounds = 0;
-        let send_before = match (flow.may_have_run, self.class(&flow).map(|c| c.effect)) {
-            (Some((.., since)), Some(Effect::Deduplicated { window, .. })) => Some(since + window),
+        let send_before = match (flow.may_have_run, self.class(&flow).map(|c| c.idempotency)) {
+            (Some((.., since)), Some(Idempotency::IdempotencyKey { window, .. })) => Some(since + window),
             _ => None,
         };
-        out.push(Action::Place { id: flow.request.id, server: id, timeout, send_before });
+        out.push(Action::Forward { id: flow.request.id, endpoint: id, timeout, send_before });
         self.flows.insert(flow.request.id, flow);
     }
 
@@ -824,7 +838,7 @@
             let permissions = &self.settings.permissions;
             let most = if permissions.retry_after { permissions.max_retry_after } else { 0 };
             let retry_after = self.rng.random_range(most / 2..=most);
-            out.push(Action::Refuse { id, retry_after });
+            out.push(Action::Reject { id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -837,7 +851,7 @@
         flow.over = true;
         if std::mem::take(&mut flow.standing) {
             self.standing -= 1;
-            if let Some(count) = flow.request.group.as_ref().and_then(|g| self.groups.get_mut(g)) {
+            if let Some(count) = flow.request.affinity_group.as_ref().and_then(|g| self.groups.get_mut(g)) {
                 *count -= 1;
             }
             self.groups.retain(|_, count| *count > 0);
@@ -850,7 +864,7 @@
 
     #[allow(clippy::too_many_arguments)]
     fn take_outcome(
-        &mut self, now: Micros, id: RequestId, outcome: Outcome, closed: bool, at: ServerId,
+        &mut self, now: Micros, id: RequestId, outcome: Outcome, closed: bool, at: EndpointId,
         report: Option<LoadReport>, out: &mut Vec<Action>,
     ) {
         if let Some(report) = report {
@@ -862,7 +876,7 @@
         // otherwise. Guards against clients that bounce between jammed servers, each adding to the jam.
         let dropped = outcome == Outcome::Reset && !mid_flow && !over;
         let blind = is_blind(&self.settings);
-        if let Some(server) = self.servers.get_mut(&at).filter(|_| dropped || outcome == Outcome::Full) {
+        if let Some(server) = self.servers.get_mut(&at).filter(|_| dropped || outcome == Outcome::Rejected) {
             let least = if blind { unreported_load::after_failure(dropped) } else { FULL };
             if blind {
                 self.throttle.lost(now);
@@ -888,7 +902,7 @@
                 Some((entry.and_then(|e| e.zone), entry.map_or(CellId(0), |e| e.cell), flow.sent_at));
         }
         flow.tried.insert(at);
-        if outcome == Outcome::Moot {
+        if outcome == Outcome::NotSent {
             return self.finish(flow, out);
         }
         self.flows.insert(id, flow);
@@ -910,11 +924,11 @@
     /// The race of the group puts the servers in an order that all balancers see alike; as many of the first
     /// that have room as the group seems to need form its set, and within the set the race of the client
     /// decides by spare capacity. Without a group every server with room is in the set.
-    fn rank(&mut self, flow: &Flow, now: Micros) -> Vec<ServerId> {
+    fn rank(&mut self, flow: &Flow, now: Micros) -> Vec<EndpointId> {
         let request = &flow.request;
-        let moved = request.key.as_ref().and_then(|k| self.moved.get(k));
+        let moved = request.session_key.as_ref().and_then(|k| self.moved.get(k));
         // A moved client lands at random; only its group, if it has one, still draws it.
-        let client = match &request.key {
+        let client = match &request.session_key {
             Some(key) if moved.is_none() => xxh3_64_with_seed(key.0.as_bytes(), 1),
             _ => self.rng.random(),
         };
@@ -980,14 +994,14 @@
     }
 
     /// The part of all connections that a group probably has.
-    fn group_share(&self, group: &GroupKey) -> f64 {
+    fn group_share(&self, group: &AffinityGroup) -> f64 {
         let own = self.groups.get(group).copied().unwrap_or(0) as f64 + GROUP_FIRST;
         own / (self.standing as f64 + GROUP_DOUBT)
     }
 
     /// How many servers a group needs, going by this balancer's share of it.
     fn group_set(&self, request: &Request) -> usize {
-        let Some(group) = &request.group else { return usize::MAX };
+        let Some(group) = &request.affinity_group else { return usize::MAX };
         let load = self.fleet.mean_load.max(GROUP_LOAD);
         let servers = self.group_share(group) * self.fleet.near as f64 * load / SPILL_LEAST;
         let many = self.settings.fleet_size as usize > self.fleet.ready;
@@ -1019,7 +1033,9 @@
     /// What it costs each connection of the request's group that the own zone has a server of its own for it.
     fn copy_cost(&self, request: &Request) -> f64 {
         // Where loads are reported, the spill to other zones is what spares a full one.
-        let Some(group) = request.group.as_ref().filter(|_| is_blind(&self.settings)) else { return 0.0 };
+        let Some(group) = request.affinity_group.as_ref().filter(|_| is_blind(&self.settings)) else {
+            return 0.0;
+        };
         let near = self.fleet.near as f64 / self.fleet.ready.max(1) as f64;
         zone_affinity::copy_cost(self.group_share(group) * self.standing as f64 * self.balancers() * near)
     }
@@ -1058,7 +1074,7 @@
     }
 
     fn warmth(&self, server: &Server, now: Micros) -> f64 {
-        slow_start::warmth(&self.settings.rules, server.entry.started, now)
+        slow_start::warmth(&self.settings.rules, server.entry.started_at, now)
     }
 
     fn slot_rate(&self, server: &Server) -> f64 {
@@ -1067,12 +1083,12 @@
 
     /// Whether a cold server can have a connection of this balancer now; a warm one always can.
     fn slot_open(&self, server: &Server, now: Micros) -> bool {
-        server.slots.open(&self.settings.rules, server.entry.started, now, self.slot_rate(server))
+        server.slots.open(&self.settings.rules, server.entry.started_at, now, self.slot_rate(server))
     }
 
     // ---- Health ------------------------------------------------------------------------------------------
 
-    fn take_report(&mut self, now: Micros, id: &ServerId, report: &LoadReport) {
+    fn take_report(&mut self, now: Micros, id: &EndpointId, report: &LoadReport) {
         let Some(server) = self.servers.get_mut(id) else { return };
         let load = report.load.or(report.utilization).filter(|l| l.is_finite() && *l >= 0.0);
         if let Some(load) = load {
@@ -1084,17 +1100,17 @@
         }
     }
 
-    fn alive(&mut self, now: Micros, id: &ServerId) {
+    fn alive(&mut self, now: Micros, id: &EndpointId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.health.alive(now);
         }
     }
 
     /// A failure that may mean the server is silent: it is asked at once whether it lives.
-    fn strike(&mut self, now: Micros, id: &ServerId, out: &mut Vec<Action>) {
+    fn strike(&mut self, now: Micros, id: &EndpointId, out: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(id) else { return };
         server.health.strike(now, &self.settings);
-        if self.settings.permissions.probes && server.ready() && !server.health.silent() {
+        if self.settings.permissions.health_checks && server.ready() && !server.health.silent() {
             server.probe(now, out);
         }
         if server.health.just_silent() {
@@ -1103,7 +1119,7 @@
     }
 
     /// A server stays silent, or its messages crawl: move its connections away, all or some.
-    fn judge(&mut self, now: Micros, id: &ServerId, out: &mut Vec<Action>) {
+    fn judge(&mut self, now: Micros, id: &EndpointId, out: &mut Vec<Action>) {
         let silent = self.servers.values().filter(|s| s.ready() && s.health.silent()).count();
         // Guards against moving everybody because this balancer's own link, or all probing, has failed.
         if silent as f64 > (self.fleet.ready as f64 * SILENT_PART).max(1.0) {
@@ -1132,7 +1148,7 @@
     }
 
     fn probed(
-        &mut self, now: Micros, id: ServerId, outcome: Outcome, report: Option<LoadReport>,
+        &mut self, now: Micros, id: EndpointId, outcome: Outcome, report: Option<LoadReport>,
         out: &mut Vec<Action>,
     ) {
         if let Some(server) = self.servers.get_mut(&id) {
@@ -1145,7 +1161,7 @@
                 self.servers.entry(id.clone()).and_modify(|s| s.health.answers(now, &self.settings));
             }
             // Turned away by the cap on probes: no sign of ill health.
-            Outcome::Full | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => {}
             _ => self.strike(now, &id, out),
         }
         if let Some(report) = report {
@@ -1164,20 +1180,22 @@
         }
     }
 
-    fn noted(&mut self, now: Micros, id: RequestId, at: ServerId, note: Note, out: &mut Vec<Action>) {
+    fn noted(
+        &mut self, now: Micros, id: RequestId, at: EndpointId, note: ConnectionUpdate, out: &mut Vec<Action>,
+    ) {
         match note {
-            Note::Load(load) => {
+            ConnectionUpdate::Load(load) => {
                 let Some(flow) = self.flows.get_mut(&id) else { return };
                 flow.load = Some(load);
                 if let Some(mean) = self.class_work.get_mut(flow.request.class.0) {
                     blend(mean, load);
                 }
-                if flow.request.hint.is_none() {
+                if flow.request.expected_load.is_none() {
                     blend(&mut self.mean_work, load);
                 }
             }
-            Note::Delay(ms) => {
-                let aims = self.settings.classes.iter().map(|c| c.message_aim);
+            ConnectionUpdate::MessageLatency(ms) => {
+                let aims = self.settings.classes.iter().map(|c| c.message_latency_objective);
                 let aim = aims.filter(|aim| *aim > 0).min().unwrap_or(Micros::MAX);
                 let Some(server) = self.servers.get_mut(&at) else { return };
                 if ms * 1e3 < aim as f64 * 0.5 {
@@ -1185,7 +1203,7 @@
                     return;
                 }
                 server.slow_at = Some(now);
-                let may_ask = self.settings.permissions.probes && server.probe_sent.is_none();
+                let may_ask = self.settings.permissions.health_checks && server.probe_sent.is_none();
                 if may_ask && !server.fresh(now) && server.ready() {
                     server.probe(now, out);
                 } else {
@@ -1198,19 +1216,19 @@
     // ---- Housekeeping ------------------------------------------------------------------------------------
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Timer { delay: TICK, token: TICK_TOKEN });
+        out.push(Action::SetTimer { delay: TICK, token: TICK_TOKEN });
         self.survey(now);
         self.bring_home(now, out);
         self.pace_moves(now, out);
         for server in self.servers.values_mut() {
             let due = server.ready() && server.health.due(now);
-            if due && self.settings.permissions.probes {
+            if due && self.settings.permissions.health_checks {
                 server.probe(now, out);
             } else if due {
                 server.health.take_turn(now);
             }
         }
-        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.standing.is_empty());
+        self.servers.retain(|_, s| s.entry.state != EndpointState::Removed || !s.standing.is_empty());
         if self.homes.len() > HOMES {
             let middle = self.homes.values().map(|(_, at)| *at).sum::<u64>() / self.homes.len() as u64;
             self.homes.retain(|_, (_, at)| *at > middle);
--- a/crates/balancer/src/circuit_breaker.rs
+++ b/crates/balancer/src/circuit_breaker.rs
@@ -4,7 +4,7 @@
 //! *half open*: the next request may go to its group's servers up to a load of 1, and that attempt closes the breaker again. So a balancer
 //! tries something every few seconds, however full all looks, and never just refuses. No I/O, no clock.
 
-use crate::interface::Micros;
+use crate::Micros;
 
 /// For so long all that came may be turned away.
 pub const HALF_OPEN: Micros = 2_500_000;
--- a/crates/balancer/src/estimates.rs
+++ b/crates/balancer/src/estimates.rs
@@ -1,6 +1,6 @@
 //! What is believed of figures that are told now and then. No I/O, no clock.
 
-use crate::interface::Micros;
+use crate::Micros;
 
 /// Trust in a report falls by 1/e over this time, towards the fleet's mean.
 const TRUST_TIME: f64 = 6e6;
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -9,18 +9,18 @@
 /// A request for a connection; never used twice by one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
-/// The number of an attempt within its request, counted from 0 in the order of [`Action::Place`].
+/// The number of an attempt within its request, counted from 0 in the order of [`Action::Forward`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u32);
 /// A server's address, the same at every balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub Arc<str>);
+pub struct EndpointId(pub Arc<str>);
 /// What names a client across its reconnections.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ClientKey(pub Arc<str>);
+pub struct SessionKey(pub Arc<str>);
 /// What names a group of connections that share work on a server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct GroupKey(pub Arc<str>);
+pub struct AffinityGroup(pub Arc<str>);
 /// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
@@ -32,30 +32,30 @@
 pub struct ZoneId(pub usize);
 /// The zones within which a request may be placed, for as long as it asks. A connection that stands is not touched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach(u128);
+pub struct ZoneSet(u128);
 
-impl Default for Reach {
-    fn default() -> Reach {
-        Reach::EVERYWHERE
+impl Default for ZoneSet {
+    fn default() -> ZoneSet {
+        ZoneSet::ALL
     }
 }
 
-impl Reach {
+impl ZoneSet {
     /// All zones.
-    pub const EVERYWHERE: Reach = Reach(u128::MAX);
+    pub const ALL: ZoneSet = ZoneSet(u128::MAX);
     /// No zone.
-    pub const NOWHERE: Reach = Reach(0);
-    /// Zones from this number on cannot be told apart: they are in no reach but [`Reach::EVERYWHERE`].
-    pub const MOST: usize = 128;
+    pub const EMPTY: ZoneSet = ZoneSet(0);
+    /// Zones from this number on cannot be told apart: they are in no reach but [`ZoneSet::ALL`].
+    pub const MAX_ZONES: usize = 128;
 
     /// This reach and one more zone.
-    pub fn with(self, zone: ZoneId) -> Reach {
-        Reach(self.0 | u32::try_from(zone.0).ok().and_then(|z| 1u128.checked_shl(z)).unwrap_or(0))
+    pub fn with(self, zone: ZoneId) -> ZoneSet {
+        ZoneSet(self.0 | u32::try_from(zone.0).ok().and_then(|z| 1u128.checked_shl(z)).unwrap_or(0))
     }
 
     /// Whether a server of that zone is within reach; one without a zone always is.
-    pub fn holds(self, zone: Option<ZoneId>) -> bool {
-        self == Reach::EVERYWHERE || zone.is_none_or(|z| z.0 < Reach::MOST && self.0 >> z.0 & 1 == 1)
+    pub fn contains(self, zone: Option<ZoneId>) -> bool {
+        self == ZoneSet::ALL || zone.is_none_or(|z| z.0 < ZoneSet::MAX_ZONES && self.0 >> z.0 & 1 == 1)
     }
 }
 
@@ -71,13 +71,13 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated and refused freely.
     Idempotent,
     /// Repeats are dropped by the servers of a group, for a time.
-    Deduplicated {
+    IdempotencyKey {
         /// Which servers drop the repeats.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// For how long, from the first attempt that may have run.
         window: Micros,
     },
@@ -87,7 +87,7 @@
 
 /// Which servers know of each other's work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -98,23 +98,23 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time has its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's work.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// All the time a client waits, over its tries.
     pub deadline: Micros,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The part of the worth that is left between aim and deadline.
-    pub late_share: f64,
-    /// Whether attempts report [`Event::Established`].
+    pub late_value_fraction: f64,
+    /// Whether attempts report [`Event::ConnectionEstablished`].
     pub stream: bool,
     /// Worth of one request, or of a unit of its work ([`Settings::worth_by_work`]).
-    pub worth: f64,
+    pub priority_weight: f64,
     /// How long a message on an open connection may take; 0 where nothing is said.
-    pub message_aim: Micros,
+    pub message_latency_objective: Micros,
 }
 
 /// A tenant and what it is entitled to, over all balancers.
@@ -130,33 +130,33 @@
 
 /// How the list of servers reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes come unasked.
     Pushed,
-    /// Changes come only after [`Action::Watch`] or [`Action::Fetch`].
+    /// Changes come only after [`Action::Watch`] or [`Action::FetchEndpoints`].
     OnRequest,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportSource {
+pub enum LoadReportSource {
     /// With outcomes and probe results.
-    Outcomes,
+    Responses,
     /// With probe results only.
-    Probes,
+    HealthChecks,
     /// There are none.
-    Nowhere,
+    Unavailable,
 }
 
-/// What [`ServerEntry::weight`] says.
+/// What [`Endpoint::weight`] says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightSemantics {
     /// Nothing: it is always 1.
-    Nothing,
+    Unspecified,
     /// The registered size.
     Nominal,
     /// The size, roughly.
-    Rough,
+    Approximate,
     /// The size over one plus the requests held a core, some time ago.
     Live,
 }
@@ -167,7 +167,7 @@
     /// They end at the balancer and die with it.
     Proxy,
     /// Their packets pass through and can move to another balancer.
-    Pass,
+    PassThrough,
 }
 
 /// What the service permits.
@@ -175,24 +175,24 @@
 pub struct Permissions {
     /// [`Action::Cancel`] may be used.
     pub cancel: bool,
-    /// [`Action::Tell`] may be used.
-    pub peers: bool,
-    /// [`Action::Probe`] may be used.
-    pub probes: bool,
+    /// [`Action::SendPeerMessage`] may be used.
+    pub peer_messages: bool,
+    /// [`Action::CheckHealth`] may be used.
+    pub health_checks: bool,
     /// Clients are told when to come back after a refusal.
     pub retry_after: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// The most attempts of a request.
     pub max_attempts: u32,
     /// The most requests a balancer can hold.
-    pub max_open: u64,
+    pub max_open_requests: u64,
     /// The longest wait that a client honours.
     pub max_retry_after: Micros,
     /// How many attempts one connection carries at a time.
-    pub multiplex: u64,
+    pub max_streams_per_connection: u64,
     /// An idle connection to a server is closed after this.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// A connection that does not stand after this has failed.
     pub connect_timeout: Micros,
     /// CPU for a request with its outcomes; 0 is no limit.
@@ -207,24 +207,24 @@
     /// A final answer counts until this long after the deadline.
     pub answer_grace: Micros,
     /// Without a watch, a balancer must ask for the list within this.
-    pub must_ask_in: Micros,
+    pub max_list_age: Micros,
     /// A server begins with at least this part of its capacity.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// It has all of it after this time at the latest.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// Sends to a server that leaves must stop within this.
     pub drain_grace: Micros,
     /// A cold server falls over at this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... borne for this long.
-    pub fall: Micros,
+    pub overload_duration: Micros,
 }
 
 /// What the parts of the result weigh.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// The whole time.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst-served class.
     pub worst_class: f64,
     /// The worst-served tenant.
@@ -247,17 +247,17 @@
     /// New connections to servers, for each first try.
     pub handshake: f64,
     /// Worth that ended unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// Moves, for each first try.
-    pub moves: f64,
+    pub migration: f64,
     /// Fetches from the origin, for each first try.
     pub origin: f64,
     /// 256 bytes to a peer, for each first try.
-    pub peer: f64,
+    pub peer_message: f64,
     /// Probes, for each first try.
-    pub probe: f64,
+    pub health_check: f64,
     /// Work that served nobody, as a part of the work offered.
-    pub waste: f64,
+    pub wasted_work: f64,
 }
 
 /// All that a balancer is told at its start.
@@ -266,45 +266,45 @@
     /// How many balancers share the servers.
     pub fleet_size: u32,
     /// This one's number among them.
-    pub index: u32,
+    pub fleet_index: u32,
     /// The zone of this balancer, where zones exist.
     pub zone: Option<ZoneId>,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Clients mark their repeats.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// How the list arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Where load reports come from.
-    pub reports: ReportSource,
+    pub load_reports: LoadReportSource,
     /// What the listed weights say.
-    pub weights: Weights,
+    pub weights: WeightSemantics,
     /// Where connections end.
-    pub mode: ForwardMode,
+    pub forward_mode: ForwardMode,
     /// How long a server keeps a connection whose packets stay away.
-    pub park: Micros,
+    pub park_timeout: Micros,
     /// Connections of a group share work on a server.
-    pub groups: bool,
-    /// [`Note::Load`] is sent.
-    pub tells_load: bool,
-    /// [`Note::Delay`] is sent.
-    pub tells_delay: bool,
+    pub affinity_groups: bool,
+    /// [`ConnectionUpdate::Load`] is sent.
+    pub reports_connection_load: bool,
+    /// [`ConnectionUpdate::MessageLatency`] is sent.
+    pub reports_message_latency: bool,
     /// Events come at most this often.
-    pub tick: Micros,
+    pub event_interval: Micros,
     /// Connections that cross zones are brought home by the decisions; else it is up to who sets the reach.
-    pub homing: bool,
+    pub rebalancing: bool,
     /// What is permitted.
     pub permissions: Permissions,
     /// The rules' figures.
     pub rules: Rules,
     /// What counts.
-    pub goal: Goal,
+    pub objective_weights: ObjectiveWeights,
     /// What costs.
     pub prices: Prices,
 }
@@ -332,44 +332,44 @@
 
 /// What discovery says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerState {
+pub enum EndpointState {
     /// It takes connections.
     #[default]
     Ready,
     /// It finishes what it has.
     Draining,
     /// It is no more.
-    Gone,
+    Removed,
 }
 
 /// A line of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// The server.
-    pub server: ServerId,
+    pub id: EndpointId,
     /// Its machine type.
     pub kind: Option<KindId>,
-    /// Its size against other servers', see [`Weights`].
+    /// Its size against other servers', see [`WeightSemantics`].
     pub weight: f64,
     /// When it last started; 0 is long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Its zone.
     pub zone: Option<ZoneId>,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
 }
 
 /// News of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListUpdate {
+pub enum EndpointUpdate {
     /// All servers; one not named is gone.
-    Full(Arc<Vec<ServerEntry>>),
+    Full(Arc<Vec<Endpoint>>),
     /// All servers as last held before a restart.
-    Cached(Arc<Vec<ServerEntry>>),
+    Cached(Arc<Vec<Endpoint>>),
     /// Only the servers that changed.
-    Delta(Arc<Vec<ServerEntry>>),
+    Delta(Arc<Vec<Endpoint>>),
     /// A call failed or the watch broke; the list held stays.
     Failed,
 }
@@ -382,23 +382,23 @@
     /// Its class.
     pub class: ClassId,
     /// Its client.
-    pub key: Option<ClientKey>,
+    pub session_key: Option<SessionKey>,
     /// Its group.
-    pub group: Option<GroupKey>,
+    pub affinity_group: Option<AffinityGroup>,
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Expected load: microseconds of work a second.
-    pub hint: Option<f64>,
+    pub expected_load: Option<f64>,
     /// Time until the client gives this try up.
-    pub time_left: Micros,
+    pub time_remaining: Micros,
     /// The client came back after a break or a move.
-    pub returning: bool,
+    pub reconnecting: bool,
     /// The client marks this as a repeat.
     pub retry: bool,
     /// Packets of an open connection that another balancer placed.
     pub mid_flow: bool,
     /// Where it may be placed.
-    pub reach: Reach,
+    pub allowed_zones: ZoneSet,
 }
 
 /// How an attempt or a probe ended.
@@ -409,7 +409,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection in time; it never ran.
@@ -419,52 +419,52 @@
     /// Withdrawn, or the client left; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the outcome proves that the server never ran the request.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// News of an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ConnectionUpdate {
     /// The connection's load now: microseconds of work a second.
     Load(f64),
     /// Milliseconds that a message takes at its server now.
-    Delay(f64),
+    MessageLatency(f64),
 }
 
 /// What happens to a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list changed, or a call for it failed.
-    Servers {
+    EndpointsUpdated {
         /// The list's version.
         version: u64,
         /// What changed.
-        update: ListUpdate,
+        update: EndpointUpdate,
     },
     /// A client asks; it is owed exactly one final answer.
     Request(Request),
     /// A connection that stood through this balancer before its start; attempt 0 is made.
-    Adopted(Request, ServerId),
+    ConnectionAdopted(Request, EndpointId),
     /// The connection stands: no deadline runs any more.
-    Established {
+    ConnectionEstablished {
         /// The request.
         id: RequestId,
         /// Its attempt.
         attempt: AttemptId,
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// Since it was sent.
         elapsed: Micros,
     },
     /// The one result of an attempt.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Its attempt.
@@ -474,18 +474,18 @@
         /// The request is over; if not, the final answer is still owed.
         closed: bool,
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// Since it was sent.
         elapsed: Micros,
         /// The server's report.
         report: Option<LoadReport>,
     },
     /// The client left; nothing is owed.
-    Abandoned(RequestId),
+    ClientLeft(RequestId),
     /// The result of a probe.
-    Probed {
+    HealthCheckEnded {
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// Since it was sent.
@@ -494,20 +494,20 @@
         report: Option<LoadReport>,
     },
     /// News of an attempt that is out.
-    Noted {
+    ConnectionUpdated {
         /// The request.
         id: RequestId,
         /// Its attempt.
         attempt: AttemptId,
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// The news.
-        note: Note,
+        update: ConnectionUpdate,
     },
     /// A timer's time has come.
-    Timer(TimerToken),
+    TimerFired(TimerToken),
     /// A peer's message.
-    Told {
+    PeerMessage {
         /// The peer's number.
         from: u32,
         /// What it said.
@@ -519,18 +519,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Place {
+    Forward {
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// The attempt's time-out.
         timeout: Micros,
         /// A repeat whose first byte is not written before this is not written at all: the card servers no longer know the first.
         send_before: Option<Micros>,
     },
     /// Final answer: refused, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client should stay away; 0 says nothing.
@@ -539,7 +539,7 @@
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// End an open connection politely; the client comes back.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
@@ -548,9 +548,9 @@
         attempt: AttemptId,
     },
     /// Ask a server how it is.
-    Probe(ServerId),
-    /// Send [`Event::Timer`] after this.
-    Timer {
+    CheckHealth(EndpointId),
+    /// Send [`Event::TimerFired`] after this.
+    SetTimer {
         /// From now.
         delay: Micros,
         /// What to send.
@@ -559,11 +559,11 @@
     /// Follow the list's changes, or stop.
     Watch(bool),
     /// Ask for the whole list once.
-    Fetch,
+    FetchEndpoints,
     /// Close idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdleConnections(EndpointId),
     /// Tell one peer, or all.
-    Tell {
+    SendPeerMessage {
         /// The peer's number; none is all.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -17,4 +17,5 @@
 pub mod zone_affinity;
 
 pub use balancer::Balancer;
-pub use maintenance::Withheld;
+pub use interface::*;
+pub use maintenance::MaintenanceOverlay;
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -4,7 +4,7 @@
 //! any sign of life. Where it may be probed, a probe brings that; where it may not, it gets a *turn* once its time is up:
 //! newcomers again, at a small part of its weight, until one attempt tells. No I/O, no clock; the caller says what happened.
 
-use crate::interface::{Micros, Settings};
+use crate::{Micros, Settings};
 
 /// Time-outs and failures in a row after which a server gets nothing new.
 pub const SUSPECT_STRIKES: u32 = 2;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -8,7 +8,7 @@
 //! slot that is not used lapses after `fall`: what can come in `fall` after a lull is what opens in twice that time, 4/3 N in the
 //! mean. No I/O, no clock.
 
-use crate::interface::{Micros, Rules};
+use crate::{Micros, Rules};
 
 /// All balancers together send this part of what the rule bears: the rest is for what they cannot know, the size of a connection and
 /// the true pace of warming up.
@@ -17,17 +17,17 @@
 /// The part of its capacity that a server which started then surely has by now.
 pub fn warmth(rules: &Rules, started: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(started);
-    if started == 0 || age >= rules.cold {
+    if started == 0 || age >= rules.slow_start_duration {
         return 1.0;
     }
-    let start = rules.start_capacity.max(0.01);
-    start + (1.0 - start) * age as f64 / rules.cold as f64
+    let start = rules.initial_capacity.max(0.01);
+    start + (1.0 - start) * age as f64 / rules.slow_start_duration as f64
 }
 
 /// One balancer's part of the pace at which a server is filled while it is cold, in connections a microsecond at full warmth. A
 /// warm one holds so many connections.
 pub fn rate(rules: &Rules, holds: f64, balancers: f64) -> f64 {
-    PART * rules.overload_factor * holds / rules.cold.max(1) as f64 / balancers
+    PART * rules.overload_factor * holds / rules.slow_start_duration.max(1) as f64 / balancers
 }
 
 /// One balancer's slots on one server.
@@ -46,8 +46,8 @@
     /// How many have opened by now.
     fn opened(&self, rules: &Rules, started: Micros, now: Micros, rate: f64) -> f64 {
         let age = now.saturating_sub(started) as f64;
-        let start = rules.start_capacity;
-        let grown = (1.0 - start) * age / (2.0 * rules.cold.max(1) as f64);
+        let start = rules.initial_capacity;
+        let grown = (1.0 - start) * age / (2.0 * rules.slow_start_duration.max(1) as f64);
         self.phase + rate * age * (start + grown)
     }
 
@@ -59,7 +59,7 @@
         }
         let opened = self.opened(rules, started, now, rate);
         let since = opened.fract() / (rate * warmth).max(1e-12);
-        opened as u64 > self.used && since < rules.fall as f64
+        opened as u64 > self.used && since < rules.overload_duration as f64
     }
 
     /// Uses the one that is open, and those that have lapsed.
--- a/crates/balancer/src/unreported_load.rs
+++ b/crates/balancer/src/unreported_load.rs
@@ -6,7 +6,7 @@
 //! own ones. Few own connections leave the mean, many give the sample's word. Failures tell more: a server that turns newcomers
 //! away is full, one that drops open connections has more work than it can do. No I/O, no clock.
 
-use crate::interface::{Micros, ReportSource, Settings};
+use crate::{LoadReportSource, Micros, Settings};
 
 /// The shape k: loads that differ by 40% of their mean.
 const SHAPE: f64 = 6.0;
@@ -22,7 +22,7 @@
 
 /// Whether nothing ever tells the load of a server.
 pub fn is_blind(settings: &Settings) -> bool {
-    settings.reports == ReportSource::Nowhere
+    settings.load_reports == LoadReportSource::Unavailable
 }
 
 /// Load of one connection on a server of weight 1 until anything tells; `reported` where reports will.
--- a/crates/balancer/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use honeyknot_balancer::Balancer;
-use honeyknot_balancer::interface::*;
+use honeyknot_balancer::*;
 
 fn three(load: f64) -> [(&'static str, Option<f64>); 3] {
     [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
@@ -16,11 +16,11 @@
 #[test]
 fn senseless_settings_are_refused() {
     let mut bad = vec![settings(); 5];
-    bad[0].rules.start_capacity = 1.5;
+    bad[0].rules.initial_capacity = 1.5;
     bad[1].rules.overload_factor = f64::NAN;
-    bad[2].classes[0].worth = -1.0;
+    bad[2].classes[0].priority_weight = -1.0;
     bad[3].prices.cross_zone = f64::NAN;
-    bad[4].prices.moves = -0.1;
+    bad[4].prices.migration = -0.1;
     for (i, settings) in bad.into_iter().enumerate() {
         assert!(Balancer::new(settings, 1, START).is_err(), "case {i}");
     }
@@ -31,11 +31,11 @@
     let mut edges = vec![settings(); 6];
     edges[0].fleet_size = 0;
     edges[1].classes.clear();
-    edges[2].rules.cold = 0;
+    edges[2].rules.slow_start_duration = 0;
     edges[3].permissions.max_attempts = 0;
-    edges[4].rules.must_ask_in = 0;
-    edges[4].discovery = Discovery::OnRequest;
-    edges[5].reports = ReportSource::Nowhere;
+    edges[4].rules.max_list_age = 0;
+    edges[4].discovery = DiscoveryMode::OnRequest;
+    edges[5].load_reports = LoadReportSource::Unavailable;
     for (i, settings) in edges.into_iter().enumerate() {
         let mut bench = Bench::new(settings, 3, &[("a:1", Some(0.1))]);
         bench.feed(Event::Request(request(1)));
@@ -49,8 +49,12 @@
     let mut bench = Bench::new(settings(), 3, &three(0.2));
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let report = LoadReport { load: Some(bad), inflight: Some(bad), ..LoadReport::default() };
-        let probed =
-            Event::Probed { server: sid("a:1"), outcome: Outcome::Ok, elapsed: 1, report: Some(report) };
+        let probed = Event::HealthCheckEnded {
+            endpoint: sid("a:1"),
+            outcome: Outcome::Ok,
+            elapsed: 1,
+            report: Some(report),
+        };
         bench.feed(probed);
     }
     bench.connect(request(1));
@@ -79,12 +83,14 @@
 #[test]
 fn an_attempt_never_outlasts_the_deadline() {
     let mut bench = Bench::new(settings(), 1, &three(0.2));
-    bench.feed(Event::Request(Request { time_left: 100_000, ..request(1) }));
+    bench.feed(Event::Request(Request { time_remaining: 100_000, ..request(1) }));
     bench.pass(SECOND);
     let (at, timeout) = bench
         .done
         .iter()
-        .find_map(|(at, a)| if let Action::Place { timeout, .. } = a { Some((*at, *timeout)) } else { None })
+        .find_map(
+            |(at, a)| if let Action::Forward { timeout, .. } = a { Some((*at, *timeout)) } else { None },
+        )
         .expect("a placement");
     assert!(at + timeout <= START + 100_000);
 }
@@ -93,12 +99,17 @@
 /// allowed if it proves not to have run or repeats are harmless.
 #[test]
 fn repeats_follow_effect_and_outcome() {
-    let keyed = |scope| Effect::Deduplicated { scope, window: 5 * SECOND };
-    let effects =
-        [Effect::Idempotent, keyed(Scope::All), keyed(Scope::Zone), keyed(Scope::Cell), Effect::AtMostOnce];
+    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 5 * SECOND };
+    let effects = [
+        Idempotency::Idempotent,
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
+        Idempotency::AtMostOnce,
+    ];
     let outcomes = [
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Timeout,
         Outcome::ConnectFailed,
         Outcome::Reset,
@@ -110,15 +121,15 @@
             settings.classes = vec![class(effect)];
             let mut bench = Bench::new(settings, 5, &[]);
             // Four servers in zones 0 and 1, cells 0 to 3, so that cells lie within zones.
-            let entries: Vec<ServerEntry> = (0..4)
-                .map(|i| ServerEntry {
+            let entries: Vec<Endpoint> = (0..4)
+                .map(|i| Endpoint {
                     zone: Some(ZoneId(i / 2)),
                     cell: CellId(i as u64),
                     ..ready(&format!("s{i}:1"))
                 })
                 .collect();
             for entry in &entries {
-                bench.loads.insert(entry.server.clone(), Some(0.2));
+                bench.loads.insert(entry.id.clone(), Some(0.2));
             }
             bench.feed(full(entries.clone()));
             bench.feed(Event::Request(request(1)));
@@ -126,14 +137,16 @@
             let first = bench.placed(1).expect("a first attempt");
             bench.end(1, 0, outcome, false);
             bench.pass(3 * SECOND);
-            let zone = |id: &ServerId| entries.iter().find(|e| e.server == *id).and_then(|e| e.zone);
+            let zone = |id: &EndpointId| entries.iter().find(|e| e.id == *id).and_then(|e| e.zone);
             let second = (bench.places(1) > 1).then(|| bench.placed(1)).flatten();
-            let free = outcome.proves_not_run() || effect == Effect::Idempotent;
+            let free = outcome.proves_not_run() || effect == Idempotency::Idempotent;
             let case = format!("{effect:?} {outcome:?}");
             match effect {
                 _ if free => assert!(second.is_some(), "{case}"),
-                Effect::Deduplicated { scope: Scope::All, .. } => assert!(second.is_some(), "{case}"),
-                Effect::Deduplicated { scope: Scope::Zone, .. } => {
+                Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
+                    assert!(second.is_some(), "{case}")
+                }
+                Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, .. } => {
                     assert_eq!(second.as_ref().and_then(zone), zone(&first), "{case}")
                 }
                 _ => assert!(second.is_none() && bench.failed(1) && !bench.refused(1), "{case}"),
@@ -145,7 +158,8 @@
 #[test]
 fn a_deduplicated_request_is_not_repeated_after_its_window() {
     let mut settings = settings();
-    settings.classes = vec![class(Effect::Deduplicated { scope: Scope::All, window: SECOND / 2 })];
+    settings.classes =
+        vec![class(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: SECOND / 2 })];
     let mut bench = Bench::new(settings, 5, &three(0.2));
     bench.feed(Event::Request(request(1)));
     bench.pass(SECOND);
@@ -175,7 +189,7 @@
     for attempt in 0..4 {
         bench.pass(100_000);
         assert_eq!(bench.places(1), attempt as usize + 1, "one attempt at a time");
-        bench.end(1, attempt, Outcome::Full, false);
+        bench.end(1, attempt, Outcome::Rejected, false);
     }
     bench.pass(2 * SECOND);
     assert_eq!(bench.places(1), 4);
@@ -187,7 +201,7 @@
     let mut bench = Bench::new(settings(), 5, &three(0.2));
     bench.feed(Event::Request(request(1)));
     bench.pass(100_000);
-    bench.end(1, 0, Outcome::Moot, false);
+    bench.end(1, 0, Outcome::NotSent, false);
     assert_eq!(bench.places(1), 1);
     assert!(bench.refused(1));
 }
@@ -197,12 +211,12 @@
     let mut bench = Bench::new(settings(), 5, &three(0.2));
     bench.feed(Event::Request(request(1)));
     bench.pass(100_000);
-    bench.feed(Event::Abandoned(RequestId(1)));
-    bench.feed(Event::Abandoned(RequestId(1)));
+    bench.feed(Event::ClientLeft(RequestId(1)));
+    bench.feed(Event::ClientLeft(RequestId(1)));
     let before = bench.done.len();
     bench.end(1, 0, Outcome::Timeout, false);
-    bench.feed(Event::Abandoned(RequestId(9)));
-    bench.feed(Event::Timer(TimerToken(9)));
+    bench.feed(Event::ClientLeft(RequestId(9)));
+    bench.feed(Event::TimerFired(TimerToken(9)));
     bench.pass(3 * SECOND);
     assert_eq!(bench.done.len(), before);
 }
@@ -212,7 +226,7 @@
     let mut counts = BTreeMap::new();
     for seed in 0..400 {
         let mut bench = Bench::new(settings(), seed, &[("a:1", Some(0.1)), ("b:1", Some(0.55))]);
-        bench.feed(Event::Request(Request { key: None, ..request(1) }));
+        bench.feed(Event::Request(Request { session_key: None, ..request(1) }));
         bench.pass(100_000);
         *counts.entry(bench.placed(1).expect("placed")).or_insert(0) += 1;
     }
@@ -225,20 +239,20 @@
 fn an_old_report_is_trusted_less() {
     let share = |age: Micros| {
         let mut settings = settings();
-        settings.permissions.probes = false;
+        settings.permissions.health_checks = false;
         let mut count = 0;
         for seed in 0..400 {
             let mut bench = Bench::new(settings.clone(), seed, &[("a:1", None), ("b:1", None)]);
             for (name, l) in [("a:1", 0.1), ("b:1", 0.55)] {
-                bench.feed(Event::Probed {
-                    server: sid(name),
+                bench.feed(Event::HealthCheckEnded {
+                    endpoint: sid(name),
                     outcome: Outcome::Ok,
                     elapsed: 1_000,
                     report: load(l),
                 });
             }
             bench.pass(age);
-            bench.feed(Event::Request(Request { key: None, ..request(1) }));
+            bench.feed(Event::Request(Request { session_key: None, ..request(1) }));
             bench.pass(100_000);
             count += usize::from(bench.placed(1) == Some(sid("a:1")));
         }
@@ -253,19 +267,19 @@
 fn a_returning_client_goes_home_while_home_is_ready_and_has_room() {
     let servers: Vec<String> = (0..10).map(|i| format!("s{i}:1")).collect();
     let servers: Vec<(&str, Option<f64>)> = servers.iter().map(|s| (s.as_str(), Some(0.3))).collect();
-    let key = request(1).key;
+    let key = request(1).session_key;
     let mut bench = Bench::new(settings(), 7, &servers);
     let home = bench.connect(request(1));
     bench.end(1, 0, Outcome::Cancelled, true);
     // Its race would favour another by now, but home still has room.
     bench.loads.insert(home.clone(), Some(0.6));
     bench.pass(2 * SECOND);
-    let back = bench.connect(Request { key: key.clone(), returning: true, ..request(2) });
+    let back = bench.connect(Request { session_key: key.clone(), reconnecting: true, ..request(2) });
     assert_eq!(back, home);
     bench.end(2, 0, Outcome::Cancelled, true);
     bench.loads.insert(home.clone(), Some(0.93));
     bench.pass(2 * SECOND);
-    let away = bench.connect(Request { key, returning: true, ..request(3) });
+    let away = bench.connect(Request { session_key: key, reconnecting: true, ..request(3) });
     assert_ne!(away, home);
 }
 
@@ -277,7 +291,7 @@
         bench.end(1, 0, Outcome::Cancelled, true);
         bench.feed(delta(vec![draining(&home.0)]));
         bench.pass(wait);
-        let again = Request { key: request(1).key, mid_flow: true, ..request(2) };
+        let again = Request { session_key: request(1).session_key, mid_flow: true, ..request(2) };
         let server = bench.connect(again);
         assert_eq!(server == home, expect_home, "after {wait}");
     }
@@ -290,7 +304,9 @@
     let mut used = BTreeMap::new();
     for seed in 0..40 {
         let mut bench = Bench::new(Settings { fleet_size: 40, ..settings() }, seed, &servers);
-        *used.entry(bench.connect(Request { group: group("g"), ..request(seed as u32) })).or_insert(0) += 1;
+        *used
+            .entry(bench.connect(Request { affinity_group: group("g"), ..request(seed as u32) }))
+            .or_insert(0) += 1;
     }
     assert!(used.len() <= 3, "{used:?}");
 }
@@ -304,7 +320,7 @@
     for round in 0..2 {
         for seed in 0..40 {
             let mut bench = Bench::new(Settings { fleet_size: 40, ..settings() }, seed, &servers);
-            bench.feed(Event::Request(Request { group: group("g"), ..request(1) }));
+            bench.feed(Event::Request(Request { affinity_group: group("g"), ..request(1) }));
             bench.pass(3 * SECOND);
             if let Some(server) = bench.placed(1) {
                 *used.entry(server).or_insert(0) += 1;
@@ -338,7 +354,11 @@
     let at_once = moves.iter().filter(|(at, _)| *at < told + SECOND / 2).count();
     assert!(at_once < on_a / 2, "{at_once} of {on_a} moved at once");
     for (i, (_, id)) in moves.iter().enumerate() {
-        let back = Request { key: request(id.0).key, returning: true, ..request(1_000 + i as u32) };
+        let back = Request {
+            session_key: request(id.0).session_key,
+            reconnecting: true,
+            ..request(1_000 + i as u32)
+        };
         assert_ne!(bench.connect(back), sid("a:1"));
     }
 }
@@ -349,10 +369,14 @@
     // The probe is answered only by the hold's end, so the request waits meanwhile.
     let mut out = Vec::new();
     bench.balancer.handle(bench.now, Event::Request(request(1)), &mut out);
-    assert!(out.iter().any(|a| matches!(a, Action::Probe(_))), "{out:?}");
+    assert!(out.iter().any(|a| matches!(a, Action::CheckHealth(_))), "{out:?}");
     bench.feed(delta(vec![draining("a:1")]));
-    let probed =
-        Event::Probed { server: sid("a:1"), outcome: Outcome::Ok, elapsed: 1_000, report: load(0.1) };
+    let probed = Event::HealthCheckEnded {
+        endpoint: sid("a:1"),
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        report: load(0.1),
+    };
     bench.feed(probed);
     bench.pass(3 * SECOND);
     assert_eq!(bench.places(1), 0);
@@ -364,7 +388,7 @@
     let mut bench = Bench::new(settings(), 13, &three(0.1));
     bench.feed(delta(vec![draining("a:1")]));
     bench.pass(SECOND);
-    bench.feed(delta(vec![ServerEntry { state: ServerState::Gone, ..ready("a:1") }]));
+    bench.feed(delta(vec![Endpoint { state: EndpointState::Removed, ..ready("a:1") }]));
     for id in 0..40 {
         bench.connect(request(id));
         bench.pass(300_000);
@@ -383,7 +407,7 @@
 #[test]
 fn a_connection_adopted_at_the_start_is_moved_when_its_server_drains() {
     let mut bench = Bench::new(settings(), 13, &three(0.1));
-    bench.feed(Event::Adopted(request(1), sid("a:1")));
+    bench.feed(Event::ConnectionAdopted(request(1), sid("a:1")));
     assert_eq!(bench.places(1), 0);
     bench.feed(delta(vec![draining("a:1")]));
     bench.pass(5 * SECOND);
@@ -403,7 +427,7 @@
             bench.pass(SECOND);
         }
         bench.loads.insert(sid("cold:1"), Some(0.0));
-        bench.feed(delta(vec![ServerEntry { started: bench.now, ..ready("cold:1") }]));
+        bench.feed(delta(vec![Endpoint { started_at: bench.now, ..ready("cold:1") }]));
         for id in 100..140 {
             bench.feed(Event::Request(request(id)));
             bench.pass(50_000);
@@ -462,11 +486,11 @@
     while bench.connect(request(id)) != sid("a:1") {
         id += 1;
     }
-    let noted = Event::Noted {
+    let noted = Event::ConnectionUpdated {
         id: RequestId(id),
         attempt: AttemptId(0),
-        server: sid("a:1"),
-        note: Note::Delay(500.0),
+        endpoint: sid("a:1"),
+        update: ConnectionUpdate::MessageLatency(500.0),
     };
     bench.feed(noted);
     let away: Vec<_> = (1_000..1_020).map(|id| bench.connect(request(id))).collect();
@@ -476,13 +500,21 @@
 #[test]
 fn a_jammed_server_sheds_a_part_and_the_cheap_class_first() {
     let mut settings = settings();
-    settings.classes = vec![class(Effect::Idempotent), Class { worth: 10.0, ..class(Effect::Idempotent) }];
+    settings.classes = vec![
+        class(Idempotency::Idempotent),
+        RequestClass { priority_weight: 10.0, ..class(Idempotency::Idempotent) },
+    ];
     let mut bench = Bench::new(settings, 23, &[("a:1", Some(0.2))]);
     for id in 0..40 {
         bench.connect(Request { class: ClassId(id as usize % 2), ..request(id) });
         bench.pass(200_000);
     }
-    bench.feed(Event::Probed { server: sid("a:1"), outcome: Outcome::Ok, elapsed: 1_000, report: load(1.1) });
+    bench.feed(Event::HealthCheckEnded {
+        endpoint: sid("a:1"),
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        report: load(1.1),
+    });
     bench.pass(3 * SECOND);
     let moves = bench.moved();
     assert!((6..=20).contains(&moves.len()), "{} of 40", moves.len());
@@ -494,15 +526,15 @@
     let mut settings = Settings { zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.1;
     let mut bench = Bench::new(settings, 47, &[]);
-    let entries: Vec<ServerEntry> =
-        (0..12).map(|i| ServerEntry { zone: Some(ZoneId(i % 2)), ..ready(&format!("s{i}:1")) }).collect();
+    let entries: Vec<Endpoint> =
+        (0..12).map(|i| Endpoint { zone: Some(ZoneId(i % 2)), ..ready(&format!("s{i}:1")) }).collect();
     for entry in &entries {
         let load = if entry.zone == Some(ZoneId(0)) { 1.1 } else { 0.3 };
-        bench.loads.insert(entry.server.clone(), Some(load));
+        bench.loads.insert(entry.id.clone(), Some(load));
     }
     bench.feed(full(entries));
     for id in 0..20 {
-        bench.feed(Event::Request(Request { group: group("g"), ..request(id) }));
+        bench.feed(Event::Request(Request { affinity_group: group("g"), ..request(id) }));
         bench.pass(2 * SECOND);
         assert!(!bench.refused(id) && bench.places(id) == 1, "request {id}");
     }
@@ -520,7 +552,7 @@
         .done
         .iter()
         .filter_map(
-            |(_, a)| if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None },
+            |(_, a)| if let Action::Reject { retry_after, .. } = a { Some(*retry_after) } else { None },
         )
         .collect();
     assert_eq!(waits.len(), 5);
@@ -529,7 +561,7 @@
 
 #[test]
 fn discovery_is_watched_and_asked_again_later_each_time_it_refuses() {
-    let settings = Settings { discovery: Discovery::OnRequest, ..settings() };
+    let settings = Settings { discovery: DiscoveryMode::OnRequest, ..settings() };
     let mut bench = Bench::new(settings, 31, &three(0.2));
     let mut waits = Vec::new();
     for _ in 0..4 {
@@ -541,7 +573,7 @@
             assert!(bench.now < asked + 10 * SECOND, "it asks within the time that counts as told");
         }
         waits.push(bench.now - asked);
-        bench.feed(Event::Servers { version: 0, update: ListUpdate::Failed });
+        bench.feed(Event::EndpointsUpdated { version: 0, update: EndpointUpdate::Failed });
     }
     assert!(waits[3] > waits[1], "{waits:?}");
     bench.connect(request(1)); // the last list is kept
@@ -560,8 +592,8 @@
 fn a_restarted_balancer_serves_from_its_remembered_list() {
     let mut bench = Bench::new(settings(), 41, &[]);
     bench.loads.insert(sid("a:1"), Some(0.2));
-    let cached = ListUpdate::Cached(Arc::new(vec![ready("a:1")]));
-    bench.feed(Event::Servers { version: 7, update: cached });
+    let cached = EndpointUpdate::Cached(Arc::new(vec![ready("a:1")]));
+    bench.feed(Event::EndpointsUpdated { version: 7, update: cached });
     assert_eq!(bench.connect(request(1)), sid("a:1"));
 }
 
@@ -586,7 +618,7 @@
     let mut bench = Bench::new(settings(), 3, &[]);
     bench.feed(Event::Request(request(1)));
     bench.pass(3 * SECOND);
-    let refused = bench.done.iter().find(|(_, a)| matches!(a, Action::Refuse { id, .. } if id.0 == 1));
+    let refused = bench.done.iter().find(|(_, a)| matches!(a, Action::Reject { id, .. } if id.0 == 1));
     let (at, _) = refused.expect("a refusal");
     let (deadline, attempt) = (START + 2 * SECOND, SECOND / 2);
     assert!(*at + attempt <= deadline, "held until {} us before the deadline", deadline - at);
@@ -597,9 +629,9 @@
     let mut settings = settings();
     (settings.zone, settings.prices.cross_zone) = (Some(ZoneId(0)), 0.2);
     let mut bench = Bench::new(settings, 3, &[("a:1", Some(load_near)), ("b:1", Some(0.1))]);
-    let at = |name, zone| ServerEntry { zone: Some(ZoneId(zone)), ..ready(name) };
+    let at = |name, zone| Endpoint { zone: Some(ZoneId(zone)), ..ready(name) };
     bench.feed(delta(vec![at("a:1", 0), at("b:1", 1)]));
-    bench.feed(Event::Adopted(request(1), sid("b:1")));
+    bench.feed(Event::ConnectionAdopted(request(1), sid("b:1")));
     bench.pass(6 * SECOND);
     bench
 }
@@ -617,9 +649,14 @@
 #[test]
 fn a_server_that_answers_probes_with_errors_keeps_what_stands_there() {
     let mut bench = Bench::new(settings(), 3, &three(0.2));
-    (1..=20).for_each(|id| bench.feed(Event::Adopted(request(id), sid("a:1"))));
+    (1..=20).for_each(|id| bench.feed(Event::ConnectionAdopted(request(id), sid("a:1"))));
     bench.errs = Some(sid("a:1"));
-    bench.feed(Event::Probed { server: sid("a:1"), outcome: Outcome::Error, elapsed: 1_000, report: None });
+    bench.feed(Event::HealthCheckEnded {
+        endpoint: sid("a:1"),
+        outcome: Outcome::Error,
+        elapsed: 1_000,
+        report: None,
+    });
     (31..=35).for_each(|id| assert_ne!(bench.connect(request(id)), sid("a:1"), "nothing new goes there"));
     bench.pass(3 * SECOND);
     assert!(bench.moved().is_empty());
@@ -653,9 +690,14 @@
 #[test]
 fn a_jammed_server_sheds_most_of_its_load_while_the_others_are_idle() {
     let mut bench = Bench::new(settings(), 3, &[("a:1", Some(1.0)), ("b:1", Some(0.1)), ("c:1", Some(0.1))]);
-    (1..=40).for_each(|id| bench.feed(Event::Adopted(request(id), sid("a:1"))));
+    (1..=40).for_each(|id| bench.feed(Event::ConnectionAdopted(request(id), sid("a:1"))));
     bench.feed(Event::Request(request(50)));
-    let probe = Event::Probed { server: sid("a:1"), outcome: Outcome::Ok, elapsed: 1_000, report: load(1.0) };
+    let probe = Event::HealthCheckEnded {
+        endpoint: sid("a:1"),
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        report: load(1.0),
+    };
     bench.feed(probe);
     bench.pass(2 * SECOND);
     assert!(bench.moved().len() > 16, "{} of 40", bench.moved().len());
@@ -668,7 +710,7 @@
     settings.prices.cross_zone = 0.2;
     let names: Vec<String> = (0..12).map(|i| format!("s{i}:1")).collect();
     let entries =
-        || names.iter().enumerate().map(|(i, n)| ServerEntry { zone: Some(ZoneId(i % 4)), ..ready(n) });
+        || names.iter().enumerate().map(|(i, n)| Endpoint { zone: Some(ZoneId(i % 4)), ..ready(n) });
     let servers: Vec<(&str, Option<f64>)> = names.iter().map(|s| (s.as_str(), Some(load))).collect();
     let bench = |seed| {
         let mut bench = Bench::new(settings.clone(), seed, &servers);
@@ -684,7 +726,8 @@
     for size in [100, 400] {
         let mut used = BTreeMap::new();
         for bench in &mut many(size, 0.4) {
-            *used.entry(bench.connect(Request { group: group("g"), ..request(1) })).or_insert(0) += 1;
+            *used.entry(bench.connect(Request { affinity_group: group("g"), ..request(1) })).or_insert(0) +=
+                1;
         }
         assert_eq!(used.len(), 1, "{size}: {used:?}");
     }
@@ -695,8 +738,8 @@
     for size in [4, 100, 400] {
         let mut moved = 0;
         for bench in &mut many(size, 0.2) {
-            bench.feed(Event::Adopted(request(1), sid("s1:1")));
-            bench.feed(Event::Adopted(request(2), sid("s2:1")));
+            bench.feed(Event::ConnectionAdopted(request(1), sid("s1:1")));
+            bench.feed(Event::ConnectionAdopted(request(2), sid("s2:1")));
             bench.pass(3 * SECOND);
             moved += bench.moved().len();
         }
@@ -707,8 +750,8 @@
 #[test]
 fn one_own_placement_is_no_wave_where_there_are_many_balancers() {
     for bench in &mut many(400, 0.3) {
-        let first = bench.connect(Request { group: group("g"), ..request(1) });
-        let second = bench.connect(Request { group: group("g"), ..request(2) });
+        let first = bench.connect(Request { affinity_group: group("g"), ..request(1) });
+        let second = bench.connect(Request { affinity_group: group("g"), ..request(2) });
         assert_eq!(first, second);
     }
 }
@@ -719,8 +762,8 @@
         let mut probes = 0;
         for bench in &mut many(size, 0.3) {
             bench.errs = Some(sid("s1:1"));
-            let error = || Event::Probed {
-                server: sid("s1:1"),
+            let error = || Event::HealthCheckEnded {
+                endpoint: sid("s1:1"),
                 outcome: Outcome::Error,
                 elapsed: 1_000,
                 report: None,
--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use honeyknot_balancer::circuit_breaker::{Breaker, HALF_OPEN};
-use honeyknot_balancer::interface::*;
+use honeyknot_balancer::*;
 
 #[test]
 fn it_is_half_open_after_its_time_and_closed_by_a_placement() {
@@ -24,13 +24,13 @@
     let mut bench = Bench::new(Settings { fleet_size: 100, ..settings() }, 5, &servers);
     let mut placed = Vec::new();
     for id in 0..33 {
-        let (at, asked) = (bench.now - START, Request { group: group("g"), ..request(id) });
+        let (at, asked) = (bench.now - START, Request { affinity_group: group("g"), ..request(id) });
         // Each has a little more time than one attempt takes, so that none waits for long.
-        bench.feed(Event::Request(Request { time_left: SECOND * 7 / 10, ..asked }));
+        bench.feed(Event::Request(Request { time_remaining: SECOND * 7 / 10, ..asked }));
         bench.pass(SECOND * 3 / 10);
         if bench.places(id) > 0 {
             placed.push(at);
-            bench.end(id, 0, Outcome::Full, true);
+            bench.end(id, 0, Outcome::Rejected, true);
         }
     }
     placed
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use honeyknot_balancer::Balancer;
-use honeyknot_balancer::interface::*;
+use honeyknot_balancer::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -16,7 +16,7 @@
     class: usize,
     deadline: Micros,
     sent: u32,
-    out: Option<(u32, ServerId, Micros)>,
+    out: Option<(u32, EndpointId, Micros)>,
     stands: bool,
     may_have_run: bool,
     first_risk: Option<(Option<ZoneId>, Micros)>,
@@ -25,23 +25,27 @@
 struct World {
     rng: Pcg64Mcg,
     now: Micros,
-    entries: BTreeMap<ServerId, ServerEntry>,
-    told: BTreeMap<ServerId, Micros>,
+    entries: BTreeMap<EndpointId, Endpoint>,
+    told: BTreeMap<EndpointId, Micros>,
     open: BTreeMap<u32, Open>,
-    late: BTreeMap<u32, (u32, ServerId)>,
+    late: BTreeMap<u32, (u32, EndpointId)>,
     timers: BTreeSet<(Micros, u64, u64)>,
-    probes: Vec<ServerId>,
+    probes: Vec<EndpointId>,
     serial: u64,
     actions: Vec<Action>,
 }
 
-fn effects() -> [Effect; 3] {
-    [Effect::Idempotent, Effect::Deduplicated { scope: Scope::Zone, window: SECOND }, Effect::AtMostOnce]
+fn effects() -> [Idempotency; 3] {
+    [
+        Idempotency::Idempotent,
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: SECOND },
+        Idempotency::AtMostOnce,
+    ]
 }
 
 impl World {
-    fn entry(&self, i: u32) -> ServerEntry {
-        ServerEntry { zone: Some(ZoneId((i % 3) as usize)), ..ready(&format!("s{i}:1")) }
+    fn entry(&self, i: u32) -> Endpoint {
+        Endpoint { zone: Some(ZoneId((i % 3) as usize)), ..ready(&format!("s{i}:1")) }
     }
 
     fn list(&self) -> Event {
@@ -52,12 +56,12 @@
     fn take(&mut self, action: Action) {
         self.actions.push(action.clone());
         match action {
-            Action::Timer { delay, token } => {
+            Action::SetTimer { delay, token } => {
                 self.serial += 1;
                 self.timers.insert((self.now + delay.max(1), self.serial, token.0));
             }
-            Action::Probe(server) => self.probes.push(server),
-            Action::Place { id, server, timeout, .. } => {
+            Action::CheckHealth(server) => self.probes.push(server),
+            Action::Forward { id, endpoint: server, timeout, .. } => {
                 let entry = self.entries.get(&server).expect("a server of the list").clone();
                 if let Some(told) = self.told.get(&server) {
                     assert!(self.now <= told + SECOND, "a drain is not kept");
@@ -67,28 +71,31 @@
                 assert!(self.now + timeout <= open.deadline, "an attempt outlasts its deadline");
                 if open.may_have_run {
                     match effects()[open.class] {
-                        Effect::Idempotent => {}
-                        Effect::Deduplicated { window, .. } => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::IdempotencyKey { window, .. } => {
                             let (zone, since) = open.first_risk.expect("what may have run");
                             assert!(entry.zone == zone && self.now <= since + window, "a repeat astray");
                         }
-                        Effect::AtMostOnce => panic!("an effect twice"),
+                        Idempotency::AtMostOnce => panic!("an effect twice"),
                     }
                 }
                 open.out = Some((open.sent, server, self.now + timeout));
                 open.sent += 1;
                 assert!(open.sent <= 4, "too many attempts");
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let open = self.open.remove(&id.0).expect("a refusal of an open request");
                 assert!(open.out.is_none() && self.now <= open.deadline + 8_000);
-                assert!(!open.may_have_run || effects()[open.class] == Effect::Idempotent, "a false refusal");
+                assert!(
+                    !open.may_have_run || effects()[open.class] == Idempotency::Idempotent,
+                    "a false refusal"
+                );
             }
             Action::Fail(id) => {
                 let open = self.open.remove(&id.0).expect("a failure of an open request");
                 assert!(open.out.is_none() && self.now <= open.deadline + 8_000);
             }
-            Action::Move(id) => {
+            Action::Migrate(id) => {
                 let open = self.open.remove(&id.0).expect("a move of an open connection");
                 assert!(open.stands, "only what stands is moved");
                 let (attempt, server, _) = open.out.expect("its attempt");
@@ -119,12 +126,12 @@
         if closed {
             self.open.remove(&id);
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             id: RequestId(id),
             attempt: AttemptId(attempt),
             outcome,
             closed,
-            server,
+            endpoint: server,
             elapsed: 1_000,
             report: None,
         };
@@ -147,7 +154,7 @@
                 break;
             }
             self.timers.remove(&(at, serial, token));
-            self.handle(balancer, Event::Timer(TimerToken(token)));
+            self.handle(balancer, Event::TimerFired(TimerToken(token)));
         }
         for open in self.open.values() {
             assert!(open.stands || self.now <= open.deadline + 8_000, "a request lost");
@@ -156,7 +163,7 @@
 }
 
 fn run(seed: u64) -> Vec<Action> {
-    let mut settings = Settings { fleet_size: 3, discovery: Discovery::OnRequest, ..settings() };
+    let mut settings = Settings { fleet_size: 3, discovery: DiscoveryMode::OnRequest, ..settings() };
     settings.classes = effects().into_iter().map(class).collect();
     let mut balancer = Balancer::new(settings, seed, START).expect("sound settings");
     let mut w = World {
@@ -171,10 +178,10 @@
         serial: 0,
         actions: Vec::new(),
     };
-    w.entries = (0..8).map(|i| w.entry(i)).map(|e| (e.server.clone(), e)).collect();
+    w.entries = (0..8).map(|i| w.entry(i)).map(|e| (e.id.clone(), e)).collect();
     let list = w.list();
     w.handle(&mut balancer, list);
-    let adopted = Request { group: group("g0"), ..request(1_000_000) };
+    let adopted = Request { affinity_group: group("g0"), ..request(1_000_000) };
     w.open.insert(
         1_000_000,
         Open {
@@ -187,7 +194,7 @@
             first_risk: None,
         },
     );
-    w.handle(&mut balancer, Event::Adopted(adopted, sid("s0:1")));
+    w.handle(&mut balancer, Event::ConnectionAdopted(adopted, sid("s0:1")));
     for step in 0..6_000u32 {
         w.now += w.rng.random_range(0..6_000);
         w.settle(&mut balancer);
@@ -206,12 +213,12 @@
                 let left = w.rng.random_range(1..2_000_000);
                 let request = Request {
                     class: ClassId(class),
-                    key: Some(ClientKey(Arc::from(format!("k{}", w.rng.random_range(0..200))))),
-                    group: group(&format!("g{}", w.rng.random_range(0..5))),
-                    time_left: left,
+                    session_key: Some(SessionKey(Arc::from(format!("k{}", w.rng.random_range(0..200))))),
+                    affinity_group: group(&format!("g{}", w.rng.random_range(0..5))),
+                    time_remaining: left,
                     mid_flow: w.rng.random_range(0..10) == 0,
-                    reach: Reach::EVERYWHERE,
-                    returning: w.rng.random_range(0..5) == 0,
+                    allowed_zones: ZoneSet::ALL,
+                    reconnecting: w.rng.random_range(0..5) == 0,
                     ..request(step)
                 };
                 let deadline = w.now + left;
@@ -232,10 +239,10 @@
                     let open = w.open.get_mut(&id).expect("picked");
                     open.stands = true;
                     let (attempt, server, _) = open.out.clone().expect("out");
-                    let event = Event::Established {
+                    let event = Event::ConnectionEstablished {
                         id: RequestId(id),
                         attempt: AttemptId(attempt),
-                        server,
+                        endpoint: server,
                         elapsed: 500,
                     };
                     w.handle(&mut balancer, event);
@@ -245,7 +252,7 @@
                 let outcomes = [
                     Outcome::Ok,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Cancelled,
@@ -258,42 +265,53 @@
             }
             65..=84 => {
                 for server in std::mem::take(&mut w.probes) {
-                    let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Full]
-                        [w.rng.random_range(0..5)];
+                    let outcome =
+                        [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected]
+                            [w.rng.random_range(0..5)];
                     let at = w.rng.random_range(0.0..1.3);
                     let report = (outcome == Outcome::Ok).then(|| load(at)).flatten();
-                    w.handle(&mut balancer, Event::Probed { server, outcome, elapsed: 900, report });
+                    w.handle(
+                        &mut balancer,
+                        Event::HealthCheckEnded { endpoint: server, outcome, elapsed: 900, report },
+                    );
                 }
             }
             85..=87 => {
                 let i = w.rng.random_range(0..8);
                 let mut entry = w.entry(i);
-                let state =
-                    [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ];
                 entry.state = state[w.rng.random_range(0..4)];
                 // What is gone does not drain any more.
-                if entry.state == ServerState::Draining && w.told.contains_key(&entry.server) {
-                    entry.state = ServerState::Gone;
+                if entry.state == EndpointState::Draining && w.told.contains_key(&entry.id) {
+                    entry.state = EndpointState::Removed;
                 }
-                if entry.state == ServerState::Ready {
-                    w.told.remove(&entry.server);
-                    entry.started = w.now - w.rng.random_range(0..30 * SECOND);
+                if entry.state == EndpointState::Ready {
+                    w.told.remove(&entry.id);
+                    entry.started_at = w.now - w.rng.random_range(0..30 * SECOND);
                 } else {
-                    w.told.entry(entry.server.clone()).or_insert(w.now);
+                    w.told.entry(entry.id.clone()).or_insert(w.now);
                 }
-                w.entries.insert(entry.server.clone(), entry.clone());
+                w.entries.insert(entry.id.clone(), entry.clone());
                 w.handle(&mut balancer, delta(vec![entry]));
             }
-            88..=90 => w.handle(&mut balancer, Event::Servers { version: 0, update: ListUpdate::Failed }),
+            88..=90 => w.handle(
+                &mut balancer,
+                Event::EndpointsUpdated { version: 0, update: EndpointUpdate::Failed },
+            ),
             91..=93 => {
                 let late = std::mem::take(&mut w.late);
                 for (id, (attempt, server)) in late {
-                    let event = Event::Outcome {
+                    let event = Event::AttemptEnded {
                         id: RequestId(id),
                         attempt: AttemptId(attempt),
                         outcome: Outcome::Cancelled,
                         closed: true,
-                        server,
+                        endpoint: server,
                         elapsed: 1,
                         report: None,
                     };
@@ -303,9 +321,17 @@
             94..=96 => {
                 if let Some(id) = pick(&mut w, true) {
                     let (attempt, server, _) = w.open[&id].out.clone().expect("out");
-                    let note =
-                        if w.rng.random_range(0..2) == 0 { Note::Load(9_000.0) } else { Note::Delay(300.0) };
-                    let event = Event::Noted { id: RequestId(id), attempt: AttemptId(attempt), server, note };
+                    let note = if w.rng.random_range(0..2) == 0 {
+                        ConnectionUpdate::Load(9_000.0)
+                    } else {
+                        ConnectionUpdate::MessageLatency(300.0)
+                    };
+                    let event = Event::ConnectionUpdated {
+                        id: RequestId(id),
+                        attempt: AttemptId(attempt),
+                        endpoint: server,
+                        update: note,
+                    };
                     w.handle(&mut balancer, event);
                 }
             }
@@ -313,7 +339,7 @@
                 if let Some(id) = pick(&mut w, false) {
                     let open = w.open.remove(&id).expect("picked");
                     let (attempt, server, _) = open.out.expect("out");
-                    w.handle(&mut balancer, Event::Abandoned(RequestId(id)));
+                    w.handle(&mut balancer, Event::ClientLeft(RequestId(id)));
                     w.late.insert(id, (attempt, server));
                 }
             }
@@ -326,7 +352,7 @@
 fn the_rules_hold_over_long_random_runs() {
     for seed in 0..12 {
         let actions = run(seed);
-        let placed = actions.iter().filter(|a| matches!(a, Action::Place { .. })).count();
+        let placed = actions.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
         assert!(placed > 150, "seed {seed}: {placed} placed");
     }
 }
--- a/crates/balancer/tests/maintenance.rs
+++ b/crates/balancer/tests/maintenance.rs
@@ -1,46 +1,46 @@
 //! Card servers out by hand, whatever the roll says of them meanwhile.
 
-use honeyknot_balancer::Withheld;
-use honeyknot_balancer::interface::*;
-use honeyknot_balancer::maintenance::Unknown;
+use honeyknot_balancer::MaintenanceOverlay;
+use honeyknot_balancer::maintenance::UnknownEndpoint;
+use honeyknot_balancer::*;
 
-fn id(name: &str) -> ServerId {
-    ServerId(name.into())
+fn id(name: &str) -> EndpointId {
+    EndpointId(name.into())
 }
 
-fn entry(name: &str, state: ServerState, started: Micros) -> ServerEntry {
-    ServerEntry { server: id(name), state, started, ..ServerEntry::default() }
+fn entry(name: &str, state: EndpointState, started: Micros) -> Endpoint {
+    Endpoint { id: id(name), state, started_at: started, ..Endpoint::default() }
 }
 
-use ServerState::{Draining, Gone, Ready};
+use EndpointState::{Draining, Ready, Removed};
 
 /// State and start of a card server in what the decisions see.
-fn seen(entries: &[ServerEntry], name: &str) -> Option<(ServerState, Micros)> {
-    entries.iter().find(|e| e.server == id(name)).map(|e| (e.state, e.started))
+fn seen(entries: &[Endpoint], name: &str) -> Option<(EndpointState, Micros)> {
+    entries.iter().find(|e| e.id == id(name)).map(|e| (e.state, e.started_at))
 }
 
 #[test]
 fn what_is_out_drains_whatever_the_roll_says() {
-    let mut withheld = Withheld::default();
-    assert_eq!(withheld.take_out(20, &id("a")), Err(Unknown));
+    let mut withheld = MaintenanceOverlay::default();
+    assert_eq!(withheld.take_out(20, &id("a")), Err(UnknownEndpoint));
     let first = withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 0)], true);
     assert_eq!(seen(&first, "a"), Some((Ready, 0)));
     assert_eq!(withheld.take_out(20, &id("a")), Ok(Some(entry("a", Draining, 0))));
     assert_eq!(withheld.take_out(20, &id("a")), Ok(None));
     // A restart, a loss, a list without it, its return: it stays out.
-    for news in [vec![entry("a", Ready, 7)], vec![entry("a", Gone, 7)], vec![entry("a", Ready, 9)]] {
+    for news in [vec![entry("a", Ready, 7)], vec![entry("a", Removed, 7)], vec![entry("a", Ready, 9)]] {
         assert_eq!(seen(&withheld.news(news, false), "a").map(|s| s.0), Some(Draining));
     }
     assert_eq!(seen(&withheld.news(vec![entry("b", Ready, 0)], true), "a").map(|s| s.0), Some(Draining));
     assert_eq!((withheld.listed(), withheld.avoided([].into_iter())), (1, 0));
-    assert_eq!(withheld.put_back(50, &id("a")).map(|e| e.map(|e| e.state)), Ok(Some(Gone)));
+    assert_eq!(withheld.put_back(50, &id("a")).map(|e| e.map(|e| e.state)), Ok(Some(Removed)));
     assert_eq!(withheld.put_back(50, &id("a")), Ok(None));
-    assert_eq!(withheld.put_back(50, &id("nobody")), Err(Unknown));
+    assert_eq!(withheld.put_back(50, &id("nobody")), Err(UnknownEndpoint));
 }
 
 #[test]
 fn what_comes_back_has_just_started_however_late_the_roll_tells_of_it() {
-    let mut withheld = Withheld::default();
+    let mut withheld = MaintenanceOverlay::default();
     withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 5)], true);
     assert!(withheld.take_out(20, &id("a")).is_ok());
     assert_eq!(withheld.put_back(100, &id("a")), Ok(Some(entry("a", Ready, 100))));
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_avoided_are_counted_once_and_only_while_listed() {
-    let mut withheld = Withheld::default();
+    let mut withheld = MaintenanceOverlay::default();
     withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 0), entry("c", Ready, 0)], true);
     assert!(withheld.take_out(20, &id("a")).is_ok());
     let (a, b, gone) = (id("a"), id("b"), id("z"));
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What all balancers together send to a cold server: sums over instances that know nothing of each other.
 
-use honeyknot_balancer::interface::{Micros, Rules};
 use honeyknot_balancer::slow_start::{self, Slots};
+use honeyknot_balancer::{Micros, Rules};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -11,12 +11,12 @@
 fn rules(overload_factor: f64, fall: Micros, cold: Micros, start_capacity: f64) -> Rules {
     Rules {
         answer_grace: 0,
-        must_ask_in: 0,
-        start_capacity,
-        cold,
+        max_list_age: 0,
+        initial_capacity: start_capacity,
+        slow_start_duration: cold,
         drain_grace: 500 * MS,
         overload_factor,
-        fall,
+        overload_duration: fall,
     }
 }
 
@@ -36,7 +36,7 @@
     let rate = slow_start::rate(rules, holds, balancers as f64);
     let mut slots: Vec<Slots> = (0..balancers).map(|_| Slots::new(rng.random())).collect();
     let mut calls = Vec::new();
-    for step in from / (20 * MS)..rules.cold / (20 * MS) {
+    for step in from / (20 * MS)..rules.slow_start_duration / (20 * MS) {
         let now = START + step * 20 * MS;
         for slots in &mut slots {
             if slots.open(rules, START, now, rate) {
@@ -51,9 +51,10 @@
 /// The fullest time of `fall`, as a part of N + k x root of N + k, N by the capacity at its end.
 fn fullest(rules: &Rules, holds: f64, calls: &[Micros], k: f64) -> f64 {
     let part = |(i, from): (usize, &Micros)| {
-        let there = calls[i..].iter().take_while(|at| **at < from + rules.fall).count() as f64;
-        let capacity = slow_start::warmth(rules, START, from + rules.fall) * holds / rules.cold as f64;
-        let n = rules.overload_factor * capacity * rules.fall as f64;
+        let there = calls[i..].iter().take_while(|at| **at < from + rules.overload_duration).count() as f64;
+        let capacity = slow_start::warmth(rules, START, from + rules.overload_duration) * holds
+            / rules.slow_start_duration as f64;
+        let n = rules.overload_factor * capacity * rules.overload_duration as f64;
         there / (n + k * n.sqrt() + k)
     };
     calls.iter().enumerate().map(part).fold(0.0, f64::max)
@@ -84,7 +85,7 @@
         for balancers in [4, 30, 300] {
             let (mut strict, mut page, draws) = (0, 0, 200);
             for seed in 0..draws {
-                let from = rules.cold / 10 * (seed % 8);
+                let from = rules.slow_start_duration / 10 * (seed % 8);
                 let calls = calls(&rules, holds, balancers, from, seed);
                 strict += u32::from(fullest(&rules, holds, &calls, 2.0) >= 1.0);
                 page += u32::from(fullest(&rules, holds, &calls, 3.0) >= 1.0);
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::*;
-use honeyknot_balancer::interface::*;
 use honeyknot_balancer::unreported_load::guess;
+use honeyknot_balancer::*;
 
 /// Settings of a deployment with no reports and no probes; times and costs are another's than the usual ones.
 fn told_nothing(fleet_size: u32) -> Settings {
     let mut settings = settings();
-    settings.reports = ReportSource::Nowhere;
-    settings.permissions.probes = false;
+    settings.load_reports = LoadReportSource::Unavailable;
+    settings.permissions.health_checks = false;
     settings.permissions.retry_after = false;
     settings.fleet_size = fleet_size;
     settings
@@ -38,7 +38,7 @@
     }
     assert!(bench.balancer.suspects().count() >= 4, "the cut is seen");
     bench.pass(20 * SECOND);
-    let mut served: Vec<ServerId> = (100..200)
+    let mut served: Vec<EndpointId> = (100..200)
         .map(|id| {
             bench.pass(100_000);
             bench.connect(request(id))
@@ -73,7 +73,7 @@
     let mut bench = bench(5, 5);
     bench.feed(Event::Request(request(0)));
     let full = bench.placed(0).expect("an attempt");
-    bench.end(0, 0, Outcome::Full, false);
+    bench.end(0, 0, Outcome::Rejected, false);
     bench.pass(SECOND);
     for id in 1..60 {
         let before = bench.now;
@@ -85,10 +85,10 @@
             "the full one is left alone for a while: request {id} after {} us",
             bench.now - START
         );
-        bench.feed(Event::Established {
+        bench.feed(Event::ConnectionEstablished {
             id: RequestId(id),
             attempt: AttemptId(0),
-            server: at,
+            endpoint: at,
             elapsed: 5_000,
         });
         bench.pass(100_000);
@@ -100,9 +100,9 @@
 #[test]
 fn a_long_day_keeps_groups_together() {
     let mut bench = bench(100, 6);
-    let mut at: Vec<ServerId> = Vec::new();
+    let mut at: Vec<EndpointId> = Vec::new();
     for id in 0..2_000 {
-        let server = bench.connect(Request { group: group("g"), ..request(id) });
+        let server = bench.connect(Request { affinity_group: group("g"), ..request(id) });
         bench.end(id, 0, Outcome::Ok, true);
         if !at.contains(&server) {
             at.push(server);
@@ -117,11 +117,11 @@
     let mut bench = bench(5, 7);
     let at = bench.connect(request(1));
     bench.end(1, 0, Outcome::Reset, true);
-    let again = bench.connect(Request { id: RequestId(2), returning: true, ..request(1) });
+    let again = bench.connect(Request { id: RequestId(2), reconnecting: true, ..request(1) });
     assert_ne!(at, again);
     bench.pass(20 * SECOND);
     let mut later = request(3);
-    later.key = request(1).key;
+    later.session_key = request(1).session_key;
     bench.connect(later);
 }
 
@@ -131,7 +131,7 @@
     let mut sent = 0;
     for seed in 0..20 {
         let mut bench = bench(1, seed);
-        bench.feed(delta(vec![ServerEntry { started: bench.now, ..ready("cold:1") }]));
+        bench.feed(delta(vec![Endpoint { started_at: bench.now, ..ready("cold:1") }]));
         for id in 0..100 {
             bench.feed(Event::Request(request(id)));
             bench.pass(50_000);
@@ -154,11 +154,16 @@
     let mut turned_away = Vec::new();
     for id in ids {
         let name = format!("g{}", id % 40);
-        bench.feed(Event::Request(Request { group: group(&name), class: class(id), ..request(id) }));
+        bench.feed(Event::Request(Request { affinity_group: group(&name), class: class(id), ..request(id) }));
         match bench.placed(id) {
             Some(server) => {
                 let elapsed = 5_000;
-                bench.feed(Event::Established { id: RequestId(id), attempt: AttemptId(0), server, elapsed });
+                bench.feed(Event::ConnectionEstablished {
+                    id: RequestId(id),
+                    attempt: AttemptId(0),
+                    endpoint: server,
+                    elapsed,
+                });
                 bench.end(id, 0, Outcome::Reset, true);
             }
             None => turned_away.push(id),
@@ -178,7 +183,7 @@
     // Whole groups: what one member is told, the next is told too.
     let same = (0..40).filter(|n| {
         let mut placed = |id: u32| {
-            bench.feed(Event::Request(Request { group: group(&format!("h{n}")), ..request(id) }));
+            bench.feed(Event::Request(Request { affinity_group: group(&format!("h{n}")), ..request(id) }));
             bench.placed(id).is_some()
         };
         placed(500 + 2 * n) == placed(501 + 2 * n)
@@ -198,11 +203,11 @@
 fn a_connection_in_mid_flow_goes_back_to_its_server_however_much_is_turned_away() {
     let mut bench = large_fleet(told_nothing(100), 8);
     // Their server is seen by one request each, before the jam.
-    let at: Vec<ServerId> = (2_000..2_040).map(|id| bench.connect(request(id))).collect();
+    let at: Vec<EndpointId> = (2_000..2_040).map(|id| bench.connect(request(id))).collect();
     let away = jam(&mut bench, 0..200, |_| ClassId(0));
     assert!(away.len() > 60, "{} of 200 turned away while all else is lost", away.len());
     for (id, server) in (2_000..2_040).zip(at) {
-        let again = Request { id: RequestId(id + 1_000), mid_flow: true, returning: true, ..request(id) };
+        let again = Request { id: RequestId(id + 1_000), mid_flow: true, reconnecting: true, ..request(id) };
         bench.feed(Event::Request(again));
         assert_eq!(bench.placed(id + 1_000), Some(server), "request {id}");
     }
@@ -212,7 +217,7 @@
 fn the_class_that_is_cheapest_for_its_load_is_turned_away_first() {
     let mut settings = told_nothing(100);
     let mut dear = settings.classes[0].clone();
-    dear.worth = settings.classes[0].worth * 4.0;
+    dear.priority_weight = settings.classes[0].priority_weight * 4.0;
     settings.classes.push(dear);
     let mut bench = large_fleet(settings, 9);
     let away = jam(&mut bench, 0..400, |id| ClassId((id / 40 % 2) as usize));
@@ -231,9 +236,9 @@
                 jam(&mut bench, 0..40, |_| ClassId(0));
             }
             let cold = ["u:1", "v:1", "w:1"];
-            bench.feed(delta(cold.map(|id| ServerEntry { started: bench.now, ..ready(id) }).into()));
+            bench.feed(delta(cold.map(|id| Endpoint { started_at: bench.now, ..ready(id) }).into()));
             for id in 1_000..1_060 {
-                let asked = Request { group: group(&format!("h{id}")), ..request(id) };
+                let asked = Request { affinity_group: group(&format!("h{id}")), ..request(id) };
                 bench.feed(Event::Request(asked));
                 sent += u32::from(bench.placed(id).is_some_and(|at| cold.iter().any(|c| at == sid(c))));
                 bench.pass(50_000);
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -5,15 +5,15 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use honeyknot_balancer::interface::*;
 use honeyknot_balancer::zone_affinity::{GROUP_COST, copy_cost, slowdown};
+use honeyknot_balancer::*;
 
 const ZONES: usize = 4;
 const SERVERS: [&str; 12] =
     ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1", "h:1", "i:1", "j:1", "k:1", "l:1"];
 
 /// A server's place in the list tells its zone.
-fn zone_of(server: &ServerId) -> usize {
+fn zone_of(server: &EndpointId) -> usize {
     SERVERS.iter().position(|name| sid(name) == *server).expect("a server of the fleet") % ZONES
 }
 
@@ -26,14 +26,14 @@
 fn bench(settings: Settings, seed: u64, load: f64) -> Bench {
     let mut bench = Bench::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
     bench.terse = true;
-    let at = |i: usize| ServerEntry { zone: Some(ZoneId(i % ZONES)), ..ready(SERVERS[i]) };
+    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready(SERVERS[i]) };
     bench.feed(delta((0..SERVERS.len()).map(at).collect()));
     bench
 }
 
 /// Where a request goes, which may be held for a while; one that stands is left to the caller, others end.
-fn asks(bench: &mut Bench, request: Request) -> Option<ServerId> {
-    let (id, keeps) = (request.id.0, request.group.is_some());
+fn asks(bench: &mut Bench, request: Request) -> Option<EndpointId> {
+    let (id, keeps) = (request.id.0, request.affinity_group.is_some());
     bench.feed(Event::Request(request));
     bench.pass(2 * SECOND);
     let server = bench.placed(id);
@@ -52,15 +52,15 @@
         change(&mut settings);
         let mut bench = bench(settings, number as u64, load);
         // Probes have told of the fleet, and its mean is known, before the first of them.
-        (100..110).for_each(|id| drop(asks(&mut bench, Request { key: None, ..request(id) })));
+        (100..110).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
         for i in 0..5 {
             let of = (number / ZONES + i) % 10;
-            let asked = Request { group: group(&format!("g{of}")), ..request(i as u32) };
+            let asked = Request { affinity_group: group(&format!("g{of}")), ..request(i as u32) };
             let Some(server) = asks(&mut bench, asked) else { continue };
-            bench.feed(Event::Established {
+            bench.feed(Event::ConnectionEstablished {
                 id: RequestId(i as u32),
                 attempt: AttemptId(0),
-                server: server.clone(),
+                endpoint: server.clone(),
                 elapsed: 5_000,
             });
             crossings += usize::from(zone_of(&server) != number % ZONES);
@@ -73,8 +73,8 @@
 }
 
 fn told_nothing(settings: &mut Settings) {
-    settings.reports = ReportSource::Nowhere;
-    settings.permissions.probes = false;
+    settings.load_reports = LoadReportSource::Unavailable;
+    settings.permissions.health_checks = false;
 }
 
 /// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and no report told how full it
@@ -113,13 +113,13 @@
 }
 
 /// A connection that stands in zone 1, of a group of which four balancers see little, with room at one server of the own zone.
-fn stands_away(elsewhere: f64, group_of: Option<GroupKey>) -> usize {
+fn stands_away(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
     // Nothing is reported but to probes, which are allowed.
-    let settings = Settings { reports: ReportSource::Nowhere, ..settings_in(0, 4, 0.1) };
+    let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
     let mut bench = bench(settings, 3, elsewhere);
     bench.loads.insert(sid("a:1"), Some(0.5));
-    bench.feed(Event::Adopted(Request { group: group_of, ..request(1) }, sid("b:1")));
-    (100..140).for_each(|id| drop(asks(&mut bench, Request { key: None, ..request(id) })));
+    bench.feed(Event::ConnectionAdopted(Request { affinity_group: group_of, ..request(1) }, sid("b:1")));
+    (100..140).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
     bench.pass(60 * SECOND);
     bench.moved().len()
 }
@@ -129,7 +129,7 @@
 fn what_stands_with_its_group_is_not_brought_home_from_another_zone() {
     let there = |name: &String| {
         let mut bench = bench(settings_in(0, 4, 0.0), 3, 0.2);
-        bench.connect(Request { group: group(name), ..request(1) }) == sid("b:1")
+        bench.connect(Request { affinity_group: group(name), ..request(1) }) == sid("b:1")
     };
     let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first server is b:1");
     assert_eq!(stands_away(0.66, group(&of_b)), 0, "its group is together there");
@@ -139,11 +139,12 @@
 /// Guards against probes, and so connections, at card servers whose settings allow none.
 #[test]
 fn nothing_is_probed_where_probes_are_not_allowed() {
-    for reports in [ReportSource::Nowhere, ReportSource::Outcomes] {
+    for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
         let mut settings = settings_in(0, 1, 0.1);
-        (settings.reports, settings.permissions.probes) = (reports, false);
+        (settings.load_reports, settings.permissions.health_checks) = (reports, false);
         let mut bench = bench(settings, 3, 0.2);
-        bench.feed(Event::Adopted(Request { group: group("g"), ..request(1) }, sid("b:1")));
+        bench
+            .feed(Event::ConnectionAdopted(Request { affinity_group: group("g"), ..request(1) }, sid("b:1")));
         (2..20).for_each(|id| drop(bench.connect(request(id))));
         bench.pass(10 * SECOND);
         assert_eq!(bench.probes, 0, "{reports:?}");
--- a/crates/discovery/src/belief.rs
+++ b/crates/discovery/src/belief.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_balancer::interface::{Micros, ServerEntry, ServerId, ServerState};
+use honeyknot_balancer::{Endpoint, EndpointId, EndpointState, Micros};
 
 /// How long an older list must last before what it lacks is taken for gone: a service that fills its list from nothing is
 /// given this long.
@@ -25,7 +25,7 @@
     /// It names all card servers, not only those that changed.
     pub whole: bool,
     /// The card servers.
-    pub entries: Vec<ServerEntry>,
+    pub entries: Vec<Endpoint>,
 }
 
 /// A list that is believed in part.
@@ -41,7 +41,7 @@
 /// What is held, as far as believing needs it.
 pub struct Belief {
     version: u64,
-    held: BTreeMap<ServerId, (ServerState, Micros)>,
+    held: BTreeMap<EndpointId, (EndpointState, Micros)>,
     doubt: Option<Doubt>,
     /// Another service, which numbers its lists anew, has not answered yet.
     anew: bool,
@@ -87,14 +87,14 @@
     /// Notes a list or changes. Those that are gone are remembered, within bounds, as an older list could bring them back.
     fn note(&mut self, roll: &Roll) {
         if roll.whole {
-            self.held.values_mut().for_each(|(state, _)| *state = ServerState::Gone);
+            self.held.values_mut().for_each(|(state, _)| *state = EndpointState::Removed);
         }
         for entry in &roll.entries {
-            self.held.insert(entry.server.clone(), (entry.state, entry.started));
+            self.held.insert(entry.id.clone(), (entry.state, entry.started_at));
         }
-        let listed = self.held.values().filter(|(state, _)| *state != ServerState::Gone).count();
+        let listed = self.held.values().filter(|(state, _)| *state != EndpointState::Removed).count();
         if self.held.len() > REMEMBERED * (listed + 16) {
-            self.held.retain(|_, (state, _)| *state != ServerState::Gone);
+            self.held.retain(|_, (state, _)| *state != EndpointState::Removed);
         }
     }
 
@@ -133,12 +133,12 @@
     }
 
     /// Whether an entry of an older list is believed.
-    fn adds(&self, entry: &ServerEntry) -> bool {
-        match self.held.get(&entry.server) {
-            Some((ServerState::Ready, started)) => {
-                entry.state != ServerState::Ready || entry.started >= *started
+    fn adds(&self, entry: &Endpoint) -> bool {
+        match self.held.get(&entry.id) {
+            Some((EndpointState::Ready, started)) => {
+                entry.state != EndpointState::Ready || entry.started_at >= *started
             }
-            Some((_, started)) => entry.state != ServerState::Ready || entry.started > *started,
+            Some((_, started)) => entry.state != EndpointState::Ready || entry.started_at > *started,
             None => true,
         }
     }
--- a/crates/discovery/src/clock.rs
+++ b/crates/discovery/src/clock.rs
@@ -8,7 +8,7 @@
 //! Without a call out, a change counts as told [`SILENCE`] after the service had it and could be reached, whatever else a longer
 //! time for asking ([`Told::must_ask_in`]) or a failed call would allow: so no pause between two calls is longer than [`PAUSE_MOST`].
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 
 use crate::Call;
 #[cfg(doc)]
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -13,7 +13,7 @@
 mod belief;
 pub mod clock;
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/discovery/tests/agent.rs
+++ b/crates/discovery/tests/agent.rs
@@ -3,7 +3,7 @@
 
 mod service;
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use honeyknot_discovery::{Call, Caller, Told, Trouble};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/discovery/tests/caller.rs
+++ b/crates/discovery/tests/caller.rs
@@ -2,7 +2,7 @@
 
 mod service;
 
-use honeyknot_balancer::interface::{Micros, ServerState};
+use honeyknot_balancer::{EndpointState, Micros};
 use honeyknot_discovery::{Call, Caller, Roll, State, Told, Trouble};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,8 +12,8 @@
     Told { relays, must_ask_in: 10 * S, agent: None, seed }
 }
 
-fn ids(roll: &Roll) -> Vec<(&str, ServerState)> {
-    roll.entries.iter().map(|e| (&*e.server.0, e.state)).collect()
+fn ids(roll: &Roll) -> Vec<(&str, EndpointState)> {
+    roll.entries.iter().map(|e| (&*e.id.0, e.state)).collect()
 }
 
 /// A caller that holds this list and has been answered once, with nothing new.
@@ -182,19 +182,19 @@
 fn an_older_list_adds_and_drains_but_takes_nothing_away() {
     let mut caller = following(&roll(41, true, &["s-1", "s-2", "s-3"]));
     caller.call(10 * S);
-    let left = Roll { version: 42, whole: false, entries: vec![entry("s-3", ServerState::Draining, 0)] };
+    let left = Roll { version: 42, whole: false, entries: vec![entry("s-3", EndpointState::Draining, 0)] };
     assert_eq!(caller.heard(11 * S, left.clone()), left);
     caller.call(12 * S);
     let mut older = roll(1, true, &["s-9", "s-3"]);
-    older.entries.push(entry("s-2", ServerState::Draining, 0));
+    older.entries.push(entry("s-2", EndpointState::Draining, 0));
     let believed = caller.heard(13 * S, older);
     assert!(!believed.whole, "what it lacks stays");
-    assert_eq!(ids(&believed), [("s-9", ServerState::Ready), ("s-2", ServerState::Draining)]);
+    assert_eq!(ids(&believed), [("s-9", EndpointState::Ready), ("s-2", EndpointState::Draining)]);
     assert_eq!(caller.state(), State::Doubting);
     // A card server that was said to leave comes back by its restart, and not by an older list.
     caller.call(14 * S);
-    let again = Roll { version: 2, whole: false, entries: vec![entry("s-3", ServerState::Ready, 12 * S)] };
-    assert_eq!(ids(&caller.heard(15 * S, again)), [("s-3", ServerState::Ready)]);
+    let again = Roll { version: 2, whole: false, entries: vec![entry("s-3", EndpointState::Ready, 12 * S)] };
+    assert_eq!(ids(&caller.heard(15 * S, again)), [("s-3", EndpointState::Ready)]);
     assert_eq!(caller.version(), 2, "changes are asked for from the version that the service has now");
     // It lasts: the whole list is asked for, and what it lacks then is gone.
     let (mut now, mut whole) = (15 * S, false);
--- a/crates/discovery/tests/service/mod.rs
+++ b/crates/discovery/tests/service/mod.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use honeyknot_balancer::interface::{CellId, Micros, ServerEntry, ServerId, ServerState};
+use honeyknot_balancer::{CellId, Endpoint, EndpointId, EndpointState, Micros};
 use honeyknot_discovery::{Call, Caller, Roll, Told, Trouble};
 
 /// A call that has waited longer than this is turned away ...
@@ -132,12 +132,12 @@
     pub book: Book,
 }
 
-pub fn entry(id: &str, state: ServerState, started: Micros) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(id.into()),
+pub fn entry(id: &str, state: EndpointState, started: Micros) -> Endpoint {
+    Endpoint {
+        id: EndpointId(id.into()),
         kind: None,
         weight: 1.0,
-        started,
+        started_at: started,
         zone: None,
         cell: CellId(0),
         state,
@@ -145,7 +145,7 @@
 }
 
 pub fn roll(version: u64, whole: bool, ids: &[&str]) -> Roll {
-    let entries = ids.iter().map(|id| entry(id, ServerState::Ready, 0)).collect();
+    let entries = ids.iter().map(|id| entry(id, EndpointState::Ready, 0)).collect();
     Roll { version, whole, entries }
 }
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use foca::{Foca, PeriodicParams, PostcardCodec, Timer};
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_balancer::interface::{Micros, ServerId};
+use honeyknot_balancer::{EndpointId, Micros};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::number_of;
@@ -13,7 +13,7 @@
 const TOLERANCE: usize = 2;
 
 /// The number of a card server, the same at every relay.
-pub fn card_number(id: &ServerId) -> u32 {
+pub fn card_number(id: &EndpointId) -> u32 {
     (xxh3_64(id.0.as_bytes()) >> 32) as u32
 }
 
--- a/crates/gossip/src/word.rs
+++ b/crates/gossip/src/word.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::{MOST_RELAYS, Peer};
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use honeyknot_gossip::{DATAGRAM, Dropped, Finding, Found, Neighbors, Peer, Plan, View, witnesses};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/health-check-budget/src/probes.rs
+++ b/crates/health-check-budget/src/probes.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_balancer::interface::{LoadReport, Micros, Outcome};
+use honeyknot_balancer::{LoadReport, Micros, Outcome};
 use honeyknot_gossip::{Finding, Found, View, witnesses};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -126,11 +126,11 @@
     /// A probe of this relay's own has ended.
     pub fn ended(&mut self, now: Micros, card: u32, outcome: Outcome, told: Option<&LoadReport>) {
         let found = match outcome {
-            Outcome::Ok | Outcome::Full => Found::Well,
+            Outcome::Ok | Outcome::Rejected => Found::Well,
             Outcome::Error => Found::Ill,
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Found::Silent,
             // Nobody was asked.
-            Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
         };
         let (load, delay) = (told.and_then(|r| r.load), told.and_then(|r| r.latency_ms));
         self.own.entry(card).or_insert(Own { asked: now, found: None }).found =
--- a/crates/health-check-budget/tests/probes.rs
+++ b/crates/health-check-budget/tests/probes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use honeyknot_balancer::interface::{LoadReport, Micros, Outcome};
+use honeyknot_balancer::{LoadReport, Micros, Outcome};
 use honeyknot_gossip::{Neighbors, Peer, Plan, View};
 use honeyknot_health_check_budget::{Asking, Probes};
 
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -9,8 +9,9 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use honeyknot_balancer::interface::{
-    CellId, GroupKey, ListUpdate, Micros, Reach, RequestId, ServerEntry, ServerId, ServerState, ZoneId,
+use honeyknot_balancer::{
+    AffinityGroup, CellId, Endpoint, EndpointId, EndpointState, EndpointUpdate, Micros, RequestId, ZoneId,
+    ZoneSet,
 };
 use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 use rand::{Rng, SeedableRng};
@@ -100,7 +101,7 @@
 }
 
 struct Server {
-    id: ServerId,
+    id: EndpointId,
     site: usize,
     model: CardModel,
     up: bool,
@@ -124,12 +125,12 @@
     now: Micros,
     rng: Pcg64Mcg,
     servers: Vec<Server>,
-    by_id: BTreeMap<ServerId, usize>,
+    by_id: BTreeMap<EndpointId, usize>,
     by_site: Vec<Vec<usize>>,
     relays: Vec<Sites>,
     /// News on its way to a relay.
     news: BinaryHeap<Reverse<(Micros, usize, u64)>>,
-    told: Vec<Arc<Vec<ServerEntry>>>,
+    told: Vec<Arc<Vec<Endpoint>>>,
     /// Clients that come back.
     coming: BTreeMap<(Micros, u64), Client>,
     standing: BTreeMap<(usize, RequestId), Standing>,
@@ -167,7 +168,7 @@
                 report_every: rng.random_range(370_000..840_000),
                 report_late: rng.random_range(180_000..460_000),
             };
-            let id = ServerId(format!("s-{number:06x}").into());
+            let id = EndpointId(format!("s-{number:06x}").into());
             Server { id, site: number % day.sites, model: CardModel::new(make, 0), up: true }
         })
         .collect();
@@ -260,10 +261,10 @@
         let deck = Zipf::new(decks, 1.0).map_err(|e| e.to_string())?;
         let load = LogNormal::new(-0.18, 0.6).map_err(|e| e.to_string())?;
         let all: Vec<usize> = (0..self.servers.len()).collect();
-        let whole = Arc::new(self.entries(&all, ServerState::Ready));
+        let whole = Arc::new(self.entries(&all, EndpointState::Ready));
         for relay in 0..self.relays.len() {
             let mut out = Vec::new();
-            self.relays[relay].take_list(self.now, &ListUpdate::Full(whole.clone()), &mut out);
+            self.relays[relay].take_list(self.now, &EndpointUpdate::Full(whole.clone()), &mut out);
         }
         let (mut steps, length) = day.scenario.steps();
         steps.reverse();
@@ -311,14 +312,14 @@
         Ok(())
     }
 
-    fn entries(&self, servers: &[usize], state: ServerState) -> Vec<ServerEntry> {
+    fn entries(&self, servers: &[usize], state: EndpointState) -> Vec<Endpoint> {
         let entry = |n: &usize| {
             let server = &self.servers[*n];
-            ServerEntry {
-                server: server.id.clone(),
+            Endpoint {
+                id: server.id.clone(),
                 kind: None,
                 weight: server.model.make().weight,
-                started: server.model.started(),
+                started_at: server.model.started(),
                 zone: Some(ZoneId(server.site)),
                 cell: CellId(0),
                 state,
@@ -328,7 +329,7 @@
     }
 
     /// News of card servers goes to each relay, in a time of its own.
-    fn tell(&mut self, servers: &[usize], state: ServerState, together: bool) {
+    fn tell(&mut self, servers: &[usize], state: EndpointState, together: bool) {
         let number = self.told.len() as u64;
         let list = Arc::new(self.entries(servers, state));
         self.told.push(list);
@@ -345,7 +346,7 @@
                 return;
             }
             self.news.pop();
-            let update = ListUpdate::Delta(self.told[number as usize].clone());
+            let update = EndpointUpdate::Delta(self.told[number as usize].clone());
             let mut out = Vec::new();
             self.relays[relay].take_list(self.now, &update, &mut out);
             self.act(relay, out);
@@ -372,7 +373,7 @@
 
     fn ask(&mut self, client: Client) {
         self.outcome.clients_asked += 1;
-        let deck = GroupKey(format!("{:x}", client.deck).into());
+        let deck = AffinityGroup(format!("{:x}", client.deck).into());
         let began = Instant::now();
         let verdict = self.relays[client.relay].ask(self.now, Some(&deck));
         self.asks.saturating_record(began.elapsed().as_nanos() as u64);
@@ -427,13 +428,13 @@
 
     /// A card server within reach, at home if that is open: the first of the deck's that has room, or the roomiest of
     /// some drawn. The deck's are those that come first in a race that all relays see alike.
-    fn draw(&mut self, relay: usize, reach: Reach, deck: u64) -> Option<usize> {
+    fn draw(&mut self, relay: usize, reach: ZoneSet, deck: u64) -> Option<usize> {
         let home = relay % self.by_site.len();
-        let site = match reach.holds(Some(ZoneId(home))) {
+        let site = match reach.contains(Some(ZoneId(home))) {
             true => home,
             false => {
                 let open: Vec<usize> =
-                    (0..self.by_site.len()).filter(|s| reach.holds(Some(ZoneId(*s)))).collect();
+                    (0..self.by_site.len()).filter(|s| reach.contains(Some(ZoneId(*s)))).collect();
                 *open.get(self.rng.random_range(0..open.len().max(1)))?
             }
         };
@@ -521,7 +522,7 @@
             Step::Kill { site, but } => {
                 let down: Vec<usize> = self.by_site[site % sites].iter().copied().skip(but).collect();
                 self.end(&down);
-                self.tell(&down, ServerState::Gone, false);
+                self.tell(&down, EndpointState::Removed, false);
             }
             Step::Silence(site) => {
                 let down = self.by_site[site % sites].clone();
@@ -535,14 +536,14 @@
                     server.model = CardModel::new(server.model.make().clone(), self.now);
                     server.up = true;
                 }
-                self.tell(&back, ServerState::Ready, together);
+                self.tell(&back, EndpointState::Ready, together);
             }
             // Refused at the start.
             Step::KillRelays(_) => {}
             Step::Surge(site, factor) => self.surge[site % sites] = factor,
             Step::Drain(site) => {
                 let one: Vec<usize> = self.by_site[site % sites].iter().copied().take(1).collect();
-                self.tell(&one, ServerState::Draining, true);
+                self.tell(&one, EndpointState::Draining, true);
             }
         }
     }
--- a/crates/zone-failover/src/book.rs
+++ b/crates/zone-failover/src/book.rs
@@ -2,16 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use honeyknot_balancer::interface::{GroupKey, Micros, RequestId, ServerId, ZoneId};
+use honeyknot_balancer::{AffinityGroup, EndpointId, Micros, RequestId, ZoneId};
 
 /// A session in the book.
 pub struct Entry {
     /// Its card server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// The card server's site.
     pub site: ZoneId,
     /// Its deck.
-    pub deck: Option<GroupKey>,
+    pub deck: Option<AffinityGroup>,
     /// Its load in usual sessions.
     pub units: f64,
     /// Since when it stands, or its attempt is out.
@@ -26,13 +26,13 @@
 pub struct Book {
     entries: BTreeMap<RequestId, Entry>,
     /// Sessions of each deck on each card server.
-    decks: BTreeMap<(ServerId, GroupKey), u32>,
+    decks: BTreeMap<(EndpointId, AffinityGroup), u32>,
     /// How many card servers of each site hold a deck by this relay's sessions.
-    deck_sites: BTreeMap<(ZoneId, GroupKey), u32>,
+    deck_sites: BTreeMap<(ZoneId, AffinityGroup), u32>,
     /// Usual sessions, and decks, held at each site.
     held: BTreeMap<ZoneId, (f64, u32)>,
     /// The sessions of each site that stand, by deck.
-    standing: BTreeMap<ZoneId, BTreeSet<(Option<GroupKey>, RequestId)>>,
+    standing: BTreeMap<ZoneId, BTreeSet<(Option<AffinityGroup>, RequestId)>>,
 }
 
 impl Book {
@@ -103,7 +103,7 @@
     }
 
     /// Whether a deck has a session of this relay at a site already.
-    pub fn has_deck(&self, site: ZoneId, deck: &GroupKey) -> bool {
+    pub fn has_deck(&self, site: ZoneId, deck: &AffinityGroup) -> bool {
         self.deck_sites.contains_key(&(site, deck.clone()))
     }
 
@@ -120,9 +120,9 @@
     /// The next session to leave, of one site or any: of the deck named, or of the first deck from `after` on, so that
     /// a deck's sessions follow each other. Those that stand for less than `least` stay.
     pub fn next(
-        &self, site: Option<ZoneId>, deck: &Option<GroupKey>, now: Micros, least: Micros,
-    ) -> Option<(Option<GroupKey>, RequestId)> {
-        let ripe = |(_, id): &&(Option<GroupKey>, RequestId)| {
+        &self, site: Option<ZoneId>, deck: &Option<AffinityGroup>, now: Micros, least: Micros,
+    ) -> Option<(Option<AffinityGroup>, RequestId)> {
+        let ripe = |(_, id): &&(Option<AffinityGroup>, RequestId)| {
             self.entries.get(id).is_some_and(|e| now >= e.since + least)
         };
         let sites = || self.standing.iter().filter(|(at, _)| site.is_none_or(|s| s == **at)).map(|(_, s)| s);
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -21,7 +21,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use honeyknot_balancer::interface::*;
+use honeyknot_balancer::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The decisions may place it within these sites.
-    Within(Reach),
+    Within(ZoneSet),
     /// It is turned away at once, and told to come back after this.
     Refuse(Micros),
 }
@@ -95,7 +95,7 @@
     /// Send this session's client away politely.
     Move(RequestId),
     /// Ask this card server how it is.
-    Ask(ServerId),
+    Ask(EndpointId),
     /// A line for the operators.
     Log(String),
 }
@@ -181,7 +181,7 @@
     cold: Micros,
     start_capacity: f64,
     rng: Pcg64Mcg,
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     places: Vec<Place>,
     book: Book,
     /// How many more newcomers may leave the site.
@@ -193,7 +193,7 @@
     /// Sessions may be moved.
     moves_open: bool,
     /// The deck whose sessions are being moved.
-    moving: Option<GroupKey>,
+    moving: Option<AffinityGroup>,
     /// The roll that is held is from before the start.
     hearsay: bool,
     blind: bool,
@@ -206,11 +206,11 @@
     /// A relay's part; the roll comes as news. Errors name what does not fit together.
     pub fn new(setup: Setup, now: Micros) -> Result<Sites, String> {
         let Setup { plan, names, home, relays, cold, start_capacity, seed } = setup;
-        if names.len() > Reach::MOST {
+        if names.len() > ZoneSet::MAX_ZONES {
             return Err(format!(
                 "there are {} sites; at most {} can be told apart",
                 names.len(),
-                Reach::MOST
+                ZoneSet::MAX_ZONES
             ));
         }
         let own = names.get(home.0).ok_or("the relay's own site is not among the settings' sites")?.clone();
@@ -287,31 +287,32 @@
     // ---- News --------------------------------------------------------------------------------------------
 
     /// What the roll says. A cached one is from before this relay's start and is not relied on.
-    pub fn take_list(&mut self, now: Micros, update: &ListUpdate, out: &mut Vec<Do>) {
+    pub fn take_list(&mut self, now: Micros, update: &EndpointUpdate, out: &mut Vec<Do>) {
         let (entries, whole) = match update {
-            ListUpdate::Failed => return,
-            ListUpdate::Full(entries) | ListUpdate::Cached(entries) => (entries, true),
-            ListUpdate::Delta(entries) => (entries, false),
+            EndpointUpdate::Failed => return,
+            EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (entries, true),
+            EndpointUpdate::Delta(entries) => (entries, false),
         };
         if whole {
-            let named: BTreeSet<&ServerId> = entries.iter().map(|e| &e.server).collect();
+            let named: BTreeSet<&EndpointId> = entries.iter().map(|e| &e.id).collect();
             self.servers.retain(|id, _| named.contains(id));
         }
         for entry in entries.iter() {
             let Some(site) = entry.zone.filter(|z| z.0 < self.places.len()) else { continue };
-            if entry.state == ServerState::Gone {
-                self.servers.remove(&entry.server);
+            if entry.state == EndpointState::Removed {
+                self.servers.remove(&entry.id);
                 continue;
             }
             let weight = if entry.weight.is_finite() { entry.weight.max(1e-3) } else { 1.0 };
-            let known = self.servers.get(&entry.server).filter(|s| s.started == entry.started);
+            let known = self.servers.get(&entry.id).filter(|s| s.started == entry.started_at);
             let (strikes, alive, load, asked) =
                 known.map_or((0, 0, None, 0), |s| (s.strikes, s.alive, s.load, s.asked));
-            let ready = entry.state == ServerState::Ready;
-            let server = Server { site, weight, started: entry.started, ready, strikes, alive, load, asked };
-            self.servers.insert(entry.server.clone(), server);
+            let ready = entry.state == EndpointState::Ready;
+            let server =
+                Server { site, weight, started: entry.started_at, ready, strikes, alive, load, asked };
+            self.servers.insert(entry.id.clone(), server);
         }
-        if !matches!(update, ListUpdate::Cached(_)) {
+        if !matches!(update, EndpointUpdate::Cached(_)) {
             self.hearsay = false;
         }
         self.survey(now, out);
@@ -345,7 +346,7 @@
     }
 
     /// An attempt or a probe has ended: the card server gave a sign of life, or none.
-    pub fn sign(&mut self, now: Micros, server: &ServerId, alive: bool, out: &mut Vec<Do>) {
+    pub fn sign(&mut self, now: Micros, server: &EndpointId, alive: bool, out: &mut Vec<Do>) {
         let Some(known) = self.servers.get_mut(server) else { return };
         let was = known.silent();
         if alive {
@@ -360,14 +361,14 @@
     }
 
     /// A card server has reported its load.
-    pub fn reported(&mut self, now: Micros, server: &ServerId, load: f64) {
+    pub fn reported(&mut self, now: Micros, server: &EndpointId, load: f64) {
         if let Some(known) = self.servers.get_mut(server).filter(|_| load.is_finite() && load >= 0.0) {
             known.load = Some((load, now));
         }
     }
 
     /// The decisions have sent a session's attempt to a card server.
-    pub fn placed(&mut self, now: Micros, id: RequestId, server: &ServerId, deck: Option<&GroupKey>) {
+    pub fn placed(&mut self, now: Micros, id: RequestId, server: &EndpointId, deck: Option<&AffinityGroup>) {
         self.book.remove(id);
         let Some(site) = self.servers.get(server).map(|s| s.site) else { return };
         let place = &mut self.places[site.0];
@@ -385,7 +386,7 @@
     }
 
     /// A session from before this relay's start stands at a card server.
-    pub fn adopted(&mut self, now: Micros, id: RequestId, server: &ServerId, deck: Option<&GroupKey>) {
+    pub fn adopted(&mut self, now: Micros, id: RequestId, server: &EndpointId, deck: Option<&AffinityGroup>) {
         if self.servers.get(server).is_some_and(|s| s.site != self.home) {
             self.placed(now, id, server, deck);
             self.book.stands(id, now);
@@ -419,9 +420,9 @@
     // ---- Newcomers ---------------------------------------------------------------------------------------
 
     /// What is to become of a newcomer.
-    pub fn ask(&mut self, now: Micros, deck: Option<&GroupKey>) -> Verdict {
+    pub fn ask(&mut self, now: Micros, deck: Option<&AffinityGroup>) -> Verdict {
         self.leave = (self.leave + self.plan.leave_limit).min(LEAVE_BURST);
-        let mut reach = Reach::NOWHERE;
+        let mut reach = ZoneSet::EMPTY;
         let home = &self.places[self.home.0];
         let up = home.site.up() && !self.hearsay;
         let open = match home.site.standing() {
@@ -447,7 +448,7 @@
                 }
             }
         }
-        if reach == Reach::NOWHERE {
+        if reach == ZoneSet::EMPTY {
             let rate = fade(self.admitted, now, RATE_TIME) / (RATE_TIME / 1e6);
             return Verdict::Refuse(self.come_back.next(now, rate, &mut self.rng));
         }
@@ -455,7 +456,7 @@
     }
 
     /// Whether a site takes one more session of another site from this relay.
-    fn takes(&self, site: ZoneId, now: Micros, deck: Option<&GroupKey>) -> bool {
+    fn takes(&self, site: ZoneId, now: Micros, deck: Option<&AffinityGroup>) -> bool {
         let place = &self.places[site.0];
         // A roll from before the start proves nothing: somebody there must have answered.
         let proven = !self.hearsay || place.sum.proven;
--- a/crates/zone-failover/src/pace.rs
+++ b/crates/zone-failover/src/pace.rs
@@ -1,6 +1,6 @@
 //! Paces: a token bucket, and times to come back that spread those who are turned away.
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/zone-failover/src/plan.rs
+++ b/crates/zone-failover/src/plan.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use honeyknot_operator_config::{Directive, Faults, Section, parse, units};
 
 /// The operators' settings for sites. [`Plan::default`] holds what an empty file means.
--- a/crates/zone-failover/src/site.rs
+++ b/crates/zone-failover/src/site.rs
@@ -1,6 +1,6 @@
 //! One site as a relay sees it: up, lost, or on its way back.
 
-use honeyknot_balancer::interface::Micros;
+use honeyknot_balancer::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/zone-failover/tests/sites.rs
+++ b/crates/zone-failover/tests/sites.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use honeyknot_balancer::interface::*;
+use honeyknot_balancer::*;
 use honeyknot_zone_failover::site::Standing;
 use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 
@@ -13,16 +13,16 @@
 /// Card servers a site.
 const SERVERS: usize = 4;
 
-fn sid(site: usize, number: usize) -> ServerId {
-    ServerId(Arc::from(format!("{}-{number}", NAMES[site])))
+fn sid(site: usize, number: usize) -> EndpointId {
+    EndpointId(Arc::from(format!("{}-{number}", NAMES[site])))
 }
 
-fn entry(site: usize, number: usize, state: ServerState, started: Micros) -> ServerEntry {
-    ServerEntry {
-        server: sid(site, number),
+fn entry(site: usize, number: usize, state: EndpointState, started: Micros) -> Endpoint {
+    Endpoint {
+        id: sid(site, number),
         kind: None,
         weight: 1.0,
-        started,
+        started_at: started,
         zone: Some(ZoneId(site)),
         cell: CellId(0),
         state,
@@ -30,12 +30,14 @@
 }
 
 /// News of some card servers of a site.
-fn news(site: usize, numbers: std::ops::Range<usize>, state: ServerState, started: Micros) -> ListUpdate {
-    ListUpdate::Delta(Arc::new(numbers.map(|n| entry(site, n, state, started)).collect()))
+fn news(
+    site: usize, numbers: std::ops::Range<usize>, state: EndpointState, started: Micros,
+) -> EndpointUpdate {
+    EndpointUpdate::Delta(Arc::new(numbers.map(|n| entry(site, n, state, started)).collect()))
 }
 
-fn whole() -> Vec<ServerEntry> {
-    let all = (0..4).flat_map(|site| (0..SERVERS).map(move |n| entry(site, n, ServerState::Ready, 0)));
+fn whole() -> Vec<Endpoint> {
+    let all = (0..4).flat_map(|site| (0..SERVERS).map(move |n| entry(site, n, EndpointState::Ready, 0)));
     all.collect()
 }
 
@@ -68,19 +70,19 @@
     fn new(plan: &Plan) -> World {
         let mut relays: Vec<Sites> = (0..4).map(|i| sites(i, plan.clone(), i as u64 + 7)).collect();
         for relay in &mut relays {
-            relay.take_list(START, &ListUpdate::Full(Arc::new(whole())), &mut Vec::new());
+            relay.take_list(START, &EndpointUpdate::Full(Arc::new(whole())), &mut Vec::new());
         }
         let (moves, log, placed) = (Vec::new(), Vec::new(), BTreeMap::new());
         World { now: START, relays, mute: Vec::new(), load: [0.3; 4], moves, log, next: 0, placed }
     }
 
-    fn tell(&mut self, relay: usize, update: &ListUpdate) {
+    fn tell(&mut self, relay: usize, update: &EndpointUpdate) {
         let mut out = Vec::new();
         self.relays[relay].take_list(self.now, update, &mut out);
         self.carry_out(relay, out);
     }
 
-    fn tell_all(&mut self, update: &ListUpdate) {
+    fn tell_all(&mut self, update: &EndpointUpdate) {
         (0..4).for_each(|relay| self.tell(relay, update));
     }
 
@@ -118,12 +120,12 @@
     }
 
     /// A newcomer; if let in, it stands at the first site within its reach, its own before others.
-    fn newcomer(&mut self, relay: usize, deck: Option<&GroupKey>) -> Result<usize, Micros> {
+    fn newcomer(&mut self, relay: usize, deck: Option<&AffinityGroup>) -> Result<usize, Micros> {
         match self.relays[relay].ask(self.now, deck) {
             Verdict::Refuse(away) => Err(away),
             Verdict::Within(reach) => {
                 let order = [relay, 0, 1, 2, 3];
-                let site = order.into_iter().find(|s| reach.holds(Some(ZoneId(*s)))).expect("a site");
+                let site = order.into_iter().find(|s| reach.contains(Some(ZoneId(*s)))).expect("a site");
                 self.next += 1;
                 let (id, server) = (RequestId(self.next), sid(site, self.next as usize % SERVERS));
                 self.relays[relay].placed(self.now, id, &server, deck);
@@ -154,12 +156,12 @@
     }
 }
 
-fn gone(site: usize) -> ListUpdate {
-    news(site, 0..SERVERS, ServerState::Gone, 0)
+fn gone(site: usize) -> EndpointUpdate {
+    news(site, 0..SERVERS, EndpointState::Removed, 0)
 }
 
-fn back(site: usize, started: Micros) -> ListUpdate {
-    news(site, 0..SERVERS, ServerState::Ready, started)
+fn back(site: usize, started: Micros) -> EndpointUpdate {
+    news(site, 0..SERVERS, EndpointState::Ready, started)
 }
 
 #[test]
@@ -262,7 +264,7 @@
     let mut world = World::new(&plan);
     world.tell_all(&gone(2));
     world.pass(4 * S);
-    let decks: Vec<GroupKey> = (0..4).map(|n| GroupKey(Arc::from(format!("deck-{n}")))).collect();
+    let decks: Vec<AffinityGroup> = (0..4).map(|n| AffinityGroup(Arc::from(format!("deck-{n}")))).collect();
     let mut deck_of = BTreeMap::new();
     for n in 0..40 {
         let deck = &decks[n % 4];
@@ -281,7 +283,7 @@
     assert_eq!(world.relays[2].spilled(), 0);
     // One relay's part of 4 moves a second over 4 relays.
     assert!(world.moves.windows(2).all(|w| w[1].0 - w[0].0 >= S * 8 / 10));
-    let order: Vec<&GroupKey> = world.moves.iter().map(|(_, _, id)| &deck_of[id]).collect();
+    let order: Vec<&AffinityGroup> = world.moves.iter().map(|(_, _, id)| &deck_of[id]).collect();
     let changes = order.windows(2).filter(|w| w[0] != w[1]).count();
     assert!(changes <= decks.len(), "decks were scattered: {changes} changes");
 }
@@ -357,9 +359,10 @@
 #[test]
 fn a_relay_that_knows_only_its_last_roll_neither_rushes_nor_spills_blindly() {
     let mut relay = sites(2, plan(), 3);
-    relay.take_list(START, &ListUpdate::Cached(Arc::new(whole())), &mut Vec::new());
+    relay.take_list(START, &EndpointUpdate::Cached(Arc::new(whole())), &mut Vec::new());
     let let_in = (0..100).filter(|n| {
-        let within = matches!(relay.ask(START, None), Verdict::Within(reach) if reach.holds(Some(ZoneId(2))));
+        let within =
+            matches!(relay.ask(START, None), Verdict::Within(reach) if reach.contains(Some(ZoneId(2))));
         if within {
             relay.placed(START, RequestId(*n), &sid(2, 0), None);
         }
@@ -368,17 +371,17 @@
     assert!(let_in.count() <= 3);
     // No other site has answered yet either.
     assert!(matches!(relay.ask(START, None), Verdict::Refuse(_)));
-    relay.take_list(START + S, &ListUpdate::Full(Arc::new(whole())), &mut Vec::new());
-    assert!(matches!(relay.ask(START + S, None), Verdict::Within(reach) if reach.holds(Some(ZoneId(2)))));
+    relay.take_list(START + S, &EndpointUpdate::Full(Arc::new(whole())), &mut Vec::new());
+    assert!(matches!(relay.ask(START + S, None), Verdict::Within(reach) if reach.contains(Some(ZoneId(2)))));
 }
 
 #[test]
 fn a_first_start_without_any_roll_takes_no_site_for_lost() {
     let mut relay = sites(2, plan(), 3);
     let mut out = Vec::new();
-    relay.take_list(START, &ListUpdate::Cached(Arc::new(Vec::new())), &mut out);
+    relay.take_list(START, &EndpointUpdate::Cached(Arc::new(Vec::new())), &mut out);
     relay.tick(START + S, &mut out);
-    relay.take_list(START + 2 * S, &ListUpdate::Full(Arc::new(whole())), &mut out);
+    relay.take_list(START + 2 * S, &EndpointUpdate::Full(Arc::new(whole())), &mut out);
     assert!(matches!(relay.standing(ZoneId(2)), Some(Standing::Up { .. })));
     assert!(out.is_empty(), "{out:?}");
 }
@@ -406,14 +409,14 @@
     let mut world = World::new(&plan());
     world.tell_all(&gone(2));
     world.pass(5 * S);
-    world.tell_all(&news(2, 0..1, ServerState::Ready, world.now));
+    world.tell_all(&news(2, 0..1, EndpointState::Ready, world.now));
     assert!(matches!(world.relays[2].standing(ZoneId(2)), Some(Standing::Lost { .. })));
     world.pass(6 * S);
     assert!(matches!(world.relays[2].standing(ZoneId(2)), Some(Standing::Ramping { .. })));
     let mut world = World::new(&plan());
     world.tell_all(&gone(3));
     world.pass(S);
-    world.tell_all(&news(3, 0..2, ServerState::Ready, world.now));
+    world.tell_all(&news(3, 0..2, EndpointState::Ready, world.now));
     assert!(matches!(world.relays[3].standing(ZoneId(3)), Some(Standing::Ramping { .. })));
 }
 
@@ -424,7 +427,7 @@
     world.tell_all(&back(2, world.now - S));
     assert!(matches!(world.relays[2].standing(ZoneId(2)), Some(Standing::Ramping { .. })));
     // One process that is replaced is no such thing.
-    world.tell_all(&news(1, 0..1, ServerState::Ready, world.now - S));
+    world.tell_all(&news(1, 0..1, EndpointState::Ready, world.now - S));
     assert!(matches!(world.relays[1].standing(ZoneId(1)), Some(Standing::Up { .. })));
 }
 
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -16,10 +16,10 @@
 use tokio::task::AbortHandle;
 use tracing::warn;
 
-use crate::interface::Micros;
 use crate::relay::connections::graceful_close;
 use crate::relay::timer_wheel::Timers;
 use call::{Bad, Call};
+use honeyknot_balancer::Micros;
 
 /// Callers at a time. Their descriptors are kept out of what sessions and the crowd may hold.
 pub const CALLERS: usize = 16;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -15,8 +15,8 @@
 use honeyknot_health_check_budget::{Asking, Probes};
 use tracing::{info, warn};
 
-use crate::interface::*;
 use crate::relay::clock::Clock;
+use honeyknot_balancer::*;
 
 /// Sets of findings that may wait for the thread.
 const QUEUE: usize = 16;
@@ -101,19 +101,21 @@
     }
 
     /// What becomes of the wish to probe a card server.
-    pub fn wish(&mut self, now: Micros, server: &ServerId) -> Asking {
+    pub fn wish(&mut self, now: Micros, server: &EndpointId) -> Asking {
         self.probes.wish(now, &self.view.load(), card_number(server))
     }
 
     /// A probe has ended.
-    pub fn ended(&mut self, now: Micros, server: &ServerId, outcome: Outcome, report: Option<&LoadReport>) {
+    pub fn ended(&mut self, now: Micros, server: &EndpointId, outcome: Outcome, report: Option<&LoadReport>) {
         self.probes.ended(now, card_number(server), outcome, report);
     }
 
     /// The card servers out of these that are to be asked now, as this relay is their witness. What it found of late is said again.
-    pub fn duties<'a>(&mut self, now: Micros, servers: impl Iterator<Item = &'a ServerId>) -> Vec<ServerId> {
+    pub fn duties<'a>(
+        &mut self, now: Micros, servers: impl Iterator<Item = &'a EndpointId>,
+    ) -> Vec<EndpointId> {
         let view = self.view.load();
-        let servers: Vec<(u32, &ServerId)> = servers.map(|id| (card_number(id), id)).collect();
+        let servers: Vec<(u32, &EndpointId)> = servers.map(|id| (card_number(id), id)).collect();
         let due = self.probes.due(now, &view, servers.iter().map(|(card, _)| *card));
         let findings = self.probes.findings(now, &view);
         if !findings.is_empty() && self.say.try_send(findings).is_err() {
--- a/src/lease_client/client.rs
+++ b/src/lease_client/client.rs
@@ -17,7 +17,7 @@
 use super::Clock;
 use super::plan::Plan;
 use super::wire::{self, Frame, Hello, Who};
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// Frames that wait for a keeper at the most: a relay has one ask out at a time.
 const QUEUE: usize = 16;
--- a/src/lease_client/mod.rs
+++ b/src/lease_client/mod.rs
@@ -10,7 +10,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// Microseconds of a clock that only goes forward, and goes on while the machine is suspended: one that did not would
 /// trust a lease that is long over.
--- a/src/lease_client/plan.rs
+++ b/src/lease_client/plan.rs
@@ -8,7 +8,7 @@
 use honeyknot_lease::Terms;
 use honeyknot_operator_config::{Faults, Section, parse, units};
 
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// The operators' settings for keepers and their clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/lease_client/wire.rs
+++ b/src/lease_client/wire.rs
@@ -17,7 +17,7 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 use super::plan::Plan;
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// The version that this build speaks. Others are told so and turned away.
 pub const VERSION: u32 = 1;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,5 +9,3 @@
 pub mod logger;
 pub mod relay;
 pub mod wire;
-
-pub use honeyknot_balancer::{Balancer, Withheld, balancer, interface};
--- a/src/relay/clock.rs
+++ b/src/relay/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// Unix time read once, and monotonic time since. Guards against a stepped system clock, while the server
 /// roll's start times can still be compared with it.
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpStream;
 
 use super::protocol::{self, SessionHead, Word, report_value};
-use crate::interface::*;
 use crate::relay::{Order, Placement, Shared};
+use honeyknot_balancer::*;
 
 /// How an attempt went.
 pub(super) enum Came {
@@ -93,7 +93,7 @@
         Word::Up => Came::Up(server, bytes),
         Word::Bye(_) => Came::Served(bytes),
         Word::Move => Came::Ended(Outcome::Cancelled, None),
-        Word::Busy(text) => Came::Ended(Outcome::Full, report(text)),
+        Word::Busy(text) => Came::Ended(Outcome::Rejected, report(text)),
         Word::Err(text) => Came::Ended(Outcome::Error, report(text)),
         _ => Came::Ended(Outcome::Error, None),
     }
@@ -101,7 +101,7 @@
 
 /// Dials the card server of a session from before the run, once.
 pub(super) async fn dial_again(
-    relay: &Shared, head: &SessionHead, id: &ServerId, address: std::net::SocketAddr,
+    relay: &Shared, head: &SessionHead, id: &EndpointId, address: std::net::SocketAddr,
 ) -> Option<(TcpStream, BytesMut)> {
     let mut server = TcpStream::connect(address).await.ok()?;
     // Guards against a connection that comes up after an operator has taken the card server out.
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -12,9 +12,9 @@
 use super::graceful_close::end;
 use super::handshake::{BUFFER, Client, SeatGuard};
 use super::protocol::{LineWatch, MOVE, SessionHead, Word};
-use crate::interface::*;
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{Order, Shared};
+use honeyknot_balancer::*;
 
 /// A client's line without a whole line back for this long: the card server is silent there and the client is moved.
 /// Clients send a line every 2 s, so the last answer may be older by as much, and 7 s is all that it may be.
@@ -95,7 +95,7 @@
         return Err(io::Error::other("no descriptors to spare, or no sound head"));
     };
     let open = relay.borrow().open_id(&head);
-    let taken = relay.borrow_mut().take_up(&head, ServerId(bundle.server.as_str().into()));
+    let taken = relay.borrow_mut().take_up(&head, EndpointId(bundle.server.as_str().into()));
     let (Some(open), Some((id, mut orders))) = (open, taken) else {
         Passed { bundle, client, server }.send_away(&timers);
         return Err(io::Error::other("its id is open here, or its class is not known"));
@@ -247,7 +247,7 @@
     }
 
     /// Has another process of this relay go on with it, or moves the client if there is none any more.
-    fn pass_on(self, server: &ServerId) {
+    fn pass_on(self, server: &EndpointId) {
         let bundle = Bundle {
             head: self.head.as_sent().to_vec(),
             server: server.0.as_ref().to_owned(),
--- a/src/relay/connections/graceful_close.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -6,8 +6,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use crate::interface::Micros;
 use crate::relay::timer_wheel::Timers;
+use honeyknot_balancer::Micros;
 
 /// What is read of a connection that gets its last line, at the most: closing with unread bytes may reset the
 /// connection before that line is read, and a client that floods must not be read for ever.
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -13,10 +13,10 @@
 use super::graceful_close::{FAREWELL, end};
 use super::idle::Place;
 use super::protocol::{self, FAILED, Malformed, SessionHead};
-use crate::interface::*;
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{Held, Order, Placement, Shared};
+use honeyknot_balancer::*;
 
 /// A connection that has not asked for a session after this is ended, however slowly its line drips and however
 /// often it sent `PING`: it is owed an answer or a close within 3 s, of which it may have waited a part to be accepted.
@@ -49,7 +49,7 @@
                 relay.borrow_mut().meter_head(&head, Answer::Failed);
                 return side.farewell(FAILED).await;
             };
-            match head.holder().map(|id| ServerId(id.into())) {
+            match head.holder().map(|id| EndpointId(id.into())) {
                 Some(server) => adopt(relay, side, head, server, place).await,
                 None => study(relay, side, head, place).await,
             }
@@ -327,7 +327,7 @@
 }
 
 /// A session that stood at a card server before the run: it goes to that one, however late the roll names it.
-async fn adopt(relay: Shared, mut client: Client, head: SessionHead, server: ServerId, place: Place) {
+async fn adopt(relay: Shared, mut client: Client, head: SessionHead, server: EndpointId, place: Place) {
     drop(place);
     let Some(_second) = relay.borrow().hold_descriptor() else {
         relay.borrow_mut().meter_refused("descriptors", None);
@@ -357,7 +357,7 @@
 }
 
 /// Dials the card server of a session from before the run until it is up there.
-async fn find_again(relay: &Shared, head: &SessionHead, server: &ServerId) -> (TcpStream, BytesMut) {
+async fn find_again(relay: &Shared, head: &SessionHead, server: &EndpointId) -> (TcpStream, BytesMut) {
     let timers = relay.borrow().timers.clone();
     loop {
         // What is out by hand gets nothing, not even a session that stood there.
--- a/src/relay/connections/protocol.rs
+++ b/src/relay/connections/protocol.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use crate::interface::Micros;
+use honeyknot_balancer::Micros;
 
 /// The longest line, with its end.
 pub const LONGEST: usize = 4096;
--- a/src/relay/endpoints/discovery_client.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{info, warn};
 
-use crate::interface::*;
 use crate::relay::Shared;
 use crate::relay::connections::protocol::address;
 use crate::relay::timer_wheel::Timers;
-use crate::wire::Names;
+use crate::wire::NameTable;
+use honeyknot_balancer::*;
 
 /// A connection that is not up after this counts as a failed call: one lost packet is sent again after a second.
 /// Guards against a reload that spends its whole time on an address where nothing answers.
@@ -33,13 +33,13 @@
     /// It names all card servers, not only those that changed.
     pub whole: bool,
     /// The card servers.
-    pub entries: Vec<ServerEntry>,
+    pub entries: Vec<Endpoint>,
     /// Where this relay reaches them.
-    pub addresses: Vec<(ServerId, SocketAddr)>,
+    pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
 /// Reads the roll in discovery's form.
-pub fn read_roll(value: &Value, names: &Names) -> Result<RollNews, String> {
+pub fn read_roll(value: &Value, names: &NameTable) -> Result<RollNews, String> {
     let version = value.get("version").and_then(Value::as_u64).ok_or("the roll has no version")?;
     let whole = value.get("full").and_then(Value::as_bool).ok_or("the roll does not say if it is whole")?;
     let servers = value.get("servers").and_then(Value::as_array).ok_or("the roll has no servers")?;
@@ -47,8 +47,8 @@
     for server in servers {
         let entry = read_entry(server, names)?;
         match server.get("addr").and_then(Value::as_str).and_then(address) {
-            Some(addr) => news.addresses.push((entry.server.clone(), addr)),
-            None if entry.state == ServerState::Gone => {}
+            Some(addr) => news.addresses.push((entry.id.clone(), addr)),
+            None if entry.state == EndpointState::Removed => {}
             None => return Err("a card server has no address".into()),
         }
         news.entries.push(entry);
@@ -56,24 +56,24 @@
     Ok(news)
 }
 
-fn read_entry(server: &Value, names: &Names) -> Result<ServerEntry, String> {
+fn read_entry(server: &Value, names: &NameTable) -> Result<Endpoint, String> {
     let text = |name: &str| server.get(name).and_then(Value::as_str);
     let id = text("id").filter(|id| !id.is_empty()).ok_or("a card server has no id")?;
     let state = match text("state") {
-        Some("active") => ServerState::Ready,
-        Some("leaving") => ServerState::Draining,
-        Some("left") => ServerState::Gone,
+        Some("active") => EndpointState::Ready,
+        Some("leaving") => EndpointState::Draining,
+        Some("left") => EndpointState::Removed,
         _ => return Err(format!("{id} has no known state")),
     };
     let number = |name: &str, default: f64| match server.get(name) {
         None | Some(Value::Null) => Ok(default),
         Some(v) => v.as_f64().filter(|n| *n >= 0.0).ok_or_else(|| format!("{id}: `{name}` is no number")),
     };
-    Ok(ServerEntry {
-        server: ServerId(id.into()),
+    Ok(Endpoint {
+        id: EndpointId(id.into()),
         kind: text("kind").and_then(|k| names.kind(k)),
         weight: number("weight", 1.0)?,
-        started: (number("started_ms", 0.0)? * 1e3) as Micros,
+        started_at: (number("started_ms", 0.0)? * 1e3) as Micros,
         zone: text("zone").and_then(|z| names.zone(z)),
         cell: CellId(number("cell", 0.0)? as u64),
         state,
@@ -368,7 +368,7 @@
     let Roll { version, whole, entries } = caller.heard(now, answer);
     let mut addresses = news.addresses;
     if entries.len() < told {
-        let known: BTreeSet<&ServerId> = entries.iter().map(|entry| &entry.server).collect();
+        let known: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
         addresses.retain(|(id, _)| known.contains(id));
     }
     RollNews { version, whole, entries, addresses }
@@ -379,8 +379,8 @@
     let held = Roll { version: known.version, whole: true, entries: known.entries.clone() };
     // A seed of its own: the decisions draw from the same one.
     let seed = seed.rotate_left(32) ^ 0x115_7e4;
-    let agent = (settings.discovery == Discovery::Pushed).then_some(settings.rules.drain_grace);
-    let told = Told { relays: settings.fleet_size, must_ask_in: settings.rules.must_ask_in, agent, seed };
+    let agent = (settings.discovery == DiscoveryMode::Pushed).then_some(settings.rules.drain_grace);
+    let told = Told { relays: settings.fleet_size, must_ask_in: settings.rules.max_list_age, agent, seed };
     Caller::new(told, &held, now)
 }
 
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use honeyknot_balancer::maintenance::Unknown;
+use honeyknot_balancer::maintenance::UnknownEndpoint;
 use honeyknot_discovery::Trouble;
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
 use super::discovery_client::{Ask, Failure, RollNews};
-use crate::interface::*;
 use crate::relay::Relay;
+use honeyknot_balancer::*;
 
 /// The tag's value of a failed call.
 fn trouble_word(trouble: Trouble) -> &'static str {
@@ -25,9 +25,9 @@
 
 impl Relay {
     pub(in crate::relay) fn take_known(&mut self, news: RollNews) {
-        let update = ListUpdate::Cached(self.note_roll(news));
+        let update = EndpointUpdate::Cached(self.note_roll(news));
         self.site_news(&update);
-        self.feed(Event::Servers { version: self.version, update });
+        self.feed(Event::EndpointsUpdated { version: self.version, update });
     }
 
     /// News of the server roll. They are applied before anything else is sent.
@@ -40,12 +40,12 @@
         let outcome = if news.entries.is_empty() && news.version == self.version { "quiet" } else { "news" };
         self.meter(|book| book.count(Family::RollCalls, outcome));
         let entries = self.note_roll(news);
-        let update = if whole { ListUpdate::Full(entries) } else { ListUpdate::Delta(entries) };
+        let update = if whole { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
         self.site_news(&update);
-        self.feed(Event::Servers { version: self.version, update });
+        self.feed(Event::EndpointsUpdated { version: self.version, update });
     }
 
-    fn note_roll(&mut self, news: RollNews) -> Arc<Vec<ServerEntry>> {
+    fn note_roll(&mut self, news: RollNews) -> Arc<Vec<Endpoint>> {
         self.version = news.version;
         self.addresses.extend(news.addresses);
         let entries = self.withheld.news(news.entries, news.whole);
@@ -53,54 +53,54 @@
     }
 
     /// Notes a roll, or changes of it, as the decisions are to see it.
-    fn note_entries(&mut self, entries: Vec<ServerEntry>, whole: bool) -> Arc<Vec<ServerEntry>> {
+    fn note_entries(&mut self, entries: Vec<Endpoint>, whole: bool) -> Arc<Vec<Endpoint>> {
         let mut drains = 0;
         for entry in &entries {
-            self.zones.extend(entry.zone.map(|zone| (entry.server.clone(), zone)));
-            if entry.state == ServerState::Ready {
-                self.leaving.remove(&entry.server);
-            } else if self.leaving.insert(entry.server.clone()) {
-                drains += u64::from(entry.state == ServerState::Draining);
+            self.zones.extend(entry.zone.map(|zone| (entry.id.clone(), zone)));
+            if entry.state == EndpointState::Ready {
+                self.leaving.remove(&entry.id);
+            } else if self.leaving.insert(entry.id.clone()) {
+                drains += u64::from(entry.state == EndpointState::Draining);
             }
         }
         self.meter(|book| book.add(Family::Drains, 0, drains));
         if whole {
-            let named = |id: &ServerId| entries.iter().any(|e| e.server == *id);
-            let lost: Vec<ServerId> = self.addresses.keys().filter(|id| !named(id)).cloned().collect();
+            let named = |id: &EndpointId| entries.iter().any(|e| e.id == *id);
+            let lost: Vec<EndpointId> = self.addresses.keys().filter(|id| !named(id)).cloned().collect();
             self.leaving.extend(lost);
         }
         // A probe of a card server that is gone has nothing left to ask.
-        let gone = entries.iter().filter(|e| e.state == ServerState::Gone);
-        gone.for_each(|e| drop(self.probes.remove(&e.server)));
+        let gone = entries.iter().filter(|e| e.state == EndpointState::Removed);
+        gone.for_each(|e| drop(self.probes.remove(&e.id)));
         Arc::new(entries)
     }
 
     /// Takes a card server out by hand. When this returns, nothing new goes there.
-    pub fn take_out(&mut self, id: &ServerId) -> Result<(), Unknown> {
+    pub fn take_out(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
         let seen = self.withheld.take_out(self.timers.clock.now(), id)?;
         self.show(seen);
         Ok(())
     }
 
     /// Puts a card server back that was taken out by hand.
-    pub fn put_back(&mut self, id: &ServerId) -> Result<(), Unknown> {
+    pub fn put_back(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
         let seen = self.withheld.put_back(self.timers.clock.now(), id)?;
         self.show(seen);
         Ok(())
     }
 
     /// Whether a card server is out by hand.
-    pub fn withholds(&self, id: &ServerId) -> bool {
+    pub fn withholds(&self, id: &EndpointId) -> bool {
         self.withheld.holds(id)
     }
 
     /// Tells the decisions what operators have changed of a card server.
-    pub(in crate::relay) fn show(&mut self, seen: Option<ServerEntry>) {
+    pub(in crate::relay) fn show(&mut self, seen: Option<Endpoint>) {
         let Some(entry) = seen else { return };
-        info!(target: "admin", server = &*entry.server.0, state = ?entry.state, "by hand");
-        let update = ListUpdate::Delta(self.note_entries(vec![entry], false));
+        info!(target: "admin", server = &*entry.id.0, state = ?entry.state, "by hand");
+        let update = EndpointUpdate::Delta(self.note_entries(vec![entry], false));
         self.site_news(&update);
-        self.feed(Event::Servers { version: self.version, update });
+        self.feed(Event::EndpointsUpdated { version: self.version, update });
     }
 
     /// A call to discovery failed.
@@ -112,7 +112,7 @@
             book.add(Family::RollFailures, 0, 1);
             book.count(Family::RollCalls, trouble_word(failure.trouble));
         });
-        self.feed(Event::Servers { version: self.version, update: ListUpdate::Failed });
+        self.feed(Event::EndpointsUpdated { version: self.version, update: EndpointUpdate::Failed });
     }
 
     /// Whether discovery has told its roll since the start.
@@ -127,12 +127,12 @@
     }
 
     /// Where this relay reaches a card server.
-    pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
+    pub fn address(&self, server: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(server).copied()
     }
 
     /// Nobody listens at a card server. Where the list says that it is ready, the list is old.
-    pub fn refused_by(&self, server: &ServerId) {
+    pub fn refused_by(&self, server: &EndpointId) {
         if !self.leaving.contains(server) {
             self.ask_discovery(Ask::Refused);
         }
@@ -140,7 +140,7 @@
 
     /// Whether a head may still be written to a card server. Guards against an attempt that was placed before
     /// the news of a drain and connects after it: the news may have counted as told for a while already.
-    pub fn may_still_send(&self, server: &ServerId) -> bool {
+    pub fn may_still_send(&self, server: &EndpointId) -> bool {
         !self.leaving.contains(server)
     }
 }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -5,9 +5,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::interface::*;
 use crate::relay::connections::protocol::{Word, first_line, report_value};
 use crate::relay::{Held, Shared};
+use honeyknot_balancer::*;
 
 /// A probe without an answer after this has failed.
 const PROBE_WAIT: Micros = 500_000;
@@ -21,7 +21,7 @@
 }
 
 /// Starts the probe of a card server.
-pub fn start(relay: Shared, server: ServerId) -> UnboundedSender<Errand> {
+pub fn start(relay: Shared, server: EndpointId) -> UnboundedSender<Errand> {
     let (errands, asked) = unbounded_channel();
     tokio::task::spawn_local(run(relay, server, asked));
     errands
@@ -30,7 +30,7 @@
 /// The kept connection of a probe, and its descriptor in the count.
 type Line = Option<(TcpStream, Held)>;
 
-async fn run(relay: Shared, server: ServerId, mut errands: UnboundedReceiver<Errand>) {
+async fn run(relay: Shared, server: EndpointId, mut errands: UnboundedReceiver<Errand>) {
     let timers = relay.borrow().timers.clone();
     let idle = relay.borrow().idle_close();
     let mut line: Line = None;
@@ -59,7 +59,7 @@
 }
 
 /// One probe. A kept connection that turns out closed is opened anew: only its closing was seen late.
-async fn look(relay: &Shared, server: &ServerId, line: &mut Line) -> (Outcome, Option<LoadReport>) {
+async fn look(relay: &Shared, server: &EndpointId, line: &mut Line) -> (Outcome, Option<LoadReport>) {
     if let Some((stream, _)) = line
         && let Some(found) = ask(relay, stream).await
     {
@@ -104,8 +104,8 @@
     Some(match Word::read(&bytes[..end]) {
         Word::Pong(text) => (Outcome::Ok, report(text)),
         Word::Err(text) => (Outcome::Error, report(text)),
-        Word::Busy(text) => (Outcome::Full, report(text)),
-        Word::No => (Outcome::Moot, None),
+        Word::Busy(text) => (Outcome::Rejected, report(text)),
+        Word::No => (Outcome::NotSent, None),
         _ => (Outcome::Error, None),
     })
 }
--- a/src/relay/endpoints/message_latency.rs
+++ b/src/relay/endpoints/message_latency.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::*;
+use honeyknot_balancer::*;
 
 /// How often standing delays are looked at.
 pub const LOOK: Micros = DELAY_TOLD / 4;
@@ -32,19 +32,20 @@
     aim: Option<Micros>,
     /// Delays are measured by probes.
     measures: bool,
-    slow: BTreeMap<ServerId, Slow>,
+    slow: BTreeMap<EndpointId, Slow>,
     /// When card servers are next to be asked for what messages take there.
-    measure_at: BTreeMap<ServerId, Micros>,
+    measure_at: BTreeMap<EndpointId, Micros>,
 }
 
 impl Delays {
     /// None known yet.
     pub fn new(settings: &Settings) -> Delays {
-        let aims = settings.classes.iter().map(|c| c.message_aim).filter(|aim| *aim > 0);
-        let probes = settings.permissions.probes && settings.reports != ReportSource::Nowhere;
+        let aims = settings.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0);
+        let probes =
+            settings.permissions.health_checks && settings.load_reports != LoadReportSource::Unavailable;
         Delays {
-            aim: aims.min().filter(|_| settings.tells_delay),
-            measures: settings.tells_delay && probes,
+            aim: aims.min().filter(|_| settings.reports_message_latency),
+            measures: settings.reports_message_latency && probes,
             slow: BTreeMap::new(),
             measure_at: BTreeMap::new(),
         }
@@ -56,7 +57,7 @@
     /// Card servers may answer client lines beside their work, at once however far behind they are; their
     /// reports tell then what a message really takes. Guards against a relay that learns of no slow card server:
     /// a quick line does not end a delay that a report told of.
-    pub fn seen(&mut self, now: Micros, server: &ServerId, ms: f64, reported: bool) -> bool {
+    pub fn seen(&mut self, now: Micros, server: &EndpointId, ms: f64, reported: bool) -> bool {
         let Some(aim) = self.aim else { return false };
         let long = ms * 1e3 > aim as f64 / 3.0;
         match self.slow.get_mut(server) {
@@ -77,7 +78,7 @@
     }
 
     /// The delays to be told of again: those that last, as far as they were seen of late.
-    pub fn due(&mut self, now: Micros) -> Vec<(ServerId, f64)> {
+    pub fn due(&mut self, now: Micros) -> Vec<(EndpointId, f64)> {
         self.slow.retain(|_, slow| now < slow.seen + DELAY_LASTS);
         let due = self.slow.iter_mut().filter(|(_, slow)| slow.reported && now >= slow.told + DELAY_TOLD);
         let told = due.map(|(server, slow)| {
@@ -92,19 +93,19 @@
     /// Where delays are told, a relay has to measure them itself, and only reports tell them. Guards against
     /// sessions that stay on a slow card server until a newcomer happens to be probed for there.
     pub fn next_to_measure<'a>(
-        &mut self, now: Micros, standing: impl Iterator<Item = &'a ServerId>,
-    ) -> Option<ServerId> {
+        &mut self, now: Micros, standing: impl Iterator<Item = &'a EndpointId>,
+    ) -> Option<EndpointId> {
         if !self.measures {
             return None;
         }
-        let due = |id: &ServerId| self.measure_at.get(id).copied().unwrap_or(0);
+        let due = |id: &EndpointId| self.measure_at.get(id).copied().unwrap_or(0);
         let id = standing.min_by_key(|id| due(id)).filter(|id| now >= due(id))?.clone();
         self.measure_at.insert(id.clone(), now + MEASURE);
         Some(id)
     }
 
     /// A probe of a card server has ended, perhaps with its load.
-    pub fn measured(&mut self, now: Micros, server: &ServerId, load: Option<f64>) {
+    pub fn measured(&mut self, now: Micros, server: &EndpointId, load: Option<f64>) {
         let light = load.is_some_and(|load| load < LIGHT);
         self.measure_at.insert(server.clone(), now + if light { MEASURE_LIGHT } else { MEASURE });
     }
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -6,8 +6,8 @@
 use tracing::{info, trace};
 
 use super::health_check::Errand;
-use crate::interface::*;
 use crate::relay::{Relay, Shared};
+use honeyknot_balancer::*;
 
 /// How often it is looked which card servers this relay has to ask as their witness.
 const LOOK: Micros = 100_000;
@@ -16,7 +16,7 @@
 
 impl Relay {
     /// The decisions want to know how a card server does: it is asked, or they are told what its witnesses found.
-    pub(in crate::relay) fn wish_probe(&mut self, server: ServerId) {
+    pub(in crate::relay) fn wish_probe(&mut self, server: EndpointId) {
         let now = self.timers.clock.now();
         match self.neighbors.as_mut().map(|neighbors| neighbors.wish(now, &server)) {
             None | Some(Asking::Ask) => self.errand(server, Errand::Look),
@@ -27,14 +27,19 @@
                     self.delay_seen(server.clone(), ms, true);
                 }
                 // Fed in its turn, after what is being carried out.
-                self.events.push_back(Event::Probed { server, outcome, elapsed: 0, report });
+                self.events.push_back(Event::HealthCheckEnded {
+                    endpoint: server,
+                    outcome,
+                    elapsed: 0,
+                    report,
+                });
             }
         }
     }
 
     /// A probe of this relay's own has ended.
     pub(in crate::relay) fn witnessed(
-        &mut self, server: &ServerId, outcome: Outcome, report: Option<&LoadReport>,
+        &mut self, server: &EndpointId, outcome: Outcome, report: Option<&LoadReport>,
     ) {
         let now = self.timers.clock.now();
         if let Some(neighbors) = &mut self.neighbors {
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -5,10 +5,10 @@
 use tracing::info;
 
 use super::health_check::Errand;
-use crate::interface::*;
 use crate::relay::lifecycle::config::Config;
 use crate::relay::{Order, Relay};
-use crate::wire::Names;
+use crate::wire::NameTable;
+use honeyknot_balancer::*;
 
 /// The least price of crossing sites that the decisions reckon with when tiers hold: they then prefer the own site
 /// wherever it has room.
@@ -16,7 +16,7 @@
 
 /// Starts the relay's part where the operators have a plan, and has the decisions leave to it what it decides.
 pub fn start(
-    plan: Option<Plan>, settings: &mut Settings, names: &Names, seed: u64, now: Micros,
+    plan: Option<Plan>, settings: &mut Settings, names: &NameTable, seed: u64, now: Micros,
 ) -> Result<Option<Sites>, String> {
     let Some(plan) = plan else { return Ok(None) };
     let home = settings.zone.ok_or("sites: the settings name no site of this relay")?;
@@ -25,12 +25,12 @@
         names: names.zones().to_vec(),
         home,
         relays: settings.fleet_size,
-        cold: settings.rules.cold,
-        start_capacity: settings.rules.start_capacity,
+        cold: settings.rules.slow_start_duration,
+        start_capacity: settings.rules.initial_capacity,
         seed,
     };
     let sites = Sites::new(setup, now).map_err(|why| format!("sites: {why}"))?;
-    settings.homing = false;
+    settings.rebalancing = false;
     settings.prices.cross_zone = settings.prices.cross_zone.max(CROSSING);
     Ok(Some(sites))
 }
@@ -38,9 +38,9 @@
 /// Whether an outcome proves that a card server lives, or speaks for its silence; none where it says neither.
 fn sign_of_life(outcome: Outcome) -> Option<bool> {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Full => Some(true),
+        Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(true),
         Outcome::Timeout | Outcome::ConnectFailed => Some(false),
-        Outcome::Reset | Outcome::Cancelled | Outcome::Moot => None,
+        Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
 
@@ -62,21 +62,21 @@
         }
     }
 
-    pub(in crate::relay) fn site_news(&mut self, update: &ListUpdate) {
+    pub(in crate::relay) fn site_news(&mut self, update: &EndpointUpdate) {
         self.tell_sites(|sites, now, wants| sites.take_list(now, update, wants));
     }
 
     /// Where a newcomer may be placed, or that it may not.
     pub(in crate::relay) fn site_verdict(&mut self, request: &Request) -> Verdict {
         let (now, most) = (self.timers.clock.now(), self.longest_away());
-        match self.sites.as_mut().map(|sites| sites.ask(now, request.group.as_ref())) {
-            None => Verdict::Within(Reach::EVERYWHERE),
+        match self.sites.as_mut().map(|sites| sites.ask(now, request.affinity_group.as_ref())) {
+            None => Verdict::Within(ZoneSet::ALL),
             Some(Verdict::Refuse(away)) => Verdict::Refuse(away.min(most)),
             Some(within) => within,
         }
     }
 
-    pub(in crate::relay) fn site_placed(&mut self, id: RequestId, server: &ServerId) {
+    pub(in crate::relay) fn site_placed(&mut self, id: RequestId, server: &EndpointId) {
         if self.sites.is_none() {
             return;
         }
@@ -84,11 +84,13 @@
         self.tell_sites(|sites, now, _| sites.placed(now, id, server, deck.as_ref()));
     }
 
-    pub(in crate::relay) fn site_adopted(&mut self, request: &Request, server: &ServerId) {
-        self.tell_sites(|sites, now, _| sites.adopted(now, request.id, server, request.group.as_ref()));
+    pub(in crate::relay) fn site_adopted(&mut self, request: &Request, server: &EndpointId) {
+        self.tell_sites(|sites, now, _| {
+            sites.adopted(now, request.id, server, request.affinity_group.as_ref())
+        });
     }
 
-    pub(in crate::relay) fn site_stands(&mut self, id: RequestId, server: &ServerId) {
+    pub(in crate::relay) fn site_stands(&mut self, id: RequestId, server: &EndpointId) {
         self.tell_sites(|sites, now, wants| {
             sites.stands(now, id);
             sites.sign(now, server, true, wants);
@@ -97,7 +99,7 @@
 
     /// An attempt, or a session that stood, has ended. One that stood says nothing of its card server's silence: a
     /// jammed one resets sessions and still answers.
-    pub(in crate::relay) fn site_ended(&mut self, id: RequestId, server: &ServerId, outcome: Outcome) {
+    pub(in crate::relay) fn site_ended(&mut self, id: RequestId, server: &EndpointId, outcome: Outcome) {
         let stood = self.seats.get(&id).is_some_and(|s| s.stands);
         let alive = sign_of_life(outcome);
         self.tell_sites(|sites, now, wants| {
@@ -108,7 +110,7 @@
         });
     }
 
-    pub(in crate::relay) fn site_probed(&mut self, server: &ServerId, outcome: Outcome, load: Option<f64>) {
+    pub(in crate::relay) fn site_probed(&mut self, server: &EndpointId, outcome: Outcome, load: Option<f64>) {
         // A probe costs next to nothing: one that is reset is no shed session.
         let alive = if outcome == Outcome::Reset { Some(false) } else { sign_of_life(outcome) };
         self.tell_sites(|sites, now, wants| {
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -8,10 +8,10 @@
 use honeyknot_zone_failover::Plan;
 use serde_json::Value;
 
-use crate::interface::Settings;
 use crate::relay::connections::protocol::address;
 use crate::relay::endpoints::discovery_client::{RollNews, read_roll};
-use crate::wire::{self, Names};
+use crate::wire::{self, NameTable};
+use honeyknot_balancer::Settings;
 
 /// Descriptors to live within where no limit is told.
 const SOCKETS: u64 = 1024;
@@ -76,7 +76,7 @@
     /// What the decisions are told.
     pub settings: Settings,
     /// The settings' names.
-    pub names: Names,
+    pub names: NameTable,
     /// The operators' plan for losing and regaining sites; none where it is not switched on.
     pub sites: Option<Plan>,
     /// The operators' sinks of metrics; none where they are not switched on.
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -6,8 +6,8 @@
 use tokio::signal::unix::{SignalKind, signal as listen_for};
 use tracing::info;
 
-use crate::interface::Micros;
 use crate::relay::{Order, Shared};
+use honeyknot_balancer::Micros;
 
 /// The front layer still sends newcomers for this long: a client moved earlier could come back here.
 const FRONT_NOTICES: Micros = 400_000;
--- a/src/relay/lifecycle/hot_restart.rs
+++ b/src/relay/lifecycle/hot_restart.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use honeyknot_balancer::maintenance::Absence;
+use honeyknot_balancer::maintenance::MaintenanceWindow;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -21,11 +21,11 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-use crate::interface::*;
 use crate::relay::connections::established::{self, Bundle, Passed};
 use crate::relay::connections::listener;
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{Relay, Shared};
+use honeyknot_balancer::*;
 pub use state_directory::Folder;
 use takeover_channel::Line;
 
@@ -375,7 +375,7 @@
         }
         Word::Hand { id, out, number } => {
             let now = relay.borrow().timers.clock.now();
-            relay.borrow_mut().hand(now, &ServerId(id.as_str().into()), out);
+            relay.borrow_mut().hand(now, &EndpointId(id.as_str().into()), out);
             line.say(&Word::Done { number }, &[]).await.is_ok()
         }
         Word::Done { number } => {
@@ -407,7 +407,7 @@
 
 /// Takes a card server out by hand, or puts it back, here and at the other process; returns when it holds.
 pub async fn by_hand(relay: &Shared, id: &str, out: bool) -> Result<(), String> {
-    let server = ServerId(id.into());
+    let server = EndpointId(id.into());
     let done = match out {
         true => relay.borrow_mut().take_out(&server),
         false => relay.borrow_mut().put_back(&server),
@@ -465,36 +465,36 @@
 
     /// What is out by hand, and what was put back, in the form that is handed over.
     pub(in crate::relay) fn by_hand(&self) -> ByHand {
-        let name = |id: &ServerId| id.0.as_ref().to_owned();
+        let name = |id: &EndpointId| id.0.as_ref().to_owned();
         let back = self.withheld.back().map(|(id, was)| (name(id), was.from, was.to)).collect();
         ByHand { out: self.withheld.out().map(|(id, since)| (name(id), since)).collect(), back }
     }
 
     /// Takes on that card servers leave, as another process was told.
     fn take_leaving(&mut self, leaving: &[String]) {
-        let ids: Vec<ServerId> = leaving.iter().map(|id| ServerId(id.as_str().into())).collect();
+        let ids: Vec<EndpointId> = leaving.iter().map(|id| EndpointId(id.as_str().into())).collect();
         let entries = self.withheld.leaving(&ids);
         entries.into_iter().for_each(|entry| self.show(Some(entry)));
     }
 
     /// Takes on what another process, or an earlier one, had out by hand.
     fn take_by_hand(&mut self, by_hand: ByHand) {
-        let server = |id: &String| ServerId(id.as_str().into());
+        let server = |id: &String| EndpointId(id.as_str().into());
         for (id, from, to) in &by_hand.back {
-            let seen = self.withheld.was_put_back(Absence { from: *from, to: *to }, &server(id));
+            let seen = self.withheld.was_put_back(MaintenanceWindow { from: *from, to: *to }, &server(id));
             self.show(seen);
         }
-        let out: BTreeMap<ServerId, Micros> =
+        let out: BTreeMap<EndpointId, Micros> =
             by_hand.out.iter().map(|(id, since)| (server(id), *since)).collect();
         let held = self.withheld.out().map(|(id, _)| id);
-        let gone: Vec<ServerId> = held.filter(|id| !out.contains_key(*id)).cloned().collect();
+        let gone: Vec<EndpointId> = held.filter(|id| !out.contains_key(*id)).cloned().collect();
         let now = self.timers.clock.now();
         gone.iter().for_each(|id| self.hand(now, id, false));
         out.iter().for_each(|(id, since)| self.hand(*since, id, true));
     }
 
     /// Does what an operator has done at another process.
-    fn hand(&mut self, at: Micros, id: &ServerId, out: bool) {
+    fn hand(&mut self, at: Micros, id: &EndpointId, out: bool) {
         let seen = match out {
             true => self.withheld.withhold(at, id),
             false => self.withheld.put_back(at, id).ok().flatten(),
