--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -8,22 +8,22 @@
 use tracing::{info, warn};
 
 use super::persistent_counters::Folder;
-use crate::interface::*;
 use crate::relay::connections::protocol::SessionHead;
 use crate::relay::{Relay, Shared};
-use crate::wire::Names;
+use crate::wire::NameTable;
+use honeyknot_balancer::*;
 
 /// The tag's value of an outcome.
 fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::Timeout => "timeout",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
 
@@ -33,7 +33,7 @@
 const BY_CLASS: [Family; 4] = [Family::Succeeded, Family::Declined, Family::Aborted, Family::Forwards];
 
 /// A relay's book, in which all classes stand from the start.
-pub fn open(plan: &Option<Plan>, names: &Names) -> Book {
+pub fn open(plan: &Option<Plan>, names: &NameTable) -> Book {
     let mut book = Book::new(plan.as_ref().map_or(CAP, |plan| plan.cap));
     for class in names.classes() {
         BY_CLASS.iter().for_each(|family| book.open(*family, class));
@@ -172,7 +172,7 @@
         self.meter(|book| book.count(Family::Failed, cause));
     }
 
-    pub(in crate::relay) fn meter_placed(&mut self, attempt: AttemptId, server: &ServerId) {
+    pub(in crate::relay) fn meter_placed(&mut self, attempt: AttemptId, server: &EndpointId) {
         let site = self.zones.get(server).and_then(|zone| self.names.zones().get(zone.0));
         self.book.add(Family::Retries, 0, u64::from(attempt.0 > 0));
         self.book.add_open(Family::Placed, site.map_or("none", String::as_str), 1);
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -26,9 +26,7 @@
 
 use crate::admin;
 use crate::gossip::Neighborhood;
-use crate::interface::*;
-use crate::wire::Names;
-use crate::{Balancer, Withheld};
+use crate::wire::NameTable;
 use clock::Clock;
 use connections::idle::Crowd;
 use connections::listener;
@@ -38,6 +36,8 @@
 use endpoints::message_latency::{self, Delays};
 use endpoints::shared_health_check;
 use endpoints::zone_failover;
+use honeyknot_balancer::*;
+use honeyknot_balancer::{Balancer, MaintenanceOverlay};
 use lifecycle::config::{Config, OperatorFiles};
 use lifecycle::hot_restart::{self, Folder, Incumbent, Tenure};
 use lifecycle::{graceful_shutdown, reload};
@@ -81,7 +81,7 @@
     /// Its number.
     pub attempt: AttemptId,
     /// The card server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Where this relay reaches it.
     pub address: SocketAddr,
     /// How long the answer may take.
@@ -95,10 +95,10 @@
     orders: UnboundedSender<Order>,
     attempts: u32,
     deadline: Micros,
-    out: Option<(AttemptId, ServerId, Micros)>,
+    out: Option<(AttemptId, EndpointId, Micros)>,
     stands: bool,
     class: ClassId,
-    deck: Option<GroupKey>,
+    deck: Option<AffinityGroup>,
     asked: Micros,
 }
 
@@ -137,18 +137,18 @@
     /// Clock and wheel.
     pub timers: Rc<Timers>,
     /// The settings' names.
-    pub names: Names,
+    pub names: NameTable,
     settings: Settings,
     balancer: Balancer,
     version: u64,
-    addresses: BTreeMap<ServerId, SocketAddr>,
+    addresses: BTreeMap<EndpointId, SocketAddr>,
     /// The roll as discovery tells it, and which card servers are out by hand.
-    withheld: Withheld,
+    withheld: MaintenanceOverlay,
     /// Card servers that leave or are gone.
-    leaving: BTreeSet<ServerId>,
+    leaving: BTreeSet<EndpointId>,
     seats: BTreeMap<RequestId, Seat>,
     last_id: u32,
-    probes: BTreeMap<ServerId, UnboundedSender<Errand>>,
+    probes: BTreeMap<EndpointId, UnboundedSender<Errand>>,
     /// What messages take at the card servers.
     delays: Delays,
     /// Losing and regaining sites, where the operators have switched it on.
@@ -162,7 +162,7 @@
     /// The sinks that are fed, by name.
     sinks: BTreeMap<String, exporter::Running>,
     /// The sites of the card servers.
-    zones: BTreeMap<ServerId, ZoneId>,
+    zones: BTreeMap<EndpointId, ZoneId>,
     /// When discovery last answered.
     roll_heard: Micros,
     asks: UnboundedSender<Ask>,
@@ -220,7 +220,7 @@
                 balancer,
                 version: 0,
                 addresses: BTreeMap::new(),
-                withheld: Withheld::default(),
+                withheld: MaintenanceOverlay::default(),
                 leaving: BTreeSet::new(),
                 seats: BTreeMap::new(),
                 last_id: 0,
@@ -288,7 +288,7 @@
         self.meter(|book| book.add(Family::Requests, 0, 1));
         match self.site_verdict(&request) {
             Verdict::Within(reach) => {
-                request.reach = reach;
+                request.allowed_zones = reach;
                 self.feed(Event::Request(request));
             }
             // The decisions never hear of it: there is nothing to choose.
@@ -302,7 +302,7 @@
 
     /// A session that stood at a card server before this relay started is up again.
     pub fn adopt(
-        &mut self, head: &SessionHead, server: ServerId,
+        &mut self, head: &SessionHead, server: EndpointId,
     ) -> Option<(RequestId, UnboundedReceiver<Order>)> {
         self.meter_head(head, Answer::Up);
         self.take_up(head, server)
@@ -310,7 +310,7 @@
 
     /// A session stands that this process did not bring up.
     pub fn take_up(
-        &mut self, head: &SessionHead, server: ServerId,
+        &mut self, head: &SessionHead, server: EndpointId,
     ) -> Option<(RequestId, UnboundedReceiver<Order>)> {
         let request = self.request(head)?;
         let (id, orders) = self.seat(&request);
@@ -320,15 +320,15 @@
             seat.out = Some((AttemptId(0), server.clone(), now));
         }
         self.site_adopted(&request, &server);
-        self.feed(Event::Adopted(request, server));
+        self.feed(Event::ConnectionAdopted(request, server));
         Some((id, orders))
     }
 
     fn seat(&mut self, request: &Request) -> (RequestId, UnboundedReceiver<Order>) {
         let (orders, queue) = unbounded_channel();
         let asked = self.timers.clock.now();
-        let deadline = asked.saturating_add(request.time_left);
-        let deck = request.group.clone();
+        let deadline = asked.saturating_add(request.time_remaining);
+        let deck = request.affinity_group.clone();
         let (attempts, out, stands, class) = (0, None, false, request.class);
         let seat = Seat { orders, attempts, deadline, out, stands, class, deck, asked };
         self.seats.insert(request.id, seat);
@@ -342,15 +342,18 @@
         Some(Request {
             id: RequestId(self.last_id),
             class,
-            key: Some(ClientKey(head.key().into())),
-            group: head.group().filter(|_| self.settings.groups).map(|g| GroupKey(g.into())),
+            session_key: Some(SessionKey(head.key().into())),
+            affinity_group: head
+                .group()
+                .filter(|_| self.settings.affinity_groups)
+                .map(|g| AffinityGroup(g.into())),
             tenant: head.tenant().and_then(|t| self.names.tenant(t)),
-            hint: head.hint,
-            time_left: head.patience(deadline),
-            returning: head.returning,
+            expected_load: head.hint,
+            time_remaining: head.patience(deadline),
+            reconnecting: head.returning,
             retry: head.retry,
             mid_flow: false,
-            reach: Reach::EVERYWHERE,
+            allowed_zones: ZoneSet::ALL,
         })
     }
 
@@ -365,7 +368,7 @@
         self.meter_stands(took);
         let elapsed = self.timers.clock.now().saturating_sub(sent);
         self.site_stands(id, &server);
-        self.feed(Event::Established { id, attempt, server, elapsed });
+        self.feed(Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed });
     }
 
     /// The attempt that was out has ended; `closed` if the client has its answer by that.
@@ -381,7 +384,7 @@
             self.meter_attempt(outcome);
         }
         self.site_ended(id, &server, outcome);
-        self.feed(Event::Outcome { id, attempt, outcome, closed, server, elapsed, report });
+        self.feed(Event::AttemptEnded { id, attempt, outcome, closed, endpoint: server, elapsed, report });
     }
 
     /// The client of a session that does not stand gets its answer.
@@ -396,7 +399,7 @@
         let (out, class) = (seat.out.is_some(), seat.class);
         if !answered && !seat.stands {
             self.meter_answer(Some(class), Answer::Failed);
-            self.feed(Event::Abandoned(id));
+            self.feed(Event::ClientLeft(id));
         }
         if out {
             self.attempt_ended(id, Outcome::Cancelled, true, None);
@@ -405,7 +408,7 @@
     }
 
     /// The card server of a session's attempt.
-    pub fn server_of(&self, id: RequestId) -> Option<ServerId> {
+    pub fn server_of(&self, id: RequestId) -> Option<EndpointId> {
         self.seats.get(&id).and_then(|seat| seat.out.as_ref()).map(|(_, server, _)| server.clone())
     }
 
@@ -414,7 +417,7 @@
         if let Some(sites) = &mut self.sites {
             sites.load_told(id, load);
         }
-        self.noted(id, Note::Load(load));
+        self.noted(id, ConnectionUpdate::Load(load));
     }
 
     /// A line of the client took this long to be answered.
@@ -426,7 +429,7 @@
     }
 
     /// A message took this long at a card server.
-    fn delay_seen(&mut self, server: ServerId, ms: f64, reported: bool) {
+    fn delay_seen(&mut self, server: EndpointId, ms: f64, reported: bool) {
         if self.delays.seen(self.timers.clock.now(), &server, ms, reported) {
             self.tell_delay(&server, ms);
         }
@@ -453,22 +456,22 @@
     }
 
     /// Tells of a delay on one of the sessions that stand there.
-    fn tell_delay(&mut self, server: &ServerId, ms: f64) {
+    fn tell_delay(&mut self, server: &EndpointId, ms: f64) {
         let there = |s: &Seat| s.stands && s.out.as_ref().is_some_and(|(_, at, _)| at == server);
         let one = self.seats.iter().find(|(_, s)| there(s)).map(|(id, _)| *id);
         if let Some(id) = one {
-            self.noted(id, Note::Delay(ms));
+            self.noted(id, ConnectionUpdate::MessageLatency(ms));
         }
     }
 
-    fn noted(&mut self, id: RequestId, note: Note) {
+    fn noted(&mut self, id: RequestId, note: ConnectionUpdate) {
         let Some((attempt, server, _)) = self.seats.get(&id).and_then(|s| s.out.clone()) else { return };
-        self.feed(Event::Noted { id, attempt, server, note });
+        self.feed(Event::ConnectionUpdated { id, attempt, endpoint: server, update: note });
     }
 
     /// A probe has ended.
     pub fn probed(
-        &mut self, server: ServerId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
+        &mut self, server: EndpointId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
     ) {
         let load = report.as_ref().and_then(|r| r.load);
         self.delays.measured(self.timers.clock.now(), &server, load);
@@ -476,7 +479,7 @@
         self.witnessed(&server, outcome, report.as_ref());
         self.meter_probed(outcome, elapsed);
         let latency = report.as_ref().and_then(|r| r.latency_ms);
-        self.feed(Event::Probed { server: server.clone(), outcome, elapsed, report });
+        self.feed(Event::HealthCheckEnded { endpoint: server.clone(), outcome, elapsed, report });
         if let Some(ms) = latency {
             self.delay_seen(server, ms, true);
         }
@@ -486,10 +489,10 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Place { id, server, timeout, send_before } => {
+            Action::Forward { id, endpoint: server, timeout, send_before } => {
                 self.place(id, server, timeout, send_before)
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let asked = self.seats.get(&id).map(|s| s.asked);
                 let took = asked.map(|at| self.timers.clock.now().saturating_sub(at));
                 self.meter_refused("decisions", took);
@@ -499,24 +502,24 @@
                 self.meter_failed("decisions");
                 self.order(id, Order::Fail);
             }
-            Action::Move(id) => {
+            Action::Migrate(id) => {
                 self.meter(|book| book.count(Family::Moves, "decisions"));
                 self.order(id, Order::Move);
             }
             Action::Cancel { id, attempt } => self.order(id, Order::Cancel(attempt)),
-            Action::Probe(server) => self.wish_probe(server),
-            Action::CloseIdle(server) => self.errand(server, Errand::Close),
-            Action::Timer { delay, token } => self.timers.decision(delay, token),
+            Action::CheckHealth(server) => self.wish_probe(server),
+            Action::CloseIdleConnections(server) => self.errand(server, Errand::Close),
+            Action::SetTimer { delay, token } => self.timers.decision(delay, token),
             // On sockets the list is followed from the start to the end: when to call is the caller's choice.
             Action::Watch(_) => {}
-            Action::Fetch => self.ask_discovery(Ask::Fetch),
+            Action::FetchEndpoints => self.ask_discovery(Ask::Fetch),
             Action::Log(text) => info!(target: "decision", "{text}"),
             // Relays have no way to talk to each other here; the settings tell the decisions so.
-            Action::Tell { .. } => {}
+            Action::SendPeerMessage { .. } => {}
         }
     }
 
-    fn place(&mut self, id: RequestId, server: ServerId, timeout: Micros, send_before: Option<Micros>) {
+    fn place(&mut self, id: RequestId, server: EndpointId, timeout: Micros, send_before: Option<Micros>) {
         let now = self.timers.clock.now();
         let Some(seat) = self.seats.get_mut(&id) else { return };
         let attempt = AttemptId(seat.attempts);
@@ -525,7 +528,7 @@
         let timeout = if timeout == 0 { left } else { timeout.min(left) };
         let spent = attempt.0 >= self.settings.permissions.max_attempts || left == 0 || seat.stands;
         let ends = match self.addresses.get(&server) {
-            _ if spent => Outcome::Moot,
+            _ if spent => Outcome::NotSent,
             None => Outcome::ConnectFailed,
             Some(&address) => {
                 seat.out = Some((attempt, server.clone(), now));
@@ -537,7 +540,15 @@
             }
         };
         let (outcome, closed, report) = (ends, false, None);
-        self.events.push_back(Event::Outcome { id, attempt, outcome, closed, server, elapsed: 0, report });
+        self.events.push_back(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            closed,
+            endpoint: server,
+            elapsed: 0,
+            report,
+        });
     }
 
     fn order(&mut self, id: RequestId, order: Order) {
@@ -547,7 +558,7 @@
         }
     }
 
-    fn errand(&mut self, server: ServerId, errand: Errand) {
+    fn errand(&mut self, server: EndpointId, errand: Errand) {
         let Some(me) = self.me.upgrade() else { return };
         let probe = self.probes.entry(server.clone()).or_insert_with(|| health_check::start(me, server));
         let _ = probe.send(errand);
@@ -569,7 +580,7 @@
 
     /// A connection without use is closed after this.
     pub fn idle_close(&self) -> Micros {
-        self.settings.permissions.idle_close.max(1_000_000)
+        self.settings.permissions.idle_timeout.max(1_000_000)
     }
 
     /// A request is overdue this long after its deadline.
@@ -630,7 +641,7 @@
     pub fn may_let_in(&self) -> bool {
         // What was let in before a new process took over still gets its session: nobody else will serve it.
         (!self.closing || self.tenure.handed_over())
-            && (self.seats.len() as u64) < self.settings.permissions.max_open
+            && (self.seats.len() as u64) < self.settings.permissions.max_open_requests
     }
 
     /// Until when a session from before the run may look for its card server: long at the start, when the roll may
@@ -765,7 +776,7 @@
         for alarm in timers.due() {
             match alarm {
                 Alarm::Wake(task) => task.wake(),
-                Alarm::Decision(token) => relay.borrow_mut().feed(Event::Timer(token)),
+                Alarm::Decision(token) => relay.borrow_mut().feed(Event::TimerFired(token)),
             }
         }
     }
--- a/src/relay/timer_wheel.rs
+++ b/src/relay/timer_wheel.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 use super::clock::Clock;
-use crate::interface::{Micros, TimerToken};
+use honeyknot_balancer::{Micros, TimerToken};
 
 /// Length of a tick: well under the simulator's own step of 5 ms.
 pub const TICK: Micros = 2_000;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,8 +8,8 @@
 
 use serde_json::{Value, json};
 
-use crate::Balancer;
-use crate::interface::*;
+use honeyknot_balancer::Balancer;
+use honeyknot_balancer::*;
 
 /// Why the adapter stopped: the batch, the line in it and what is wrong.
 #[derive(Debug)]
@@ -29,9 +29,9 @@
 
 type Parsed<T> = Result<T, String>;
 
-/// Names of one instance's settings, by which later messages refer to their places.
+/// NameTable of one instance's settings, by which later messages refer to their places.
 #[derive(Default)]
-pub struct Names {
+pub struct NameTable {
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
@@ -41,12 +41,12 @@
 
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameTable,
 }
 
 /// A member line whose names are not yet resolved: lists belong to the process, names to an instance.
 struct Member {
-    entry: ServerEntry,
+    entry: Endpoint,
     kind: String,
     zone: String,
 }
@@ -181,17 +181,19 @@
 
 fn encode(inst: &str, action: Action) -> Value {
     match action {
-        Action::Place { id, server, timeout, .. } => json!(["handOff", inst, id.0, &*server.0, timeout]),
-        Action::Refuse { id, retry_after } => json!(["reject", inst, id.0, retry_after]),
+        Action::Forward { id, endpoint: server, timeout, .. } => {
+            json!(["handOff", inst, id.0, &*server.0, timeout])
+        }
+        Action::Reject { id, retry_after } => json!(["reject", inst, id.0, retry_after]),
         Action::Fail(id) => json!(["respondError", inst, id.0]),
-        Action::Move(id) => json!(["goAway", inst, id.0]),
+        Action::Migrate(id) => json!(["goAway", inst, id.0]),
         Action::Cancel { id, attempt } => json!(["withdraw", inst, id.0, attempt.0]),
-        Action::Probe(server) => json!(["probe", inst, &*server.0]),
-        Action::Timer { delay, token } => json!(["wakeMe", inst, delay, token.0]),
+        Action::CheckHealth(server) => json!(["probe", inst, &*server.0]),
+        Action::SetTimer { delay, token } => json!(["wakeMe", inst, delay, token.0]),
         Action::Watch(on) => json!(["track", inst, on]),
-        Action::Fetch => json!(["getList", inst]),
-        Action::CloseIdle(server) => json!(["letGo", inst, &*server.0]),
-        Action::Tell { to, payload } => {
+        Action::FetchEndpoints => json!(["getList", inst]),
+        Action::CloseIdleConnections(server) => json!(["letGo", inst, &*server.0]),
+        Action::SendPeerMessage { to, payload } => {
             let hex: String = payload.iter().map(|b| format!("{b:02x}")).collect();
             json!(["publish", inst, to.map_or(-1, i64::from), hex])
         }
@@ -268,20 +270,20 @@
         self.u32(i).map(AttemptId)
     }
 
-    fn server(&self, i: usize) -> Parsed<ServerId> {
-        self.str(i).map(|s| ServerId(Arc::from(s)))
+    fn server(&self, i: usize) -> Parsed<EndpointId> {
+        self.str(i).map(|s| EndpointId(Arc::from(s)))
     }
 
     fn outcome(&self, i: usize) -> Parsed<Outcome> {
         Ok(match self.u64(i)? {
             200 => Outcome::Ok,
             500 => Outcome::Error,
-            503 => Outcome::Full,
+            503 => Outcome::Rejected,
             504 => Outcome::Timeout,
             502 => Outcome::ConnectFailed,
             598 => Outcome::Reset,
             499 => Outcome::Cancelled,
-            410 => Outcome::Moot,
+            410 => Outcome::NotSent,
             _ => return Err(self.wrong(i, "a known outcome")),
         })
     }
@@ -310,17 +312,17 @@
     let m = Message { name: "page member", fields };
     m.arity(7)?;
     let state = match m.str(6)? {
-        "Ready" => ServerState::Ready,
-        "Terminating" => ServerState::Draining,
-        "Gone" => ServerState::Gone,
+        "Ready" => EndpointState::Ready,
+        "Terminating" => EndpointState::Draining,
+        "Gone" => EndpointState::Removed,
         _ => return Err(m.wrong(6, "a known state")),
     };
     let number = |i, default| if m.opt(i).is_some() { m.u64(i) } else { Ok(default) };
-    let entry = ServerEntry {
-        server: m.server(2)?,
+    let entry = Endpoint {
+        id: m.server(2)?,
         kind: None,
         weight: if m.opt(1).is_some() { m.f64(1)? } else { 1.0 },
-        started: number(3, 0)?,
+        started_at: number(3, 0)?,
         zone: None,
         cell: CellId(number(5, 0)?),
         state,
@@ -333,59 +335,59 @@
     names.iter().position(|n| n == name)
 }
 
-impl Names {
+impl NameTable {
     fn event(&self, m: &Message, lists: &BTreeMap<u64, Arc<Vec<Member>>>) -> Parsed<Event> {
         Ok(match m.name {
             "targets" => {
-                let entries = || -> Parsed<Arc<Vec<ServerEntry>>> {
+                let entries = || -> Parsed<Arc<Vec<Endpoint>>> {
                     let list = lists.get(&m.u64(2)?).ok_or("`targets` names a list that was never sent")?;
                     Ok(Arc::new(list.iter().map(|member| self.resolve(member)).collect()))
                 };
                 let update = match m.str(3)? {
-                    "changes" => ListUpdate::Delta(entries()?),
-                    "all" => ListUpdate::Full(entries()?),
-                    "remembered" => ListUpdate::Cached(entries()?),
-                    "refused" => ListUpdate::Failed,
+                    "changes" => EndpointUpdate::Delta(entries()?),
+                    "all" => EndpointUpdate::Full(entries()?),
+                    "remembered" => EndpointUpdate::Cached(entries()?),
+                    "refused" => EndpointUpdate::Failed,
                     _ => return Err(m.wrong(3, "a known kind of list")),
                 };
-                Event::Servers { version: if m.opt(1).is_some() { m.u64(1)? } else { 0 }, update }
+                Event::EndpointsUpdated { version: if m.opt(1).is_some() { m.u64(1)? } else { 0 }, update }
             }
             "jobIn" => Event::Request(self.request(m, &JOB_IN)?),
-            "handover" => Event::Adopted(self.request(m, &HANDOVER)?, m.server(4)?),
-            "headers" => Event::Established {
+            "handover" => Event::ConnectionAdopted(self.request(m, &HANDOVER)?, m.server(4)?),
+            "headers" => Event::ConnectionEstablished {
                 id: m.request(1)?,
                 attempt: m.attempt(2)?,
-                server: m.server(3)?,
+                endpoint: m.server(3)?,
                 elapsed: m.u64(4)?,
             },
-            "verdict" => Event::Outcome {
+            "verdict" => Event::AttemptEnded {
                 id: m.request(1)?,
                 outcome: m.outcome(2)?,
                 attempt: m.attempt(3)?,
                 closed: m.flag(4)?,
-                server: m.server(5)?,
+                endpoint: m.server(5)?,
                 elapsed: m.u64(6)?,
                 report: self.report(m, 7)?,
             },
-            "dropped" => Event::Abandoned(m.request(1)?),
-            "healthResult" => Event::Probed {
-                server: m.server(1)?,
+            "dropped" => Event::ClientLeft(m.request(1)?),
+            "healthResult" => Event::HealthCheckEnded {
+                endpoint: m.server(1)?,
                 outcome: m.outcome(2)?,
                 elapsed: m.u64(3)?,
                 report: self.report(m, 4)?,
             },
-            "hintUpdate" => Event::Noted {
+            "hintUpdate" => Event::ConnectionUpdated {
                 id: m.request(1)?,
                 attempt: m.attempt(2)?,
-                server: m.server(3)?,
-                note: match m.u64(4)? {
-                    1 => Note::Load(m.f64(5)?),
-                    2 => Note::Delay(m.f64(5)?),
+                endpoint: m.server(3)?,
+                update: match m.u64(4)? {
+                    1 => ConnectionUpdate::Load(m.f64(5)?),
+                    2 => ConnectionUpdate::MessageLatency(m.f64(5)?),
                     _ => return Err(m.wrong(4, "a known kind of note")),
                 },
             },
-            "reminder" => Event::Timer(TimerToken(m.u64(1)?)),
-            "fromPeer" => Event::Told { from: m.u32(1)?, payload: unhex(m.str(2)?)? },
+            "reminder" => Event::TimerFired(TimerToken(m.u64(1)?)),
+            "fromPeer" => Event::PeerMessage { from: m.u32(1)?, payload: unhex(m.str(2)?)? },
             other => return Err(format!("unknown message `{other}`")),
         })
     }
@@ -396,20 +398,20 @@
         Ok(Request {
             id: m.request(1)?,
             class,
-            key: m.text(at.key)?.map(ClientKey),
-            group: m.text(at.group)?.map(GroupKey),
+            session_key: m.text(at.key)?.map(SessionKey),
+            affinity_group: m.text(at.group)?.map(AffinityGroup),
             tenant,
-            hint: if m.opt(at.hint).is_some() { Some(m.f64(at.hint)?) } else { None },
-            time_left: m.u64(at.left)?,
-            returning: m.flag(at.returning)?,
+            expected_load: if m.opt(at.hint).is_some() { Some(m.f64(at.hint)?) } else { None },
+            time_remaining: m.u64(at.left)?,
+            reconnecting: m.flag(at.returning)?,
             retry: m.flag(at.retry)?,
             mid_flow: m.flag(at.mid_flow)?,
-            reach: Reach::EVERYWHERE,
+            allowed_zones: ZoneSet::ALL,
         })
     }
 
-    fn resolve(&self, member: &Member) -> ServerEntry {
-        ServerEntry { kind: self.kind(&member.kind), zone: self.zone(&member.zone), ..member.entry.clone() }
+    fn resolve(&self, member: &Member) -> Endpoint {
+        Endpoint { kind: self.kind(&member.kind), zone: self.zone(&member.zone), ..member.entry.clone() }
     }
 
     /// The class of that name.
@@ -538,23 +540,33 @@
     }
 }
 
-fn class(place: usize, value: &Value, message_aim: Micros) -> Parsed<Class> {
+fn class(place: usize, value: &Value, message_aim: Micros) -> Parsed<RequestClass> {
     let s = Keys { value, below: format!("services[{place}].") };
-    let scope = s.choice("group", &[("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)])?;
-    let keyed = Effect::Deduplicated { scope, window: s.time("keyTtlUs", 0)? };
+    let scope = s.choice(
+        "group",
+        &[
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
+        ],
+    )?;
+    let keyed = Idempotency::IdempotencyKey { scope, window: s.time("keyTtlUs", 0)? };
     // A word not known is taken for the strictest.
-    let effects =
-        [("at_most_once", Effect::AtMostOnce), ("idempotent", Effect::Idempotent), ("deduplicated", keyed)];
+    let effects = [
+        ("at_most_once", Idempotency::AtMostOnce),
+        ("idempotent", Idempotency::Idempotent),
+        ("deduplicated", keyed),
+    ];
     let deadline = s.time("hardLimitUs", 0)?;
-    Ok(Class {
-        aim: s.time("aimUs", deadline)?,
-        aim_stretch: s.f64("aimStretch", 0.0)?,
+    Ok(RequestClass {
+        latency_objective: s.time("aimUs", deadline)?,
+        latency_objective_stretch: s.f64("aimStretch", 0.0)?,
         deadline,
-        effect: s.choice("effect", &effects)?,
-        late_share: s.f64("lateShare", 0.0)?,
+        idempotency: s.choice("effect", &effects)?,
+        late_value_fraction: s.f64("lateShare", 0.0)?,
         stream: s.flag("stream", false)?,
-        worth: s.f64("worth", 1.0)?,
-        message_aim,
+        priority_weight: s.f64("worth", 1.0)?,
+        message_latency_objective: message_aim,
     })
 }
 
@@ -568,7 +580,7 @@
 }
 
 /// Reads the settings object that starts an instance, on the wire and in the real relay's configuration.
-pub fn settings(value: &Value) -> Result<(Settings, Names), String> {
+pub fn settings(value: &Value) -> Result<(Settings, NameTable), String> {
     if !value.is_object() {
         return Err("settings are an object".into());
     }
@@ -577,7 +589,7 @@
     let number = |list: &[Value], i: usize| list.get(i).and_then(Value::as_f64);
     let (services, tenants) = (s.array("services")?, s.array("tenants")?);
     let (aims, quotas) = (s.array("familyInfo.messageAimUs")?, s.array("familyInfo.tenantQuotaConnections")?);
-    let names = Names {
+    let names = NameTable {
         classes: services.iter().map(label).collect(),
         tenants: tenants.iter().map(label).collect(),
         zones: s.names("zones")?,
@@ -586,7 +598,7 @@
     };
     let settings = Settings {
         fleet_size: s.u64("fleetSize", 1)?.min(u64::from(u32::MAX)) as u32,
-        index: s.u64("me", 0)?.min(u64::from(u32::MAX)) as u32,
+        fleet_index: s.u64("me", 0)?.min(u64::from(u32::MAX)) as u32,
         zone: names.zone(s.str("zone")?),
         classes: services
             .iter()
@@ -598,61 +610,66 @@
             .enumerate()
             .map(|(i, v)| tenant(i, v, number(quotas, i).unwrap_or(f64::INFINITY)))
             .collect::<Parsed<_>>()?,
-        over_share_worth: s.f64("overShareWorth", 1.0)?,
-        worth_by_work: s.str("worthBy")? == "work",
-        marks_retry: s.flag("clientHabits.marksRetry", false)?,
-        discovery: s
-            .choice("discovery", &[("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)])?,
-        reports: s.choice(
+        over_quota_weight: s.f64("overShareWorth", 1.0)?,
+        weight_by_work: s.str("worthBy")? == "work",
+        clients_mark_retries: s.flag("clientHabits.marksRetry", false)?,
+        discovery: s.choice(
+            "discovery",
+            &[("pushed", DiscoveryMode::Pushed), ("on_request", DiscoveryMode::OnRequest)],
+        )?,
+        load_reports: s.choice(
             "telemetry.source",
             &[
-                ("silent", ReportSource::Nowhere),
-                ("pull", ReportSource::Probes),
-                ("piggyback", ReportSource::Outcomes),
+                ("silent", LoadReportSource::Unavailable),
+                ("pull", LoadReportSource::HealthChecks),
+                ("piggyback", LoadReportSource::Responses),
             ],
         )?,
         weights: s.choice(
             "weights",
             &[
-                ("silent", Weights::Nothing),
-                ("nominal", Weights::Nominal),
-                ("rough", Weights::Rough),
-                ("live", Weights::Live),
+                ("silent", WeightSemantics::Unspecified),
+                ("nominal", WeightSemantics::Nominal),
+                ("rough", WeightSemantics::Approximate),
+                ("live", WeightSemantics::Live),
             ],
         )?,
-        mode: s.choice("familyInfo.mode", &[("proxy", ForwardMode::Proxy), ("pass", ForwardMode::Pass)])?,
-        park: s.time("familyInfo.parkUs", 0)?,
-        groups: s.flag("familyInfo.groups", false)?,
-        tells_load: s.flag("familyInfo.tellsLoad", false)?,
-        tells_delay: s.flag("familyInfo.tellsDelay", false)?,
-        tick: s.time("roundUs", 1_000)?,
-        homing: true,
+        forward_mode: s.choice(
+            "familyInfo.mode",
+            &[("proxy", ForwardMode::Proxy), ("pass", ForwardMode::PassThrough)],
+        )?,
+        park_timeout: s.time("familyInfo.parkUs", 0)?,
+        affinity_groups: s.flag("familyInfo.groups", false)?,
+        reports_connection_load: s.flag("familyInfo.tellsLoad", false)?,
+        reports_message_latency: s.flag("familyInfo.tellsDelay", false)?,
+        event_interval: s.time("roundUs", 1_000)?,
+        rebalancing: true,
         permissions: Permissions {
             cancel: s.flag("permissions.mayCancel", false)?,
-            peers: s.flag("permissions.peers", false)?,
-            probes: s.flag("permissions.probing", false)?,
+            peer_messages: s.flag("permissions.peers", false)?,
+            health_checks: s.flag("permissions.probing", false)?,
             retry_after: s.flag("permissions.retryAfter", false)?,
-            second_copies: s.flag("permissions.secondCopies", false)?,
+            hedged_requests: s.flag("permissions.secondCopies", false)?,
             max_attempts: s.u64("permissions.maxAttempts", 1)?.min(u64::from(u32::MAX)) as u32,
-            max_open: s.u64("permissions.maxOpen", u64::MAX)?,
+            max_open_requests: s.u64("permissions.maxOpen", u64::MAX)?,
             max_retry_after: s.time("permissions.maxRetryAfterUs", 0)?,
-            multiplex: s.u64("permissions.multiplex", 1)?,
-            idle_close: s.time("permissions.idleCloseUs", 0)?,
+            max_streams_per_connection: s.u64("permissions.multiplex", 1)?,
+            idle_timeout: s.time("permissions.idleCloseUs", 0)?,
             connect_timeout: s.time("permissions.connectTimeoutUs", 0)?,
             cpu_per_request: s.f64("permissions.cpuUsPerRequest", 0.0)?,
             cpu_per_second: s.f64("permissions.cpuUsPerS", 0.0)?,
         },
         rules: Rules {
             answer_grace: s.time("rules.graceToAnswerUs", 0)?,
-            must_ask_in: s.time("rules.mustAskInUs", 0)?,
-            start_capacity: s.f64("rules.startCapacity", 0.0)?,
-            cold: s.time("rules.coldUs", 0)?,
+            max_list_age: s.time("rules.mustAskInUs", 0)?,
+            initial_capacity: s.f64("rules.startCapacity", 0.0)?,
+            slow_start_duration: s.time("rules.coldUs", 0)?,
             drain_grace: s.time("rules.stopSendingWithinUs", 0)?,
             overload_factor: s.f64("rules.overloadFactor", 1.0)?,
-            fall: s.time("rules.fallUs", 0)?,
+            overload_duration: s.time("rules.fallUs", 0)?,
         },
-        goal: Goal {
-            whole: s.f64("resultMix.whole", 1.0)?,
+        objective_weights: ObjectiveWeights {
+            overall: s.f64("resultMix.whole", 1.0)?,
             worst_class: s.f64("resultMix.worstClass", 0.0)?,
             worst_tenant: s.f64("resultMix.worstTenant", 0.0)?,
             worst_window: s.f64("resultMix.worstWindow", 0.0)?,
@@ -663,12 +680,12 @@
             discovery: s.f64("tariffs.discovery", 0.0)?,
             fleet: s.f64("tariffs.fleet", 0.0)?,
             handshake: s.f64("tariffs.handshake", 0.0)?,
-            late_fail: s.f64("tariffs.lateFail", 0.0)?,
-            moves: s.f64("tariffs.moves", 0.0)?,
+            late_failure: s.f64("tariffs.lateFail", 0.0)?,
+            migration: s.f64("tariffs.moves", 0.0)?,
             origin: s.f64("tariffs.origin", 0.0)?,
-            peer: s.f64("tariffs.peer", 0.0)?,
-            probe: s.f64("tariffs.probe", 0.0)?,
-            waste: s.f64("tariffs.waste", 0.0)?,
+            peer_message: s.f64("tariffs.peer", 0.0)?,
+            health_check: s.f64("tariffs.probe", 0.0)?,
+            wasted_work: s.f64("tariffs.waste", 0.0)?,
         },
     };
     Ok((settings, names))
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -15,13 +15,13 @@
 
 use serde_json::{Value, json};
 
-use honeyknot_relay::interface::{
-    Class, Discovery, Effect, ForwardMode, ReportSource, Scope, ServerEntry, ServerState, Settings, Tenant,
-    Weights,
+use honeyknot_balancer::{
+    DeduplicationScope, DiscoveryMode, Endpoint, EndpointState, ForwardMode, Idempotency, LoadReportSource,
+    RequestClass, Settings, Tenant, WeightSemantics,
 };
 use honeyknot_relay::relay::endpoints::discovery_client::RollNews;
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::wire::{self, Names};
+use honeyknot_relay::wire::{self, NameTable};
 
 /// The program that speaks the simulator's wire on standard input and output.
 const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-simulator-adapter");
@@ -362,9 +362,9 @@
     }
 
     fn add_settings(&mut self, settings: &Settings) {
-        let Settings { permissions, rules, goal, prices, .. } = settings;
+        let Settings { permissions, rules, objective_weights: goal, prices, .. } = settings;
         self.add("fleetSize", settings.fleet_size);
-        self.add("me", settings.index);
+        self.add("me", settings.fleet_index);
         self.add("zone", place(settings.zone.map(|zone| zone.0)));
         for (number, class) in settings.classes.iter().enumerate() {
             self.add_class(&format!("services.{number}"), class);
@@ -372,40 +372,40 @@
         for (number, tenant) in settings.tenants.iter().enumerate() {
             self.add_tenant(&format!("tenants.{number}"), tenant);
         }
-        self.add("overShareWorth", settings.over_share_worth);
-        self.add("worthBy work", settings.worth_by_work);
-        self.add("clientHabits.marksRetry", settings.marks_retry);
+        self.add("overShareWorth", settings.over_quota_weight);
+        self.add("worthBy work", settings.weight_by_work);
+        self.add("clientHabits.marksRetry", settings.clients_mark_retries);
         self.add("discovery", discovery(settings.discovery));
-        self.add("telemetry.source", report_source(settings.reports));
+        self.add("telemetry.source", report_source(settings.load_reports));
         self.add("weights", weights(settings.weights));
-        self.add("familyInfo.mode", forward_mode(settings.mode));
-        self.add("familyInfo.parkUs", settings.park);
-        self.add("familyInfo.groups", settings.groups);
-        self.add("familyInfo.tellsLoad", settings.tells_load);
-        self.add("familyInfo.tellsDelay", settings.tells_delay);
-        self.add("roundUs", settings.tick);
-        self.add("brings connections home", settings.homing);
+        self.add("familyInfo.mode", forward_mode(settings.forward_mode));
+        self.add("familyInfo.parkUs", settings.park_timeout);
+        self.add("familyInfo.groups", settings.affinity_groups);
+        self.add("familyInfo.tellsLoad", settings.reports_connection_load);
+        self.add("familyInfo.tellsDelay", settings.reports_message_latency);
+        self.add("roundUs", settings.event_interval);
+        self.add("brings connections home", settings.rebalancing);
         self.add("permissions.mayCancel", permissions.cancel);
-        self.add("permissions.peers", permissions.peers);
-        self.add("permissions.probing", permissions.probes);
+        self.add("permissions.peers", permissions.peer_messages);
+        self.add("permissions.probing", permissions.health_checks);
         self.add("permissions.retryAfter", permissions.retry_after);
-        self.add("permissions.secondCopies", permissions.second_copies);
+        self.add("permissions.secondCopies", permissions.hedged_requests);
         self.add("permissions.maxAttempts", permissions.max_attempts);
-        self.add("permissions.maxOpen", permissions.max_open);
+        self.add("permissions.maxOpen", permissions.max_open_requests);
         self.add("permissions.maxRetryAfterUs", permissions.max_retry_after);
-        self.add("permissions.multiplex", permissions.multiplex);
-        self.add("permissions.idleCloseUs", permissions.idle_close);
+        self.add("permissions.multiplex", permissions.max_streams_per_connection);
+        self.add("permissions.idleCloseUs", permissions.idle_timeout);
         self.add("permissions.connectTimeoutUs", permissions.connect_timeout);
         self.add("permissions.cpuUsPerRequest", permissions.cpu_per_request);
         self.add("permissions.cpuUsPerS", permissions.cpu_per_second);
         self.add("rules.graceToAnswerUs", rules.answer_grace);
-        self.add("rules.mustAskInUs", rules.must_ask_in);
-        self.add("rules.startCapacity", rules.start_capacity);
-        self.add("rules.coldUs", rules.cold);
+        self.add("rules.mustAskInUs", rules.max_list_age);
+        self.add("rules.startCapacity", rules.initial_capacity);
+        self.add("rules.coldUs", rules.slow_start_duration);
         self.add("rules.stopSendingWithinUs", rules.drain_grace);
         self.add("rules.overloadFactor", rules.overload_factor);
-        self.add("rules.fallUs", rules.fall);
-        self.add("resultMix.whole", goal.whole);
+        self.add("rules.fallUs", rules.overload_duration);
+        self.add("resultMix.whole", goal.overall);
         self.add("resultMix.worstClass", goal.worst_class);
         self.add("resultMix.worstTenant", goal.worst_tenant);
         self.add("resultMix.worstWindow", goal.worst_window);
@@ -414,23 +414,23 @@
         self.add("tariffs.discovery", prices.discovery);
         self.add("tariffs.fleet", prices.fleet);
         self.add("tariffs.handshake", prices.handshake);
-        self.add("tariffs.lateFail", prices.late_fail);
-        self.add("tariffs.moves", prices.moves);
+        self.add("tariffs.lateFail", prices.late_failure);
+        self.add("tariffs.moves", prices.migration);
         self.add("tariffs.origin", prices.origin);
-        self.add("tariffs.peer", prices.peer);
-        self.add("tariffs.probe", prices.probe);
-        self.add("tariffs.waste", prices.waste);
+        self.add("tariffs.peer", prices.peer_message);
+        self.add("tariffs.probe", prices.health_check);
+        self.add("tariffs.waste", prices.wasted_work);
     }
 
-    fn add_class(&mut self, path: &str, class: &Class) {
-        self.add(format!("{path}.aimUs"), class.aim);
-        self.add(format!("{path}.aimStretch"), class.aim_stretch);
+    fn add_class(&mut self, path: &str, class: &RequestClass) {
+        self.add(format!("{path}.aimUs"), class.latency_objective);
+        self.add(format!("{path}.aimStretch"), class.latency_objective_stretch);
         self.add(format!("{path}.hardLimitUs"), class.deadline);
-        self.add(format!("{path}.effect"), effect(class.effect));
-        self.add(format!("{path}.lateShare"), class.late_share);
+        self.add(format!("{path}.effect"), effect(class.idempotency));
+        self.add(format!("{path}.lateShare"), class.late_value_fraction);
         self.add(format!("{path}.stream"), class.stream);
-        self.add(format!("{path}.worth"), class.worth);
-        self.add(format!("{path}.messageAimUs"), class.message_aim);
+        self.add(format!("{path}.worth"), class.priority_weight);
+        self.add(format!("{path}.messageAimUs"), class.message_latency_objective);
     }
 
     fn add_tenant(&mut self, path: &str, tenant: &Tenant) {
@@ -440,7 +440,7 @@
     }
 
     /// The places of names; only those of the file at hand are asked for.
-    fn add_names(&mut self, names: &Names, settings: &Value) {
+    fn add_names(&mut self, names: &NameTable, settings: &Value) {
         self.add("names of classes", names.classes().join(" "));
         self.add("names of zones", names.zones().join(" "));
         for name in listed(&settings["services"]) {
@@ -497,11 +497,11 @@
         }
     }
 
-    fn add_entry(&mut self, path: &str, entry: &ServerEntry) {
-        self.add(format!("{path}.id"), &entry.server.0);
+    fn add_entry(&mut self, path: &str, entry: &Endpoint) {
+        self.add(format!("{path}.id"), &entry.id.0);
         self.add(format!("{path}.kind"), place(entry.kind.map(|kind| kind.0)));
         self.add(format!("{path}.weight"), entry.weight);
-        self.add(format!("{path}.started in us"), entry.started);
+        self.add(format!("{path}.started in us"), entry.started_at);
         self.add(format!("{path}.zone"), place(entry.zone.map(|zone| zone.0)));
         self.add(format!("{path}.cell"), entry.cell.0);
         self.add(format!("{path}.state"), server_state(entry.state));
@@ -522,60 +522,60 @@
     items.filter_map(|item| item.as_str().or(item["name"].as_str()).map(str::to_owned)).collect()
 }
 
-fn effect(effect: Effect) -> String {
+fn effect(effect: Idempotency) -> String {
     match effect {
-        Effect::Idempotent => "idempotent".into(),
-        Effect::AtMostOnce => "at_most_once".into(),
-        Effect::Deduplicated { scope, window } => {
+        Idempotency::Idempotent => "idempotent".into(),
+        Idempotency::AtMostOnce => "at_most_once".into(),
+        Idempotency::IdempotencyKey { scope, window } => {
             format!("deduplicated in {} for {window}", self::scope(scope))
         }
     }
 }
 
-fn scope(scope: Scope) -> &'static str {
+fn scope(scope: DeduplicationScope) -> &'static str {
     match scope {
-        Scope::All => "all",
-        Scope::Zone => "zone",
-        Scope::Cell => "cell",
+        DeduplicationScope::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::Cell => "cell",
     }
 }
 
-fn discovery(discovery: Discovery) -> &'static str {
+fn discovery(discovery: DiscoveryMode) -> &'static str {
     match discovery {
-        Discovery::Pushed => "pushed",
-        Discovery::OnRequest => "on_request",
+        DiscoveryMode::Pushed => "pushed",
+        DiscoveryMode::OnRequest => "on_request",
     }
 }
 
-fn report_source(source: ReportSource) -> &'static str {
+fn report_source(source: LoadReportSource) -> &'static str {
     match source {
-        ReportSource::Outcomes => "piggyback",
-        ReportSource::Probes => "pull",
-        ReportSource::Nowhere => "silent",
+        LoadReportSource::Responses => "piggyback",
+        LoadReportSource::HealthChecks => "pull",
+        LoadReportSource::Unavailable => "silent",
     }
 }
 
-fn weights(weights: Weights) -> &'static str {
+fn weights(weights: WeightSemantics) -> &'static str {
     match weights {
-        Weights::Nothing => "silent",
-        Weights::Nominal => "nominal",
-        Weights::Rough => "rough",
-        Weights::Live => "live",
+        WeightSemantics::Unspecified => "silent",
+        WeightSemantics::Nominal => "nominal",
+        WeightSemantics::Approximate => "rough",
+        WeightSemantics::Live => "live",
     }
 }
 
 fn forward_mode(mode: ForwardMode) -> &'static str {
     match mode {
         ForwardMode::Proxy => "proxy",
-        ForwardMode::Pass => "pass",
+        ForwardMode::PassThrough => "pass",
     }
 }
 
-fn server_state(state: ServerState) -> &'static str {
+fn server_state(state: EndpointState) -> &'static str {
     match state {
-        ServerState::Ready => "active",
-        ServerState::Draining => "leaving",
-        ServerState::Gone => "left",
+        EndpointState::Ready => "active",
+        EndpointState::Draining => "leaving",
+        EndpointState::Removed => "left",
     }
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,7 +6,7 @@
 };
 use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::wire::Names;
+use honeyknot_relay::wire::NameTable;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -120,7 +120,7 @@
             ("active", "asleep"), ("1.0", "\"big\""), ("[", "{\"a\":["),
         ][field];
         let text = ROLL.replacen(wrong.0, wrong.1, 1);
-        let read = serde_json::from_str(&text).map(|value| read_roll(&value, &Names::default()).is_err());
+        let read = serde_json::from_str(&text).map(|value| read_roll(&value, &NameTable::default()).is_err());
         prop_assert!(read.unwrap_or(true), "{}", text);
     }
 }
@@ -141,9 +141,9 @@
 
 #[test]
 fn a_roll_is_read() {
-    let news = read_roll(&serde_json::from_str(ROLL).unwrap(), &Names::default()).unwrap();
+    let news = read_roll(&serde_json::from_str(ROLL).unwrap(), &NameTable::default()).unwrap();
     assert_eq!((news.version, news.whole, news.entries.len(), news.addresses.len()), (41, true, 3, 2));
-    assert_eq!(news.entries[0].started, 2_000);
+    assert_eq!(news.entries[0].started_at, 2_000);
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -7,8 +7,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use honeyknot_relay::Balancer;
-use honeyknot_relay::interface::*;
+use honeyknot_balancer::Balancer;
+use honeyknot_balancer::*;
 use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::config_value;
 use serde_json::{Value, json};
@@ -131,35 +131,38 @@
             self.balancer.handle(self.now, event, &mut out);
             for action in out.drain(..) {
                 match action {
-                    Action::Timer { delay, token } => {
+                    Action::SetTimer { delay, token } => {
                         self.serial += 1;
                         self.timers.insert((self.now.saturating_add(delay.max(1)), self.serial), token);
                     }
-                    Action::Probe(server) => next.push(Event::Probed {
-                        server,
+                    Action::CheckHealth(server) => next.push(Event::HealthCheckEnded {
+                        endpoint: server,
                         outcome: Outcome::Ok,
                         elapsed: 900,
                         report: Some(LoadReport { load: Some(0.4), ..LoadReport::default() }),
                     }),
-                    Action::Place { id, server, .. } => {
+                    Action::Forward { id, endpoint: server, .. } => {
                         self.outcomes += 1;
                         let attempt = AttemptId(0);
-                        let ends = [Outcome::Reset, Outcome::Timeout, Outcome::Full, Outcome::ConnectFailed];
+                        let ends =
+                            [Outcome::Reset, Outcome::Timeout, Outcome::Rejected, Outcome::ConnectFailed];
                         next.push(match self.outcomes % 5 {
-                            4 => Event::Established { id, attempt, server, elapsed: 5_000 },
-                            way => Event::Outcome {
+                            4 => {
+                                Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed: 5_000 }
+                            }
+                            way => Event::AttemptEnded {
                                 id,
                                 attempt,
                                 outcome: ends[way],
                                 closed: false,
-                                server,
+                                endpoint: server,
                                 elapsed: 5_000,
                                 report: None,
                             },
                         });
                         self.answered += usize::from(self.outcomes % 5 == 4);
                     }
-                    Action::Refuse { .. } | Action::Fail(_) => self.answered += 1,
+                    Action::Reject { .. } | Action::Fail(_) => self.answered += 1,
                     _ => {}
                 }
             }
@@ -173,7 +176,7 @@
         {
             self.timers.remove(&(at, serial));
             self.now = at;
-            self.feed(Event::Timer(token));
+            self.feed(Event::TimerFired(token));
         }
         self.now = end;
     }
@@ -185,20 +188,20 @@
     let now = 1_000_000_000;
     let balancer = Balancer::new(config.settings.clone(), 7, now).map_err(|e| e.to_string())?;
     let mut day = Day { balancer, now, timers: BTreeMap::new(), serial: 0, outcomes: 0, answered: 0 };
-    let entry = |i: u64, started, state| ServerEntry {
-        server: ServerId(Arc::from(format!("s-{i}"))),
+    let entry = |i: u64, started, state| Endpoint {
+        id: EndpointId(Arc::from(format!("s-{i}"))),
         kind: None,
         weight: 1.0 + i as f64,
-        started,
+        started_at: started,
         zone: config.settings.zone.map(|_| ZoneId(i as usize % 2)),
         cell: CellId(i),
         state,
     };
-    let list = |entries: Vec<ServerEntry>| Event::Servers {
+    let list = |entries: Vec<Endpoint>| Event::EndpointsUpdated {
         version: 1,
-        update: ListUpdate::Full(Arc::new(entries)),
+        update: EndpointUpdate::Full(Arc::new(entries)),
     };
-    let ready = ServerState::Ready;
+    let ready = EndpointState::Ready;
     day.feed(list((0..4).map(|i| entry(i, if i == 3 { now } else { 0 }, ready)).collect()));
     let mut asked = 0;
     for id in 0..24 {
@@ -206,24 +209,27 @@
             let request = Request {
                 id: RequestId(id * 10 + class as u32),
                 class: ClassId(class),
-                key: Some(ClientKey(Arc::from(format!("k{}", id % 7)))),
-                group: config.settings.groups.then(|| GroupKey(Arc::from(format!("g{}", id % 3)))),
+                session_key: Some(SessionKey(Arc::from(format!("k{}", id % 7)))),
+                affinity_group: config
+                    .settings
+                    .affinity_groups
+                    .then(|| AffinityGroup(Arc::from(format!("g{}", id % 3)))),
                 tenant: None,
-                hint: (id % 4 == 0).then_some(2_000.0),
-                time_left: config.settings.classes[class].deadline,
-                returning: id % 5 == 0,
+                expected_load: (id % 4 == 0).then_some(2_000.0),
+                time_remaining: config.settings.classes[class].deadline,
+                reconnecting: id % 5 == 0,
                 retry: false,
                 mid_flow: id % 11 == 10,
-                reach: Reach::EVERYWHERE,
+                allowed_zones: ZoneSet::ALL,
             };
             asked += 1;
             day.feed(Event::Request(request));
         }
         if id == 12 {
             day.feed(list(
-                (1..4).map(|i| entry(i, 0, if i == 1 { ServerState::Draining } else { ready })).collect(),
+                (1..4).map(|i| entry(i, 0, if i == 1 { EndpointState::Draining } else { ready })).collect(),
             ));
-            day.feed(Event::Servers { version: 2, update: ListUpdate::Failed });
+            day.feed(Event::EndpointsUpdated { version: 2, update: EndpointUpdate::Failed });
         }
         day.pass(100_000);
     }
