--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! All decisions of honeyknot, and all its tunables. The types that go in and out are in `src/interface.rs`.
+//! All decisions of honeyknot, and all its tunables. The types that go in and out are in `src/event.rs` and `src/action.rs`.
 //!
 //! A [`Balancer`] is one of many that share a fleet of servers and tell each other nothing. It keeps a table
 //! of ready servers, each with its last report of load over capacity and the report's age, and for each
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,21 +1,35 @@
 #![forbid(unsafe_code)]
 //! The decision module: which card server a request goes to, whether it is tried again, what is turned away.
 //!
-//! Events go in with the time, actions come out ([`interface`]); [`Balancer`] decides. It never does I/O, never
+//! Events go in with the time, actions come out ([`Event`], [`Action`]); [`Balancer`] decides. It never does I/O, never
 //! reads a clock and draws every random number from its seed, so that sockets, the simulator's wire, a test or a
 //! virtual clock can drive it alike, and the same events give the same actions.
 
+pub mod action;
 pub mod balancer;
 pub mod circuit_breaker;
 pub mod estimates;
-pub mod interface;
+pub mod event;
+pub mod ids;
 pub mod maintenance;
 pub mod outlier_detection;
 pub mod rendezvous;
+pub mod settings;
 pub mod slow_start;
 pub mod unreported_load;
 pub mod zone_affinity;
 
+pub use action::Action;
 pub use balancer::Balancer;
-pub use interface::*;
+pub use event::{
+    ConnectionUpdate, Endpoint, EndpointState, EndpointUpdate, Event, LoadReport, Outcome, Request,
+};
+pub use ids::{
+    AffinityGroup, AttemptId, CellId, ClassId, EndpointId, KindId, Micros, RequestId, SessionKey, TenantId,
+    TimerToken, ZoneId, ZoneSet,
+};
 pub use maintenance::MaintenanceOverlay;
+pub use settings::{
+    DeduplicationScope, DiscoveryMode, ForwardMode, Idempotency, LoadReportSource, ObjectiveWeights,
+    Permissions, Prices, RequestClass, Rules, Settings, Tenant, WeightSemantics,
+};
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -16,6 +16,6 @@
 }
 
 #[test]
-fn head_names_the_interface() {
-    assert!(MODULE.lines().next().is_some_and(|l| l.contains("src/interface.rs")));
+fn module_doc_names_the_event_types() {
+    assert!(MODULE.lines().next().is_some_and(|l| l.contains("src/event.rs")));
 }
--- a/src/bin/honeyknot-simulator-adapter.rs
+++ b/src/bin/honeyknot-simulator-adapter.rs
@@ -6,7 +6,7 @@
 fn main() -> ExitCode {
     // A panic is reported on the wire; the default hook would only repeat it on standard error.
     std::panic::set_hook(Box::new(|_| {}));
-    match honeyknot_relay::wire::run(stdin().lock(), BufWriter::new(stdout().lock())) {
+    match honeyknot_relay::simulator::run(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("honeyknot-simulator-adapter: {fault}");
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -14,7 +14,7 @@
 #[derive(clap::Subcommand)]
 pub enum Show {
     /// List all series: name, kind, unit, tag, its values, meaning; separated by tabs.
-    NameTable,
+    Names,
     /// Print a captured collectd packet, a Graphite pickle or a snapshot of counts.
     Decode {
         /// The file.
@@ -28,7 +28,7 @@
 /// Writes what is asked for to standard output.
 pub fn show(what: &Show) -> Result<(), String> {
     let text = match what {
-        Show::NameTable => names(),
+        Show::Names => names(),
         Show::Decode { file, key } => decode(file, key.as_deref())?,
     };
     match io::stdout().lock().write_all(text.as_bytes()) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,4 +8,5 @@
 pub mod lease_server;
 pub mod logger;
 pub mod relay;
-pub mod wire;
+pub mod settings;
+pub mod simulator;
--- a/src/relay/endpoints/discovery_client.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -16,7 +16,7 @@
 use crate::relay::Shared;
 use crate::relay::connections::protocol::address;
 use crate::relay::timer_wheel::Timers;
-use crate::wire::NameTable;
+use crate::settings::NameTable;
 use honeyknot_balancer::*;
 
 /// A connection that is not up after this counts as a failed call: one lost packet is sent again after a second.
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -7,7 +7,7 @@
 use super::health_check::Errand;
 use crate::relay::lifecycle::config::Config;
 use crate::relay::{Order, Relay};
-use crate::wire::NameTable;
+use crate::settings::NameTable;
 use honeyknot_balancer::*;
 
 /// The least price of crossing sites that the decisions reckon with when tiers hold: they then prefer the own site
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -10,7 +10,7 @@
 
 use crate::relay::connections::protocol::address;
 use crate::relay::endpoints::discovery_client::{RollNews, read_roll};
-use crate::wire::{self, NameTable};
+use crate::settings::{self, NameTable};
 use honeyknot_balancer::Settings;
 
 /// Descriptors to live within where no limit is told.
@@ -151,7 +151,7 @@
             None | Some(Value::Null) => SOCKETS,
             Some(v) => v.as_u64().ok_or("`limits.sockets` is no whole number")?,
         };
-        let (settings, names) = wire::settings(value.get("settings").ok_or("`settings` is missing")?)?;
+        let (settings, names) = settings::settings(value.get("settings").ok_or("`settings` is missing")?)?;
         let known = value.get("known").filter(|v| !v.is_null());
         let known = known.map(|v| read_roll(v, &names)).transpose().map_err(|e| format!("`known`: {e}"))?;
         Ok(Config {
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -10,7 +10,7 @@
 use super::persistent_counters::Folder;
 use crate::relay::connections::protocol::SessionHead;
 use crate::relay::{Relay, Shared};
-use crate::wire::NameTable;
+use crate::settings::NameTable;
 use honeyknot_balancer::*;
 
 /// The tag's value of an outcome.
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::admin;
 use crate::gossip::Neighborhood;
-use crate::wire::NameTable;
+use crate::settings::NameTable;
 use clock::Clock;
 use connections::idle::Crowd;
 use connections::listener;
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -21,7 +21,8 @@
 };
 use honeyknot_relay::relay::endpoints::discovery_client::RollNews;
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::wire::{self, NameTable};
+use honeyknot_relay::settings::{self, NameTable};
+use honeyknot_relay::simulator;
 
 /// The program that speaks the simulator's wire on standard input and output.
 const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-simulator-adapter");
@@ -77,7 +78,7 @@
 /// Runs the wire over the input within this process; the answer is all that it wrote, or why it stopped.
 fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
-    wire::run(input, &mut output).map_err(|fault| fault.to_string())?;
+    simulator::run(input, &mut output).map_err(|fault| fault.to_string())?;
     Ok(output)
 }
 
@@ -583,7 +584,7 @@
 fn settings_of_each_site_give_the_same_typed_values() {
     for site in SITES {
         let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
-        let (settings, names) = wire::settings(&value).expect("sound settings");
+        let (settings, names) = settings::settings(&value).expect("sound settings");
         let mut fields = Fields::default();
         fields.add_settings(&settings);
         fields.add_names(&names, &value);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,7 +6,7 @@
 };
 use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::wire::NameTable;
+use honeyknot_relay::settings::NameTable;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
