--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -65,7 +65,7 @@
             && let Some((task, since)) = callers.pop_front()
         {
             // Guards against callers that hold connections and say nothing: whoever has had longest makes room.
-            timers.until(since + NEW).await;
+            timers.sleep_until(since + NEW).await;
             task.abort();
         }
         let task = tokio::task::spawn_local(answer(desk.clone(), stream));
@@ -82,7 +82,7 @@
     let mut bytes = Vec::with_capacity(call::LONGEST);
     let call = tokio::select! {
         call = read(&mut stream, &mut bytes) => call,
-        () = timers.nap(PATIENCE) => Some(Err(Bad::CutShort)),
+        () = timers.sleep(PATIENCE) => Some(Err(Bad::CutShort)),
     };
     let Some(call) = call else { return };
     let answer = match call {
@@ -94,7 +94,7 @@
     let answer = if crlf { answer.replace('\n', "\r\n") } else { answer };
     let sent = tokio::select! {
         sent = stream.write_all(answer.as_bytes()) => sent.is_ok(),
-        () = timers.nap(PATIENCE) => false,
+        () = timers.sleep(PATIENCE) => false,
     };
     if sent {
         graceful_close::end(&timers, stream).await;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -63,18 +63,18 @@
 }
 
 /// The neighbourhood as the relay's loop holds it. Dropping it says good-bye to the others.
-pub struct Neighborhood {
+pub struct GossipHandle {
     view: Arc<ArcSwap<View>>,
     say: SyncSender<Vec<Finding>>,
     counts: Arc<Counts>,
     probes: Probes,
 }
 
-impl Neighborhood {
+impl GossipHandle {
     /// Enters the neighbourhood.
     pub fn enter(
         plan: &Plan, listen: SocketAddr, relays: u32, seed: u64,
-    ) -> Result<Neighborhood, Unreachable> {
+    ) -> Result<GossipHandle, Unreachable> {
         let at = plan.check_listen(listen)?;
         let told = |why| Unreachable::Socket(at, why);
         let socket = UdpSocket::bind(at).map_err(told)?;
@@ -92,7 +92,7 @@
         };
         std::thread::Builder::new().name("neighbors".into()).spawn(run).map_err(Unreachable::Thread)?;
         info!(target: "neighbors", %at, seeds = plan.seeds.len(), "listening");
-        Ok(Neighborhood { view, say, counts, probes: Probes::new(plan.witnesses, seed) })
+        Ok(GossipHandle { view, say, counts, probes: Probes::new(plan.witnesses, seed) })
     }
 
     /// What is counted.
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::protocol::{self, SessionHead, Word, report_value};
-use crate::relay::{Order, Placement, Shared};
+use super::protocol::{self, OpenRequest, Word, report_value};
+use crate::relay::{AttemptRequest, ConnectionCommand, SharedRelay};
 use honeyknot_balancer::*;
 
 /// How an attempt went.
@@ -21,7 +21,7 @@
     /// The client left.
     Left,
     /// The decisions answered while it was out.
-    Answered(Order),
+    Answered(ConnectionCommand),
 }
 
 /// Whether the last byte of the head was written: up to then the card server cannot have run it.
@@ -29,21 +29,21 @@
 
 /// Connects, sends the head and reads the card server's first line.
 pub(super) async fn dial(
-    relay: &Shared, head: &SessionHead, place: &Placement, due: Micros, sent: &Sent,
+    relay: &SharedRelay, head: &OpenRequest, place: &AttemptRequest, due: Micros, sent: &Sent,
 ) -> Came {
     let timers = relay.borrow().timers.clone();
     let wait = relay.borrow().connect_timeout();
     let dialled = tokio::select! {
         dialled = TcpStream::connect(place.address) => dialled,
-        () = timers.nap(wait) => Err(io::ErrorKind::TimedOut.into()),
+        () = timers.sleep(wait) => Err(io::ErrorKind::TimedOut.into()),
     };
     if dialled.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
-        relay.borrow().refused_by(&place.server);
+        relay.borrow().connection_refused_by(&place.endpoint);
     }
     // Guards against a connection that came up late: meanwhile the card server may have begun to drain, and the time in
     // which card servers still know the first of two attempts may have passed.
     let in_time = |now| place.send_before.is_none_or(|end| now < end);
-    let may_send = || relay.borrow().may_still_send(&place.server) && in_time(timers.clock.now());
+    let may_send = || relay.borrow().may_send_to(&place.endpoint) && in_time(timers.clock.now());
     let Some(mut server) = dialled.ok().filter(|_| may_send()) else {
         return Came::Ended(Outcome::ConnectFailed, None);
     };
@@ -53,12 +53,12 @@
         return Came::Ended(Outcome::ConnectFailed, None);
     }
     sent.set(true);
-    relay.borrow_mut().meter_sent(head);
+    relay.borrow_mut().record_forwarded(head);
     read_answer(relay, server).await
 }
 
 /// Writes the head with another wait, gathered from its pieces.
-async fn write_head(server: &mut TcpStream, head: &SessionHead, wait_ms: u64) -> io::Result<()> {
+async fn write_head(server: &mut TcpStream, head: &OpenRequest, wait_ms: u64) -> io::Result<()> {
     let digits = wait_ms.to_string();
     let mut pieces = head.with_patience(digits.as_bytes());
     let mut pieces = &mut pieces[..];
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-async fn read_answer(relay: &Shared, mut server: TcpStream) -> Came {
+async fn read_answer(relay: &SharedRelay, mut server: TcpStream) -> Came {
     let mut bytes = BytesMut::with_capacity(512);
     let end = loop {
         match protocol::first_line(&bytes) {
@@ -101,16 +101,16 @@
 
 /// Dials the card server of a session from before the run, once.
 pub(super) async fn dial_again(
-    relay: &Shared, head: &SessionHead, id: &EndpointId, address: std::net::SocketAddr,
+    relay: &SharedRelay, head: &OpenRequest, id: &EndpointId, address: std::net::SocketAddr,
 ) -> Option<(TcpStream, BytesMut)> {
     let mut server = TcpStream::connect(address).await.ok()?;
     // Guards against a connection that comes up after an operator has taken the card server out.
-    if relay.borrow().withholds(id) {
+    if relay.borrow().in_maintenance(id) {
         return None;
     }
     let _ = server.set_nodelay(true);
     server.write_all(head.as_sent()).await.ok()?;
-    relay.borrow_mut().meter_sent(head);
+    relay.borrow_mut().record_forwarded(head);
     match read_answer(relay, server).await {
         Came::Up(server, bytes) => Some((server, bytes)),
         _ => None,
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::graceful_close::end;
-use super::handshake::{BUFFER, Client, SeatGuard};
-use super::protocol::{LineWatch, MOVE, SessionHead, Word};
+use super::handshake::{BUFFER, Client, ConnectionGuard};
+use super::protocol::{LineWatch, MOVE, OpenRequest, Word};
 use crate::relay::timer_wheel::Timers;
-use crate::relay::{Order, Shared};
+use crate::relay::{ConnectionCommand, SharedRelay};
 use honeyknot_balancer::*;
 
 /// A client's line without a whole line back for this long: the card server is silent there and the client is moved.
@@ -45,7 +45,7 @@
 
 /// All that a session that stands is, but its sockets, in the form in which it is passed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Bundle {
+pub struct ConnectionState {
     /// The client's first line.
     head: Vec<u8>,
     /// Its card server.
@@ -62,19 +62,19 @@
 
 /// A session on its way to another process of this relay.
 #[derive(Debug)]
-pub struct Passed {
+pub struct ConnectionTransfer {
     /// What it is.
-    pub bundle: Bundle,
+    pub bundle: ConnectionState,
     /// Its client.
     pub client: TcpStream,
     /// Its card server.
     pub server: TcpStream,
 }
 
-impl Passed {
+impl ConnectionTransfer {
     /// Moves the client, as there is nobody to pass it on to.
     pub fn send_away(self, timers: &Rc<Timers>) {
-        let Passed { bundle, client, server } = self;
+        let ConnectionTransfer { bundle, client, server } = self;
         // What waits is no more than the beginning of a line, or nothing and the client has whole lines.
         let fits = past_last_line(&bundle.to_client) == 0
             && (!bundle.to_client.is_empty() || bundle.watch.between_lines());
@@ -84,26 +84,28 @@
 }
 
 /// Goes on with a session that another process of this relay has passed on. One that cannot be held here is moved.
-pub fn take_up(relay: &Shared, bundle: Bundle, client: OwnedFd, server: OwnedFd) -> io::Result<()> {
+pub fn restore(
+    relay: &SharedRelay, bundle: ConnectionState, client: OwnedFd, server: OwnedFd,
+) -> io::Result<()> {
     let stream = |socket: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(socket));
     let (client, server) = (stream(client)?, stream(server)?);
     let timers = relay.borrow().timers.clone();
-    let head = SessionHead::parse(Bytes::copy_from_slice(&bundle.head));
-    let (first, second) = (relay.borrow().hold_descriptor(), relay.borrow().hold_descriptor());
+    let head = OpenRequest::parse(Bytes::copy_from_slice(&bundle.head));
+    let (first, second) = (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
     let (Ok(head), Some(first), Some(second)) = (head, first, second) else {
-        Passed { bundle, client, server }.send_away(&timers);
+        ConnectionTransfer { bundle, client, server }.send_away(&timers);
         return Err(io::Error::other("no descriptors to spare, or no sound head"));
     };
-    let open = relay.borrow().open_id(&head);
-    let taken = relay.borrow_mut().take_up(&head, EndpointId(bundle.server.as_str().into()));
+    let open = relay.borrow().reserve_connection_id(&head);
+    let taken = relay.borrow_mut().restore_connection(&head, EndpointId(bundle.server.as_str().into()));
     let (Some(open), Some((id, mut orders))) = (open, taken) else {
-        Passed { bundle, client, server }.send_away(&timers);
+        ConnectionTransfer { bundle, client, server }.send_away(&timers);
         return Err(io::Error::other("its id is open here, or its class is not known"));
     };
     if let Some(load) = bundle.load {
-        relay.borrow_mut().load_told(id, load);
+        relay.borrow_mut().connection_load_reported(id, load);
     }
-    let seat = SeatGuard { relay: relay.clone(), id, answered: false };
+    let seat = ConnectionGuard { relay: relay.clone(), id, answered: false };
     let (whole, half) = bundle.to_client.split_at(past_last_line(&bundle.to_client));
     let pump = Pump {
         relay: relay.clone(),
@@ -143,7 +145,7 @@
     /// The card server says nothing more.
     Silent,
     /// Another process of this relay goes on with it.
-    Passed,
+    ConnectionTransfer,
 }
 
 /// What the last whole line of the card server was.
@@ -157,9 +159,9 @@
 
 /// Both sides of a standing session and what is on its way between them.
 struct Pump {
-    relay: Shared,
+    relay: SharedRelay,
     id: RequestId,
-    head: SessionHead,
+    head: OpenRequest,
     client: TcpStream,
     server: TcpStream,
     to_client: BytesMut,
@@ -184,8 +186,8 @@
 }
 
 pub(super) async fn pump(
-    relay: Shared, client: Client, mut orders: UnboundedReceiver<Order>, seat: SeatGuard, head: SessionHead,
-    server: TcpStream, first: BytesMut,
+    relay: SharedRelay, client: Client, mut orders: UnboundedReceiver<ConnectionCommand>,
+    seat: ConnectionGuard, head: OpenRequest, server: TcpStream, first: BytesMut,
 ) {
     let timers = client.timers.clone();
     let mut pump = Pump {
@@ -214,10 +216,10 @@
 
 impl Pump {
     /// Passes lines until the session ends, and settles it.
-    async fn serve(mut self, orders: &mut UnboundedReceiver<Order>, mut seat: SeatGuard) {
+    async fn serve(mut self, orders: &mut UnboundedReceiver<ConnectionCommand>, mut seat: ConnectionGuard) {
         let ending = self.run(orders).await;
         let outcome = match (&ending, self.last) {
-            (Ending::Client { .. } | Ending::Moved | Ending::Passed, _) => Outcome::Cancelled,
+            (Ending::Client { .. } | Ending::Moved | Ending::ConnectionTransfer, _) => Outcome::Cancelled,
             (Ending::Silent, _) => Outcome::Reset,
             (Ending::Server { .. }, Last::Bye) => Outcome::Ok,
             (Ending::Server { .. }, Last::Move) => Outcome::Cancelled,
@@ -227,28 +229,28 @@
         let how = match (&ending, self.last) {
             (Ending::Client { .. }, _) => "client",
             (Ending::Moved | Ending::Silent, _) => "moved",
-            (Ending::Passed, _) => "passed",
+            (Ending::ConnectionTransfer, _) => "passed",
             (Ending::Server { .. }, Last::Bye) => "served",
             (Ending::Server { reset: true }, _) => "reset",
             (Ending::Server { reset: false }, _) => "server",
         };
-        let server = self.relay.borrow().server_of(seat.id);
-        self.relay.borrow_mut().meter_ended(how);
+        let server = self.relay.borrow().endpoint_of(seat.id);
+        self.relay.borrow_mut().record_connection_ended(how);
         if matches!(ending, Ending::Silent) {
-            self.relay.borrow_mut().meter_moved_silent();
+            self.relay.borrow_mut().record_silent_migration();
         }
         self.relay.borrow_mut().attempt_ended(seat.id, outcome, true, None);
         seat.answered = true;
         drop(seat);
         match (ending, server) {
-            (Ending::Passed, Some(server)) => self.pass_on(&server),
+            (Ending::ConnectionTransfer, Some(server)) => self.pass_on(&server),
             (ending, _) => self.close(ending).await,
         }
     }
 
     /// Has another process of this relay go on with it, or moves the client if there is none any more.
     fn pass_on(self, server: &EndpointId) {
-        let bundle = Bundle {
+        let bundle = ConnectionState {
             head: self.head.as_sent().to_vec(),
             server: server.0.as_ref().to_owned(),
             to_client: [&self.to_client[..], &self.half].concat(),
@@ -258,14 +260,14 @@
             unanswered: self.unanswered,
             load: self.load,
         };
-        let passed = Passed { bundle, client: self.client, server: self.server };
-        if let Err(passed) = self.relay.borrow_mut().pass_on(passed) {
+        let passed = ConnectionTransfer { bundle, client: self.client, server: self.server };
+        if let Err(passed) = self.relay.borrow_mut().transfer_connection(passed) {
             passed.send_away(&self.timers);
         }
     }
 
-    async fn run(&mut self, orders: &mut UnboundedReceiver<Order>) -> Ending {
-        let look = self.timers.nap(LOOK);
+    async fn run(&mut self, orders: &mut UnboundedReceiver<ConnectionCommand>) -> Ending {
+        let look = self.timers.sleep(LOOK);
         tokio::pin!(look);
         loop {
             self.push();
@@ -277,8 +279,8 @@
                 order = orders.recv(), if self.move_from.is_none() => {
                     // Once a session stands, only a move can be wanted of it, or that another process goes on with it.
                     match order {
-                        Some(Order::Move) | None => self.move_from = Some(self.timers.clock.now()),
-                        Some(Order::PassOn) => self.passing = true,
+                        Some(ConnectionCommand::Migrate) | None => self.move_from = Some(self.timers.clock.now()),
+                        Some(ConnectionCommand::Transfer) => self.passing = true,
                         Some(_) => {}
                     }
                 }
@@ -294,7 +296,7 @@
                 }
                 _ = self.client.writable(), if !self.to_client.is_empty() => {}
                 _ = self.server.writable(), if !self.to_server.is_empty() => {}
-                () = &mut look => look.set(self.timers.nap(LOOK)),
+                () = &mut look => look.set(self.timers.sleep(LOOK)),
             }
         }
     }
@@ -333,7 +335,7 @@
         }
         if self.passing && self.client_end.is_none() && self.server_end.is_none() && self.move_from.is_none()
         {
-            return Some(Ending::Passed);
+            return Some(Ending::ConnectionTransfer);
         }
         // While the client itself does not read, the card server is not read and not to blame.
         let silent = self.unanswered.is_some_and(|since| now >= since + SILENCE);
@@ -383,13 +385,13 @@
         // Guards against taking the beginning of a line that stops short, or news of the load, for an answer.
         if let Some(since) = self.unanswered.take_if(|_| answered) {
             let took = self.timers.clock.now().saturating_sub(since);
-            self.relay.borrow_mut().message_took(self.id, took);
+            self.relay.borrow_mut().message_latency_measured(self.id, took);
         }
         if let Some(load) = load {
             self.load = Some(load);
-            self.relay.borrow_mut().load_told(self.id, load);
+            self.relay.borrow_mut().connection_load_reported(self.id, load);
         }
-        self.relay.borrow_mut().meter_bytes(true, bytes.len());
+        self.relay.borrow_mut().record_bytes(true, bytes.len());
         self.half.unsplit(bytes);
         let whole = past_last_line(&self.half);
         if whole == self.half.len() || self.half.len() >= BUFFER {
@@ -408,7 +410,7 @@
         match self.client.try_read_buf(&mut self.to_server) {
             Ok(0) => self.client_end = Some((false, now)),
             Ok(count) => {
-                self.relay.borrow_mut().meter_bytes(false, count);
+                self.relay.borrow_mut().record_bytes(false, count);
                 self.unanswered.get_or_insert(now);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -423,7 +425,7 @@
         match ending {
             Ending::Server { reset } => mirror(&timers, client, reset).await,
             Ending::Client { reset } => mirror(&timers, server, reset).await,
-            Ending::Moved | Ending::Silent | Ending::Passed => {
+            Ending::Moved | Ending::Silent | Ending::ConnectionTransfer => {
                 send_away(&timers, client, server, fits).await;
             }
         }
--- a/src/relay/connections/graceful_close.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -20,7 +20,7 @@
     let _ = stream.shutdown().await;
     tokio::select! {
         () = drain(&stream) => {}
-        () = timers.nap(FAREWELL) => {}
+        () = timers.sleep(FAREWELL) => {}
     }
 }
 
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -11,11 +11,11 @@
 use super::attempt::{Came, Sent, dial, dial_again};
 use super::established::pump;
 use super::graceful_close::{FAREWELL, end};
-use super::idle::Place;
-use super::protocol::{self, FAILED, Malformed, SessionHead};
+use super::idle::IdleSlot;
+use super::protocol::{self, FAILED, Malformed, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::timer_wheel::Timers;
-use crate::relay::{Held, Order, Placement, Shared};
+use crate::relay::{AttemptRequest, ConnectionCommand, DescriptorPermit, SharedRelay};
 use honeyknot_balancer::*;
 
 /// A connection that has not asked for a session after this is ended, however slowly its line drips and however
@@ -30,7 +30,7 @@
 const ADOPT_TRY: Micros = 5_000_000;
 
 /// Serves a connection that a front layer or a client has opened.
-pub async fn serve(relay: Shared, client: TcpStream, held: Held, mut place: Place) {
+pub async fn serve(relay: SharedRelay, client: TcpStream, held: DescriptorPermit, mut place: IdleSlot) {
     let _ = client.set_nodelay(true);
     let timers = relay.borrow().timers.clone();
     let mut side = Client { stream: client, bytes: BytesMut::with_capacity(512), timers, _held: held };
@@ -43,10 +43,10 @@
         }
         Ok(Some(First::Asks(head))) => {
             let head = *head;
-            let Some(_open) = relay.borrow().open_id(&head) else {
+            let Some(_open) = relay.borrow().reserve_connection_id(&head) else {
                 place.answered();
                 debug!(target: "client", why = "the id of an open connection, or no known class", "turned away");
-                relay.borrow_mut().meter_head(&head, Answer::Failed);
+                relay.borrow_mut().record_unregistered_answer(&head, Answer::Failed);
                 return side.farewell(FAILED).await;
             };
             match head.holder().map(|id| EndpointId(id.into())) {
@@ -57,7 +57,7 @@
         Ok(None) => {}
         Err(Malformed(why)) => {
             debug!(target: "client", why, "turned away");
-            relay.borrow_mut().meter_failed("malformed");
+            relay.borrow_mut().record_failed("malformed");
             place.answered();
             side.farewell(FAILED).await;
         }
@@ -70,12 +70,14 @@
     /// What the client sent beyond its head.
     pub(super) bytes: BytesMut,
     pub(super) timers: Rc<Timers>,
-    _held: Held,
+    _held: DescriptorPermit,
 }
 
 impl Client {
     /// Reads lines until the head of a session; none if there is nothing to answer. Who rests after a `PONG` is let rest for a while.
-    async fn first_line(&mut self, relay: &Shared, place: &mut Place) -> Result<Option<First>, Malformed> {
+    async fn first_line(
+        &mut self, relay: &SharedRelay, place: &mut IdleSlot,
+    ) -> Result<Option<First>, Malformed> {
         let timers = self.timers.clone();
         let due = timers.clock.now() + HEAD_WAIT;
         let (mut pinged, last_call) = (false, place.last_call());
@@ -83,7 +85,7 @@
             let end = tokio::select! {
                 biased;
                 end = self.line(place) => end?,
-                () = timers.until(due) => match pinged && self.bytes.is_empty() {
+                () = timers.sleep_until(due) => match pinged && self.bytes.is_empty() {
                     true => return Ok(Some(First::Rests)),
                     false => return Err(Malformed("a first line is not whole in time")),
                 },
@@ -95,9 +97,9 @@
                 return Err(Malformed("more than a first line before any answer"));
             }
             if protocol::bare(&line) != b"PING" {
-                return SessionHead::parse(line).map(|head| Some(First::Asks(Box::new(head))));
+                return OpenRequest::parse(line).map(|head| Some(First::Asks(Box::new(head))));
             }
-            let answer: &[u8] = if relay.borrow().closing() { b"BUSY\r\n" } else { b"PONG\r\n" };
+            let answer: &[u8] = if relay.borrow().is_shutting_down() { b"BUSY\r\n" } else { b"PONG\r\n" };
             if self.stream.write_all(answer).await.is_err() {
                 return Ok(None);
             }
@@ -107,7 +109,7 @@
     }
 
     /// Reads until a line is whole; none if the client leaves before it begins one.
-    async fn line(&mut self, place: &mut Place) -> Result<Option<usize>, Malformed> {
+    async fn line(&mut self, place: &mut IdleSlot) -> Result<Option<usize>, Malformed> {
         loop {
             if let Some(end) = protocol::first_line(&self.bytes)? {
                 return Ok(Some(end));
@@ -144,7 +146,7 @@
     async fn farewell(mut self, line: &[u8]) {
         tokio::select! {
             _ = self.stream.write_all(line) => {}
-            () = self.timers.nap(FAREWELL) => {}
+            () = self.timers.sleep(FAREWELL) => {}
         }
         end(&self.timers, self.stream).await;
     }
@@ -153,7 +155,7 @@
 /// What comes of a connection at the door.
 enum First {
     /// It asks for a session.
-    Asks(Box<SessionHead>),
+    Asks(Box<OpenRequest>),
     /// It has said nothing for too long after a `PONG`, or the relay ends.
     Rests,
 }
@@ -167,63 +169,63 @@
 }
 
 /// The session's place at the relay, left whatever way its task ends.
-pub(super) struct SeatGuard {
-    pub(super) relay: Shared,
+pub(super) struct ConnectionGuard {
+    pub(super) relay: SharedRelay,
     pub(super) id: RequestId,
     pub(super) answered: bool,
 }
 
-impl Drop for SeatGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.relay.borrow_mut().left(self.id, self.answered);
+        self.relay.borrow_mut().connection_closed(self.id, self.answered);
     }
 }
 
 /// A time to come back in, within what clients honour. It differs from client to client, or all that are
 /// refused together would come back together.
-fn come_back(relay: &Shared) -> u64 {
+fn come_back(relay: &SharedRelay) -> u64 {
     let relay = relay.borrow();
-    let most = relay.longest_away();
+    let most = relay.max_retry_after();
     (most / 2 + relay.timers.clock.now() % (most / 2 + 1)) / 1_000
 }
 
-async fn study(relay: Shared, client: Client, head: SessionHead, place: Place) {
+async fn study(relay: SharedRelay, client: Client, head: OpenRequest, place: IdleSlot) {
     // It leaves the crowd first: the oldest there may have to make room for it.
     drop(place);
-    let second = relay.borrow().hold_descriptor().filter(|_| relay.borrow().may_let_in());
+    let second = relay.borrow().acquire_descriptor().filter(|_| relay.borrow().can_admit());
     let Some(second) = second else {
-        let reason = match (relay.borrow().closing(), relay.borrow().may_let_in()) {
+        let reason = match (relay.borrow().is_shutting_down(), relay.borrow().can_admit()) {
             (true, _) => "closing",
             (false, false) => "capacity",
             (false, true) => "descriptors",
         };
-        relay.borrow_mut().meter_refused(reason, None);
-        relay.borrow_mut().meter_head(&head, Answer::Busy);
+        relay.borrow_mut().record_rejected(reason, None);
+        relay.borrow_mut().record_unregistered_answer(&head, Answer::Busy);
         let line = protocol::busy(come_back(&relay));
         return client.farewell(&line).await;
     };
-    let asked = relay.borrow_mut().ask(&head);
+    let asked = relay.borrow_mut().request_connection(&head);
     let Some((id, orders)) = asked else { return client.farewell(FAILED).await };
-    let seat = SeatGuard { relay: relay.clone(), id, answered: false };
+    let seat = ConnectionGuard { relay: relay.clone(), id, answered: false };
     Session { relay, client, head, orders, seat, _second: second }.run().await;
 }
 
 /// A session that is not standing yet.
 struct Session {
-    relay: Shared,
+    relay: SharedRelay,
     client: Client,
-    head: SessionHead,
-    orders: UnboundedReceiver<Order>,
-    seat: SeatGuard,
-    _second: Held,
+    head: OpenRequest,
+    orders: UnboundedReceiver<ConnectionCommand>,
+    seat: ConnectionGuard,
+    _second: DescriptorPermit,
 }
 
 impl Session {
     async fn run(mut self) {
         let timers = self.client.timers.clone();
-        let patience = self.head.patience(self.relay.borrow().longest_deadline());
+        let patience = self.head.patience(self.relay.borrow().max_deadline());
         // Guards against a request that the decisions forget: it still gets its one answer in time.
-        let overdue = timers.nap(patience.saturating_add(self.relay.borrow().answer_grace()));
+        let overdue = timers.sleep(patience.saturating_add(self.relay.borrow().answer_grace()));
         tokio::pin!(overdue);
         loop {
             let order = tokio::select! {
@@ -232,11 +234,11 @@
                     Strayed::Left => return,
                     Strayed::Spoke => self.forgone("spoke"),
                 },
-                order = self.orders.recv() => order.unwrap_or(Order::Fail),
+                order = self.orders.recv() => order.unwrap_or(ConnectionCommand::Fail),
                 () = &mut overdue => self.forgone("late"),
             };
             match order {
-                Order::Place(place) => match self.attempt(&place).await {
+                ConnectionCommand::Forward(place) => match self.attempt(&place).await {
                     Came::Up(server, first) => return self.stand(server, first).await,
                     Came::Ended(outcome, report) => {
                         self.relay.borrow_mut().attempt_ended(self.seat.id, outcome, false, report);
@@ -251,34 +253,37 @@
                         return self.answer_order(&order).await;
                     }
                 },
-                Order::Refuse(_) | Order::Fail => return self.answer_order(&order).await,
+                ConnectionCommand::Reject(_) | ConnectionCommand::Fail => {
+                    return self.answer_order(&order).await;
+                }
                 // Nothing is out and nothing stands.
-                Order::Cancel(_) | Order::Move | Order::PassOn => {}
+                ConnectionCommand::Cancel(_) | ConnectionCommand::Migrate | ConnectionCommand::Transfer => {}
             }
         }
     }
 
     /// The relay answers by itself; the decisions have nothing to answer any more.
-    fn forgone(&self, cause: &'static str) -> Order {
-        self.relay.borrow_mut().left(self.seat.id, false);
-        self.relay.borrow_mut().meter_failed(cause);
-        Order::Fail
+    fn forgone(&self, cause: &'static str) -> ConnectionCommand {
+        self.relay.borrow_mut().connection_closed(self.seat.id, false);
+        self.relay.borrow_mut().record_failed(cause);
+        ConnectionCommand::Fail
     }
 
-    async fn answer_order(self, order: &Order) {
-        let answer = if matches!(order, Order::Refuse(_)) { Answer::Busy } else { Answer::Failed };
+    async fn answer_order(self, order: &ConnectionCommand) {
+        let answer =
+            if matches!(order, ConnectionCommand::Reject(_)) { Answer::Busy } else { Answer::Failed };
         self.answer(&final_line(order), answer).await;
     }
 
     async fn answer(mut self, line: &[u8], answer: Answer) {
-        self.relay.borrow_mut().answered(self.seat.id, answer);
+        self.relay.borrow_mut().request_answered(self.seat.id, answer);
         self.seat.answered = true;
         drop(self.seat);
         self.client.farewell(line).await;
     }
 
     /// One attempt. Whatever ends it, its connection is closed before this returns, unless it stands.
-    async fn attempt(&mut self, place: &Placement) -> Came {
+    async fn attempt(&mut self, place: &AttemptRequest) -> Came {
         let timers = self.client.timers.clone();
         let sent = Sent::default();
         let due = timers.clock.now().saturating_add(place.timeout);
@@ -291,86 +296,89 @@
                 strayed = self.client.strays() => return match strayed {
                     Strayed::Left => Came::Left,
                     Strayed::Spoke => {
-                        self.relay.borrow_mut().meter_failed("spoke");
-                        Came::Answered(Order::Fail)
+                        self.relay.borrow_mut().record_failed("spoke");
+                        Came::Answered(ConnectionCommand::Fail)
                     }
                 },
                 came = &mut dial => return came,
-                () = timers.until(due) => {
+                () = timers.sleep_until(due) => {
                     let outcome = if sent.get() { Outcome::Timeout } else { Outcome::ConnectFailed };
                     return Came::Ended(outcome, None);
                 }
                 order = self.orders.recv() => match order {
-                    Some(Order::Cancel(attempt)) if attempt == place.attempt => {
+                    Some(ConnectionCommand::Cancel(attempt)) if attempt == place.attempt => {
                         return Came::Ended(Outcome::Cancelled, None);
                     }
-                    Some(order @ (Order::Refuse(_) | Order::Fail)) => return Came::Answered(order),
+                    Some(order @ (ConnectionCommand::Reject(_) | ConnectionCommand::Fail)) => return Came::Answered(order),
                     Some(_) => {}
-                    None => return Came::Answered(Order::Fail),
+                    None => return Came::Answered(ConnectionCommand::Fail),
                 },
             }
         }
     }
 
     async fn stand(self, server: TcpStream, first: BytesMut) {
-        self.relay.borrow_mut().stands(self.seat.id);
+        self.relay.borrow_mut().connection_established(self.seat.id);
         pump(self.relay, self.client, self.orders, self.seat, self.head, server, first).await;
     }
 }
 
-fn final_line(order: &Order) -> Vec<u8> {
+fn final_line(order: &ConnectionCommand) -> Vec<u8> {
     match order {
         // Rounded up: a client that comes back too early is turned away again.
-        Order::Refuse(after) => protocol::busy(after.div_ceil(1_000)),
+        ConnectionCommand::Reject(after) => protocol::busy(after.div_ceil(1_000)),
         _ => FAILED.to_vec(),
     }
 }
 
 /// A session that stood at a card server before the run: it goes to that one, however late the roll names it.
-async fn adopt(relay: Shared, mut client: Client, head: SessionHead, server: EndpointId, place: Place) {
+async fn adopt(
+    relay: SharedRelay, mut client: Client, head: OpenRequest, server: EndpointId, place: IdleSlot,
+) {
     drop(place);
-    let Some(_second) = relay.borrow().hold_descriptor() else {
-        relay.borrow_mut().meter_refused("descriptors", None);
-        relay.borrow_mut().meter_head(&head, Answer::Busy);
+    let Some(_second) = relay.borrow().acquire_descriptor() else {
+        relay.borrow_mut().record_rejected("descriptors", None);
+        relay.borrow_mut().record_unregistered_answer(&head, Answer::Busy);
         let line = protocol::busy(come_back(&relay));
         return client.farewell(&line).await;
     };
-    let (timers, due) = (client.timers.clone(), relay.borrow().adopts_until());
+    let (timers, due) = (client.timers.clone(), relay.borrow().adoption_deadline());
     let up = tokio::select! {
         biased;
         // First, so that nothing is sent on for a client that has gone.
         strayed = client.gone() => match strayed {
-            Strayed::Left => return relay.borrow_mut().meter_head(&head, Answer::Failed),
+            Strayed::Left => return relay.borrow_mut().record_unregistered_answer(&head, Answer::Failed),
             Strayed::Spoke => None,
         },
         up = find_again(&relay, &head, &server) => Some(up),
-        () = timers.until(due) => None,
+        () = timers.sleep_until(due) => None,
     };
     let Some((stream, first)) = up else {
-        relay.borrow_mut().meter_head(&head, Answer::Failed);
+        relay.borrow_mut().record_unregistered_answer(&head, Answer::Failed);
         return client.farewell(FAILED).await;
     };
-    let adopted = relay.borrow_mut().adopt(&head, server);
+    let adopted = relay.borrow_mut().adopt_connection(&head, server);
     let Some((id, orders)) = adopted else { return client.farewell(FAILED).await };
-    let seat = SeatGuard { relay: relay.clone(), id, answered: false };
+    let seat = ConnectionGuard { relay: relay.clone(), id, answered: false };
     pump(relay, client, orders, seat, head, stream, first).await;
 }
 
 /// Dials the card server of a session from before the run until it is up there.
-async fn find_again(relay: &Shared, head: &SessionHead, server: &EndpointId) -> (TcpStream, BytesMut) {
+async fn find_again(relay: &SharedRelay, head: &OpenRequest, server: &EndpointId) -> (TcpStream, BytesMut) {
     let timers = relay.borrow().timers.clone();
     loop {
         // What is out by hand gets nothing, not even a session that stood there.
-        let address = relay.borrow().address(server).filter(|_| !relay.borrow().withholds(server));
+        let address =
+            relay.borrow().endpoint_address(server).filter(|_| !relay.borrow().in_maintenance(server));
         if let Some(address) = address {
             let came = tokio::select! {
                 came = dial_again(relay, head, server, address) => came,
-                () = timers.nap(ADOPT_TRY) => None,
+                () = timers.sleep(ADOPT_TRY) => None,
             };
             if let Some(up) = came {
                 return up;
             }
         }
-        timers.nap(ADOPT_AGAIN).await;
+        timers.sleep(ADOPT_AGAIN).await;
     }
 }
--- a/src/relay/connections/idle.rs
+++ b/src/relay/connections/idle.rs
@@ -15,16 +15,16 @@
 
 /// Everybody at the door, in the order in which they make room.
 #[derive(Clone, Default)]
-pub struct Crowd(Rc<RefCell<Door>>, Rc<LastCall>);
+pub struct IdleConnections(Rc<RefCell<Door>>, Rc<ShutdownNotice>);
 
 /// The moment at which the relay ends and nobody can stay at the door.
 #[derive(Default)]
-pub struct LastCall {
+pub struct ShutdownNotice {
     called: Cell<bool>,
     heard: Notify,
 }
 
-impl LastCall {
+impl ShutdownNotice {
     /// Waits for it; at once if it has been.
     pub async fn made(&self) {
         if !self.called.get() {
@@ -61,14 +61,14 @@
 }
 
 /// A place in the crowd, left when it is dropped.
-pub struct Place {
-    crowd: Crowd,
+pub struct IdleSlot {
+    crowd: IdleConnections,
     rank: Rank,
 }
 
-impl Place {
+impl IdleSlot {
     /// The moment at which nobody can stay any more.
-    pub fn last_call(&self) -> Rc<LastCall> {
+    pub fn last_call(&self) -> Rc<ShutdownNotice> {
         self.crowd.1.clone()
     }
 
@@ -93,18 +93,18 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for IdleSlot {
     fn drop(&mut self) {
         self.crowd.0.borrow_mut().standing.remove(&self.rank);
     }
 }
 
-impl Crowd {
+impl IdleConnections {
     /// Starts serving a connection, which stands in the crowd as long as it holds its place.
-    pub fn admit<F: Future<Output = ()> + 'static>(&self, serve: impl FnOnce(Place) -> F) {
+    pub fn admit<F: Future<Output = ()> + 'static>(&self, serve: impl FnOnce(IdleSlot) -> F) {
         let rank = (Stage::Silent, self.0.borrow_mut().number());
         self.0.borrow_mut().standing.insert(rank, None);
-        let task = tokio::task::spawn_local(serve(Place { crowd: self.clone(), rank }));
+        let task = tokio::task::spawn_local(serve(IdleSlot { crowd: self.clone(), rank }));
         if let Some(place) = self.0.borrow_mut().standing.get_mut(&rank) {
             *place = Some(task.abort_handle());
         }
--- a/src/relay/connections/listener.rs
+++ b/src/relay/connections/listener.rs
@@ -8,7 +8,7 @@
 use tracing::error;
 
 use super::handshake;
-use crate::relay::{Held, Shared};
+use crate::relay::{DescriptorPermit, SharedRelay};
 
 /// Pause after a failed accept: out of descriptors or memory, which passes as sessions end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -27,30 +27,31 @@
 }
 
 /// Lets connections in from now on.
-pub fn open(relay: &Shared, listener: &Rc<TcpListener>) {
+pub fn open(relay: &SharedRelay, listener: &Rc<TcpListener>) {
     let task = tokio::task::spawn_local(accept(relay.clone(), listener.clone()));
-    relay.borrow_mut().tenure.door = Some(task.abort_handle());
+    relay.borrow_mut().listener_ownership.accept_task = Some(task.abort_handle());
 }
 
 /// Lets nobody in any more. What was let in goes on.
-pub fn close(relay: &Shared) {
-    if let Some(task) = relay.borrow_mut().tenure.door.take() {
+pub fn close(relay: &SharedRelay) {
+    if let Some(task) = relay.borrow_mut().listener_ownership.accept_task.take() {
         task.abort();
     }
 }
 
-async fn accept(relay: Shared, listener: Rc<TcpListener>) {
-    let (descriptors, crowd) = (relay.borrow().descriptors.clone(), relay.borrow().crowd.clone());
+async fn accept(relay: SharedRelay, listener: Rc<TcpListener>) {
+    let (descriptors, crowd) =
+        (relay.borrow().descriptors_in_use.clone(), relay.borrow().idle_connections.clone());
     let mut trouble = false;
     loop {
-        if !relay.borrow().room_at_the_door() {
+        if !relay.borrow().make_room_for_idle_connection() {
             tokio::time::sleep(ROOM_PAUSE).await;
             continue;
         }
         match listener.accept().await {
             Ok((client, _)) => {
                 trouble = false;
-                let held = Held::new(&descriptors);
+                let held = DescriptorPermit::new(&descriptors);
                 crowd.admit(|place| handshake::serve(relay.clone(), client, held, place));
                 // Guards against letting in a whole crowd before the first of them could say what it wants: it
                 // would be turned out as the oldest.
--- a/src/relay/connections/protocol.rs
+++ b/src/relay/connections/protocol.rs
@@ -36,7 +36,7 @@
 
 /// The head of a study session, parsed in place: the places of its values in the line.
 #[derive(Clone, Debug)]
-pub struct SessionHead {
+pub struct OpenRequest {
     line: Bytes,
     id: Range<usize>,
     key: Range<usize>,
@@ -58,9 +58,9 @@
     bytes.iter().zip(b"OPEN ").all(|(a, b)| a == b)
 }
 
-impl SessionHead {
+impl OpenRequest {
     /// Parses a whole first line, with its CRLF.
-    pub fn parse(line: Bytes) -> Result<SessionHead, Malformed> {
+    pub fn parse(line: Bytes) -> Result<OpenRequest, Malformed> {
         let whole = line.strip_suffix(b"\r\n").ok_or(Malformed("a line ends without CRLF"))?;
         // Guards against passing on what a card server cannot read: it would close, and look ill for it.
         let plain = whole.iter().all(|b| b.is_ascii_graphic() || *b == b' ');
@@ -76,7 +76,7 @@
             return Err(Malformed("an OPEN has words missing or too many"));
         }
         let key_at = 5 + id.len() + 1;
-        let mut head = SessionHead {
+        let mut head = OpenRequest {
             line: line.clone(),
             id: 5..5 + id.len(),
             key: key_at..key_at + key.len(),
--- a/src/relay/endpoints/discovery_client.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{info, warn};
 
-use crate::relay::Shared;
+use crate::relay::SharedRelay;
 use crate::relay::connections::protocol::address;
 use crate::relay::timer_wheel::Timers;
 use crate::settings::NameTable;
@@ -27,7 +27,7 @@
 
 /// News of the server roll.
 #[derive(Debug, PartialEq)]
-pub struct RollNews {
+pub struct EndpointListUpdate {
     /// Its version.
     pub version: u64,
     /// It names all card servers, not only those that changed.
@@ -39,11 +39,11 @@
 }
 
 /// Reads the roll in discovery's form.
-pub fn read_roll(value: &Value, names: &NameTable) -> Result<RollNews, String> {
+pub fn read_roll(value: &Value, names: &NameTable) -> Result<EndpointListUpdate, String> {
     let version = value.get("version").and_then(Value::as_u64).ok_or("the roll has no version")?;
     let whole = value.get("full").and_then(Value::as_bool).ok_or("the roll does not say if it is whole")?;
     let servers = value.get("servers").and_then(Value::as_array).ok_or("the roll has no servers")?;
-    let mut news = RollNews { version, whole, entries: Vec::new(), addresses: Vec::new() };
+    let mut news = EndpointListUpdate { version, whole, entries: Vec::new(), addresses: Vec::new() };
     for server in servers {
         let entry = read_entry(server, names)?;
         match server.get("addr").and_then(Value::as_str).and_then(address) {
@@ -81,7 +81,7 @@
 }
 
 /// What the decisions want of discovery.
-pub enum Ask {
+pub enum DiscoveryCommand {
     /// The whole roll, once.
     Fetch,
     /// Discovery is at this address from now on.
@@ -145,7 +145,7 @@
                 }
                 answer
             }
-            () = timers.nap(wait) => {
+            () = timers.sleep(wait) => {
                 self.line = None;
                 Err(Failure::new(Trouble::Silent, "no answer in time"))
             }
@@ -156,7 +156,7 @@
         tokio::select! {
             biased;
             line = TcpStream::connect(self.at) => line.map_err(Failure::io),
-            () = self.timers.nap(CONNECT_WAIT) => Err(Failure::new(Trouble::Silent, "no connection in time")),
+            () = self.timers.sleep(CONNECT_WAIT) => Err(Failure::new(Trouble::Silent, "no connection in time")),
         }
     }
 
@@ -265,20 +265,20 @@
 }
 
 /// Takes a wish; why the call that is out is not waited for any more, if so.
-fn heed(ask: Ask, caller: &mut Caller, now: Micros) -> Option<Interruption> {
+fn heed(ask: DiscoveryCommand, caller: &mut Caller, now: Micros) -> Option<Interruption> {
     match ask {
-        Ask::Fetch => {
+        DiscoveryCommand::Fetch => {
             caller.want_whole();
             None
         }
-        Ask::Refused => caller.refused_by_listed(now).then_some(Interruption::Stale),
-        Ask::Renew(at) => Some(Interruption::Renewed(at)),
+        DiscoveryCommand::Refused => caller.refused_by_listed(now).then_some(Interruption::Stale),
+        DiscoveryCommand::Renew(at) => Some(Interruption::Renewed(at)),
     }
 }
 
 /// Takes wishes until one ends the call that is out; none once nobody can wish any more.
 async fn interrupted(
-    asks: &mut UnboundedReceiver<Ask>, caller: &mut Caller, timers: &Timers,
+    asks: &mut UnboundedReceiver<DiscoveryCommand>, caller: &mut Caller, timers: &Timers,
 ) -> Option<Interruption> {
     loop {
         let ask = asks.recv().await?;
@@ -305,7 +305,8 @@
 /// discovery for the whole roll. Guards against waiting at an address that answers no more while card servers drain unheard of;
 /// the roll held stays in use meanwhile.
 pub async fn follow(
-    relay: Shared, discovery: SocketAddr, mut caller: Caller, mut asks: UnboundedReceiver<Ask>,
+    relay: SharedRelay, discovery: SocketAddr, mut caller: Caller,
+    mut asks: UnboundedReceiver<DiscoveryCommand>,
 ) {
     let timers = relay.borrow().timers.clone();
     let mut desk = Desk::new(discovery, &timers);
@@ -322,7 +323,7 @@
                 }
                 continue;
             }
-            () = timers.until(due.unwrap_or(0)), if due.is_some() => {}
+            () = timers.sleep_until(due.unwrap_or(0)), if due.is_some() => {}
         }
         let (call, patience) = caller.call(timers.clock.now());
         let path = path(call);
@@ -340,18 +341,18 @@
                 } else if doubted && caller.state() == State::Following {
                     info!(target: "roll", version = news.version, "the list is believed in whole again");
                 }
-                relay.borrow_mut().take_roll(news);
+                relay.borrow_mut().apply_endpoint_list(news);
             }
             Ok(Err(failure)) => {
                 caller.failed(timers.clock.now(), failure.trouble);
-                relay.borrow_mut().roll_failed(&failure);
+                relay.borrow_mut().discovery_failed(&failure);
             }
             Err(None) => return,
             Err(Some(Interruption::Stale)) => {
                 desk.line = None;
                 caller.failed(timers.clock.now(), Trouble::Silent);
                 let why = "listed card servers are gone and no news came";
-                relay.borrow_mut().roll_failed(&Failure::new(Trouble::Silent, why));
+                relay.borrow_mut().discovery_failed(&Failure::new(Trouble::Silent, why));
             }
             Err(Some(Interruption::Renewed(at))) => {
                 desk.go_to(at);
@@ -362,7 +363,7 @@
 }
 
 /// What is believed of an answer.
-fn believed(caller: &mut Caller, now: Micros, news: RollNews) -> RollNews {
+fn believed(caller: &mut Caller, now: Micros, news: EndpointListUpdate) -> EndpointListUpdate {
     let told = news.entries.len();
     let answer = Roll { version: news.version, whole: news.whole, entries: news.entries };
     let Roll { version, whole, entries } = caller.heard(now, answer);
@@ -371,11 +372,11 @@
         let known: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
         addresses.retain(|(id, _)| known.contains(id));
     }
-    RollNews { version, whole, entries, addresses }
+    EndpointListUpdate { version, whole, entries, addresses }
 }
 
 /// The caller of a relay that starts with this roll.
-pub fn caller(settings: &Settings, seed: u64, known: &RollNews, now: Micros) -> Caller {
+pub fn caller(settings: &Settings, seed: u64, known: &EndpointListUpdate, now: Micros) -> Caller {
     let held = Roll { version: known.version, whole: true, entries: known.entries.clone() };
     // A seed of its own: the decisions draw from the same one.
     let seed = seed.rotate_left(32) ^ 0x115_7e4;
@@ -384,7 +385,9 @@
     Caller::new(told, &held, now)
 }
 
-async fn ask_roll(desk: &mut Desk, relay: &Shared, path: &str, wait: Micros) -> Result<RollNews, Failure> {
+async fn ask_roll(
+    desk: &mut Desk, relay: &SharedRelay, path: &str, wait: Micros,
+) -> Result<EndpointListUpdate, Failure> {
     let body = desk.call(path, wait).await?;
     let senseless = |why: String| Failure::new(Trouble::Senseless, why);
     let value: Value = serde_json::from_slice(&body).map_err(|e| senseless(format!("not JSON: {e}")))?;
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -8,7 +8,7 @@
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
-use super::discovery_client::{Ask, Failure, RollNews};
+use super::discovery_client::{DiscoveryCommand, EndpointListUpdate, Failure};
 use crate::relay::Relay;
 use honeyknot_balancer::*;
 
@@ -24,123 +24,130 @@
 }
 
 impl Relay {
-    pub(in crate::relay) fn take_known(&mut self, news: RollNews) {
-        let update = EndpointUpdate::Cached(self.note_roll(news));
-        self.site_news(&update);
-        self.feed(Event::EndpointsUpdated { version: self.version, update });
+    pub(in crate::relay) fn apply_known_endpoints(&mut self, news: EndpointListUpdate) {
+        let update = EndpointUpdate::Cached(self.record_endpoint_list(news));
+        self.update_zones(&update);
+        self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
     }
 
     /// News of the server roll. They are applied before anything else is sent.
-    pub fn take_roll(&mut self, news: RollNews) {
-        if std::mem::take(&mut self.roll_trouble) {
+    pub fn apply_endpoint_list(&mut self, news: EndpointListUpdate) {
+        if std::mem::take(&mut self.discovery_failing) {
             info!(target: "roll", version = news.version, "discovery answers again");
         }
-        self.roll_heard = self.timers.clock.now();
+        self.discovery_answered_at = self.timers.clock.now();
         let whole = news.whole;
-        let outcome = if news.entries.is_empty() && news.version == self.version { "quiet" } else { "news" };
-        self.meter(|book| book.count(Family::RollCalls, outcome));
-        let entries = self.note_roll(news);
+        let outcome = if news.entries.is_empty() && news.version == self.endpoint_list_version {
+            "quiet"
+        } else {
+            "news"
+        };
+        self.update_metrics(|book| book.count(Family::RollCalls, outcome));
+        let entries = self.record_endpoint_list(news);
         let update = if whole { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
-        self.site_news(&update);
-        self.feed(Event::EndpointsUpdated { version: self.version, update });
+        self.update_zones(&update);
+        self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
     }
 
-    fn note_roll(&mut self, news: RollNews) -> Arc<Vec<Endpoint>> {
-        self.version = news.version;
+    fn record_endpoint_list(&mut self, news: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
+        self.endpoint_list_version = news.version;
         self.addresses.extend(news.addresses);
-        let entries = self.withheld.news(news.entries, news.whole);
-        self.note_entries(entries, news.whole)
+        let entries = self.maintenance.news(news.entries, news.whole);
+        self.record_endpoints(entries, news.whole)
     }
 
     /// Notes a roll, or changes of it, as the decisions are to see it.
-    fn note_entries(&mut self, entries: Vec<Endpoint>, whole: bool) -> Arc<Vec<Endpoint>> {
+    fn record_endpoints(&mut self, entries: Vec<Endpoint>, whole: bool) -> Arc<Vec<Endpoint>> {
         let mut drains = 0;
         for entry in &entries {
-            self.zones.extend(entry.zone.map(|zone| (entry.id.clone(), zone)));
+            self.endpoint_zones.extend(entry.zone.map(|zone| (entry.id.clone(), zone)));
             if entry.state == EndpointState::Ready {
-                self.leaving.remove(&entry.id);
-            } else if self.leaving.insert(entry.id.clone()) {
+                self.draining.remove(&entry.id);
+            } else if self.draining.insert(entry.id.clone()) {
                 drains += u64::from(entry.state == EndpointState::Draining);
             }
         }
-        self.meter(|book| book.add(Family::Drains, 0, drains));
+        self.update_metrics(|book| book.add(Family::Drains, 0, drains));
         if whole {
             let named = |id: &EndpointId| entries.iter().any(|e| e.id == *id);
             let lost: Vec<EndpointId> = self.addresses.keys().filter(|id| !named(id)).cloned().collect();
-            self.leaving.extend(lost);
+            self.draining.extend(lost);
         }
         // A probe of a card server that is gone has nothing left to ask.
         let gone = entries.iter().filter(|e| e.state == EndpointState::Removed);
-        gone.for_each(|e| drop(self.probes.remove(&e.id)));
+        gone.for_each(|e| drop(self.health_checks.remove(&e.id)));
         Arc::new(entries)
     }
 
     /// Takes a card server out by hand. When this returns, nothing new goes there.
-    pub fn take_out(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.withheld.take_out(self.timers.clock.now(), id)?;
-        self.show(seen);
+    pub fn start_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
+        let seen = self.maintenance.take_out(self.timers.clock.now(), id)?;
+        self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Puts a card server back that was taken out by hand.
-    pub fn put_back(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.withheld.put_back(self.timers.clock.now(), id)?;
-        self.show(seen);
+    pub fn end_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
+        let seen = self.maintenance.put_back(self.timers.clock.now(), id)?;
+        self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Whether a card server is out by hand.
-    pub fn withholds(&self, id: &EndpointId) -> bool {
-        self.withheld.holds(id)
+    pub fn in_maintenance(&self, id: &EndpointId) -> bool {
+        self.maintenance.holds(id)
     }
 
     /// Tells the decisions what operators have changed of a card server.
-    pub(in crate::relay) fn show(&mut self, seen: Option<Endpoint>) {
+    pub(in crate::relay) fn apply_maintenance_change(&mut self, seen: Option<Endpoint>) {
         let Some(entry) = seen else { return };
         info!(target: "admin", server = &*entry.id.0, state = ?entry.state, "by hand");
-        let update = EndpointUpdate::Delta(self.note_entries(vec![entry], false));
-        self.site_news(&update);
-        self.feed(Event::EndpointsUpdated { version: self.version, update });
+        let update = EndpointUpdate::Delta(self.record_endpoints(vec![entry], false));
+        self.update_zones(&update);
+        self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
     }
 
     /// A call to discovery failed.
-    pub fn roll_failed(&mut self, failure: &Failure) {
-        if !std::mem::replace(&mut self.roll_trouble, true) {
+    pub fn discovery_failed(&mut self, failure: &Failure) {
+        if !std::mem::replace(&mut self.discovery_failing, true) {
             warn!(target: "roll", why = failure.why, "discovery does not answer");
         }
-        self.meter(|book| {
+        self.update_metrics(|book| {
             book.add(Family::RollFailures, 0, 1);
             book.count(Family::RollCalls, trouble_word(failure.trouble));
         });
-        self.feed(Event::EndpointsUpdated { version: self.version, update: EndpointUpdate::Failed });
+        self.handle_event(Event::EndpointsUpdated {
+            version: self.endpoint_list_version,
+            update: EndpointUpdate::Failed,
+        });
     }
 
     /// Whether discovery has told its roll since the start.
-    pub fn roll_answered(&self) -> bool {
-        self.roll_heard > self.born
+    pub fn has_discovery_answered(&self) -> bool {
+        self.discovery_answered_at > self.started_at
     }
 
     /// Who leaves or is gone by what discovery says.
-    pub(in crate::relay) fn leaving(&self) -> Vec<String> {
-        let by_roll = self.leaving.iter().filter(|id| !self.withheld.holds(id));
+    pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
+        let by_roll = self.draining.iter().filter(|id| !self.maintenance.holds(id));
         by_roll.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
     /// Where this relay reaches a card server.
-    pub fn address(&self, server: &EndpointId) -> Option<SocketAddr> {
+    pub fn endpoint_address(&self, server: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(server).copied()
     }
 
     /// Nobody listens at a card server. Where the list says that it is ready, the list is old.
-    pub fn refused_by(&self, server: &EndpointId) {
-        if !self.leaving.contains(server) {
-            self.ask_discovery(Ask::Refused);
+    pub fn connection_refused_by(&self, server: &EndpointId) {
+        if !self.draining.contains(server) {
+            self.send_discovery_command(DiscoveryCommand::Refused);
         }
     }
 
     /// Whether a head may still be written to a card server. Guards against an attempt that was placed before
     /// the news of a drain and connects after it: the news may have counted as told for a while already.
-    pub fn may_still_send(&self, server: &EndpointId) -> bool {
-        !self.leaving.contains(server)
+    pub fn may_send_to(&self, server: &EndpointId) -> bool {
+        !self.draining.contains(server)
     }
 }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -6,14 +6,14 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::relay::connections::protocol::{Word, first_line, report_value};
-use crate::relay::{Held, Shared};
+use crate::relay::{DescriptorPermit, SharedRelay};
 use honeyknot_balancer::*;
 
 /// A probe without an answer after this has failed.
 const PROBE_WAIT: Micros = 500_000;
 
 /// What the probe of a card server is asked to do.
-pub enum Errand {
+pub enum HealthCheckCommand {
     /// Ask for its load.
     Look,
     /// Close the connection.
@@ -21,45 +21,45 @@
 }
 
 /// Starts the probe of a card server.
-pub fn start(relay: Shared, server: EndpointId) -> UnboundedSender<Errand> {
+pub fn start(relay: SharedRelay, server: EndpointId) -> UnboundedSender<HealthCheckCommand> {
     let (errands, asked) = unbounded_channel();
     tokio::task::spawn_local(run(relay, server, asked));
     errands
 }
 
 /// The kept connection of a probe, and its descriptor in the count.
-type Line = Option<(TcpStream, Held)>;
+type Line = Option<(TcpStream, DescriptorPermit)>;
 
-async fn run(relay: Shared, server: EndpointId, mut errands: UnboundedReceiver<Errand>) {
+async fn run(relay: SharedRelay, server: EndpointId, mut errands: UnboundedReceiver<HealthCheckCommand>) {
     let timers = relay.borrow().timers.clone();
     let idle = relay.borrow().idle_close();
     let mut line: Line = None;
     loop {
         let errand = tokio::select! {
             errand = errands.recv() => errand,
-            () = timers.nap(idle), if line.is_some() => Some(Errand::Close),
+            () = timers.sleep(idle), if line.is_some() => Some(HealthCheckCommand::Close),
         };
         match errand {
             None => return,
-            Some(Errand::Close) => line = None,
-            Some(Errand::Look) => {
+            Some(HealthCheckCommand::Close) => line = None,
+            Some(HealthCheckCommand::Look) => {
                 let sent = timers.clock.now();
                 let found = tokio::select! {
                     found = look(&relay, &server, &mut line) => found,
-                    () = timers.nap(PROBE_WAIT) => (Outcome::Timeout, None),
+                    () = timers.sleep(PROBE_WAIT) => (Outcome::Timeout, None),
                 };
                 if !matches!(found.0, Outcome::Ok | Outcome::Error) {
                     line = None;
                 }
                 let elapsed = timers.clock.now() - sent;
-                relay.borrow_mut().probed(server.clone(), found.0, elapsed, found.1);
+                relay.borrow_mut().health_check_ended(server.clone(), found.0, elapsed, found.1);
             }
         }
     }
 }
 
 /// One probe. A kept connection that turns out closed is opened anew: only its closing was seen late.
-async fn look(relay: &Shared, server: &EndpointId, line: &mut Line) -> (Outcome, Option<LoadReport>) {
+async fn look(relay: &SharedRelay, server: &EndpointId, line: &mut Line) -> (Outcome, Option<LoadReport>) {
     if let Some((stream, _)) = line
         && let Some(found) = ask(relay, stream).await
     {
@@ -68,7 +68,7 @@
     *line = None;
     let (address, held) = {
         let relay = relay.borrow();
-        (relay.address(server), relay.hold_descriptor())
+        (relay.endpoint_address(server), relay.acquire_descriptor())
     };
     // Without a descriptor to spare it says nothing about the card server.
     let Some(held) = held else { return (Outcome::Cancelled, None) };
@@ -77,7 +77,7 @@
     let timers = relay.borrow().timers.clone();
     let dialled = tokio::select! {
         dialled = TcpStream::connect(address) => dialled.ok(),
-        () = timers.nap(wait) => None,
+        () = timers.sleep(wait) => None,
     };
     let Some(stream) = dialled else { return (Outcome::ConnectFailed, None) };
     let _ = stream.set_nodelay(true);
@@ -86,7 +86,7 @@
 }
 
 /// Asks and reads one line; nothing if the connection broke.
-async fn ask(relay: &Shared, stream: &mut TcpStream) -> Option<(Outcome, Option<LoadReport>)> {
+async fn ask(relay: &SharedRelay, stream: &mut TcpStream) -> Option<(Outcome, Option<LoadReport>)> {
     stream.write_all(b"STATS\r\n").await.ok()?;
     let mut bytes = BytesMut::with_capacity(256);
     let end = loop {
--- a/src/relay/endpoints/message_latency.rs
+++ b/src/relay/endpoints/message_latency.rs
@@ -5,7 +5,7 @@
 use honeyknot_balancer::*;
 
 /// How often standing delays are looked at.
-pub const LOOK: Micros = DELAY_TOLD / 4;
+pub const CHECK_INTERVAL: Micros = DELAY_TOLD / 4;
 /// Slow messages of one card server are told of this often.
 const DELAY_TOLD: Micros = 1_000_000;
 /// A delay not seen again for this long is no longer told of.
@@ -27,23 +27,23 @@
 }
 
 /// The delays of messages at all card servers.
-pub struct Delays {
+pub struct MessageLatencies {
     /// The shortest time that a message may take, where delays are told at all.
     aim: Option<Micros>,
-    /// Delays are measured by probes.
+    /// Latencies are measured by health checks.
     measures: bool,
     slow: BTreeMap<EndpointId, Slow>,
     /// When card servers are next to be asked for what messages take there.
     measure_at: BTreeMap<EndpointId, Micros>,
 }
 
-impl Delays {
+impl MessageLatencies {
     /// None known yet.
-    pub fn new(settings: &Settings) -> Delays {
+    pub fn new(settings: &Settings) -> MessageLatencies {
         let aims = settings.classes.iter().map(|c| c.message_latency_objective).filter(|aim| *aim > 0);
         let probes =
             settings.permissions.health_checks && settings.load_reports != LoadReportSource::Unavailable;
-        Delays {
+        MessageLatencies {
             aim: aims.min().filter(|_| settings.reports_message_latency),
             measures: settings.reports_message_latency && probes,
             slow: BTreeMap::new(),
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -4,9 +4,9 @@
 use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
 use tracing::info;
 
-use super::health_check::Errand;
+use super::health_check::HealthCheckCommand;
 use crate::relay::lifecycle::config::Config;
-use crate::relay::{Order, Relay};
+use crate::relay::{ConnectionCommand, Relay};
 use crate::settings::NameTable;
 use honeyknot_balancer::*;
 
@@ -47,50 +47,50 @@
 impl Relay {
     /// Tells the sites' part something, if there is one, and does what it wants.
     fn tell_sites(&mut self, tell: impl FnOnce(&mut Sites, Micros, &mut Vec<Do>)) {
-        let Some(sites) = &mut self.sites else { return };
+        let Some(sites) = &mut self.zone_failover else { return };
         let mut wants = Vec::new();
         tell(sites, self.timers.clock.now(), &mut wants);
         for want in wants {
             match want {
                 Do::Move(id) => {
-                    self.meter(|book| book.count(Family::Moves, "site"));
-                    self.order(id, Order::Move);
+                    self.update_metrics(|book| book.count(Family::Moves, "site"));
+                    self.send_command(id, ConnectionCommand::Migrate);
                 }
-                Do::Ask(server) => self.errand(server, Errand::Look),
+                Do::Ask(server) => self.send_health_check_command(server, HealthCheckCommand::Look),
                 Do::Log(text) => info!(target: "site", "{text}"),
             }
         }
     }
 
-    pub(in crate::relay) fn site_news(&mut self, update: &EndpointUpdate) {
+    pub(in crate::relay) fn update_zones(&mut self, update: &EndpointUpdate) {
         self.tell_sites(|sites, now, wants| sites.take_list(now, update, wants));
     }
 
     /// Where a newcomer may be placed, or that it may not.
-    pub(in crate::relay) fn site_verdict(&mut self, request: &Request) -> Verdict {
-        let (now, most) = (self.timers.clock.now(), self.longest_away());
-        match self.sites.as_mut().map(|sites| sites.ask(now, request.affinity_group.as_ref())) {
+    pub(in crate::relay) fn zone_verdict(&mut self, request: &Request) -> Verdict {
+        let (now, most) = (self.timers.clock.now(), self.max_retry_after());
+        match self.zone_failover.as_mut().map(|sites| sites.ask(now, request.affinity_group.as_ref())) {
             None => Verdict::Within(ZoneSet::ALL),
             Some(Verdict::Refuse(away)) => Verdict::Refuse(away.min(most)),
             Some(within) => within,
         }
     }
 
-    pub(in crate::relay) fn site_placed(&mut self, id: RequestId, server: &EndpointId) {
-        if self.sites.is_none() {
+    pub(in crate::relay) fn zone_attempt_started(&mut self, id: RequestId, server: &EndpointId) {
+        if self.zone_failover.is_none() {
             return;
         }
-        let deck = self.seats.get(&id).and_then(|s| s.deck.clone());
+        let deck = self.connections.get(&id).and_then(|s| s.affinity_group.clone());
         self.tell_sites(|sites, now, _| sites.placed(now, id, server, deck.as_ref()));
     }
 
-    pub(in crate::relay) fn site_adopted(&mut self, request: &Request, server: &EndpointId) {
+    pub(in crate::relay) fn zone_connection_adopted(&mut self, request: &Request, server: &EndpointId) {
         self.tell_sites(|sites, now, _| {
             sites.adopted(now, request.id, server, request.affinity_group.as_ref())
         });
     }
 
-    pub(in crate::relay) fn site_stands(&mut self, id: RequestId, server: &EndpointId) {
+    pub(in crate::relay) fn zone_connection_established(&mut self, id: RequestId, server: &EndpointId) {
         self.tell_sites(|sites, now, wants| {
             sites.stands(now, id);
             sites.sign(now, server, true, wants);
@@ -99,8 +99,10 @@
 
     /// An attempt, or a session that stood, has ended. One that stood says nothing of its card server's silence: a
     /// jammed one resets sessions and still answers.
-    pub(in crate::relay) fn site_ended(&mut self, id: RequestId, server: &EndpointId, outcome: Outcome) {
-        let stood = self.seats.get(&id).is_some_and(|s| s.stands);
+    pub(in crate::relay) fn zone_attempt_ended(
+        &mut self, id: RequestId, server: &EndpointId, outcome: Outcome,
+    ) {
+        let stood = self.connections.get(&id).is_some_and(|s| s.established);
         let alive = sign_of_life(outcome);
         self.tell_sites(|sites, now, wants| {
             sites.ended(id);
@@ -110,7 +112,9 @@
         });
     }
 
-    pub(in crate::relay) fn site_probed(&mut self, server: &EndpointId, outcome: Outcome, load: Option<f64>) {
+    pub(in crate::relay) fn zone_health_check_ended(
+        &mut self, server: &EndpointId, outcome: Outcome, load: Option<f64>,
+    ) {
         // A probe costs next to nothing: one that is reset is no shed session.
         let alive = if outcome == Outcome::Reset { Some(false) } else { sign_of_life(outcome) };
         self.tell_sites(|sites, now, wants| {
@@ -123,15 +127,15 @@
         });
     }
 
-    pub(in crate::relay) fn tend_sites(&mut self) {
-        if !self.closing {
+    pub(in crate::relay) fn run_zone_failover(&mut self) {
+        if !self.shutting_down {
             self.tell_sites(Sites::tick);
         }
     }
 
     /// Takes the operators' plan from a configuration that was read again.
-    pub(in crate::relay) fn site_plan(&mut self, config: &Config) {
-        if let (Some(sites), Some(plan)) = (&mut self.sites, &config.sites) {
+    pub(in crate::relay) fn reconfigure_zone_failover(&mut self, config: &Config) {
+        if let (Some(sites), Some(plan)) = (&mut self.zone_failover, &config.sites) {
             sites.replan(plan.clone());
         }
     }
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -5,10 +5,10 @@
 
 use super::hot_restart;
 use crate::admin::Desk;
-use crate::relay::Shared;
+use crate::relay::SharedRelay;
 use crate::relay::timer_wheel::Timers;
 
-impl Desk for Shared {
+impl Desk for SharedRelay {
     fn timers(&self) -> Rc<Timers> {
         self.borrow().timers.clone()
     }
@@ -18,11 +18,11 @@
     }
 
     fn can_serve(&self) -> Result<(), String> {
-        self.borrow().can_serve().map_err(str::to_owned)
+        self.borrow().check_ready().map_err(str::to_owned)
     }
 
     fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
         let relay = self.clone();
-        async move { hot_restart::by_hand(&relay, &id, out).await }
+        async move { hot_restart::set_maintenance(&relay, &id, out).await }
     }
 }
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::relay::connections::protocol::address;
-use crate::relay::endpoints::discovery_client::{RollNews, read_roll};
+use crate::relay::endpoints::discovery_client::{EndpointListUpdate, read_roll};
 use crate::settings::{self, NameTable};
 use honeyknot_balancer::Settings;
 
@@ -72,7 +72,7 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// The server roll as last held.
-    pub known: Option<RollNews>,
+    pub known: Option<EndpointListUpdate>,
     /// What the decisions are told.
     pub settings: Settings,
     /// The settings' names.
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -6,7 +6,7 @@
 use tokio::signal::unix::{SignalKind, signal as listen_for};
 use tracing::info;
 
-use crate::relay::{Order, Shared};
+use crate::relay::{ConnectionCommand, SharedRelay};
 use honeyknot_balancer::Micros;
 
 /// The front layer still sends newcomers for this long: a client moved earlier could come back here.
@@ -42,50 +42,51 @@
 }
 
 /// Empties the relay. Returns well before the kill.
-pub async fn drain(relay: Shared) {
-    relay.borrow_mut().closing = true;
+pub async fn drain(relay: SharedRelay) {
+    relay.borrow_mut().shutting_down = true;
     let timers = relay.borrow().timers.clone();
     let began = timers.clock.now();
-    let kill = began + relay.borrow().longest_deadline().min(LONGEST_WAIT) + KILL_AFTER;
-    info!(target: "shutdown", sessions = relay.borrow().open().0.len(), "begins");
+    let kill = began + relay.borrow().max_deadline().min(LONGEST_WAIT) + KILL_AFTER;
+    info!(target: "shutdown", sessions = relay.borrow().open_connections().0.len(), "begins");
     // Where a new process lets clients in, none that is moved can come back here.
-    let replaced = relay.borrow().tenure.handed_over();
-    timers.until(if replaced { began } else { (began + FRONT_NOTICES).min(kill - KILL_AFTER) }).await;
+    let replaced = relay.borrow().listener_ownership.handed_over();
+    timers.sleep_until(if replaced { began } else { (began + FRONT_NOTICES).min(kill - KILL_AFTER) }).await;
     loop {
         let now = timers.clock.now();
-        let (standing, asking) = relay.borrow().open();
-        let crowd = replaced && !relay.borrow().crowd.is_empty();
+        let (standing, asking) = relay.borrow().open_connections();
+        let crowd = replaced && !relay.borrow().idle_connections.is_empty();
         if standing.is_empty() && asking == 0 && !crowd || now >= kill - GONE_BEFORE - LINGER {
             break;
         }
-        if relay.borrow().tenure.handed_over() {
+        if relay.borrow().listener_ownership.handed_over() {
             // The process that lets clients in goes on with them.
-            standing.iter().for_each(|id| relay.borrow_mut().order(*id, Order::PassOn));
+            standing.iter().for_each(|id| relay.borrow_mut().send_command(*id, ConnectionCommand::Transfer));
         } else {
             let due = due_now(standing.len(), (kill - MOVED_BEFORE).saturating_sub(now));
             for id in standing.into_iter().take(due) {
-                relay.borrow_mut().meter(|book| book.count(Family::Moves, "restart"));
-                relay.borrow_mut().order(id, Order::Move);
+                relay.borrow_mut().update_metrics(|book| book.count(Family::Moves, "restart"));
+                relay.borrow_mut().send_command(id, ConnectionCommand::Migrate);
             }
         }
         if now >= kill - MOVED_BEFORE {
             fail_the_rest(&relay);
         }
-        timers.nap(STEP).await;
+        timers.sleep(STEP).await;
     }
-    let (standing, asking) = relay.borrow().open();
+    let (standing, asking) = relay.borrow().open_connections();
     info!(target: "shutdown", sessions = standing.len(), requests = asking, "left over");
-    relay.borrow().crowd.call_last();
+    relay.borrow().idle_connections.call_last();
     // The last lines are on their way: exiting now could reset the connections that carry them.
     let last = timers.clock.now() + LINGER;
-    timers.until(last.min(kill - GONE_BEFORE)).await;
+    timers.sleep_until(last.min(kill - GONE_BEFORE)).await;
 }
 
 /// Requests that are still open get their answer while there is time to send it.
-fn fail_the_rest(relay: &Shared) {
+fn fail_the_rest(relay: &SharedRelay) {
     let mut relay = relay.borrow_mut();
-    let asking: Vec<_> = relay.seats.iter().filter(|(_, s)| !s.stands).map(|(id, _)| *id).collect();
+    let asking: Vec<_> =
+        relay.connections.iter().filter(|(_, s)| !s.established).map(|(id, _)| *id).collect();
     for id in asking {
-        relay.order(id, Order::Fail);
+        relay.send_command(id, ConnectionCommand::Fail);
     }
 }
--- a/src/relay/lifecycle/hot_restart.rs
+++ b/src/relay/lifecycle/hot_restart.rs
@@ -21,13 +21,13 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-use crate::relay::connections::established::{self, Bundle, Passed};
+use crate::relay::connections::established::{self, ConnectionState, ConnectionTransfer};
 use crate::relay::connections::listener;
 use crate::relay::timer_wheel::Timers;
-use crate::relay::{Relay, Shared};
+use crate::relay::{Relay, SharedRelay};
 use honeyknot_balancer::*;
-pub use state_directory::Folder;
-use takeover_channel::Line;
+pub use state_directory::StateDirectory;
+use takeover_channel::TakeoverChannel;
 
 /// A process that does not answer for this long is stuck.
 const ANSWER: Micros = 1_000_000;
@@ -44,7 +44,7 @@
 
 /// What a process knows by hand, in the form that is handed over and kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ByHand {
+pub struct MaintenanceState {
     /// Card servers that are out, and since when, in Unix microseconds.
     pub out: Vec<(String, Micros)>,
     /// Those put back: from when to when they were out.
@@ -54,13 +54,13 @@
 /// What processes tell each other, one JSON object a line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
-pub enum Word {
+pub enum HotRestartMessage {
     /// New to old: who may take over?
     Hello,
     /// Old to new, with the listener: what binds it.
     State {
         /// Card servers out by hand.
-        by_hand: ByHand,
+        by_hand: MaintenanceState,
         /// Those that discovery says leave or are gone.
         leaving: Vec<String>,
     },
@@ -71,7 +71,7 @@
     /// Old to new: the door is closed here.
     Yours {
         /// Card servers out by hand, as of now.
-        by_hand: ByHand,
+        by_hand: MaintenanceState,
     },
     /// Old to new: so many descriptors are held here.
     Holding {
@@ -88,7 +88,7 @@
         number: u64,
     },
     /// Old to new, with the sockets of its client and its card server: a session that stands.
-    Session(Bundle),
+    Session(ConnectionState),
     /// It holds here too.
     Done {
         /// The number.
@@ -99,9 +99,9 @@
 /// A message to the other process.
 enum Note {
     /// An operator's call, and who waits until it holds there.
-    Call(Word, oneshot::Sender<()>),
+    Call(HotRestartMessage, oneshot::Sender<()>),
     /// A session that goes on there.
-    Session(Box<Passed>),
+    Session(Box<ConnectionTransfer>),
 }
 
 /// How far a change of processes is.
@@ -125,16 +125,16 @@
 
 /// What this process holds of the relay that outlives processes.
 #[derive(Default)]
-pub struct Tenure {
+pub struct ListenerOwnership {
     /// The task that lets clients in.
-    pub door: Option<AbortHandle>,
-    folder: Option<Rc<Folder>>,
+    pub accept_task: Option<AbortHandle>,
+    folder: Option<Rc<StateDirectory>>,
     link: Option<Link>,
     /// Calls of operators that were passed to another process.
     passed: u64,
 }
 
-impl Tenure {
+impl ListenerOwnership {
     /// Descriptors that another process of this relay may hold meanwhile: within the limit of both.
     pub fn lent(&self) -> usize {
         self.link.as_ref().filter(|l| l.stage == Stage::TookOver).map_or(0, |l| l.lent + RUNTIME)
@@ -147,27 +147,31 @@
 }
 
 /// What a new process has got from the old one.
-pub struct Incumbent {
-    line: Line,
-    by_hand: ByHand,
+pub struct Predecessor {
+    line: TakeoverChannel,
+    by_hand: MaintenanceState,
     leaving: Vec<String>,
 }
 
 /// Asks a process that serves this relay's clients for its listener. None if no process lives.
-pub async fn knock(folder: &Folder) -> Result<Option<(TcpListener, Incumbent)>, String> {
-    let Some(mut line) = Line::connect(&folder.socket()).await else { return Ok(None) };
+pub async fn connect_to_predecessor(
+    folder: &StateDirectory,
+) -> Result<Option<(TcpListener, Predecessor)>, String> {
+    let Some(mut line) = TakeoverChannel::connect(&folder.socket()).await else { return Ok(None) };
     let asked = async {
-        line.say(&Word::Hello, &[]).await.ok()?;
+        line.say(&HotRestartMessage::Hello, &[]).await.ok()?;
         line.next().await
     };
     let answer = tokio::time::timeout(std::time::Duration::from_micros(ANSWER), asked).await;
     match answer {
-        Ok(Some(Word::State { by_hand, leaving })) => {
+        Ok(Some(HotRestartMessage::State { by_hand, leaving })) => {
             let listener = line.descriptor().ok_or("no listener came from the process that serves here")?;
             let listener = inherit(listener).map_err(|e| format!("the listener handed over: {e}"))?;
-            Ok(Some((listener, Incumbent { line, by_hand, leaving })))
+            Ok(Some((listener, Predecessor { line, by_hand, leaving })))
+        }
+        Ok(Some(HotRestartMessage::Busy)) => {
+            Err("another process is taking over from the one that serves here".into())
         }
-        Ok(Some(Word::Busy)) => Err("another process is taking over from the one that serves here".into()),
         // It ended just now.
         Ok(None) => Ok(None),
         Ok(Some(_)) => {
@@ -185,20 +189,20 @@
 
 /// Takes over from an old process once this one can serve, lets clients in, and offers the relay to the next one.
 /// Errors say why it cannot; the old process then serves on.
-pub async fn enter(
-    relay: Shared, folder: Rc<Folder>, listener: Rc<TcpListener>, from: Option<Incumbent>,
+pub async fn run(
+    relay: SharedRelay, folder: Rc<StateDirectory>, listener: Rc<TcpListener>, from: Option<Predecessor>,
 ) -> Result<(), String> {
-    relay.borrow_mut().tenure.folder = Some(folder.clone());
+    relay.borrow_mut().listener_ownership.folder = Some(folder.clone());
     match from {
         None => {
             let kept = folder.read();
-            relay.borrow_mut().take_by_hand(kept);
+            relay.borrow_mut().restore_maintenance(kept);
             listener::open(&relay, &listener);
         }
         Some(incumbent) => take_over(&relay, &folder, &listener, incumbent).await?,
     }
     match folder.publish() {
-        Ok(offered) => offer(relay, folder, listener, offered).await,
+        Ok(offered) => accept_successors(relay, folder, listener, offered).await,
         Err(why) => {
             warn!(target: "handover", why, "no process can take over from this one");
             std::future::pending().await
@@ -207,114 +211,117 @@
 }
 
 async fn take_over(
-    relay: &Shared, folder: &Rc<Folder>, listener: &Rc<TcpListener>, incumbent: Incumbent,
+    relay: &SharedRelay, folder: &Rc<StateDirectory>, listener: &Rc<TcpListener>, incumbent: Predecessor,
 ) -> Result<(), String> {
-    let Incumbent { mut line, by_hand, leaving } = incumbent;
+    let Predecessor { mut line, by_hand, leaving } = incumbent;
     let timers = relay.borrow().timers.clone();
-    relay.borrow_mut().take_by_hand(by_hand);
-    relay.borrow_mut().take_leaving(&leaving);
-    let born = relay.borrow().born;
-    while !relay.borrow().roll_answered() && timers.clock.now() < born + ROLL {
-        if relay.borrow().closing() {
+    relay.borrow_mut().restore_maintenance(by_hand);
+    relay.borrow_mut().mark_draining(&leaving);
+    let born = relay.borrow().started_at;
+    while !relay.borrow().has_discovery_answered() && timers.clock.now() < born + ROLL {
+        if relay.borrow().is_shutting_down() {
             return Err("told to stop before it took over".into());
         }
-        timers.nap(LOOK).await;
+        timers.sleep(LOOK).await;
     }
     let taken = async {
-        line.say(&Word::Take, &[]).await.ok()?;
+        line.say(&HotRestartMessage::Take, &[]).await.ok()?;
         loop {
             match line.next().await? {
-                Word::Yours { by_hand } => return Some(by_hand),
+                HotRestartMessage::Yours { by_hand } => return Some(by_hand),
                 // What operators did meanwhile is in what comes with the door.
-                Word::Hand { number, .. } => line.say(&Word::Done { number }, &[]).await.ok()?,
+                HotRestartMessage::Hand { number, .. } => {
+                    line.say(&HotRestartMessage::Done { number }, &[]).await.ok()?
+                }
                 _ => {}
             }
         }
     };
     let by_hand = tokio::select! {
         taken = taken => taken,
-        () = timers.nap(ANSWER) => return Err("the process that serves here does not let go of its door".into()),
+        () = timers.sleep(ANSWER) => return Err("the process that serves here does not let go of its door".into()),
     };
     if let Some(by_hand) = by_hand {
-        relay.borrow_mut().take_by_hand(by_hand);
-        let notes = relay.borrow_mut().link(Stage::TookOver);
-        tokio::task::spawn_local(talk(relay.clone(), folder.clone(), None, line, notes));
+        relay.borrow_mut().restore_maintenance(by_hand);
+        let notes = relay.borrow_mut().open_link(Stage::TookOver);
+        tokio::task::spawn_local(run_link(relay.clone(), folder.clone(), None, line, notes));
     }
     listener::open(relay, listener);
-    info!(target: "handover", old_lives = relay.borrow().tenure.link.is_some(), "took over");
+    info!(target: "handover", old_lives = relay.borrow().listener_ownership.link.is_some(), "took over");
     Ok(())
 }
 
 /// Offers the relay to new processes, one at a time.
-async fn offer(
-    relay: Shared, folder: Rc<Folder>, listener: Rc<TcpListener>, offered: UnixListener,
+async fn accept_successors(
+    relay: SharedRelay, folder: Rc<StateDirectory>, listener: Rc<TcpListener>, offered: UnixListener,
 ) -> Result<(), String> {
     let timers = relay.borrow().timers.clone();
     loop {
         let Ok((stream, _)) = offered.accept().await else {
-            timers.nap(ANSWER).await;
+            timers.sleep(ANSWER).await;
             continue;
         };
-        let mut line = Line::new(stream);
+        let mut line = TakeoverChannel::new(stream);
         let first = tokio::time::timeout(std::time::Duration::from_micros(ANSWER), line.next()).await;
-        if !matches!(first, Ok(Some(Word::Hello))) {
+        if !matches!(first, Ok(Some(HotRestartMessage::Hello))) {
             continue;
         }
-        if relay.borrow().tenure.link.is_some() {
-            let _ = line.say(&Word::Busy, &[]).await;
+        if relay.borrow().listener_ownership.link.is_some() {
+            let _ = line.say(&HotRestartMessage::Busy, &[]).await;
             continue;
         }
-        let notes = relay.borrow_mut().link(Stage::Preparing);
+        let notes = relay.borrow_mut().open_link(Stage::Preparing);
         tokio::task::spawn_local(hand_over(relay.clone(), folder.clone(), listener.clone(), line, notes));
     }
 }
 
 async fn hand_over(
-    relay: Shared, folder: Rc<Folder>, listener: Rc<TcpListener>, line: Line, notes: UnboundedReceiver<Note>,
+    relay: SharedRelay, folder: Rc<StateDirectory>, listener: Rc<TcpListener>, line: TakeoverChannel,
+    notes: UnboundedReceiver<Note>,
 ) {
     info!(target: "handover", "a new process gets ready");
-    let (by_hand, leaving) = (relay.borrow().by_hand(), relay.borrow().leaving());
-    if line.say(&Word::State { by_hand, leaving }, &[listener.as_fd()]).await.is_ok() {
-        talk(relay, folder, Some(listener), line, notes).await;
+    let (by_hand, leaving) = (relay.borrow().maintenance_state(), relay.borrow().draining_endpoints());
+    if line.say(&HotRestartMessage::State { by_hand, leaving }, &[listener.as_fd()]).await.is_ok() {
+        run_link(relay, folder, Some(listener), line, notes).await;
     } else {
-        relay.borrow_mut().tenure.link = None;
+        relay.borrow_mut().listener_ownership.link = None;
     }
 }
 
 /// The link to the other process, until either ends. The old process, which has a listener here, lets clients in again
 /// if the new one ends.
-async fn talk(
-    relay: Shared, folder: Rc<Folder>, listener: Option<Rc<TcpListener>>, mut line: Line,
-    mut notes: UnboundedReceiver<Note>,
+async fn run_link(
+    relay: SharedRelay, folder: Rc<StateDirectory>, listener: Option<Rc<TcpListener>>,
+    mut line: TakeoverChannel, mut notes: UnboundedReceiver<Note>,
 ) {
     let timers = relay.borrow().timers.clone();
     let mut waiting = Vec::new();
     loop {
         let said = tokio::select! {
             word = line.next() => match word {
-                Some(word) => hear(&relay, &listener, &mut line, &mut waiting, word).await,
+                Some(word) => handle_message(&relay, &listener, &mut line, &mut waiting, word).await,
                 None => break,
             },
             note = notes.recv() => match note {
                 Some(Note::Call(word, confirmed)) => {
-                    if let Word::Hand { number, .. } = &word {
+                    if let HotRestartMessage::Hand { number, .. } = &word {
                         waiting.push((*number, confirmed));
                     }
                     line.say(&word, &[]).await.is_ok()
                 }
-                Some(Note::Session(passed)) => pass(&line, *passed, &timers).await,
+                Some(Note::Session(passed)) => send_connection(&line, *passed, &timers).await,
                 None => break,
             },
-            () = timers.nap(TELL), if listener.is_some() => {
-                let descriptors = relay.borrow().descriptors.get();
-                line.say(&Word::Holding { descriptors }, &[]).await.is_ok()
+            () = timers.sleep(TELL), if listener.is_some() => {
+                let descriptors = relay.borrow().descriptors_in_use.get();
+                line.say(&HotRestartMessage::Holding { descriptors }, &[]).await.is_ok()
             }
         };
         if !said {
             break;
         }
     }
-    let link = relay.borrow_mut().tenure.link.take();
+    let link = relay.borrow_mut().listener_ownership.link.take();
     notes.close();
     while let Some(note) = notes.recv().await {
         if let Note::Session(passed) = note {
@@ -325,31 +332,31 @@
     let Some(listener) = listener.filter(|_| link.is_some_and(|l| l.stage == Stage::HandedOver)) else {
         return;
     };
-    if !relay.borrow().closing() {
+    if !relay.borrow().is_shutting_down() {
         warn!(target: "handover", "it had taken over: clients are let in here again");
         listener::open(&relay, &listener);
         match folder.publish() {
-            Ok(offered) => drop(offer_again(relay, folder, listener, offered)),
+            Ok(offered) => drop(accept_successors_again(relay, folder, listener, offered)),
             Err(why) => warn!(target: "handover", why, "no process can take over from this one"),
         }
     }
 }
 
-/// A box between [`talk`] and [`offer`], which need each other.
-fn offer_again(
-    relay: Shared, folder: Rc<Folder>, listener: Rc<TcpListener>, offered: UnixListener,
+/// A box between [`run_link`] and [`accept_successors`], which need each other.
+fn accept_successors_again(
+    relay: SharedRelay, folder: Rc<StateDirectory>, listener: Rc<TcpListener>, offered: UnixListener,
 ) -> tokio::task::JoinHandle<()> {
     tokio::task::spawn_local(async move {
         let offering: std::pin::Pin<Box<dyn Future<Output = _>>> =
-            Box::pin(offer(relay, folder, listener, offered));
+            Box::pin(accept_successors(relay, folder, listener, offered));
         let _ = offering.await;
     })
 }
 
 /// Passes a session on; one that cannot be passed is moved. False if the line has ended.
-async fn pass(line: &Line, passed: Passed, timers: &Rc<Timers>) -> bool {
+async fn send_connection(line: &TakeoverChannel, passed: ConnectionTransfer, timers: &Rc<Timers>) -> bool {
     let sockets = [passed.client.as_fd(), passed.server.as_fd()];
-    let said = line.say(&Word::Session(passed.bundle.clone()), &sockets).await.is_ok();
+    let said = line.say(&HotRestartMessage::Session(passed.bundle.clone()), &sockets).await.is_ok();
     if !said {
         passed.send_away(timers);
     }
@@ -357,46 +364,46 @@
 }
 
 /// Does what the other process says; false if it can no longer be told.
-async fn hear(
-    relay: &Shared, listener: &Option<Rc<TcpListener>>, line: &mut Line,
-    waiting: &mut Vec<(u64, oneshot::Sender<()>)>, word: Word,
+async fn handle_message(
+    relay: &SharedRelay, listener: &Option<Rc<TcpListener>>, line: &mut TakeoverChannel,
+    waiting: &mut Vec<(u64, oneshot::Sender<()>)>, word: HotRestartMessage,
 ) -> bool {
     match word {
-        Word::Take if listener.is_some() => {
+        HotRestartMessage::Take if listener.is_some() => {
             listener::close(relay);
-            if let Some(link) = &mut relay.borrow_mut().tenure.link {
+            if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
                 link.stage = Stage::HandedOver;
             }
-            let by_hand = relay.borrow().by_hand();
-            let descriptors = relay.borrow().descriptors.get();
+            let by_hand = relay.borrow().maintenance_state();
+            let descriptors = relay.borrow().descriptors_in_use.get();
             info!(target: "handover", "handed over: clients are let in by the new process");
-            line.say(&Word::Yours { by_hand }, &[]).await.is_ok()
-                && line.say(&Word::Holding { descriptors }, &[]).await.is_ok()
+            line.say(&HotRestartMessage::Yours { by_hand }, &[]).await.is_ok()
+                && line.say(&HotRestartMessage::Holding { descriptors }, &[]).await.is_ok()
         }
-        Word::Hand { id, out, number } => {
+        HotRestartMessage::Hand { id, out, number } => {
             let now = relay.borrow().timers.clock.now();
-            relay.borrow_mut().hand(now, &EndpointId(id.as_str().into()), out);
-            line.say(&Word::Done { number }, &[]).await.is_ok()
+            relay.borrow_mut().apply_maintenance_command(now, &EndpointId(id.as_str().into()), out);
+            line.say(&HotRestartMessage::Done { number }, &[]).await.is_ok()
         }
-        Word::Done { number } => {
+        HotRestartMessage::Done { number } => {
             let confirmed = waiting.iter().position(|(n, _)| *n == number).map(|i| waiting.swap_remove(i));
             confirmed.map(|(_, confirmed)| confirmed.send(()));
             true
         }
-        Word::Session(bundle) => {
+        HotRestartMessage::Session(bundle) => {
             let sockets = (line.descriptor(), line.descriptor());
-            if let Some(link) = &mut relay.borrow_mut().tenure.link {
+            if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
                 link.lent = link.lent.saturating_sub(2);
             }
             if let (Some(client), Some(server)) = sockets
-                && let Err(why) = established::take_up(relay, bundle, client, server)
+                && let Err(why) = established::restore(relay, bundle, client, server)
             {
                 warn!(target: "handover", %why, "a session that was passed here cannot be taken up");
             }
             true
         }
-        Word::Holding { descriptors } => {
-            if let Some(link) = &mut relay.borrow_mut().tenure.link {
+        HotRestartMessage::Holding { descriptors } => {
+            if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
                 link.lent = descriptors;
             }
             true
@@ -406,24 +413,25 @@
 }
 
 /// Takes a card server out by hand, or puts it back, here and at the other process; returns when it holds.
-pub async fn by_hand(relay: &Shared, id: &str, out: bool) -> Result<(), String> {
+pub async fn set_maintenance(relay: &SharedRelay, id: &str, out: bool) -> Result<(), String> {
     let server = EndpointId(id.into());
     let done = match out {
-        true => relay.borrow_mut().take_out(&server),
-        false => relay.borrow_mut().put_back(&server),
+        true => relay.borrow_mut().start_maintenance(&server),
+        false => relay.borrow_mut().end_maintenance(&server),
     };
     done.map_err(|_| format!("no card server has the id {id}"))?;
     let (folder, confirmed) = {
         let mut relay = relay.borrow_mut();
-        relay.tenure.passed += 1;
-        let word = Word::Hand { id: id.to_owned(), out, number: relay.tenure.passed };
+        relay.listener_ownership.passed += 1;
+        let word =
+            HotRestartMessage::Hand { id: id.to_owned(), out, number: relay.listener_ownership.passed };
         // One that gets ready is told all of it with the door.
-        let linked = relay.tenure.link.as_ref().filter(|link| link.stage != Stage::Preparing);
+        let linked = relay.listener_ownership.link.as_ref().filter(|link| link.stage != Stage::Preparing);
         let told = linked.and_then(|link| {
             let (confirm, confirmed) = oneshot::channel();
             link.notes.send(Note::Call(word, confirm)).ok().map(|()| confirmed)
         });
-        (relay.tenure.folder.clone(), told)
+        (relay.listener_ownership.folder.clone(), told)
     };
     if let Some(folder) = folder {
         // It holds in any case while a process lives; guards against a file that says otherwise later.
@@ -431,13 +439,13 @@
     }
     if let Some(confirmed) = confirmed {
         let timers = relay.borrow().timers.clone();
-        let linked = || relay.borrow().tenure.link.is_some();
+        let linked = || relay.borrow().listener_ownership.link.is_some();
         tokio::select! {
             // A process that ends meanwhile confirms nothing and needs nothing.
             confirmed = confirmed => if confirmed.is_err() && linked() {
                 return Err("it holds here, but the other process has not confirmed it".into());
             },
-            () = timers.nap(CONFIRM) => {
+            () = timers.sleep(CONFIRM) => {
                 return Err("it holds here, but the other process has not confirmed it".into());
             }
         }
@@ -447,15 +455,15 @@
 
 impl Relay {
     /// Opens this process' end of a link.
-    fn link(&mut self, stage: Stage) -> UnboundedReceiver<Note> {
+    fn open_link(&mut self, stage: Stage) -> UnboundedReceiver<Note> {
         let (notes, queue) = unbounded_channel();
-        self.tenure.link = Some(Link { notes, stage, lent: 0 });
+        self.listener_ownership.link = Some(Link { notes, stage, lent: 0 });
         queue
     }
 
     /// Passes a session on to the process that lets clients in now; it comes back if there is none.
-    pub fn pass_on(&mut self, passed: Passed) -> Result<(), Box<Passed>> {
-        let link = self.tenure.link.as_ref().filter(|link| link.stage == Stage::HandedOver);
+    pub fn transfer_connection(&mut self, passed: ConnectionTransfer) -> Result<(), Box<ConnectionTransfer>> {
+        let link = self.listener_ownership.link.as_ref().filter(|link| link.stage == Stage::HandedOver);
         let Some(link) = link else { return Err(Box::new(passed)) };
         link.notes.send(Note::Session(Box::new(passed))).map_err(|unsent| match unsent.0 {
             Note::Session(passed) => passed,
@@ -464,49 +472,49 @@
     }
 
     /// What is out by hand, and what was put back, in the form that is handed over.
-    pub(in crate::relay) fn by_hand(&self) -> ByHand {
+    pub(in crate::relay) fn maintenance_state(&self) -> MaintenanceState {
         let name = |id: &EndpointId| id.0.as_ref().to_owned();
-        let back = self.withheld.back().map(|(id, was)| (name(id), was.from, was.to)).collect();
-        ByHand { out: self.withheld.out().map(|(id, since)| (name(id), since)).collect(), back }
+        let back = self.maintenance.back().map(|(id, was)| (name(id), was.from, was.to)).collect();
+        MaintenanceState { out: self.maintenance.out().map(|(id, since)| (name(id), since)).collect(), back }
     }
 
     /// Takes on that card servers leave, as another process was told.
-    fn take_leaving(&mut self, leaving: &[String]) {
+    fn mark_draining(&mut self, leaving: &[String]) {
         let ids: Vec<EndpointId> = leaving.iter().map(|id| EndpointId(id.as_str().into())).collect();
-        let entries = self.withheld.leaving(&ids);
-        entries.into_iter().for_each(|entry| self.show(Some(entry)));
+        let entries = self.maintenance.leaving(&ids);
+        entries.into_iter().for_each(|entry| self.apply_maintenance_change(Some(entry)));
     }
 
     /// Takes on what another process, or an earlier one, had out by hand.
-    fn take_by_hand(&mut self, by_hand: ByHand) {
+    fn restore_maintenance(&mut self, by_hand: MaintenanceState) {
         let server = |id: &String| EndpointId(id.as_str().into());
         for (id, from, to) in &by_hand.back {
-            let seen = self.withheld.was_put_back(MaintenanceWindow { from: *from, to: *to }, &server(id));
-            self.show(seen);
+            let seen = self.maintenance.was_put_back(MaintenanceWindow { from: *from, to: *to }, &server(id));
+            self.apply_maintenance_change(seen);
         }
         let out: BTreeMap<EndpointId, Micros> =
             by_hand.out.iter().map(|(id, since)| (server(id), *since)).collect();
-        let held = self.withheld.out().map(|(id, _)| id);
+        let held = self.maintenance.out().map(|(id, _)| id);
         let gone: Vec<EndpointId> = held.filter(|id| !out.contains_key(*id)).cloned().collect();
         let now = self.timers.clock.now();
-        gone.iter().for_each(|id| self.hand(now, id, false));
-        out.iter().for_each(|(id, since)| self.hand(*since, id, true));
+        gone.iter().for_each(|id| self.apply_maintenance_command(now, id, false));
+        out.iter().for_each(|(id, since)| self.apply_maintenance_command(*since, id, true));
     }
 
     /// Does what an operator has done at another process.
-    fn hand(&mut self, at: Micros, id: &EndpointId, out: bool) {
+    fn apply_maintenance_command(&mut self, at: Micros, id: &EndpointId, out: bool) {
         let seen = match out {
-            true => self.withheld.withhold(at, id),
-            false => self.withheld.put_back(at, id).ok().flatten(),
+            true => self.maintenance.withhold(at, id),
+            false => self.maintenance.put_back(at, id).ok().flatten(),
         };
-        self.show(seen);
+        self.apply_maintenance_change(seen);
     }
 }
 
 /// Where a relay of that address keeps what outlives a process, if a folder for it is told.
-pub fn folder(listen: SocketAddr) -> Option<Folder> {
+pub fn open_state_directory(listen: SocketAddr) -> Option<StateDirectory> {
     let place = std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from)?;
-    match Folder::open(&place, listen) {
+    match StateDirectory::open(&place, listen) {
         Ok(folder) => Some(folder),
         Err(why) => {
             warn!(target: "handover", why, "no process can take over from this one");
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -14,8 +14,8 @@
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ByHand;
-use crate::relay::Shared;
+use super::MaintenanceState;
+use crate::relay::SharedRelay;
 
 /// What the file begins with: its form and version.
 const MAGIC: &str = "honeyknot-by-hand 1";
@@ -25,7 +25,7 @@
 const LONGEST: usize = 100;
 
 /// The folder.
-pub struct Folder {
+pub struct StateDirectory {
     path: PathBuf,
     /// Kept open where its path is too long for a socket's: there it is reached by its descriptor.
     open: Option<File>,
@@ -33,9 +33,9 @@
     turn: Mutex<()>,
 }
 
-impl Folder {
+impl StateDirectory {
     /// Makes or takes up the folder of the relay that serves an address.
-    pub fn open(place: &Path, listen: SocketAddr) -> Result<Folder, String> {
+    pub fn open(place: &Path, listen: SocketAddr) -> Result<StateDirectory, String> {
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '-' };
         let name: String = listen.to_string().chars().map(plain).collect();
         let path = place.join(format!("honeyknot-{name}"));
@@ -49,7 +49,7 @@
         }
         let open =
             if path.as_os_str().len() > LONGEST - 16 { Some(File::open(&path).map_err(told)?) } else { None };
-        Ok(Folder { path, open, turn: Mutex::new(()) })
+        Ok(StateDirectory { path, open, turn: Mutex::new(()) })
     }
 
     fn file(&self, name: &str) -> PathBuf {
@@ -75,11 +75,11 @@
     }
 
     /// What an earlier process has kept. A file that is torn counts as none, and is told of.
-    pub fn read(&self) -> ByHand {
+    pub fn read(&self) -> MaintenanceState {
         let path = self.file("by-hand");
         let size = fs::metadata(&path).map(|about| about.len());
         let read = match size {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return ByHand::default(),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => return MaintenanceState::default(),
             Ok(size) if size <= LARGEST => fs::read(&path).map_err(|e| e.to_string()),
             Ok(size) => Err(format!("it has {size} bytes")),
             Err(e) => Err(e.to_string()),
@@ -88,16 +88,16 @@
             Ok(by_hand) => by_hand,
             Err(why) => {
                 warn!(target: "handover", file = %path.display(), why, "what was out by hand is passed over");
-                ByHand::default()
+                MaintenanceState::default()
             }
         }
     }
 
     /// Keeps what is out by hand as of now.
-    pub async fn keep(&self, relay: &Shared) -> Result<(), String> {
+    pub async fn keep(&self, relay: &SharedRelay) -> Result<(), String> {
         // One write at a time, so that the last one to land holds the most.
         let _turn = self.turn.lock().await;
-        let bytes = encode(&relay.borrow().by_hand());
+        let bytes = encode(&relay.borrow().maintenance_state());
         let (beside, file) = (self.file(&format!("by-hand-{}", std::process::id())), self.file("by-hand"));
         let written = tokio::task::spawn_blocking(move || {
             let mut new = File::create(&beside)?;
@@ -110,14 +110,14 @@
 }
 
 /// The file's bytes.
-fn encode(by_hand: &ByHand) -> Vec<u8> {
+fn encode(by_hand: &MaintenanceState) -> Vec<u8> {
     // A record of plain strings and numbers always has a form.
     let body = serde_json::to_string(by_hand).unwrap_or_default();
     format!("{MAGIC} {:016x}\n{body}\n", xxh3_64(body.as_bytes())).into_bytes()
 }
 
 /// What a file's bytes say, if they are whole.
-fn decode(bytes: &[u8]) -> Result<ByHand, String> {
+fn decode(bytes: &[u8]) -> Result<MaintenanceState, String> {
     let text = std::str::from_utf8(bytes).map_err(|_| "it is no text")?;
     let (head, body) = text.split_once('\n').ok_or("it ends early")?;
     let sum = head.strip_prefix(MAGIC).ok_or("it is of another form")?.trim();
@@ -134,8 +134,10 @@
 
     #[test]
     fn what_is_kept_reads_back_whole_or_not_at_all() {
-        let by_hand =
-            ByHand { out: vec![("s-1".into(), 5), ("s-2".into(), 7)], back: vec![("s-3".into(), 9, 17)] };
+        let by_hand = MaintenanceState {
+            out: vec![("s-1".into(), 5), ("s-2".into(), 7)],
+            back: vec![("s-3".into(), 9, 17)],
+        };
         let bytes = encode(&by_hand);
         assert_eq!(decode(&bytes), Ok(by_hand));
         for cut in 0..bytes.len() {
--- a/src/relay/lifecycle/hot_restart/takeover_channel.rs
+++ b/src/relay/lifecycle/hot_restart/takeover_channel.rs
@@ -13,7 +13,7 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-use super::Word;
+use super::HotRestartMessage;
 
 /// The longest message: far above what the ids of a fleet take.
 const LONGEST: usize = 4 << 20;
@@ -22,26 +22,26 @@
 pub const MOST: usize = 2;
 
 /// One end of the line.
-pub struct Line {
+pub struct TakeoverChannel {
     stream: UnixStream,
     bytes: Vec<u8>,
     /// Those that came, in order: messages take theirs.
     descriptors: VecDeque<OwnedFd>,
 }
 
-impl Line {
+impl TakeoverChannel {
     /// A line over a connection that stands.
-    pub fn new(stream: UnixStream) -> Line {
-        Line { stream, bytes: Vec::new(), descriptors: VecDeque::new() }
+    pub fn new(stream: UnixStream) -> TakeoverChannel {
+        TakeoverChannel { stream, bytes: Vec::new(), descriptors: VecDeque::new() }
     }
 
     /// Connects to a process that offers one; none if no process does.
-    pub async fn connect(path: &Path) -> Option<Line> {
-        UnixStream::connect(path).await.ok().map(Line::new)
+    pub async fn connect(path: &Path) -> Option<TakeoverChannel> {
+        UnixStream::connect(path).await.ok().map(TakeoverChannel::new)
     }
 
     /// Sends a message, with these descriptors beside it, [`MOST`] at the most.
-    pub async fn say(&self, word: &Word, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
+    pub async fn say(&self, word: &HotRestartMessage, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
         let mut bytes = serde_json::to_vec(word)?;
         bytes.push(b'\n');
         let (mut rest, mut beside) = (&bytes[..], descriptors);
@@ -71,7 +71,7 @@
 
     /// The next message; none when the other end has ended or makes no sense. Descriptors that belong to it have come
     /// by then. Dropped before it is ready, it loses nothing.
-    pub async fn next(&mut self) -> Option<Word> {
+    pub async fn next(&mut self) -> Option<HotRestartMessage> {
         loop {
             if let Some(end) = self.bytes.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.bytes.drain(..=end).collect();
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -5,7 +5,7 @@
 use tracing::{info, warn};
 
 use super::config::Config;
-use crate::relay::Shared;
+use crate::relay::SharedRelay;
 use crate::relay::metrics::exporter;
 
 /// Configurations as they were read again, or why one could not be.
@@ -25,7 +25,7 @@
 }
 
 /// Applies what is read until the relay ends. A file that cannot be used, or is only half written, changes nothing.
-pub async fn follow(relay: Shared, mut reloads: Reloads) {
+pub async fn follow(relay: SharedRelay, mut reloads: Reloads) {
     while let Some(read) = reloads.recv().await {
         match read {
             Ok(config) => {
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -20,7 +20,7 @@
 
 use super::recorder;
 use super::spool_queue::Waiting;
-use crate::relay::{Held, Shared};
+use crate::relay::{DescriptorPermit, SharedRelay};
 
 /// Readings that wait in memory where there is a spool: older ones wait on disk.
 const LIVE: usize = 2;
@@ -89,7 +89,7 @@
 
 /// A sink's connection, and when it may be tried again.
 struct Link {
-    line: Option<(Line, Option<Held>)>,
+    line: Option<(Line, Option<DescriptorPermit>)>,
     failures: u32,
     next: Instant,
     /// When the sink last took anything.
@@ -111,7 +111,7 @@
         self.line = None;
     }
 
-    fn stands(&mut self, sink: &Sink, line: Line, held: Option<Held>) {
+    fn stands(&mut self, sink: &Sink, line: Line, held: Option<DescriptorPermit>) {
         if std::mem::take(&mut self.failures) > 0 {
             info!(target: "metrics", sink = sink.name, "the sink is reached again");
         }
@@ -137,8 +137,8 @@
 
 /// Feeds the sinks that a plan names, and no others. One that stays as it is is not touched; one that has changed goes on
 /// where it was, with what still waits for it.
-pub fn run(relay: &Shared, plan: &Plan, name: &str) {
-    let mut old = std::mem::take(&mut relay.borrow_mut().sinks);
+pub fn run(relay: &SharedRelay, plan: &Plan, name: &str) {
+    let mut old = std::mem::take(&mut relay.borrow_mut().exporters);
     let mut running = BTreeMap::new();
     for sink in &plan.sinks {
         let carried = match old.remove(&sink.name) {
@@ -153,7 +153,7 @@
         running.insert(sink.name.clone(), Running { sink: sink.clone(), stop, task });
     }
     old.into_values().for_each(|gone| drop(gone.stop()));
-    relay.borrow_mut().sinks = running;
+    relay.borrow_mut().exporters = running;
 }
 
 impl Running {
@@ -166,7 +166,7 @@
 }
 
 /// What a sink begins with: nothing, or what the one before it under its name has left.
-async fn take_over(relay: &Shared, sink: &Sink, carried: Option<(Sink, JoinHandle<Feed>)>) -> Feed {
+async fn take_over(relay: &SharedRelay, sink: &Sink, carried: Option<(Sink, JoinHandle<Feed>)>) -> Feed {
     let most = sink.buffer as usize;
     // Guards against a second that the life before this one has told already.
     let second = relay.borrow().timers.clock.now() / 1_000_000 + 1;
@@ -180,14 +180,14 @@
     }
     // Frames of another form cannot be sent on; what they told is counted as dropped.
     let dropped = left.queue.frames.iter().map(|(_, points)| points).sum();
-    relay.borrow_mut().meter(|book| book.add(Family::Dropped, 0, dropped));
+    relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, dropped));
     (fresh.before, fresh.second) = (left.before, left.second.max(second));
     fresh
 }
 
 /// Feeds a sink until it is stopped.
 async fn feed(
-    relay: Shared, sink: Sink, name: String, carried: Option<(Sink, JoinHandle<Feed>)>,
+    relay: SharedRelay, sink: Sink, name: String, carried: Option<(Sink, JoinHandle<Feed>)>,
     mut stop: oneshot::Receiver<()>,
 ) -> Feed {
     let Feed { mut queue, mut before, mut second } = take_over(&relay, &sink, carried).await;
@@ -210,12 +210,12 @@
                 return Feed { queue, before, second };
             }
             _ = ticks.tick() => {
-                let reading = relay.borrow_mut().reading();
+                let reading = relay.borrow_mut().metrics_snapshot();
                 // What a later life would not know of must not be told: a total would fall.
                 if !recorder::save(&relay, reading.at).await {
                     continue;
                 }
-                let lasts = relay.borrow().counts_last();
+                let lasts = relay.borrow().counters_persist();
                 let told = told(&sink, &reading, before.as_ref(), lasts, &mut second);
                 let frames = encode(&sink, &name, &told, &mut link.rng);
                 let count = frames.len();
@@ -235,7 +235,7 @@
                 }
             }
             () = sleep_until(link.next), if waits && link.line.is_none() => {
-                let held = relay.borrow().hold_descriptor();
+                let held = relay.borrow().acquire_descriptor();
                 let dialled = match held.is_some() {
                     true => dial(&sink).await,
                     false => Err(io::Error::other("no descriptor to spare")),
@@ -310,7 +310,7 @@
 }
 
 /// Writes what the sink takes now of the first frame; waits until it takes anything.
-async fn write(line: Option<&(Line, Option<Held>)>, queue: &Queue) -> io::Result<usize> {
+async fn write(line: Option<&(Line, Option<DescriptorPermit>)>, queue: &Queue) -> io::Result<usize> {
     let (Some((line, _)), Some((frame, _))) = (line, queue.frames.front()) else {
         return std::future::pending().await;
     };
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -8,8 +8,8 @@
 use tracing::{info, warn};
 
 use super::persistent_counters::Folder;
-use crate::relay::connections::protocol::SessionHead;
-use crate::relay::{Relay, Shared};
+use crate::relay::connections::protocol::OpenRequest;
+use crate::relay::{Relay, SharedRelay};
 use crate::settings::NameTable;
 use honeyknot_balancer::*;
 
@@ -63,11 +63,11 @@
 }
 
 /// Has all that was counted up to a time on disk before it returns; true if it is, or if nothing is to last.
-pub async fn save(relay: &Shared, upto: Micros) -> bool {
+pub async fn save(relay: &SharedRelay, upto: Micros) -> bool {
     let (write, at) = {
         let mut relay = relay.borrow_mut();
         let now = relay.timers.clock.now();
-        let Relay { book, lasting, .. } = &mut *relay;
+        let Relay { metrics: book, persistent_counters: lasting, .. } = &mut *relay;
         let Some(lasting) = lasting else { return true };
         if lasting.saved >= upto {
             return true;
@@ -80,7 +80,7 @@
         Err(e) => Err(e),
     };
     let mut relay = relay.borrow_mut();
-    let Some(lasting) = &mut relay.lasting else { return true };
+    let Some(lasting) = &mut relay.persistent_counters else { return true };
     match &wrote {
         Ok(()) => {
             lasting.saved = lasting.saved.max(at);
@@ -101,85 +101,85 @@
 impl Relay {
     /// Takes up what earlier lives of this relay have counted. A folder that cannot be used is told of, and the counts
     /// of this life then die with it.
-    pub(in crate::relay) fn take_up_counts(&mut self, path: &Path, name: &str) {
+    pub(in crate::relay) fn restore_counters(&mut self, path: &Path, name: &str) {
         match Folder::open(path, name) {
             Ok((folder, state)) => {
                 let lives = state.as_ref().map_or(1, |s| s.lives + 1);
-                let unknown = state.map_or(0, |s| self.book.restore(&s));
+                let unknown = state.map_or(0, |s| self.metrics.restore(&s));
                 info!(target: "metrics", lives, unknown, "counts are kept");
                 let relay = name.to_owned();
-                self.lasting = Some(Lasting { folder, relay, lives, saved: 0, trouble: false });
+                self.persistent_counters = Some(Lasting { folder, relay, lives, saved: 0, trouble: false });
             }
             Err(why) => warn!(target: "metrics", why, "counts will not outlast this relay"),
         }
     }
 
     /// Where a sink's spool is, if anything lasts.
-    pub fn spool_folder(&self, sink: &str) -> Option<PathBuf> {
-        self.lasting.as_ref().map(|lasting| lasting.folder.spool(sink))
+    pub fn spool_directory(&self, sink: &str) -> Option<PathBuf> {
+        self.persistent_counters.as_ref().map(|lasting| lasting.folder.spool(sink))
     }
 
     /// Whether totals last over the relay's lives.
-    pub fn counts_last(&self) -> bool {
-        self.lasting.is_some()
+    pub fn counters_persist(&self) -> bool {
+        self.persistent_counters.is_some()
     }
 
     /// Counts something.
-    pub(in crate::relay) fn meter(&mut self, count: impl FnOnce(&mut Book)) {
-        count(&mut self.book);
+    pub(in crate::relay) fn update_metrics(&mut self, count: impl FnOnce(&mut Book)) {
+        count(&mut self.metrics);
     }
 
     /// The one answer to a connection whose class is known.
-    pub(in crate::relay) fn meter_answer(&mut self, class: Option<ClassId>, answer: Answer) {
+    pub(in crate::relay) fn record_answer(&mut self, class: Option<ClassId>, answer: Answer) {
         let family = match answer {
             Answer::Up => Family::Succeeded,
             Answer::Busy => Family::Declined,
             Answer::Failed => Family::Aborted,
         };
-        self.meter_class(class, family);
+        self.record_class(class, family);
     }
 
     /// The one answer to a connection that never took a seat.
-    pub fn meter_head(&mut self, head: &SessionHead, answer: Answer) {
-        self.meter_answer(self.class(head), answer);
+    pub fn record_unregistered_answer(&mut self, head: &OpenRequest, answer: Answer) {
+        self.record_answer(self.class(head), answer);
     }
 
     /// A head was written whole to a card server.
-    pub fn meter_sent(&mut self, head: &SessionHead) {
-        self.meter_class(self.class(head), Family::Forwards);
+    pub fn record_forwarded(&mut self, head: &OpenRequest) {
+        self.record_class(self.class(head), Family::Forwards);
     }
 
-    fn class(&self, head: &SessionHead) -> Option<ClassId> {
+    fn class(&self, head: &OpenRequest) -> Option<ClassId> {
         self.names.class(head.class()?)
     }
 
-    fn meter_class(&mut self, class: Option<ClassId>, family: Family) {
+    fn record_class(&mut self, class: Option<ClassId>, family: Family) {
         if let Some(name) = class.and_then(|class| self.names.classes().get(class.0)) {
-            self.book.add_open(family, name, 1);
+            self.metrics.add_open(family, name, 1);
         }
     }
 
     /// A request was answered `BUSY`, for one of the reasons in the table of names.
-    pub fn meter_refused(&mut self, reason: &'static str, took: Option<Micros>) {
-        self.meter(|book| {
+    pub fn record_rejected(&mut self, reason: &'static str, took: Option<Micros>) {
+        self.update_metrics(|book| {
             book.count(Family::Refused, reason);
             took.iter().for_each(|us| book.record(Family::Refusal, *us));
         });
     }
 
     /// A request was answered `ERR`, for one of the causes in the table of names.
-    pub fn meter_failed(&mut self, cause: &'static str) {
-        self.meter(|book| book.count(Family::Failed, cause));
+    pub fn record_failed(&mut self, cause: &'static str) {
+        self.update_metrics(|book| book.count(Family::Failed, cause));
     }
 
-    pub(in crate::relay) fn meter_placed(&mut self, attempt: AttemptId, server: &EndpointId) {
-        let site = self.zones.get(server).and_then(|zone| self.names.zones().get(zone.0));
-        self.book.add(Family::Retries, 0, u64::from(attempt.0 > 0));
-        self.book.add_open(Family::Placed, site.map_or("none", String::as_str), 1);
+    pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, server: &EndpointId) {
+        let site = self.endpoint_zones.get(server).and_then(|zone| self.names.zones().get(zone.0));
+        self.metrics.add(Family::Retries, 0, u64::from(attempt.0 > 0));
+        self.metrics.add_open(Family::Placed, site.map_or("none", String::as_str), 1);
     }
 
-    pub(in crate::relay) fn meter_stands(&mut self, took: Micros) {
-        self.meter(|book| {
+    pub(in crate::relay) fn record_established(&mut self, took: Micros) {
+        self.update_metrics(|book| {
             book.count(Family::Attempts, "up");
             book.add(Family::Served, 0, 1);
             book.record(Family::Setup, took);
@@ -187,28 +187,28 @@
     }
 
     /// An attempt has ended without a session.
-    pub(in crate::relay) fn meter_attempt(&mut self, outcome: Outcome) {
-        self.meter(|book| book.count(Family::Attempts, outcome_word(outcome)));
+    pub(in crate::relay) fn record_attempt_ended(&mut self, outcome: Outcome) {
+        self.update_metrics(|book| book.count(Family::Attempts, outcome_word(outcome)));
     }
 
     /// A session that stood has ended, in one of the ways in the table of names.
-    pub fn meter_ended(&mut self, how: &'static str) {
-        self.meter(|book| book.count(Family::Ended, how));
+    pub fn record_connection_ended(&mut self, how: &'static str) {
+        self.update_metrics(|book| book.count(Family::Ended, how));
     }
 
     /// Bytes of a session were passed on, to its client or to its card server.
-    pub fn meter_bytes(&mut self, to_client: bool, count: usize) {
-        self.meter(|book| book.add(Family::Bytes, usize::from(!to_client), count as u64));
+    pub fn record_bytes(&mut self, to_client: bool, count: usize) {
+        self.update_metrics(|book| book.add(Family::Bytes, usize::from(!to_client), count as u64));
     }
 
     /// A session was moved as its card server said nothing any more.
-    pub fn meter_moved_silent(&mut self) {
-        self.meter(|book| book.count(Family::Moves, "silent"));
+    pub fn record_silent_migration(&mut self) {
+        self.update_metrics(|book| book.count(Family::Moves, "silent"));
     }
 
-    pub(in crate::relay) fn meter_probed(&mut self, outcome: Outcome, took: Micros) {
+    pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, took: Micros) {
         let word = if outcome == Outcome::Ok { "ok" } else { outcome_word(outcome) };
-        self.meter(|book| {
+        self.update_metrics(|book| {
             book.count(Family::Probes, word);
             book.record(Family::Probe, took);
         });
@@ -216,7 +216,7 @@
 
     /// The figures that operators ask for, as one line of JSON.
     pub fn figures(&self) -> String {
-        let count = |family, class: &String| self.book.own_total(family, class);
+        let count = |family, class: &String| self.metrics.own_total(family, class);
         let of_class = |class: &String| {
             let [succeeded, declined, aborted, forwards] = BY_CLASS.map(|family| count(family, class));
             let held = json!({"succeeded": succeeded, "declined": declined, "aborted": aborted, "forwards": forwards});
@@ -228,25 +228,26 @@
             "results": results,
             "forwards": classes.iter().map(|class| count(Family::Forwards, class)).sum::<u64>(),
             "outstanding": self.open_ids.borrow().len(),
-            "discovered": self.withheld.listed(),
-            "ejected": self.withheld.avoided(self.balancer.suspects()),
+            "discovered": self.maintenance.listed(),
+            "ejected": self.maintenance.avoided(self.balancer.suspects()),
             "list": {
                 "state": self.list_state.word(),
-                "version": self.version,
-                "answered": self.roll_answered(),
-                "heard_ms_ago": self.timers.clock.now().saturating_sub(self.roll_heard) / 1_000,
+                "version": self.endpoint_list_version,
+                "answered": self.has_discovery_answered(),
+                "heard_ms_ago": self.timers.clock.now().saturating_sub(self.discovery_answered_at) / 1_000,
             },
         })
         .to_string()
     }
 
     /// What the book holds now, with the gauges of this moment.
-    pub fn reading(&mut self) -> Reading {
+    pub fn metrics_snapshot(&mut self) -> Reading {
         let now = self.timers.clock.now();
-        let (standing, asking) = self.open();
-        let (descriptors, crowd, version) = (self.descriptors.get(), self.crowd.len(), self.version);
-        let (started, heard) = (self.born, self.roll_heard);
-        let book = &mut self.book;
+        let (standing, asking) = self.open_connections();
+        let (descriptors, crowd, version) =
+            (self.descriptors_in_use.get(), self.idle_connections.len(), self.endpoint_list_version);
+        let (started, heard) = (self.started_at, self.discovery_answered_at);
+        let book = &mut self.metrics;
         let mut set = |family, value: f64| book.set(family, value);
         set(Family::Sessions, standing.len() as f64);
         set(Family::Asking, asking as f64);
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 
 use super::spool::Spool;
-use crate::relay::Shared;
+use crate::relay::SharedRelay;
 
 /// A sink's spool, and the record of it that is on its way.
 pub struct Waiting {
@@ -22,9 +22,9 @@
 
 impl Waiting {
     /// A sink's spool, if it has one; one that cannot be opened is told of and done without.
-    pub async fn open(relay: &Shared, sink: &Sink) -> Waiting {
+    pub async fn open(relay: &SharedRelay, sink: &Sink) -> Waiting {
         let mut waiting = Waiting { spool: None, filling: None, trouble: false };
-        let folder = relay.borrow().spool_folder(&sink.name).filter(|_| sink.spool > 0);
+        let folder = relay.borrow().spool_directory(&sink.name).filter(|_| sink.spool > 0);
         let Some(folder) = folder else { return waiting };
         let most = sink.spool;
         match run(move || Spool::open(&folder, most)).await {
@@ -57,10 +57,10 @@
     }
 
     /// Puts frames away; what cannot be kept is counted as dropped.
-    pub async fn put(&mut self, relay: &Shared, sink: &Sink, frames: Vec<(Vec<u8>, u64)>) {
+    pub async fn put(&mut self, relay: &SharedRelay, sink: &Sink, frames: Vec<(Vec<u8>, u64)>) {
         let points: u64 = frames.iter().map(|(_, points)| points).sum();
         let Some(spool) = self.spool.clone().filter(|_| !frames.is_empty()) else {
-            return relay.borrow_mut().meter(|book| book.add(Family::Dropped, 0, points));
+            return relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, points));
         };
         let wrote = run(move || {
             let mut spool = spool.lock().unwrap_or_else(PoisonError::into_inner);
@@ -81,11 +81,11 @@
             None => self.trouble = false,
             Some(_) => {}
         }
-        relay.borrow_mut().meter(|book| book.add(Family::Dropped, 0, dropped));
+        relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, dropped));
     }
 
     /// The oldest frame that waits; it is on its way from now on.
-    pub async fn take(&mut self, relay: &Shared) -> Option<(Vec<u8>, u64)> {
+    pub async fn take(&mut self, relay: &SharedRelay) -> Option<(Vec<u8>, u64)> {
         let spool = self.spool.clone()?;
         let found = run(move || {
             let mut spool = spool.lock().unwrap_or_else(PoisonError::into_inner);
@@ -93,7 +93,7 @@
             Ok((record, spool.take_damaged()))
         });
         let (record, damaged) = found.await.ok()?;
-        relay.borrow_mut().meter(|book| book.add(Family::Dropped, 0, damaged));
+        relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, damaged));
         let record = record?;
         let frame = (record.frame.clone(), u64::from(record.points));
         self.filling = Some(record);
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -25,25 +25,25 @@
 use tracing::{info, trace};
 
 use crate::admin;
-use crate::gossip::Neighborhood;
+use crate::gossip::GossipHandle;
 use crate::settings::NameTable;
 use clock::Clock;
-use connections::idle::Crowd;
+use connections::idle::IdleConnections;
 use connections::listener;
-use connections::protocol::SessionHead;
-use endpoints::discovery_client::{self, Ask, RollNews};
-use endpoints::health_check::{self, Errand};
-use endpoints::message_latency::{self, Delays};
+use connections::protocol::OpenRequest;
+use endpoints::discovery_client::{self, DiscoveryCommand, EndpointListUpdate};
+use endpoints::health_check::{self, HealthCheckCommand};
+use endpoints::message_latency::{self, MessageLatencies};
 use endpoints::shared_health_check;
 use endpoints::zone_failover;
 use honeyknot_balancer::*;
 use honeyknot_balancer::{Balancer, MaintenanceOverlay};
 use lifecycle::config::{Config, OperatorFiles};
-use lifecycle::hot_restart::{self, Folder, Incumbent, Tenure};
+use lifecycle::hot_restart::{self, ListenerOwnership, Predecessor, StateDirectory};
 use lifecycle::{graceful_shutdown, reload};
 use metrics::exporter;
 use metrics::recorder::{self, Answer};
-use timer_wheel::{Alarm, Timers};
+use timer_wheel::{TimerEvent, Timers};
 
 /// Descriptors kept for all that is no session: standard streams, the runtime's own, listener and discovery.
 const RESERVE: usize = 32;
@@ -56,32 +56,32 @@
 /// ... and one that names its card server later is owed an answer within 3 s, like any other.
 const ADOPT_LATER: Micros = 2_000_000;
 /// The relay as its tasks share it.
-pub type Shared = Rc<RefCell<Relay>>;
+pub type SharedRelay = Rc<RefCell<Relay>>;
 
 /// What the decisions want of a study session.
 #[derive(Debug)]
-pub enum Order {
+pub enum ConnectionCommand {
     /// Dial this card server.
-    Place(Placement),
+    Forward(AttemptRequest),
     /// Turn the client away.
-    Refuse(Micros),
+    Reject(Micros),
     /// Tell the client that it failed.
     Fail,
     /// Send the client away politely.
-    Move,
+    Migrate,
     /// Have another process of this relay go on with the session.
-    PassOn,
+    Transfer,
     /// Give up the attempt of this number.
     Cancel(AttemptId),
 }
 
 /// An attempt to be made.
 #[derive(Clone, Debug)]
-pub struct Placement {
+pub struct AttemptRequest {
     /// Its number.
     pub attempt: AttemptId,
     /// The card server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// Where this relay reaches it.
     pub address: SocketAddr,
     /// How long the answer may take.
@@ -91,28 +91,28 @@
 }
 
 /// A study session as the relay knows it.
-struct Seat {
-    orders: UnboundedSender<Order>,
+struct ConnectionEntry {
+    commands: UnboundedSender<ConnectionCommand>,
     attempts: u32,
     deadline: Micros,
-    out: Option<(AttemptId, EndpointId, Micros)>,
-    stands: bool,
+    attempt: Option<(AttemptId, EndpointId, Micros)>,
+    established: bool,
     class: ClassId,
-    deck: Option<AffinityGroup>,
-    asked: Micros,
+    affinity_group: Option<AffinityGroup>,
+    requested_at: Micros,
 }
 
 /// A descriptor in the count; dropping it gives it back.
-pub struct Held(Rc<Cell<usize>>);
+pub struct DescriptorPermit(Rc<Cell<usize>>);
 
-impl Held {
-    fn new(count: &Rc<Cell<usize>>) -> Held {
+impl DescriptorPermit {
+    fn new(count: &Rc<Cell<usize>>) -> DescriptorPermit {
         count.set(count.get() + 1);
-        Held(count.clone())
+        DescriptorPermit(count.clone())
     }
 }
 
-impl Drop for Held {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -121,12 +121,12 @@
 type OpenIds = Rc<RefCell<BTreeSet<Rc<str>>>>;
 
 /// The id of a client's connection, open until this is dropped.
-pub struct OpenId {
+pub struct ConnectionIdGuard {
     ids: OpenIds,
     id: Rc<str>,
 }
 
-impl Drop for OpenId {
+impl Drop for ConnectionIdGuard {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
@@ -140,48 +140,48 @@
     pub names: NameTable,
     settings: Settings,
     balancer: Balancer,
-    version: u64,
+    endpoint_list_version: u64,
     addresses: BTreeMap<EndpointId, SocketAddr>,
     /// The roll as discovery tells it, and which card servers are out by hand.
-    withheld: MaintenanceOverlay,
+    maintenance: MaintenanceOverlay,
     /// Card servers that leave or are gone.
-    leaving: BTreeSet<EndpointId>,
-    seats: BTreeMap<RequestId, Seat>,
-    last_id: u32,
-    probes: BTreeMap<EndpointId, UnboundedSender<Errand>>,
+    draining: BTreeSet<EndpointId>,
+    connections: BTreeMap<RequestId, ConnectionEntry>,
+    last_request_id: u32,
+    health_checks: BTreeMap<EndpointId, UnboundedSender<HealthCheckCommand>>,
     /// What messages take at the card servers.
-    delays: Delays,
+    message_latencies: MessageLatencies,
     /// Losing and regaining sites, where the operators have switched it on.
-    sites: Option<Sites>,
+    zone_failover: Option<Sites>,
     /// The relays nearby, where the operators have switched that on.
-    neighbors: Option<Neighborhood>,
+    gossip: Option<GossipHandle>,
     /// What is counted.
-    book: Book,
+    metrics: Book,
     /// Where the counts outlast the relay, if anywhere.
-    lasting: Option<recorder::Lasting>,
+    persistent_counters: Option<recorder::Lasting>,
     /// The sinks that are fed, by name.
-    sinks: BTreeMap<String, exporter::Running>,
+    exporters: BTreeMap<String, exporter::Running>,
     /// The sites of the card servers.
-    zones: BTreeMap<EndpointId, ZoneId>,
+    endpoint_zones: BTreeMap<EndpointId, ZoneId>,
     /// When discovery last answered.
-    roll_heard: Micros,
-    asks: UnboundedSender<Ask>,
-    roll_trouble: bool,
+    discovery_answered_at: Micros,
+    discovery_commands: UnboundedSender<DiscoveryCommand>,
+    discovery_failing: bool,
     /// What the relay is doing about its list.
     list_state: State,
     events: VecDeque<Event>,
-    descriptors: Rc<Cell<usize>>,
-    most_descriptors: usize,
-    crowd: Crowd,
+    descriptors_in_use: Rc<Cell<usize>>,
+    max_descriptors: usize,
+    idle_connections: IdleConnections,
     /// Ids of the clients' connections that are open.
     open_ids: OpenIds,
-    closing: bool,
+    shutting_down: bool,
     /// Operators can call this relay.
-    operated: bool,
+    admin_enabled: bool,
     /// What outlives this process, and who lets clients in.
-    tenure: Tenure,
-    born: Micros,
-    me: Weak<RefCell<Relay>>,
+    listener_ownership: ListenerOwnership,
+    started_at: Micros,
+    weak_self: Weak<RefCell<Relay>>,
 }
 
 /// Descriptors for sessions, the crowd and probes, the reserve included.
@@ -191,21 +191,21 @@
 
 impl Relay {
     /// A relay, its caller of discovery, and what the decisions will want of that.
-    pub fn new(config: Config) -> Result<(Shared, Caller, UnboundedReceiver<Ask>), String> {
+    pub fn new(config: Config) -> Result<(SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>), String> {
         let timers = Timers::new(Clock::start());
         let born = timers.clock.now();
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
         let sites = zone_failover::start(config.sites, &mut settings, &config.names, config.seed, born)?;
         let enter = |plan: &NeighborPlan| {
-            Neighborhood::enter(plan, config.listen, settings.fleet_size, config.seed)
+            GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed)
                 .map_err(|e| e.to_string())
         };
         let neighbors = config.neighbors.as_ref().map(enter).transpose()?;
         let balancer =
             Balancer::new(settings.clone(), config.seed, born).map_err(|e| format!("settings: {e}"))?;
         let (asks, asked) = unbounded_channel();
-        let known = config.known.unwrap_or(RollNews {
+        let known = config.known.unwrap_or(EndpointListUpdate {
             version: 0,
             whole: true,
             entries: Vec::new(),
@@ -215,60 +215,60 @@
         let relay = Rc::new_cyclic(|me| {
             RefCell::new(Relay {
                 timers,
-                book: recorder::open(&config.metrics, &config.names),
+                metrics: recorder::open(&config.metrics, &config.names),
                 names: config.names,
                 balancer,
-                version: 0,
+                endpoint_list_version: 0,
                 addresses: BTreeMap::new(),
-                withheld: MaintenanceOverlay::default(),
-                leaving: BTreeSet::new(),
-                seats: BTreeMap::new(),
-                last_id: 0,
-                probes: BTreeMap::new(),
-                delays: Delays::new(&settings),
+                maintenance: MaintenanceOverlay::default(),
+                draining: BTreeSet::new(),
+                connections: BTreeMap::new(),
+                last_request_id: 0,
+                health_checks: BTreeMap::new(),
+                message_latencies: MessageLatencies::new(&settings),
                 settings,
-                sites,
-                neighbors,
-                lasting: None,
-                sinks: BTreeMap::new(),
-                zones: BTreeMap::new(),
-                roll_heard: born,
-                asks,
-                roll_trouble: false,
+                zone_failover: sites,
+                gossip: neighbors,
+                persistent_counters: None,
+                exporters: BTreeMap::new(),
+                endpoint_zones: BTreeMap::new(),
+                discovery_answered_at: born,
+                discovery_commands: asks,
+                discovery_failing: false,
                 list_state: State::Starting,
                 events: VecDeque::new(),
-                descriptors: Rc::default(),
-                most_descriptors: descriptors(config.sockets, config.admin.is_some()),
-                operated: config.admin.is_some(),
-                tenure: Tenure::default(),
-                crowd: Crowd::default(),
+                descriptors_in_use: Rc::default(),
+                max_descriptors: descriptors(config.sockets, config.admin.is_some()),
+                admin_enabled: config.admin.is_some(),
+                listener_ownership: ListenerOwnership::default(),
+                idle_connections: IdleConnections::default(),
                 open_ids: OpenIds::default(),
-                closing: false,
-                born,
-                me: me.clone(),
+                shutting_down: false,
+                started_at: born,
+                weak_self: me.clone(),
             })
         });
-        relay.borrow_mut().take_known(known);
+        relay.borrow_mut().apply_known_endpoints(known);
         Ok((relay, caller, asked))
     }
 
     // ---- Events ------------------------------------------------------------------------------------------
 
     /// Tells the decisions of an event and carries out what they want, in order.
-    fn feed(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
-        self.feed_rest();
+        self.process_events();
     }
 
     /// Tells the decisions of the events that wait.
-    fn feed_rest(&mut self) {
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             trace!(target: "told", ?event);
             self.balancer.handle(self.timers.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 trace!(target: "wanted", ?action);
-                self.carry_out(action);
+                self.execute_action(action);
             }
         }
     }
@@ -276,71 +276,84 @@
     /// Applies what of a new configuration can change while sessions stand: where discovery is, and how many
     /// descriptors there may be. The roll held stays in use until the new discovery tells its own.
     pub fn reconfigure(&mut self, config: &Config) {
-        self.most_descriptors = descriptors(config.sockets, self.operated);
-        self.site_plan(config);
-        self.ask_discovery(Ask::Renew(config.discovery));
+        self.max_descriptors = descriptors(config.sockets, self.admin_enabled);
+        self.reconfigure_zone_failover(config);
+        self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
     }
 
     /// A client asks for a session, of a class that must be known. It gets orders until its seat is left.
-    pub fn ask(&mut self, head: &SessionHead) -> Option<(RequestId, UnboundedReceiver<Order>)> {
-        let mut request = self.request(head)?;
-        let seat = self.seat(&request);
-        self.meter(|book| book.add(Family::Requests, 0, 1));
-        match self.site_verdict(&request) {
+    pub fn request_connection(
+        &mut self, head: &OpenRequest,
+    ) -> Option<(RequestId, UnboundedReceiver<ConnectionCommand>)> {
+        let mut request = self.build_request(head)?;
+        let seat = self.register_connection(&request);
+        self.update_metrics(|book| book.add(Family::Requests, 0, 1));
+        match self.zone_verdict(&request) {
             Verdict::Within(reach) => {
                 request.allowed_zones = reach;
-                self.feed(Event::Request(request));
+                self.handle_event(Event::Request(request));
             }
             // The decisions never hear of it: there is nothing to choose.
             Verdict::Refuse(away) => {
-                self.meter_refused("site_limit", Some(0));
-                self.order(request.id, Order::Refuse(away));
+                self.record_rejected("site_limit", Some(0));
+                self.send_command(request.id, ConnectionCommand::Reject(away));
             }
         }
         Some(seat)
     }
 
     /// A session that stood at a card server before this relay started is up again.
-    pub fn adopt(
-        &mut self, head: &SessionHead, server: EndpointId,
-    ) -> Option<(RequestId, UnboundedReceiver<Order>)> {
-        self.meter_head(head, Answer::Up);
-        self.take_up(head, server)
+    pub fn adopt_connection(
+        &mut self, head: &OpenRequest, server: EndpointId,
+    ) -> Option<(RequestId, UnboundedReceiver<ConnectionCommand>)> {
+        self.record_unregistered_answer(head, Answer::Up);
+        self.restore_connection(head, server)
     }
 
     /// A session stands that this process did not bring up.
-    pub fn take_up(
-        &mut self, head: &SessionHead, server: EndpointId,
-    ) -> Option<(RequestId, UnboundedReceiver<Order>)> {
-        let request = self.request(head)?;
-        let (id, orders) = self.seat(&request);
+    pub fn restore_connection(
+        &mut self, head: &OpenRequest, server: EndpointId,
+    ) -> Option<(RequestId, UnboundedReceiver<ConnectionCommand>)> {
+        let request = self.build_request(head)?;
+        let (id, orders) = self.register_connection(&request);
         let now = self.timers.clock.now();
-        if let Some(seat) = self.seats.get_mut(&id) {
-            (seat.attempts, seat.stands) = (1, true);
-            seat.out = Some((AttemptId(0), server.clone(), now));
+        if let Some(seat) = self.connections.get_mut(&id) {
+            (seat.attempts, seat.established) = (1, true);
+            seat.attempt = Some((AttemptId(0), server.clone(), now));
         }
-        self.site_adopted(&request, &server);
-        self.feed(Event::ConnectionAdopted(request, server));
+        self.zone_connection_adopted(&request, &server);
+        self.handle_event(Event::ConnectionAdopted(request, server));
         Some((id, orders))
     }
 
-    fn seat(&mut self, request: &Request) -> (RequestId, UnboundedReceiver<Order>) {
+    fn register_connection(
+        &mut self, request: &Request,
+    ) -> (RequestId, UnboundedReceiver<ConnectionCommand>) {
         let (orders, queue) = unbounded_channel();
         let asked = self.timers.clock.now();
         let deadline = asked.saturating_add(request.time_remaining);
         let deck = request.affinity_group.clone();
         let (attempts, out, stands, class) = (0, None, false, request.class);
-        let seat = Seat { orders, attempts, deadline, out, stands, class, deck, asked };
-        self.seats.insert(request.id, seat);
+        let seat = ConnectionEntry {
+            commands: orders,
+            attempts,
+            deadline,
+            attempt: out,
+            established: stands,
+            class,
+            affinity_group: deck,
+            requested_at: asked,
+        };
+        self.connections.insert(request.id, seat);
         (request.id, queue)
     }
 
-    fn request(&mut self, head: &SessionHead) -> Option<Request> {
+    fn build_request(&mut self, head: &OpenRequest) -> Option<Request> {
         let class = self.names.class(head.class()?)?;
         let deadline = self.settings.classes.get(class.0)?.deadline;
-        self.last_id = self.last_id.wrapping_add(1);
+        self.last_request_id = self.last_request_id.wrapping_add(1);
         Some(Request {
-            id: RequestId(self.last_id),
+            id: RequestId(self.last_request_id),
             class,
             session_key: Some(SessionKey(head.key().into())),
             affinity_group: head
@@ -358,184 +371,201 @@
     }
 
     /// The card server's `UP` has come: the session stands.
-    pub fn stands(&mut self, id: RequestId) {
-        let Some(seat) = self.seats.get_mut(&id) else { return };
-        seat.stands = true;
-        let Some((attempt, server, sent)) = seat.out.clone() else { return };
-        let (asked, class) = (seat.asked, seat.class);
-        self.meter_answer(Some(class), Answer::Up);
+    pub fn connection_established(&mut self, id: RequestId) {
+        let Some(seat) = self.connections.get_mut(&id) else { return };
+        seat.established = true;
+        let Some((attempt, server, sent)) = seat.attempt.clone() else { return };
+        let (asked, class) = (seat.requested_at, seat.class);
+        self.record_answer(Some(class), Answer::Up);
         let took = self.timers.clock.now().saturating_sub(asked);
-        self.meter_stands(took);
+        self.record_established(took);
         let elapsed = self.timers.clock.now().saturating_sub(sent);
-        self.site_stands(id, &server);
-        self.feed(Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed });
+        self.zone_connection_established(id, &server);
+        self.handle_event(Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed });
     }
 
     /// The attempt that was out has ended; `closed` if the client has its answer by that.
     pub fn attempt_ended(
         &mut self, id: RequestId, outcome: Outcome, closed: bool, report: Option<LoadReport>,
     ) {
-        let Some((attempt, server, sent)) = self.seats.get_mut(&id).and_then(|s| s.out.take()) else {
+        let Some((attempt, server, sent)) = self.connections.get_mut(&id).and_then(|s| s.attempt.take())
+        else {
             return;
         };
         let elapsed = self.timers.clock.now().saturating_sub(sent);
-        let stood = self.seats.get(&id).is_some_and(|s| s.stands);
+        let stood = self.connections.get(&id).is_some_and(|s| s.established);
         if !stood {
-            self.meter_attempt(outcome);
+            self.record_attempt_ended(outcome);
         }
-        self.site_ended(id, &server, outcome);
-        self.feed(Event::AttemptEnded { id, attempt, outcome, closed, endpoint: server, elapsed, report });
+        self.zone_attempt_ended(id, &server, outcome);
+        self.handle_event(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            closed,
+            endpoint: server,
+            elapsed,
+            report,
+        });
     }
 
     /// The client of a session that does not stand gets its answer.
-    pub fn answered(&mut self, id: RequestId, answer: Answer) {
-        let class = self.seats.get(&id).map(|seat| seat.class);
-        self.meter_answer(class, answer);
+    pub fn request_answered(&mut self, id: RequestId, answer: Answer) {
+        let class = self.connections.get(&id).map(|seat| seat.class);
+        self.record_answer(class, answer);
     }
 
     /// The session's task ends. Whatever the decisions still hold of it is settled.
-    pub fn left(&mut self, id: RequestId, answered: bool) {
-        let Some(seat) = self.seats.get(&id) else { return };
-        let (out, class) = (seat.out.is_some(), seat.class);
-        if !answered && !seat.stands {
-            self.meter_answer(Some(class), Answer::Failed);
-            self.feed(Event::ClientLeft(id));
+    pub fn connection_closed(&mut self, id: RequestId, answered: bool) {
+        let Some(seat) = self.connections.get(&id) else { return };
+        let (out, class) = (seat.attempt.is_some(), seat.class);
+        if !answered && !seat.established {
+            self.record_answer(Some(class), Answer::Failed);
+            self.handle_event(Event::ClientLeft(id));
         }
         if out {
             self.attempt_ended(id, Outcome::Cancelled, true, None);
         }
-        self.seats.remove(&id);
+        self.connections.remove(&id);
     }
 
     /// The card server of a session's attempt.
-    pub fn server_of(&self, id: RequestId) -> Option<EndpointId> {
-        self.seats.get(&id).and_then(|seat| seat.out.as_ref()).map(|(_, server, _)| server.clone())
+    pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
+        self.connections.get(&id).and_then(|seat| seat.attempt.as_ref()).map(|(_, server, _)| server.clone())
     }
 
     /// The card server told the session's load.
-    pub fn load_told(&mut self, id: RequestId, load: f64) {
-        if let Some(sites) = &mut self.sites {
+    pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
+        if let Some(sites) = &mut self.zone_failover {
             sites.load_told(id, load);
         }
-        self.noted(id, ConnectionUpdate::Load(load));
+        self.connection_updated(id, ConnectionUpdate::Load(load));
     }
 
     /// A line of the client took this long to be answered.
-    pub fn message_took(&mut self, id: RequestId, took: Micros) {
-        if let Some(server) = self.server_of(id) {
-            self.meter(|book| book.record(Family::Message, took));
-            self.delay_seen(server, took as f64 / 1e3, false);
+    pub fn message_latency_measured(&mut self, id: RequestId, took: Micros) {
+        if let Some(server) = self.endpoint_of(id) {
+            self.update_metrics(|book| book.record(Family::Message, took));
+            self.note_message_latency(server, took as f64 / 1e3, false);
         }
     }
 
     /// A message took this long at a card server.
-    fn delay_seen(&mut self, server: EndpointId, ms: f64, reported: bool) {
-        if self.delays.seen(self.timers.clock.now(), &server, ms, reported) {
-            self.tell_delay(&server, ms);
+    fn note_message_latency(&mut self, server: EndpointId, ms: f64, reported: bool) {
+        if self.message_latencies.seen(self.timers.clock.now(), &server, ms, reported) {
+            self.report_message_latency(&server, ms);
         }
     }
 
     /// Tells again of the delays that last, as far as they were seen of late.
-    fn tell_delays(&mut self) {
-        for (server, ms) in self.delays.due(self.timers.clock.now()) {
-            self.tell_delay(&server, ms);
+    fn report_lasting_latencies(&mut self) {
+        for (server, ms) in self.message_latencies.due(self.timers.clock.now()) {
+            self.report_message_latency(&server, ms);
         }
     }
 
     /// Asks one of the card servers where sessions of this relay stand, the one that is due for longest.
-    fn measure_delay(&mut self) {
-        if self.closing {
+    fn measure_message_latency(&mut self) {
+        if self.shutting_down {
             return;
         }
-        let standing = self.seats.values().filter(|s| s.stands).filter_map(|s| s.out.as_ref());
-        let standing = standing.map(|(_, id, _)| id).filter(|id| !self.leaving.contains(*id));
-        if let Some(id) = self.delays.next_to_measure(self.timers.clock.now(), standing) {
-            self.wish_probe(id);
-            self.feed_rest();
+        let standing = self.connections.values().filter(|s| s.established).filter_map(|s| s.attempt.as_ref());
+        let standing = standing.map(|(_, id, _)| id).filter(|id| !self.draining.contains(*id));
+        if let Some(id) = self.message_latencies.next_to_measure(self.timers.clock.now(), standing) {
+            self.request_health_check(id);
+            self.process_events();
         }
     }
 
     /// Tells of a delay on one of the sessions that stand there.
-    fn tell_delay(&mut self, server: &EndpointId, ms: f64) {
-        let there = |s: &Seat| s.stands && s.out.as_ref().is_some_and(|(_, at, _)| at == server);
-        let one = self.seats.iter().find(|(_, s)| there(s)).map(|(id, _)| *id);
+    fn report_message_latency(&mut self, server: &EndpointId, ms: f64) {
+        let there =
+            |s: &ConnectionEntry| s.established && s.attempt.as_ref().is_some_and(|(_, at, _)| at == server);
+        let one = self.connections.iter().find(|(_, s)| there(s)).map(|(id, _)| *id);
         if let Some(id) = one {
-            self.noted(id, ConnectionUpdate::MessageLatency(ms));
+            self.connection_updated(id, ConnectionUpdate::MessageLatency(ms));
         }
     }
 
-    fn noted(&mut self, id: RequestId, note: ConnectionUpdate) {
-        let Some((attempt, server, _)) = self.seats.get(&id).and_then(|s| s.out.clone()) else { return };
-        self.feed(Event::ConnectionUpdated { id, attempt, endpoint: server, update: note });
+    fn connection_updated(&mut self, id: RequestId, note: ConnectionUpdate) {
+        let Some((attempt, server, _)) = self.connections.get(&id).and_then(|s| s.attempt.clone()) else {
+            return;
+        };
+        self.handle_event(Event::ConnectionUpdated { id, attempt, endpoint: server, update: note });
     }
 
     /// A probe has ended.
-    pub fn probed(
+    pub fn health_check_ended(
         &mut self, server: EndpointId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
     ) {
         let load = report.as_ref().and_then(|r| r.load);
-        self.delays.measured(self.timers.clock.now(), &server, load);
-        self.site_probed(&server, outcome, load);
-        self.witnessed(&server, outcome, report.as_ref());
-        self.meter_probed(outcome, elapsed);
+        self.message_latencies.measured(self.timers.clock.now(), &server, load);
+        self.zone_health_check_ended(&server, outcome, load);
+        self.share_health_check(&server, outcome, report.as_ref());
+        self.record_health_check(outcome, elapsed);
         let latency = report.as_ref().and_then(|r| r.latency_ms);
-        self.feed(Event::HealthCheckEnded { endpoint: server.clone(), outcome, elapsed, report });
+        self.handle_event(Event::HealthCheckEnded { endpoint: server.clone(), outcome, elapsed, report });
         if let Some(ms) = latency {
-            self.delay_seen(server, ms, true);
+            self.note_message_latency(server, ms, true);
         }
     }
 
     // ---- Actions -----------------------------------------------------------------------------------------
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Forward { id, endpoint: server, timeout, send_before } => {
-                self.place(id, server, timeout, send_before)
+                self.start_attempt(id, server, timeout, send_before)
             }
             Action::Reject { id, retry_after } => {
-                let asked = self.seats.get(&id).map(|s| s.asked);
+                let asked = self.connections.get(&id).map(|s| s.requested_at);
                 let took = asked.map(|at| self.timers.clock.now().saturating_sub(at));
-                self.meter_refused("decisions", took);
-                self.order(id, Order::Refuse(retry_after));
+                self.record_rejected("decisions", took);
+                self.send_command(id, ConnectionCommand::Reject(retry_after));
             }
             Action::Fail(id) => {
-                self.meter_failed("decisions");
-                self.order(id, Order::Fail);
+                self.record_failed("decisions");
+                self.send_command(id, ConnectionCommand::Fail);
             }
             Action::Migrate(id) => {
-                self.meter(|book| book.count(Family::Moves, "decisions"));
-                self.order(id, Order::Move);
+                self.update_metrics(|book| book.count(Family::Moves, "decisions"));
+                self.send_command(id, ConnectionCommand::Migrate);
+            }
+            Action::Cancel { id, attempt } => self.send_command(id, ConnectionCommand::Cancel(attempt)),
+            Action::CheckHealth(server) => self.request_health_check(server),
+            Action::CloseIdleConnections(server) => {
+                self.send_health_check_command(server, HealthCheckCommand::Close)
             }
-            Action::Cancel { id, attempt } => self.order(id, Order::Cancel(attempt)),
-            Action::CheckHealth(server) => self.wish_probe(server),
-            Action::CloseIdleConnections(server) => self.errand(server, Errand::Close),
             Action::SetTimer { delay, token } => self.timers.decision(delay, token),
             // On sockets the list is followed from the start to the end: when to call is the caller's choice.
             Action::Watch(_) => {}
-            Action::FetchEndpoints => self.ask_discovery(Ask::Fetch),
+            Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::Fetch),
             Action::Log(text) => info!(target: "decision", "{text}"),
             // Relays have no way to talk to each other here; the settings tell the decisions so.
             Action::SendPeerMessage { .. } => {}
         }
     }
 
-    fn place(&mut self, id: RequestId, server: EndpointId, timeout: Micros, send_before: Option<Micros>) {
+    fn start_attempt(
+        &mut self, id: RequestId, server: EndpointId, timeout: Micros, send_before: Option<Micros>,
+    ) {
         let now = self.timers.clock.now();
-        let Some(seat) = self.seats.get_mut(&id) else { return };
+        let Some(seat) = self.connections.get_mut(&id) else { return };
         let attempt = AttemptId(seat.attempts);
         seat.attempts += 1;
         let left = seat.deadline.saturating_sub(now);
         let timeout = if timeout == 0 { left } else { timeout.min(left) };
-        let spent = attempt.0 >= self.settings.permissions.max_attempts || left == 0 || seat.stands;
+        let spent = attempt.0 >= self.settings.permissions.max_attempts || left == 0 || seat.established;
         let ends = match self.addresses.get(&server) {
             _ if spent => Outcome::NotSent,
             None => Outcome::ConnectFailed,
             Some(&address) => {
-                seat.out = Some((attempt, server.clone(), now));
-                let place = Placement { attempt, server: server.clone(), address, timeout, send_before };
-                let _ = seat.orders.send(Order::Place(place));
-                self.site_placed(id, &server);
-                self.meter_placed(attempt, &server);
+                seat.attempt = Some((attempt, server.clone(), now));
+                let place =
+                    AttemptRequest { attempt, endpoint: server.clone(), address, timeout, send_before };
+                let _ = seat.commands.send(ConnectionCommand::Forward(place));
+                self.zone_attempt_started(id, &server);
+                self.record_attempt_started(attempt, &server);
                 return;
             }
         };
@@ -551,21 +581,22 @@
         });
     }
 
-    fn order(&mut self, id: RequestId, order: Order) {
-        if let Some(seat) = self.seats.get(&id) {
+    fn send_command(&mut self, id: RequestId, order: ConnectionCommand) {
+        if let Some(seat) = self.connections.get(&id) {
             // A session that has just ended no longer listens; its last word settles the request.
-            let _ = seat.orders.send(order);
+            let _ = seat.commands.send(order);
         }
     }
 
-    fn errand(&mut self, server: EndpointId, errand: Errand) {
-        let Some(me) = self.me.upgrade() else { return };
-        let probe = self.probes.entry(server.clone()).or_insert_with(|| health_check::start(me, server));
+    fn send_health_check_command(&mut self, server: EndpointId, errand: HealthCheckCommand) {
+        let Some(me) = self.weak_self.upgrade() else { return };
+        let probe =
+            self.health_checks.entry(server.clone()).or_insert_with(|| health_check::start(me, server));
         let _ = probe.send(errand);
     }
 
-    fn ask_discovery(&self, ask: Ask) {
-        let _ = self.asks.send(ask);
+    fn send_discovery_command(&self, ask: DiscoveryCommand) {
+        let _ = self.discovery_commands.send(ask);
     }
 
     // ---- What tasks need to know --------------------------------------------------------------------------
@@ -589,73 +620,77 @@
     }
 
     /// The longest that a client is to stay away.
-    pub fn longest_away(&self) -> Micros {
+    pub fn max_retry_after(&self) -> Micros {
         if self.settings.permissions.retry_after { self.settings.permissions.max_retry_after } else { 0 }
     }
 
     /// The longest deadline of any class.
-    pub fn longest_deadline(&self) -> Micros {
+    pub fn max_deadline(&self) -> Micros {
         self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
     /// What this process may hold: all processes of a relay live within one limit.
-    fn most_descriptors(&self) -> usize {
-        let least = self.most_descriptors / 4;
-        self.most_descriptors.saturating_sub(self.tenure.lent()).max(least)
+    fn max_descriptors(&self) -> usize {
+        let least = self.max_descriptors / 4;
+        self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(least)
     }
 
     /// A further descriptor, unless they would run out. The crowd at the door makes room for those who ask.
-    pub fn hold_descriptor(&self) -> Option<Held> {
-        let held = self.descriptors.get();
-        let most = self.most_descriptors();
+    pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
+        let held = self.descriptors_in_use.get();
+        let most = self.max_descriptors();
         let short = held >= most.saturating_sub(RESERVE);
         let spare = held < most.saturating_sub(LAST_RESERVE);
-        (!short || spare && self.crowd.turn_one_out()).then(|| Held::new(&self.descriptors))
+        (!short || spare && self.idle_connections.turn_one_out())
+            .then(|| DescriptorPermit::new(&self.descriptors_in_use))
     }
 
     /// Marks a client's id as open; none if it is open already, or if the class does not exist.
     ///
     /// Each connection has an id of its own. Guards against a client that takes the id of another's open request:
     /// card servers turn it away, which must not be taken for their fault.
-    pub fn open_id(&self, head: &SessionHead) -> Option<OpenId> {
+    pub fn reserve_connection_id(&self, head: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(head.class()?)?;
         let id: Rc<str> = head.id().into();
         let fresh = self.open_ids.borrow_mut().insert(id.clone());
-        fresh.then(|| OpenId { ids: self.open_ids.clone(), id })
+        fresh.then(|| ConnectionIdGuard { ids: self.open_ids.clone(), id })
     }
 
     /// Makes room for one more at the door; false while there is none.
-    fn room_at_the_door(&self) -> bool {
-        let most = self.most_descriptors();
-        if self.crowd.len() >= most / CROWD_PART {
-            self.crowd.turn_one_out();
+    fn make_room_for_idle_connection(&self) -> bool {
+        let most = self.max_descriptors();
+        if self.idle_connections.len() >= most / CROWD_PART {
+            self.idle_connections.turn_one_out();
         }
-        let full = self.descriptors.get() >= most.saturating_sub(LAST_RESERVE);
+        let full = self.descriptors_in_use.get() >= most.saturating_sub(LAST_RESERVE);
         if full {
-            self.crowd.turn_one_out();
+            self.idle_connections.turn_one_out();
         }
         !full
     }
 
     /// Whether a newcomer may be let in.
-    pub fn may_let_in(&self) -> bool {
+    pub fn can_admit(&self) -> bool {
         // What was let in before a new process took over still gets its session: nobody else will serve it.
-        (!self.closing || self.tenure.handed_over())
-            && (self.seats.len() as u64) < self.settings.permissions.max_open_requests
+        (!self.shutting_down || self.listener_ownership.handed_over())
+            && (self.connections.len() as u64) < self.settings.permissions.max_open_requests
     }
 
     /// Until when a session from before the run may look for its card server: long at the start, when the roll may
     /// lack it, and short later. Guards against clients that name a card server nobody knows and hold on for long.
-    pub fn adopts_until(&self) -> Micros {
-        (self.born + ADOPT_START).max(self.timers.clock.now() + ADOPT_LATER)
+    pub fn adoption_deadline(&self) -> Micros {
+        (self.started_at + ADOPT_START).max(self.timers.clock.now() + ADOPT_LATER)
     }
 
     /// Whether clients are let in here and can be placed, or why not.
-    pub fn can_serve(&self) -> Result<(), &'static str> {
-        match (self.closing, self.withheld.listed()) {
+    pub fn check_ready(&self) -> Result<(), &'static str> {
+        match (self.shutting_down, self.maintenance.listed()) {
             (true, _) => Err("on its way out"),
             (false, 0) => Err("no server roll yet"),
-            (false, _) if self.tenure.door.is_none() && !self.tenure.handed_over() => {
+            (false, _)
+                if self.listener_ownership.accept_task.is_none()
+                    && !self.listener_ownership.handed_over() =>
+            {
                 Err("not taken over yet")
             }
             (false, _) => Ok(()),
@@ -663,15 +698,15 @@
     }
 
     /// Whether the relay is on its way out.
-    pub fn closing(&self) -> bool {
-        self.closing
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down
     }
 
     /// Sessions that stand, and requests still open.
-    fn open(&self) -> (Vec<RequestId>, usize) {
+    fn open_connections(&self) -> (Vec<RequestId>, usize) {
         let standing: Vec<RequestId> =
-            self.seats.iter().filter(|(_, s)| s.stands).map(|(id, _)| *id).collect();
-        let asking = self.seats.len() - standing.len();
+            self.connections.iter().filter(|(_, s)| s.established).map(|(id, _)| *id).collect();
+        let asking = self.connections.len() - standing.len();
         (standing, asking)
     }
 }
@@ -689,9 +724,9 @@
 async fn serve_here(config: Config, files: OperatorFiles) -> Result<(), String> {
     let stop = graceful_shutdown::signal()?;
     let reloads = reload::signal(move || Config::again(&files))?;
-    let folder = config.admin.and_then(|_| hot_restart::folder(config.listen)).map(Rc::new);
+    let folder = config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
     let met = match &folder {
-        Some(folder) => hot_restart::knock(folder).await?,
+        Some(folder) => hot_restart::connect_to_predecessor(folder).await?,
         None => None,
     };
     let (clients, from) = match met {
@@ -703,7 +738,13 @@
     };
     let admin =
         config.admin.map(|at| listener::open_listener(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
-    serve_on(Listeners { clients, admin: admin.transpose()?, folder, from }, config, stop, reloads).await
+    serve_with_listeners(
+        Listeners { clients, admin: admin.transpose()?, folder, from },
+        config,
+        stop,
+        reloads,
+    )
+    .await
 }
 
 /// Where a relay is reached.
@@ -713,14 +754,14 @@
     /// By operators, where they can call.
     pub admin: Option<TcpListener>,
     /// Where processes of this relay meet, if they do.
-    pub folder: Option<Rc<Folder>>,
+    pub folder: Option<Rc<StateDirectory>>,
     /// The process that has served here so far, if any lives.
-    pub from: Option<Incumbent>,
+    pub from: Option<Predecessor>,
 }
 
 /// Serves the connections of its listeners until `stop` resolves, and then empties the relay. It must run on a
 /// [`LocalSet`]. Configurations that come by `reloads` are applied as far as they can be while it runs.
-pub async fn serve_on(
+pub async fn serve_with_listeners(
     listeners: Listeners, config: Config, stop: impl Future<Output = ()>, reloads: reload::Reloads,
 ) -> Result<(), String> {
     let (name, listen, discovery) = (config.name.clone(), config.listen, config.discovery);
@@ -728,19 +769,19 @@
     let (relay, caller, asks) = Relay::new(config)?;
     if listeners.from.is_some() {
         // What was told to the old process binds this one: the whole roll, now, and again until it comes.
-        relay.borrow_mut().ask_discovery(Ask::Renew(discovery));
+        relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
     }
     if let Some(plan) = metrics {
         if let Some(folder) = &plan.state {
-            relay.borrow_mut().take_up_counts(folder, &name);
+            relay.borrow_mut().restore_counters(folder, &name);
         }
         exporter::run(&relay, &plan, &name);
     }
     tokio::task::spawn_local(discovery_client::follow(relay.clone(), discovery, caller, asks));
     tokio::task::spawn_local(turn_wheel(relay.clone()));
     tokio::task::spawn_local(tell_delays(relay.clone()));
-    if relay.borrow().neighbors.is_some() {
-        tokio::task::spawn_local(shared_health_check::bear(relay.clone()));
+    if relay.borrow().gossip.is_some() {
+        tokio::task::spawn_local(shared_health_check::run(relay.clone()));
     }
     if let Some(admin) = listeners.admin {
         tokio::task::spawn_local(admin::serve(relay.clone(), admin));
@@ -749,14 +790,14 @@
     let clients = Rc::new(listeners.clients);
     let taken_over = match listeners.folder {
         Some(folder) => {
-            tokio::task::spawn_local(hot_restart::enter(relay.clone(), folder, clients, listeners.from))
+            tokio::task::spawn_local(hot_restart::run(relay.clone(), folder, clients, listeners.from))
         }
         None => {
             listener::open(&relay, &clients);
             tokio::task::spawn_local(std::future::pending())
         }
     };
-    info!(target: "relay", name, %listen, roll_version = relay.borrow().version, "serving");
+    info!(target: "relay", name, %listen, roll_version = relay.borrow().endpoint_list_version, "serving");
     tokio::select! {
         () = stop => {}
         ended = taken_over => if let Ok(Err(why)) = ended {
@@ -768,26 +809,26 @@
     Ok(())
 }
 
-async fn turn_wheel(relay: Shared) {
+async fn turn_wheel(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
         let lag = timers.rest().await;
-        relay.borrow_mut().meter(|book| book.record(Family::LoopLag, lag));
+        relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
         for alarm in timers.due() {
             match alarm {
-                Alarm::Wake(task) => task.wake(),
-                Alarm::Decision(token) => relay.borrow_mut().feed(Event::TimerFired(token)),
+                TimerEvent::Wake(task) => task.wake(),
+                TimerEvent::Decision(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
             }
         }
     }
 }
 
-async fn tell_delays(relay: Shared) {
+async fn tell_delays(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
-        timers.nap(message_latency::LOOK).await;
-        relay.borrow_mut().tell_delays();
-        relay.borrow_mut().measure_delay();
-        relay.borrow_mut().tend_sites();
+        timers.sleep(message_latency::CHECK_INTERVAL).await;
+        relay.borrow_mut().report_lasting_latencies();
+        relay.borrow_mut().measure_message_latency();
+        relay.borrow_mut().run_zone_failover();
     }
 }
--- a/src/relay/timer_wheel.rs
+++ b/src/relay/timer_wheel.rs
@@ -22,34 +22,34 @@
 
 /// Where an entry sits, to take it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct TimerHandle {
     tick: u64,
     serial: u64,
 }
 
 /// A hashed timer wheel.
-pub struct Wheel<T> {
-    slots: Vec<Vec<(Place, T)>>,
+pub struct TimerWheel<T> {
+    slots: Vec<Vec<(TimerHandle, T)>>,
     turned_to: u64,
     serial: u64,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel that stands at this time.
-    pub fn new(now: Micros) -> Wheel<T> {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), turned_to: now / TICK, serial: 0 }
+    pub fn new(now: Micros) -> TimerWheel<T> {
+        TimerWheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), turned_to: now / TICK, serial: 0 }
     }
 
     /// Puts an item down for the first tick at or after its time, which is never one that has passed.
-    pub fn put(&mut self, due: Micros, item: T) -> Place {
+    pub fn put(&mut self, due: Micros, item: T) -> TimerHandle {
         self.serial += 1;
-        let place = Place { tick: due.div_ceil(TICK).max(self.turned_to + 1), serial: self.serial };
+        let place = TimerHandle { tick: due.div_ceil(TICK).max(self.turned_to + 1), serial: self.serial };
         self.slots[(place.tick % SLOTS) as usize].push((place, item));
         place
     }
 
     /// Takes an item back, if it is still there.
-    pub fn take(&mut self, place: Place) -> Option<T> {
+    pub fn take(&mut self, place: TimerHandle) -> Option<T> {
         let slot = &mut self.slots[(place.tick % SLOTS) as usize];
         let at = slot.iter().position(|(p, _)| *p == place)?;
         Some(slot.swap_remove(at).1)
@@ -80,7 +80,7 @@
 }
 
 /// What the wheel holds.
-pub enum Alarm {
+pub enum TimerEvent {
     /// A timer of the decisions.
     Decision(TimerToken),
     /// A task that naps.
@@ -91,7 +91,7 @@
 pub struct Timers {
     /// The relay's clock.
     pub clock: Clock,
-    wheel: RefCell<Wheel<Alarm>>,
+    wheel: RefCell<TimerWheel<TimerEvent>>,
     /// The tick until which nobody turns the wheel.
     rests_until: Cell<u64>,
     /// Told when something comes due before that.
@@ -101,16 +101,16 @@
 impl Timers {
     /// A wheel that stands at the clock's time.
     pub fn new(clock: Clock) -> Rc<Timers> {
-        let wheel = RefCell::new(Wheel::new(clock.now()));
+        let wheel = RefCell::new(TimerWheel::new(clock.now()));
         Rc::new(Timers { clock, wheel, rests_until: Cell::new(0), sooner: Notify::new() })
     }
 
     /// Sets a timer of the decisions.
     pub fn decision(&self, delay: Micros, token: TimerToken) {
-        self.put(self.clock.now().saturating_add(delay), Alarm::Decision(token));
+        self.put(self.clock.now().saturating_add(delay), TimerEvent::Decision(token));
     }
 
-    fn put(&self, due: Micros, alarm: Alarm) -> Place {
+    fn put(&self, due: Micros, alarm: TimerEvent) -> TimerHandle {
         let place = self.wheel.borrow_mut().put(due, alarm);
         if place.tick < self.rests_until.get() {
             self.sooner.notify_one();
@@ -139,29 +139,29 @@
     }
 
     /// What has come due by now.
-    pub fn due(&self) -> Vec<Alarm> {
+    pub fn due(&self) -> Vec<TimerEvent> {
         self.wheel.borrow_mut().turn(self.clock.now())
     }
 
     /// Waits for a point in time.
-    pub fn until(self: &Rc<Timers>, due: Micros) -> Nap {
-        Nap { timers: self.clone(), due, place: None }
+    pub fn sleep_until(self: &Rc<Timers>, due: Micros) -> Sleep {
+        Sleep { timers: self.clone(), due, place: None }
     }
 
     /// Waits for a span of time.
-    pub fn nap(self: &Rc<Timers>, span: Micros) -> Nap {
-        self.until(self.clock.now().saturating_add(span))
+    pub fn sleep(self: &Rc<Timers>, span: Micros) -> Sleep {
+        self.sleep_until(self.clock.now().saturating_add(span))
     }
 }
 
 /// A wait on the wheel; dropping it takes it off.
-pub struct Nap {
+pub struct Sleep {
     timers: Rc<Timers>,
     due: Micros,
-    place: Option<Place>,
+    place: Option<TimerHandle>,
 }
 
-impl Nap {
+impl Sleep {
     fn take_off(&mut self) {
         if let Some(place) = self.place.take() {
             self.timers.wheel.borrow_mut().take(place);
@@ -169,7 +169,7 @@
     }
 }
 
-impl Future for Nap {
+impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
@@ -177,14 +177,14 @@
         if self.timers.clock.now() >= self.due {
             return Poll::Ready(());
         }
-        let alarm = Alarm::Wake(context.waker().clone());
+        let alarm = TimerEvent::Wake(context.waker().clone());
         let place = self.timers.put(self.due, alarm);
         self.place = Some(place);
         Poll::Pending
     }
 }
 
-impl Drop for Nap {
+impl Drop for Sleep {
     fn drop(&mut self) {
         self.take_off();
     }
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::relay::lifecycle::hot_restart::Folder as HotRestartFolder;
-use honeyknot_relay::relay::{Listeners, serve_on};
+use honeyknot_relay::relay::lifecycle::hot_restart::StateDirectory as HotRestartFolder;
+use honeyknot_relay::relay::{Listeners, serve_with_listeners};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
@@ -57,6 +57,6 @@
         let _ = stopped.await;
     };
     let listeners = Listeners { clients, admin: Some(operators), folder: folder.map(Rc::new), from: None };
-    let ended = spawn_local(serve_on(listeners, config, stopped, reloaded));
+    let ended = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
     loopback::Relay { at, admin, reloads, stop, ended }
 }
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -6,7 +6,7 @@
 
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::relay::lifecycle::hot_restart::{
-    ByHand, Folder as HotRestartFolder, Word as HotRestartMessage,
+    HotRestartMessage, MaintenanceState, StateDirectory as HotRestartFolder,
 };
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -25,8 +25,8 @@
 const SOCKET: &str = "serving";
 
 /// What the fixtures say of endpoints in maintenance.
-fn maintenance_record() -> ByHand {
-    ByHand {
+fn maintenance_record() -> MaintenanceState {
+    MaintenanceState {
         out: vec![("s-1".into(), 1_700_000_000_000_001), ("s-2".into(), 1_700_000_000_000_002)],
         back: vec![("s-3".into(), 1_700_000_000_000_003, 1_700_000_060_000_003)],
     }
@@ -202,7 +202,7 @@
         let mut changed = whole.clone();
         changed[place] ^= 1;
         fs::write(&file, changed).expect("a file");
-        assert_eq!(folder.read(), ByHand::default(), "byte {place}");
+        assert_eq!(folder.read(), MaintenanceState::default(), "byte {place}");
     }
 }
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -19,7 +19,7 @@
     DeduplicationScope, DiscoveryMode, Endpoint, EndpointState, ForwardMode, Idempotency, LoadReportSource,
     RequestClass, Settings, Tenant, WeightSemantics,
 };
-use honeyknot_relay::relay::endpoints::discovery_client::RollNews;
+use honeyknot_relay::relay::endpoints::discovery_client::EndpointListUpdate;
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::settings::{self, NameTable};
 use honeyknot_relay::simulator;
@@ -487,7 +487,7 @@
         }
     }
 
-    fn add_known(&mut self, known: &RollNews) {
+    fn add_known(&mut self, known: &EndpointListUpdate) {
         self.add("known.version", known.version);
         self.add("known.full", known.whole);
         for (number, entry) in known.entries.iter().enumerate() {
--- a/tests/idle_connections.rs
+++ b/tests/idle_connections.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use honeyknot_relay::relay::connections::idle::{Crowd, Place};
+use honeyknot_relay::relay::connections::idle::{IdleConnections, IdleSlot};
 use tokio::task::{LocalSet, yield_now};
 
 /// Tells that its task has ended.
@@ -16,8 +16,8 @@
 }
 
 /// Those at the door, in the order in which they are turned out.
-fn order(names: &[&'static str], tell: impl Fn(&'static str, u32, &mut Place)) -> Vec<&'static str> {
-    let (crowd, places) = (Crowd::default(), RefCell::new(Vec::new()));
+fn order(names: &[&'static str], tell: impl Fn(&'static str, u32, &mut IdleSlot)) -> Vec<&'static str> {
+    let (crowd, places) = (IdleConnections::default(), RefCell::new(Vec::new()));
     let out = Rc::default();
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::relay::{Listeners, serve_on};
+use honeyknot_relay::relay::{Listeners, serve_with_listeners};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -109,7 +109,7 @@
         let stopped = async move {
             let _ = stopped.await;
         };
-        let ended = spawn_local(serve_on(
+        let ended = spawn_local(serve_with_listeners(
             Listeners { clients, admin: Some(operators), folder: None, from: None },
             config,
             stopped,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use honeyknot_relay::relay::connections::protocol::{
-    LONGEST, LineWatch, SessionHead, Word, first_line, report_value,
+    LONGEST, LineWatch, OpenRequest, Word, first_line, report_value,
 };
 use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
 use honeyknot_relay::relay::lifecycle::config::Config;
@@ -54,13 +54,13 @@
     #[test]
     fn a_head_cut_anywhere_is_never_taken_for_a_whole_one(at in 0..OPEN.len()) {
         prop_assert_eq!(first_line(&OPEN.as_bytes()[..at]), Ok(None));
-        prop_assert!(SessionHead::parse(Bytes::copy_from_slice(&OPEN.as_bytes()[..at])).is_err());
+        prop_assert!(OpenRequest::parse(Bytes::copy_from_slice(&OPEN.as_bytes()[..at])).is_err());
     }
 
     #[test]
     fn another_wait_changes_nothing_else_of_a_head(wait in 0u64..100_000, more in "[a-z0-9=,]{0,20}") {
         let line = OPEN.replace("x=y", &format!("x=y{more}"));
-        if let Ok(head) = SessionHead::parse(line.clone().into()) {
+        if let Ok(head) = OpenRequest::parse(line.clone().into()) {
             let digits = wait.to_string();
             let again: Vec<u8> =
                 head.with_patience(digits.as_bytes()).iter().flat_map(|p| p.to_vec()).collect();
@@ -75,8 +75,8 @@
         let _ = (first_line(&bytes), Word::read(&bytes), words(&[&bytes]));
         let mut line = format!("OPEN {tail}").into_bytes();
         line.extend(b"\r\n");
-        let _ = SessionHead::parse(line.into());
-        let _ = (SessionHead::parse(bytes.clone().into()), report_value(&tail, "util"));
+        let _ = OpenRequest::parse(line.into());
+        let _ = (OpenRequest::parse(bytes.clone().into()), report_value(&tail, "util"));
         let _ = take_answer(&mut BytesMut::from(&bytes[..]));
         let mut after_head = BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         after_head.extend_from_slice(&bytes);
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use honeyknot_relay::relay::lifecycle::graceful_shutdown::due_now;
-use honeyknot_relay::relay::timer_wheel::{TICK, Wheel};
+use honeyknot_relay::relay::timer_wheel::{TICK, TimerWheel};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -11,7 +11,7 @@
 fn what_is_due_comes_out_in_order_and_what_is_taken_back_does_not() {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let mut now = 1_000_000_007;
-    let (mut wheel, mut waiting) = (Wheel::new(now), BTreeMap::new());
+    let (mut wheel, mut waiting) = (TimerWheel::new(now), BTreeMap::new());
     for serial in 0..20_000u64 {
         match rng.random_range(0..4) {
             0 => {
@@ -48,7 +48,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     for _ in 0..400 {
         let mut now = rng.random_range(1..4_000_000_000);
-        let (mut wheel, mut waiting) = (Wheel::new(now), BTreeMap::new());
+        let (mut wheel, mut waiting) = (TimerWheel::new(now), BTreeMap::new());
         for serial in 0..100u64 {
             for _ in 0..rng.random_range(0..3) {
                 // Some are due at once, some long ago, some after many turns.
