--- a/src/main.rs
+++ b/src/main.rs
@@ -47,7 +47,8 @@
         show: Show,
     },
     /// Make an operators' call and print the answer; the exit status is 1 for a `NO`, 2 if nobody answers.
-    Call {
+    #[command(alias = "call")]
+    Admin {
         /// Where the relay listens for operators.
         address: SocketAddr,
         /// The call: status, stats, maint-on ID or maint-off ID.
@@ -55,7 +56,8 @@
         words: Vec<String>,
     },
     /// Keep leases, as one of three, five or seven that agree, until SIGTERM.
-    Keeper {
+    #[command(alias = "keeper")]
+    LeaseServer {
         /// The operators' file: the keepers and the terms of leases.
         #[arg(long)]
         leases: String,
@@ -88,14 +90,14 @@
         }
         Command::CheckConfig { files } => Config::from_environment(&files).map(|config| describe(&config)),
         Command::Metrics { show } => inspect::show(&show),
-        Command::Call { address, words } => match ask::ask(address, &words) {
+        Command::Admin { address, words } => match ask::ask(address, &words) {
             Ok(answer) => {
                 print!("{answer}");
                 return if ask::agrees(&answer) { ExitCode::SUCCESS } else { ExitCode::from(1) };
             }
             Err(why) => Err(format!("{address}: {why}")),
         },
-        Command::Keeper { leases, seat, log, log_form } => {
+        Command::LeaseServer { leases, seat, log, log_form } => {
             logger::start(log, log_form);
             Plan::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
         }
