--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -151,7 +151,9 @@
             None | Some(Value::Null) => SOCKETS,
             Some(v) => v.as_u64().ok_or("`limits.sockets` is no whole number")?,
         };
-        let (settings, names) = settings::settings(value.get("settings").ok_or("`settings` is missing")?)?;
+        let (settings, names) =
+            settings::parse_settings(value.get("settings").ok_or("`settings` is missing")?)
+                .map_err(|error| error.to_string())?;
         let known = value.get("known").filter(|v| !v.is_null());
         let known = known.map(|v| read_roll(v, &names)).transpose().map_err(|e| format!("`known`: {e}"))?;
         Ok(Config {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use crate::settings::{NameTable, settings};
+use crate::settings::{NameTable, parse_settings};
 use honeyknot_balancer::Balancer;
 use honeyknot_balancer::*;
 
@@ -121,7 +121,7 @@
 
     fn configure(&mut self, m: &Message) -> Parsed<()> {
         m.arity(3)?;
-        let (settings, names) = settings(m.at(2)?)?;
+        let (settings, names) = parse_settings(m.at(2)?).map_err(|error| error.to_string())?;
         let balancer = Balancer::new(settings, m.u64(1)?, self.now).map_err(|e| format!("settings: {e}"))?;
         self.instances.insert(m.str(0)?.to_owned(), Instance { balancer, names });
         Ok(())
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -584,7 +584,7 @@
 fn settings_of_each_site_give_the_same_typed_values() {
     for site in SITES {
         let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
-        let (settings, names) = settings::settings(&value).expect("sound settings");
+        let (settings, names) = settings::parse_settings(&value).expect("sound settings");
         let mut fields = Fields::default();
         fields.add_settings(&settings);
         fields.add_names(&names, &value);
