--- a/src/bin/honeyknot-simulator-adapter.rs
+++ b/src/bin/honeyknot-simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! Runs balancers over the wire on standard input and output until the input ends.
+//! Hosts balancers over the simulator's wire on standard input and output until the input ends.
 
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
@@ -8,8 +8,8 @@
     std::panic::set_hook(Box::new(|_| {}));
     match honeyknot_relay::simulator::run(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("honeyknot-simulator-adapter: {fault}");
+        Err(error) => {
+            eprintln!("honeyknot-simulator-adapter: {error}");
             ExitCode::from(2)
         }
     }
