--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -51,7 +51,7 @@
 
     fn record_endpoint_list(&mut self, news: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
         self.endpoint_list_version = news.version;
-        self.addresses.extend(news.addresses);
+        self.endpoints.set_addresses(news.addresses);
         let entries = self.maintenance.news(news.entries, news.whole);
         self.record_endpoints(entries, news.whole)
     }
@@ -60,22 +60,27 @@
     fn record_endpoints(&mut self, entries: Vec<Endpoint>, whole: bool) -> Arc<Vec<Endpoint>> {
         let mut drains = 0;
         for entry in &entries {
-            self.endpoint_zones.extend(entry.zone.map(|zone| (entry.id.clone(), zone)));
+            if let Some(zone) = entry.zone {
+                self.endpoints.set_zone(&entry.id, zone);
+            }
             if entry.state == EndpointState::Ready {
-                self.draining.remove(&entry.id);
-            } else if self.draining.insert(entry.id.clone()) {
+                self.endpoints.stop_draining(&entry.id);
+            } else if self.endpoints.start_draining(&entry.id) {
                 drains += u64::from(entry.state == EndpointState::Draining);
             }
         }
         self.update_metrics(|book| book.add(Family::Drains, 0, drains));
         if whole {
             let named = |id: &EndpointId| entries.iter().any(|e| e.id == *id);
-            let lost: Vec<EndpointId> = self.addresses.keys().filter(|id| !named(id)).cloned().collect();
-            self.draining.extend(lost);
+            let lost: Vec<EndpointId> =
+                self.endpoints.with_address().filter(|id| !named(id)).cloned().collect();
+            for id in &lost {
+                self.endpoints.start_draining(id);
+            }
         }
         // A probe of a card server that is gone has nothing left to ask.
         let gone = entries.iter().filter(|e| e.state == EndpointState::Removed);
-        gone.for_each(|e| drop(self.health_checks.remove(&e.id)));
+        gone.for_each(|e| self.endpoints.stop_health_check(&e.id));
         Arc::new(entries)
     }
 
@@ -129,18 +134,18 @@
 
     /// Who leaves or is gone by what discovery says.
     pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
-        let by_roll = self.draining.iter().filter(|id| !self.maintenance.holds(id));
+        let by_roll = self.endpoints.draining().filter(|id| !self.maintenance.holds(id));
         by_roll.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
     /// Where this relay reaches a card server.
     pub fn endpoint_address(&self, server: &EndpointId) -> Option<SocketAddr> {
-        self.addresses.get(server).copied()
+        self.endpoints.address(server)
     }
 
     /// Nobody listens at a card server. Where the list says that it is ready, the list is old.
     pub fn connection_refused_by(&self, server: &EndpointId) {
-        if !self.draining.contains(server) {
+        if !self.endpoints.is_draining(server) {
             self.send_discovery_command(DiscoveryCommand::Refused);
         }
     }
@@ -148,6 +153,6 @@
     /// Whether a head may still be written to a card server. Guards against an attempt that was placed before
     /// the news of a drain and connects after it: the news may have counted as told for a while already.
     pub fn may_send_to(&self, server: &EndpointId) -> bool {
-        !self.draining.contains(server)
+        !self.endpoints.is_draining(server)
     }
 }
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -51,8 +51,7 @@
     fn bear_witness(&mut self) {
         let now = self.timers.clock.now();
         let Some(neighbors) = self.gossip.as_mut().filter(|_| !self.shutting_down) else { return };
-        let listed = self.addresses.keys().filter(|id| !self.draining.contains(*id));
-        for server in neighbors.duties(now, listed) {
+        for server in neighbors.duties(now, self.endpoints.serving()) {
             self.send_health_check_command(server, HealthCheckCommand::Look);
         }
     }
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -80,7 +80,7 @@
         if self.zone_failover.is_none() {
             return;
         }
-        let deck = self.connections.get(&id).and_then(|s| s.affinity_group.clone());
+        let deck = self.connections.get(id).and_then(|entry| entry.affinity_group.clone());
         self.tell_sites(|sites, now, _| sites.placed(now, id, server, deck.as_ref()));
     }
 
@@ -102,7 +102,7 @@
     pub(in crate::relay) fn zone_attempt_ended(
         &mut self, id: RequestId, server: &EndpointId, outcome: Outcome,
     ) {
-        let stood = self.connections.get(&id).is_some_and(|s| s.established);
+        let stood = self.connections.is_established(id);
         let alive = sign_of_life(outcome);
         self.tell_sites(|sites, now, wants| {
             sites.ended(id);
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -84,9 +84,7 @@
 /// Requests that are still open get their answer while there is time to send it.
 fn fail_the_rest(relay: &SharedRelay) {
     let mut relay = relay.borrow_mut();
-    let asking: Vec<_> =
-        relay.connections.iter().filter(|(_, s)| !s.established).map(|(id, _)| *id).collect();
-    for id in asking {
+    for id in relay.connections.pending() {
         relay.send_command(id, ConnectionCommand::Fail);
     }
 }
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -173,7 +173,7 @@
     }
 
     pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, server: &EndpointId) {
-        let site = self.endpoint_zones.get(server).and_then(|zone| self.names.zones().get(zone.0));
+        let site = self.endpoints.zone(server).and_then(|zone| self.names.zones().get(zone.0));
         self.metrics.add(Family::Retries, 0, u64::from(attempt.0 > 0));
         self.metrics.add_open(Family::Placed, site.map_or("none", String::as_str), 1);
     }
@@ -227,7 +227,7 @@
         json!({
             "results": results,
             "forwards": classes.iter().map(|class| count(Family::Forwards, class)).sum::<u64>(),
-            "outstanding": self.open_ids.borrow().len(),
+            "outstanding": self.open_ids.count(),
             "discovered": self.maintenance.listed(),
             "ejected": self.maintenance.avoided(self.balancer.suspects()),
             "list": {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -4,14 +4,17 @@
 //! calls and gets its orders by a queue of its own; no borrow of the relay is held across an await.
 
 pub mod clock;
+mod connection_table;
 pub mod connections;
+mod descriptors;
+mod endpoint_table;
 pub mod endpoints;
 pub mod lifecycle;
 pub mod metrics;
 pub mod timer_wheel;
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
@@ -28,9 +31,14 @@
 use crate::gossip::GossipHandle;
 use crate::settings::NameTable;
 use clock::Clock;
+pub use connection_table::ConnectionIdGuard;
+use connection_table::{ConnectionEntry, ConnectionTable, CurrentAttempt, OpenConnectionIds};
 use connections::idle::IdleConnections;
 use connections::listener;
 use connections::protocol::OpenRequest;
+pub use descriptors::DescriptorPermit;
+use descriptors::{DescriptorCounter, connection_descriptors};
+use endpoint_table::EndpointTable;
 use endpoints::discovery_client::{self, DiscoveryCommand, EndpointListUpdate};
 use endpoints::health_check::{self, HealthCheckCommand};
 use endpoints::message_latency::{self, MessageLatencies};
@@ -45,12 +53,6 @@
 use metrics::recorder::{self, Answer};
 use timer_wheel::{TimerEvent, Timers};
 
-/// Descriptors kept for all that is no session: standard streams, the runtime's own, listener and discovery.
-const RESERVE: usize = 32;
-/// Of these, what is left when accepting pauses.
-const LAST_RESERVE: usize = 12;
-/// The crowd at the door holds one descriptor in so many: sessions take two for each client, and need the rest.
-const CROWD_PART: usize = 4;
 /// Sessions from before the run come up within this of the relay's start ...
 const ADOPT_START: Micros = 40_000_000;
 /// ... and one that names its card server later is owed an answer within 3 s, like any other.
@@ -90,48 +92,6 @@
     pub send_before: Option<Micros>,
 }
 
-/// A study session as the relay knows it.
-struct ConnectionEntry {
-    commands: UnboundedSender<ConnectionCommand>,
-    attempts: u32,
-    deadline: Micros,
-    attempt: Option<(AttemptId, EndpointId, Micros)>,
-    established: bool,
-    class: ClassId,
-    affinity_group: Option<AffinityGroup>,
-    requested_at: Micros,
-}
-
-/// A descriptor in the count; dropping it gives it back.
-pub struct DescriptorPermit(Rc<Cell<usize>>);
-
-impl DescriptorPermit {
-    fn new(count: &Rc<Cell<usize>>) -> DescriptorPermit {
-        count.set(count.get() + 1);
-        DescriptorPermit(count.clone())
-    }
-}
-
-impl Drop for DescriptorPermit {
-    fn drop(&mut self) {
-        self.0.set(self.0.get().saturating_sub(1));
-    }
-}
-
-type OpenIds = Rc<RefCell<BTreeSet<Rc<str>>>>;
-
-/// The id of a client's connection, open until this is dropped.
-pub struct ConnectionIdGuard {
-    ids: OpenIds,
-    id: Rc<str>,
-}
-
-impl Drop for ConnectionIdGuard {
-    fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
-    }
-}
-
 /// The one owner of the decisions and of what they need to know of the sockets.
 pub struct Relay {
     /// Clock and wheel.
@@ -141,14 +101,11 @@
     settings: Settings,
     balancer: Balancer,
     endpoint_list_version: u64,
-    addresses: BTreeMap<EndpointId, SocketAddr>,
+    /// What is known of each endpoint.
+    endpoints: EndpointTable,
     /// The roll as discovery tells it, and which card servers are out by hand.
     maintenance: MaintenanceOverlay,
-    /// Card servers that leave or are gone.
-    draining: BTreeSet<EndpointId>,
-    connections: BTreeMap<RequestId, ConnectionEntry>,
-    last_request_id: u32,
-    health_checks: BTreeMap<EndpointId, UnboundedSender<HealthCheckCommand>>,
+    connections: ConnectionTable,
     /// What messages take at the card servers.
     message_latencies: MessageLatencies,
     /// Losing and regaining sites, where the operators have switched it on.
@@ -161,8 +118,6 @@
     persistent_counters: Option<recorder::Lasting>,
     /// The sinks that are fed, by name.
     exporters: BTreeMap<String, exporter::Running>,
-    /// The sites of the card servers.
-    endpoint_zones: BTreeMap<EndpointId, ZoneId>,
     /// When discovery last answered.
     discovery_answered_at: Micros,
     discovery_commands: UnboundedSender<DiscoveryCommand>,
@@ -170,11 +125,11 @@
     /// What the relay is doing about its list.
     list_state: State,
     events: VecDeque<Event>,
-    descriptors_in_use: Rc<Cell<usize>>,
+    descriptors_in_use: DescriptorCounter,
     max_descriptors: usize,
     idle_connections: IdleConnections,
     /// Ids of the clients' connections that are open.
-    open_ids: OpenIds,
+    open_ids: OpenConnectionIds,
     shutting_down: bool,
     /// Operators can call this relay.
     admin_enabled: bool,
@@ -184,11 +139,6 @@
     weak_self: Weak<RefCell<Relay>>,
 }
 
-/// Descriptors for sessions, the crowd and probes, the reserve included.
-fn descriptors(limit: usize, operated: bool) -> usize {
-    limit.saturating_sub(if operated { admin::DESCRIPTORS } else { 0 })
-}
-
 impl Relay {
     /// A relay, its caller of discovery, and what the decisions will want of that.
     pub fn new(config: Config) -> Result<(SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>), String> {
@@ -219,30 +169,26 @@
                 names: config.names,
                 balancer,
                 endpoint_list_version: 0,
-                addresses: BTreeMap::new(),
+                endpoints: EndpointTable::default(),
                 maintenance: MaintenanceOverlay::default(),
-                draining: BTreeSet::new(),
-                connections: BTreeMap::new(),
-                last_request_id: 0,
-                health_checks: BTreeMap::new(),
+                connections: ConnectionTable::default(),
                 message_latencies: MessageLatencies::new(&settings),
                 settings,
                 zone_failover: sites,
                 gossip: neighbors,
                 persistent_counters: None,
                 exporters: BTreeMap::new(),
-                endpoint_zones: BTreeMap::new(),
                 discovery_answered_at: born,
                 discovery_commands: asks,
                 discovery_failing: false,
                 list_state: State::Starting,
                 events: VecDeque::new(),
-                descriptors_in_use: Rc::default(),
-                max_descriptors: descriptors(config.sockets, config.admin.is_some()),
+                descriptors_in_use: DescriptorCounter::default(),
+                max_descriptors: connection_descriptors(config.sockets, config.admin.is_some()),
                 admin_enabled: config.admin.is_some(),
                 listener_ownership: ListenerOwnership::default(),
                 idle_connections: IdleConnections::default(),
-                open_ids: OpenIds::default(),
+                open_ids: OpenConnectionIds::default(),
                 shutting_down: false,
                 started_at: born,
                 weak_self: me.clone(),
@@ -276,7 +222,7 @@
     /// Applies what of a new configuration can change while sessions stand: where discovery is, and how many
     /// descriptors there may be. The roll held stays in use until the new discovery tells its own.
     pub fn reconfigure(&mut self, config: &Config) {
-        self.max_descriptors = descriptors(config.sockets, self.admin_enabled);
+        self.max_descriptors = connection_descriptors(config.sockets, self.admin_enabled);
         self.reconfigure_zone_failover(config);
         self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
     }
@@ -317,9 +263,10 @@
         let request = self.build_request(head)?;
         let (id, orders) = self.register_connection(&request);
         let now = self.timers.clock.now();
-        if let Some(seat) = self.connections.get_mut(&id) {
+        if let Some(seat) = self.connections.get_mut(id) {
             (seat.attempts, seat.established) = (1, true);
-            seat.attempt = Some((AttemptId(0), server.clone(), now));
+            seat.attempt =
+                Some(CurrentAttempt { id: AttemptId(0), endpoint: server.clone(), started_at: now });
         }
         self.zone_connection_adopted(&request, &server);
         self.handle_event(Event::ConnectionAdopted(request, server));
@@ -351,9 +298,8 @@
     fn build_request(&mut self, head: &OpenRequest) -> Option<Request> {
         let class = self.names.class(head.class()?)?;
         let deadline = self.settings.classes.get(class.0)?.deadline;
-        self.last_request_id = self.last_request_id.wrapping_add(1);
         Some(Request {
-            id: RequestId(self.last_request_id),
+            id: self.connections.next_request_id(),
             class,
             session_key: Some(SessionKey(head.key().into())),
             affinity_group: head
@@ -372,52 +318,44 @@
 
     /// The card server's `UP` has come: the session stands.
     pub fn connection_established(&mut self, id: RequestId) {
-        let Some(seat) = self.connections.get_mut(&id) else { return };
+        let Some(seat) = self.connections.get_mut(id) else { return };
         seat.established = true;
-        let Some((attempt, server, sent)) = seat.attempt.clone() else { return };
+        let Some(attempt) = seat.attempt.clone() else { return };
         let (asked, class) = (seat.requested_at, seat.class);
         self.record_answer(Some(class), Answer::Up);
         let took = self.timers.clock.now().saturating_sub(asked);
         self.record_established(took);
-        let elapsed = self.timers.clock.now().saturating_sub(sent);
-        self.zone_connection_established(id, &server);
-        self.handle_event(Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed });
+        let elapsed = self.timers.clock.now().saturating_sub(attempt.started_at);
+        let CurrentAttempt { id: attempt, endpoint, .. } = attempt;
+        self.zone_connection_established(id, &endpoint);
+        self.handle_event(Event::ConnectionEstablished { id, attempt, endpoint, elapsed });
     }
 
     /// The attempt that was out has ended; `closed` if the client has its answer by that.
     pub fn attempt_ended(
         &mut self, id: RequestId, outcome: Outcome, closed: bool, report: Option<LoadReport>,
     ) {
-        let Some((attempt, server, sent)) = self.connections.get_mut(&id).and_then(|s| s.attempt.take())
-        else {
+        let Some(attempt) = self.connections.get_mut(id).and_then(|entry| entry.attempt.take()) else {
             return;
         };
-        let elapsed = self.timers.clock.now().saturating_sub(sent);
-        let stood = self.connections.get(&id).is_some_and(|s| s.established);
-        if !stood {
+        let CurrentAttempt { id: attempt, endpoint, started_at } = attempt;
+        let elapsed = self.timers.clock.now().saturating_sub(started_at);
+        if !self.connections.is_established(id) {
             self.record_attempt_ended(outcome);
         }
-        self.zone_attempt_ended(id, &server, outcome);
-        self.handle_event(Event::AttemptEnded {
-            id,
-            attempt,
-            outcome,
-            closed,
-            endpoint: server,
-            elapsed,
-            report,
-        });
+        self.zone_attempt_ended(id, &endpoint, outcome);
+        self.handle_event(Event::AttemptEnded { id, attempt, outcome, closed, endpoint, elapsed, report });
     }
 
     /// The client of a session that does not stand gets its answer.
     pub fn request_answered(&mut self, id: RequestId, answer: Answer) {
-        let class = self.connections.get(&id).map(|seat| seat.class);
+        let class = self.connections.get(id).map(|seat| seat.class);
         self.record_answer(class, answer);
     }
 
     /// The session's task ends. Whatever the decisions still hold of it is settled.
     pub fn connection_closed(&mut self, id: RequestId, answered: bool) {
-        let Some(seat) = self.connections.get(&id) else { return };
+        let Some(seat) = self.connections.get(id) else { return };
         let (out, class) = (seat.attempt.is_some(), seat.class);
         if !answered && !seat.established {
             self.record_answer(Some(class), Answer::Failed);
@@ -426,12 +364,12 @@
         if out {
             self.attempt_ended(id, Outcome::Cancelled, true, None);
         }
-        self.connections.remove(&id);
+        self.connections.remove(id);
     }
 
     /// The card server of a session's attempt.
     pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
-        self.connections.get(&id).and_then(|seat| seat.attempt.as_ref()).map(|(_, server, _)| server.clone())
+        self.connections.attempt(id).map(|attempt| attempt.endpoint.clone())
     }
 
     /// The card server told the session's load.
@@ -469,9 +407,9 @@
         if self.shutting_down {
             return;
         }
-        let standing = self.connections.values().filter(|s| s.established).filter_map(|s| s.attempt.as_ref());
-        let standing = standing.map(|(_, id, _)| id).filter(|id| !self.draining.contains(*id));
-        if let Some(id) = self.message_latencies.next_to_measure(self.timers.clock.now(), standing) {
+        let endpoints = self.connections.established_endpoints();
+        let candidates = endpoints.filter(|id| !self.endpoints.is_draining(id));
+        if let Some(id) = self.message_latencies.next_to_measure(self.timers.clock.now(), candidates) {
             self.request_health_check(id);
             self.process_events();
         }
@@ -479,19 +417,16 @@
 
     /// Tells of a delay on one of the sessions that stand there.
     fn report_message_latency(&mut self, server: &EndpointId, ms: f64) {
-        let there =
-            |s: &ConnectionEntry| s.established && s.attempt.as_ref().is_some_and(|(_, at, _)| at == server);
-        let one = self.connections.iter().find(|(_, s)| there(s)).map(|(id, _)| *id);
-        if let Some(id) = one {
+        if let Some(id) = self.connections.first_established_at(server) {
             self.connection_updated(id, ConnectionUpdate::MessageLatency(ms));
         }
     }
 
     fn connection_updated(&mut self, id: RequestId, note: ConnectionUpdate) {
-        let Some((attempt, server, _)) = self.connections.get(&id).and_then(|s| s.attempt.clone()) else {
+        let Some(CurrentAttempt { id: attempt, endpoint, .. }) = self.connections.attempt(id).cloned() else {
             return;
         };
-        self.handle_event(Event::ConnectionUpdated { id, attempt, endpoint: server, update: note });
+        self.handle_event(Event::ConnectionUpdated { id, attempt, endpoint, update: note });
     }
 
     /// A probe has ended.
@@ -518,7 +453,7 @@
                 self.start_attempt(id, server, timeout, send_before)
             }
             Action::Reject { id, retry_after } => {
-                let asked = self.connections.get(&id).map(|s| s.requested_at);
+                let asked = self.connections.get(id).map(|s| s.requested_at);
                 let took = asked.map(|at| self.timers.clock.now().saturating_sub(at));
                 self.record_rejected("decisions", took);
                 self.send_command(id, ConnectionCommand::Reject(retry_after));
@@ -550,17 +485,18 @@
         &mut self, id: RequestId, server: EndpointId, timeout: Micros, send_before: Option<Micros>,
     ) {
         let now = self.timers.clock.now();
-        let Some(seat) = self.connections.get_mut(&id) else { return };
+        let Some(seat) = self.connections.get_mut(id) else { return };
         let attempt = AttemptId(seat.attempts);
         seat.attempts += 1;
         let left = seat.deadline.saturating_sub(now);
         let timeout = if timeout == 0 { left } else { timeout.min(left) };
         let spent = attempt.0 >= self.settings.permissions.max_attempts || left == 0 || seat.established;
-        let ends = match self.addresses.get(&server) {
+        let ends = match self.endpoints.address(&server) {
             _ if spent => Outcome::NotSent,
             None => Outcome::ConnectFailed,
-            Some(&address) => {
-                seat.attempt = Some((attempt, server.clone(), now));
+            Some(address) => {
+                seat.attempt =
+                    Some(CurrentAttempt { id: attempt, endpoint: server.clone(), started_at: now });
                 let place =
                     AttemptRequest { attempt, endpoint: server.clone(), address, timeout, send_before };
                 let _ = seat.commands.send(ConnectionCommand::Forward(place));
@@ -582,7 +518,7 @@
     }
 
     fn send_command(&mut self, id: RequestId, order: ConnectionCommand) {
-        if let Some(seat) = self.connections.get(&id) {
+        if let Some(seat) = self.connections.get(id) {
             // A session that has just ended no longer listens; its last word settles the request.
             let _ = seat.commands.send(order);
         }
@@ -590,9 +526,8 @@
 
     fn send_health_check_command(&mut self, server: EndpointId, errand: HealthCheckCommand) {
         let Some(me) = self.weak_self.upgrade() else { return };
-        let probe =
-            self.health_checks.entry(server.clone()).or_insert_with(|| health_check::start(me, server));
-        let _ = probe.send(errand);
+        let start = || health_check::start(me, server.clone());
+        let _ = self.endpoints.health_check(&server, start).send(errand);
     }
 
     fn send_discovery_command(&self, ask: DiscoveryCommand) {
@@ -629,51 +564,20 @@
         self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
-    /// What this process may hold: all processes of a relay live within one limit.
-    fn max_descriptors(&self) -> usize {
-        let least = self.max_descriptors / 4;
-        self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(least)
-    }
-
-    /// A further descriptor, unless they would run out. The crowd at the door makes room for those who ask.
-    pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
-        let held = self.descriptors_in_use.get();
-        let most = self.max_descriptors();
-        let short = held >= most.saturating_sub(RESERVE);
-        let spare = held < most.saturating_sub(LAST_RESERVE);
-        (!short || spare && self.idle_connections.turn_one_out())
-            .then(|| DescriptorPermit::new(&self.descriptors_in_use))
-    }
-
     /// Marks a client's id as open; none if it is open already, or if the class does not exist.
     ///
     /// Each connection has an id of its own. Guards against a client that takes the id of another's open request:
     /// card servers turn it away, which must not be taken for their fault.
     pub fn reserve_connection_id(&self, head: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(head.class()?)?;
-        let id: Rc<str> = head.id().into();
-        let fresh = self.open_ids.borrow_mut().insert(id.clone());
-        fresh.then(|| ConnectionIdGuard { ids: self.open_ids.clone(), id })
-    }
-
-    /// Makes room for one more at the door; false while there is none.
-    fn make_room_for_idle_connection(&self) -> bool {
-        let most = self.max_descriptors();
-        if self.idle_connections.len() >= most / CROWD_PART {
-            self.idle_connections.turn_one_out();
-        }
-        let full = self.descriptors_in_use.get() >= most.saturating_sub(LAST_RESERVE);
-        if full {
-            self.idle_connections.turn_one_out();
-        }
-        !full
+        self.open_ids.reserve(head.id())
     }
 
     /// Whether a newcomer may be let in.
     pub fn can_admit(&self) -> bool {
         // What was let in before a new process took over still gets its session: nobody else will serve it.
         (!self.shutting_down || self.listener_ownership.handed_over())
-            && (self.connections.len() as u64) < self.settings.permissions.max_open_requests
+            && (self.connections.count() as u64) < self.settings.permissions.max_open_requests
     }
 
     /// Until when a session from before the run may look for its card server: long at the start, when the roll may
@@ -704,9 +608,8 @@
 
     /// Sessions that stand, and requests still open.
     fn open_connections(&self) -> (Vec<RequestId>, usize) {
-        let standing: Vec<RequestId> =
-            self.connections.iter().filter(|(_, s)| s.established).map(|(id, _)| *id).collect();
-        let asking = self.connections.len() - standing.len();
+        let standing = self.connections.established();
+        let asking = self.connections.count() - standing.len();
         (standing, asking)
     }
 }
