--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -97,7 +97,7 @@
         () = timers.sleep(PATIENCE) => false,
     };
     if sent {
-        graceful_close::end(&timers, stream).await;
+        graceful_close::close(&timers, stream).await;
     }
 }
 
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::protocol::{self, OpenRequest, Word, report_value};
+use super::protocol::{self, EndpointLine, OpenRequest, load_report_value};
 use crate::relay::{AttemptRequest, ConnectionCommand, SharedRelay};
 use honeyknot_balancer::*;
 
@@ -60,7 +60,7 @@
 /// Writes the head with another wait, gathered from its pieces.
 async fn write_head(server: &mut TcpStream, head: &OpenRequest, wait_ms: u64) -> io::Result<()> {
     let digits = wait_ms.to_string();
-    let mut pieces = head.with_patience(digits.as_bytes());
+    let mut pieces = head.with_time_remaining_ms(digits.as_bytes());
     let mut pieces = &mut pieces[..];
     while pieces.iter().any(|p| !p.is_empty()) {
         let written = server.write_vectored(pieces).await?;
@@ -75,7 +75,7 @@
 async fn read_answer(relay: &SharedRelay, mut server: TcpStream) -> Came {
     let mut bytes = BytesMut::with_capacity(512);
     let end = loop {
-        match protocol::first_line(&bytes) {
+        match protocol::first_line_end(&bytes) {
             Ok(Some(end)) => break end,
             Ok(None) => {}
             Err(_) => return Came::Ended(Outcome::Error, None),
@@ -87,14 +87,14 @@
     };
     let report = |text: &str| {
         let relay = relay.borrow();
-        (!text.is_empty()).then(|| relay.names.load_report(|name| report_value(text, name)))
+        (!text.is_empty()).then(|| relay.names.load_report(|name| load_report_value(text, name)))
     };
-    match Word::read(&bytes[..end]) {
-        Word::Up => Came::Up(server, bytes),
-        Word::Bye(_) => Came::Served(bytes),
-        Word::Move => Came::Ended(Outcome::Cancelled, None),
-        Word::Busy(text) => Came::Ended(Outcome::Rejected, report(text)),
-        Word::Err(text) => Came::Ended(Outcome::Error, report(text)),
+    match EndpointLine::parse(&bytes[..end]) {
+        EndpointLine::Established => Came::Up(server, bytes),
+        EndpointLine::Completed(_) => Came::Served(bytes),
+        EndpointLine::Migrate => Came::Ended(Outcome::Cancelled, None),
+        EndpointLine::Rejected(text) => Came::Ended(Outcome::Rejected, report(text)),
+        EndpointLine::Failed(text) => Came::Ended(Outcome::Error, report(text)),
         _ => Came::Ended(Outcome::Error, None),
     }
 }
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::graceful_close::end;
+use super::graceful_close::close;
 use super::handshake::{BUFFER, Client, ConnectionGuard};
-use super::protocol::{LineWatch, MOVE, OpenRequest, Word};
+use super::protocol::{EndpointLine, LineTracker, MOVE, OpenRequest};
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{ConnectionCommand, SharedRelay};
 use honeyknot_balancer::*;
@@ -30,7 +30,7 @@
         // Dropped now, it is reset.
         let _ = stream.set_zero_linger();
     } else {
-        end(timers, stream).await;
+        close(timers, stream).await;
     }
 }
 
@@ -40,12 +40,12 @@
         // Nothing else waits to be sent, so there is room for it.
         let _ = client.try_write(MOVE);
     }
-    tokio::join!(end(timers, client), end(timers, server));
+    tokio::join!(close(timers, client), close(timers, server));
 }
 
 /// All that a session that stands is, but its sockets, in the form in which it is passed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConnectionState {
+pub struct ConnectionSnapshot {
     /// The client's first line.
     head: Vec<u8>,
     /// Its card server.
@@ -53,7 +53,7 @@
     /// Bytes that wait to be sent.
     to_client: Vec<u8>,
     to_server: Vec<u8>,
-    watch: LineWatch,
+    watch: LineTracker,
     last: Last,
     /// Since when lines of the client wait for anything to come back, in Unix microseconds.
     unanswered: Option<Micros>,
@@ -64,49 +64,49 @@
 #[derive(Debug)]
 pub struct ConnectionTransfer {
     /// What it is.
-    pub bundle: ConnectionState,
+    pub snapshot: ConnectionSnapshot,
     /// Its client.
-    pub client: TcpStream,
+    pub downstream: TcpStream,
     /// Its card server.
-    pub server: TcpStream,
+    pub upstream: TcpStream,
 }
 
 impl ConnectionTransfer {
     /// Moves the client, as there is nobody to pass it on to.
-    pub fn send_away(self, timers: &Rc<Timers>) {
-        let ConnectionTransfer { bundle, client, server } = self;
+    pub fn migrate(self, timers: &Rc<Timers>) {
+        let ConnectionTransfer { snapshot, downstream: client, upstream: server } = self;
         // What waits is no more than the beginning of a line, or nothing and the client has whole lines.
-        let fits = past_last_line(&bundle.to_client) == 0
-            && (!bundle.to_client.is_empty() || bundle.watch.between_lines());
+        let fits = past_last_line(&snapshot.to_client) == 0
+            && (!snapshot.to_client.is_empty() || snapshot.watch.between_lines());
         let timers = timers.clone();
         tokio::task::spawn_local(async move { send_away(&timers, client, server, fits).await });
     }
 }
 
 /// Goes on with a session that another process of this relay has passed on. One that cannot be held here is moved.
-pub fn restore(
-    relay: &SharedRelay, bundle: ConnectionState, client: OwnedFd, server: OwnedFd,
+pub fn restore_connection(
+    relay: &SharedRelay, snapshot: ConnectionSnapshot, client: OwnedFd, server: OwnedFd,
 ) -> io::Result<()> {
     let stream = |socket: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(socket));
     let (client, server) = (stream(client)?, stream(server)?);
     let timers = relay.borrow().timers.clone();
-    let head = OpenRequest::parse(Bytes::copy_from_slice(&bundle.head));
+    let head = OpenRequest::parse(Bytes::copy_from_slice(&snapshot.head));
     let (first, second) = (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
     let (Ok(head), Some(first), Some(second)) = (head, first, second) else {
-        ConnectionTransfer { bundle, client, server }.send_away(&timers);
+        ConnectionTransfer { snapshot, downstream: client, upstream: server }.migrate(&timers);
         return Err(io::Error::other("no descriptors to spare, or no sound head"));
     };
     let open = relay.borrow().reserve_connection_id(&head);
-    let taken = relay.borrow_mut().restore_connection(&head, EndpointId(bundle.server.as_str().into()));
+    let taken = relay.borrow_mut().restore_connection(&head, EndpointId(snapshot.server.as_str().into()));
     let (Some(open), Some((id, mut orders))) = (open, taken) else {
-        ConnectionTransfer { bundle, client, server }.send_away(&timers);
+        ConnectionTransfer { snapshot, downstream: client, upstream: server }.migrate(&timers);
         return Err(io::Error::other("its id is open here, or its class is not known"));
     };
-    if let Some(load) = bundle.load {
+    if let Some(load) = snapshot.load {
         relay.borrow_mut().connection_load_reported(id, load);
     }
     let seat = ConnectionGuard { relay: relay.clone(), id, answered: false };
-    let (whole, half) = bundle.to_client.split_at(past_last_line(&bundle.to_client));
+    let (whole, half) = snapshot.to_client.split_at(past_last_line(&snapshot.to_client));
     let pump = Pump {
         relay: relay.clone(),
         id,
@@ -115,16 +115,16 @@
         server,
         to_client: BytesMut::from(whole),
         half: BytesMut::from(half),
-        cut: half.is_empty() && !bundle.watch.between_lines(),
-        to_server: BytesMut::from(&bundle.to_server[..]),
-        watch: bundle.watch,
-        last: bundle.last,
+        cut: half.is_empty() && !snapshot.watch.between_lines(),
+        to_server: BytesMut::from(&snapshot.to_server[..]),
+        watch: snapshot.watch,
+        last: snapshot.last,
         server_end: None,
         client_end: None,
         move_from: None,
         passing: false,
-        unanswered: bundle.unanswered,
-        load: bundle.load,
+        unanswered: snapshot.unanswered,
+        load: snapshot.load,
         timers,
     };
     tokio::task::spawn_local(async move {
@@ -170,7 +170,7 @@
     /// The client has the beginning of a line that is longer than any may be.
     cut: bool,
     to_server: BytesMut,
-    watch: LineWatch,
+    watch: LineTracker,
     last: Last,
     /// The card server's end, and when it came.
     server_end: Option<(bool, Micros)>,
@@ -200,7 +200,7 @@
         half: BytesMut::new(),
         cut: false,
         to_server: client.bytes,
-        watch: LineWatch::default(),
+        watch: LineTracker::default(),
         last: Last::Other,
         server_end: None,
         client_end: None,
@@ -250,7 +250,7 @@
 
     /// Has another process of this relay go on with it, or moves the client if there is none any more.
     fn pass_on(self, server: &EndpointId) {
-        let bundle = ConnectionState {
+        let snapshot = ConnectionSnapshot {
             head: self.head.as_sent().to_vec(),
             server: server.0.as_ref().to_owned(),
             to_client: [&self.to_client[..], &self.half].concat(),
@@ -260,9 +260,9 @@
             unanswered: self.unanswered,
             load: self.load,
         };
-        let passed = ConnectionTransfer { bundle, client: self.client, server: self.server };
+        let passed = ConnectionTransfer { snapshot, downstream: self.client, upstream: self.server };
         if let Err(passed) = self.relay.borrow_mut().transfer_connection(passed) {
-            passed.send_away(&self.timers);
+            passed.migrate(&self.timers);
         }
     }
 
@@ -369,12 +369,12 @@
     fn take_lines(&mut self, bytes: BytesMut) {
         let (mut load, mut answered, mut last) = (None, false, self.last);
         self.watch.pass(&bytes, |word| {
-            answered |= !matches!(word, Word::Load(_));
+            answered |= !matches!(word, EndpointLine::Load(_));
             last = match word {
-                Word::Bye(_) => Last::Bye,
-                Word::Move => Last::Move,
-                Word::Err(_) => Last::Err,
-                Word::Load(now) => {
+                EndpointLine::Completed(_) => Last::Bye,
+                EndpointLine::Migrate => Last::Move,
+                EndpointLine::Failed(_) => Last::Err,
+                EndpointLine::Load(now) => {
                     load = Some(now);
                     Last::Other
                 }
--- a/src/relay/connections/graceful_close.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -13,14 +13,14 @@
 /// connection before that line is read, and a client that floods must not be read for ever.
 const LEFTOVERS: usize = 256 * 1024;
 /// A last line and the end of a connection are given this long to get through.
-pub const FAREWELL: Micros = 300_000;
+pub const GRACEFUL_CLOSE_TIMEOUT: Micros = 300_000;
 
 /// Ends a connection so that what was written last still arrives: closing with unread bytes would reset it.
-pub async fn end(timers: &Rc<Timers>, mut stream: TcpStream) {
+pub async fn close(timers: &Rc<Timers>, mut stream: TcpStream) {
     let _ = stream.shutdown().await;
     tokio::select! {
         () = drain(&stream) => {}
-        () = timers.sleep(FAREWELL) => {}
+        () = timers.sleep(GRACEFUL_CLOSE_TIMEOUT) => {}
     }
 }
 
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -10,7 +10,7 @@
 
 use super::attempt::{Came, Sent, dial, dial_again};
 use super::established::pump;
-use super::graceful_close::{FAREWELL, end};
+use super::graceful_close::{GRACEFUL_CLOSE_TIMEOUT, close};
 use super::idle::IdleSlot;
 use super::protocol::{self, FAILED, Malformed, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
@@ -38,18 +38,18 @@
         // What it may be asking in this moment is never read, so it is turned away: that promises nothing and is true. Guards against
         // a request that arrives as the connection is shut, and would be lost without an answer.
         Ok(Some(First::Rests)) => {
-            place.answered();
+            place.mark_answered();
             side.farewell(&protocol::busy(0)).await;
         }
         Ok(Some(First::Asks(head))) => {
             let head = *head;
             let Some(_open) = relay.borrow().reserve_connection_id(&head) else {
-                place.answered();
+                place.mark_answered();
                 debug!(target: "client", why = "the id of an open connection, or no known class", "turned away");
                 relay.borrow_mut().record_unregistered_answer(&head, Answer::Failed);
                 return side.farewell(FAILED).await;
             };
-            match head.holder().map(|id| EndpointId(id.into())) {
+            match head.established_endpoint().map(|id| EndpointId(id.into())) {
                 Some(server) => adopt(relay, side, head, server, place).await,
                 None => study(relay, side, head, place).await,
             }
@@ -58,7 +58,7 @@
         Err(Malformed(why)) => {
             debug!(target: "client", why, "turned away");
             relay.borrow_mut().record_failed("malformed");
-            place.answered();
+            place.mark_answered();
             side.farewell(FAILED).await;
         }
     }
@@ -80,7 +80,7 @@
     ) -> Result<Option<First>, Malformed> {
         let timers = self.timers.clone();
         let due = timers.clock.now() + HEAD_WAIT;
-        let (mut pinged, last_call) = (false, place.last_call());
+        let (mut pinged, last_call) = (false, place.shutdown_notice());
         loop {
             let end = tokio::select! {
                 biased;
@@ -89,7 +89,7 @@
                     true => return Ok(Some(First::Rests)),
                     false => return Err(Malformed("a first line is not whole in time")),
                 },
-                () = last_call.made() => return Ok(Some(First::Rests)),
+                () = last_call.notified() => return Ok(Some(First::Rests)),
             };
             let Some(end) = end else { return Ok(None) };
             let line = self.bytes.split_to(end).freeze();
@@ -104,20 +104,20 @@
                 return Ok(None);
             }
             pinged = true;
-            place.answered();
+            place.mark_answered();
         }
     }
 
     /// Reads until a line is whole; none if the client leaves before it begins one.
     async fn line(&mut self, place: &mut IdleSlot) -> Result<Option<usize>, Malformed> {
         loop {
-            if let Some(end) = protocol::first_line(&self.bytes)? {
+            if let Some(end) = protocol::first_line_end(&self.bytes)? {
                 return Ok(Some(end));
             }
             match self.stream.read_buf(&mut self.bytes).await {
                 Ok(0) if !self.bytes.is_empty() => return Err(Malformed("a first line is cut short")),
                 Ok(0) | Err(_) => return Ok(None),
-                Ok(_) if protocol::may_open(&self.bytes) => place.speaks(),
+                Ok(_) if protocol::may_open(&self.bytes) => place.mark_receiving(),
                 Ok(_) => {}
             }
         }
@@ -146,9 +146,9 @@
     async fn farewell(mut self, line: &[u8]) {
         tokio::select! {
             _ = self.stream.write_all(line) => {}
-            () = self.timers.sleep(FAREWELL) => {}
+            () = self.timers.sleep(GRACEFUL_CLOSE_TIMEOUT) => {}
         }
-        end(&self.timers, self.stream).await;
+        close(&self.timers, self.stream).await;
     }
 }
 
@@ -223,7 +223,7 @@
 impl Session {
     async fn run(mut self) {
         let timers = self.client.timers.clone();
-        let patience = self.head.patience(self.relay.borrow().max_deadline());
+        let patience = self.head.time_remaining(self.relay.borrow().max_deadline());
         // Guards against a request that the decisions forget: it still gets its one answer in time.
         let overdue = timers.sleep(patience.saturating_add(self.relay.borrow().answer_grace()));
         tokio::pin!(overdue);
--- a/src/relay/connections/idle.rs
+++ b/src/relay/connections/idle.rs
@@ -26,7 +26,7 @@
 
 impl ShutdownNotice {
     /// Waits for it; at once if it has been.
-    pub async fn made(&self) {
+    pub async fn notified(&self) {
         if !self.called.get() {
             self.heard.notified().await;
         }
@@ -68,18 +68,18 @@
 
 impl IdleSlot {
     /// The moment at which nobody can stay any more.
-    pub fn last_call(&self) -> Rc<ShutdownNotice> {
+    pub fn shutdown_notice(&self) -> Rc<ShutdownNotice> {
         self.crowd.1.clone()
     }
 
     /// Its first line goes on.
-    pub fn speaks(&mut self) {
+    pub fn mark_receiving(&mut self) {
         let rank = (Stage::Speaks, self.crowd.0.borrow_mut().number());
         self.take(rank);
     }
 
     /// It has had an answer.
-    pub fn answered(&mut self) {
+    pub fn mark_answered(&mut self) {
         self.take((Stage::Answered, self.rank.1));
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Has everybody at the door answered or ended, as the relay ends.
-    pub fn call_last(&self) {
+    pub fn notify_shutdown(&self) {
         self.1.called.set(true);
         self.1.heard.notify_waiters();
     }
@@ -127,7 +127,7 @@
     }
 
     /// Closes the connection that is to make room first; false if there is none.
-    pub fn turn_one_out(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let first = self.0.borrow_mut().standing.pop_first();
         // Its task ends, and gives its descriptor back, when it would next have run.
         first.and_then(|(_, task)| task).map(|task| task.abort()).is_some()
--- a/src/relay/connections/listener.rs
+++ b/src/relay/connections/listener.rs
@@ -18,7 +18,7 @@
 const BACKLOG: u32 = 1024;
 
 /// Listens for clients.
-pub fn open_listener(at: SocketAddr) -> std::io::Result<TcpListener> {
+pub fn bind(at: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     // A relay that was killed comes back to the same address while old connections still fade.
     socket.set_reuseaddr(true)?;
@@ -27,13 +27,13 @@
 }
 
 /// Lets connections in from now on.
-pub fn open(relay: &SharedRelay, listener: &Rc<TcpListener>) {
+pub fn start_accepting(relay: &SharedRelay, listener: &Rc<TcpListener>) {
     let task = tokio::task::spawn_local(accept(relay.clone(), listener.clone()));
     relay.borrow_mut().listener_ownership.accept_task = Some(task.abort_handle());
 }
 
 /// Lets nobody in any more. What was let in goes on.
-pub fn close(relay: &SharedRelay) {
+pub fn stop_accepting(relay: &SharedRelay) {
     if let Some(task) = relay.borrow_mut().listener_ownership.accept_task.take() {
         task.abort();
     }
--- a/src/relay/connections/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -10,3 +10,5 @@
 pub mod idle;
 pub(in crate::relay) mod listener;
 pub mod protocol;
+
+pub use established::{ConnectionSnapshot, ConnectionTransfer, restore_connection};
--- a/src/relay/connections/protocol.rs
+++ b/src/relay/connections/protocol.rs
@@ -9,7 +9,7 @@
 use honeyknot_balancer::Micros;
 
 /// The longest line, with its end.
-pub const LONGEST: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 4096;
 /// The answer to a request that failed.
 pub const FAILED: &[u8] = b"ERR\r\n";
 /// Sends a client away politely.
@@ -20,11 +20,11 @@
 pub struct Malformed(pub &'static str);
 
 /// Where the first line ends, past its CRLF; nothing while it is not whole.
-pub fn first_line(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
-    match bytes.iter().take(LONGEST).position(|b| *b == b'\n') {
+pub fn first_line_end(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
+    match bytes.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') {
         Some(at) if at > 0 && bytes[at - 1] == b'\r' => Ok(Some(at + 1)),
         Some(_) => Err(Malformed("a line ends without CR")),
-        None if bytes.len() >= LONGEST => Err(Malformed("a line is too long")),
+        None if bytes.len() >= MAX_LINE_BYTES => Err(Malformed("a line is too long")),
         None => Ok(None),
     }
 }
@@ -43,14 +43,14 @@
     class: Option<Range<usize>>,
     group: Option<Range<usize>>,
     tenant: Option<Range<usize>>,
-    holder: Option<Range<usize>>,
+    established_endpoint: Option<Range<usize>>,
     patience: Option<(u64, Range<usize>)>,
     /// The expected load, where told.
-    pub hint: Option<f64>,
+    pub expected_load: Option<f64>,
     /// The client marks a repeat.
     pub retry: bool,
     /// The client's session was moved or broke.
-    pub returning: bool,
+    pub reconnecting: bool,
 }
 
 /// Whether these bytes may be the beginning of a session's first line.
@@ -83,11 +83,11 @@
             class: None,
             group: None,
             tenant: None,
-            holder: None,
+            established_endpoint: None,
             patience: None,
-            hint: None,
+            expected_load: None,
             retry: false,
-            returning: false,
+            reconnecting: false,
         };
         let mut at = key_at + key.len() + 1;
         for pair in figures.split(',').filter(|_| !figures.is_empty()) {
@@ -107,7 +107,7 @@
             "c" => self.class = Some(place),
             "g" => self.group = Some(place),
             "t" => self.tenant = Some(place),
-            "at" => self.holder = Some(place),
+            "at" => self.established_endpoint = Some(place),
             "d" => {
                 let digits = value.bytes().all(|b| b.is_ascii_digit());
                 let wait = value.parse().ok().filter(|ms| digits && *ms > 0);
@@ -118,10 +118,10 @@
             }
             "h" => {
                 let hint = value.parse::<f64>().ok().filter(|h| h.is_finite() && *h >= 0.0);
-                self.hint = Some(hint.ok_or(Malformed("a guess at the load is no number"))?);
+                self.expected_load = Some(hint.ok_or(Malformed("a guess at the load is no number"))?);
             }
             "r" => self.retry = value == "1",
-            "again" => self.returning = value == "1",
+            "again" => self.reconnecting = value == "1",
             _ => {}
         }
         Ok(())
@@ -132,12 +132,12 @@
     }
 
     /// The id of the client's connection.
-    pub fn id(&self) -> &str {
+    pub fn connection_id(&self) -> &str {
         self.text(&self.id)
     }
 
     /// The flow's key.
-    pub fn key(&self) -> &str {
+    pub fn session_key(&self) -> &str {
         self.text(&self.key)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// The shared deck.
-    pub fn group(&self) -> Option<&str> {
+    pub fn affinity_group(&self) -> Option<&str> {
         self.group.as_ref().map(|p| self.text(p))
     }
 
@@ -157,18 +157,18 @@
     }
 
     /// The card server that held the session before the run.
-    pub fn holder(&self) -> Option<&str> {
-        self.holder.as_ref().map(|p| self.text(p))
+    pub fn established_endpoint(&self) -> Option<&str> {
+        self.established_endpoint.as_ref().map(|p| self.text(p))
     }
 
     /// How long the client waits, which is never longer than its class's deadline. Guards against a client that
     /// says it has time for ever: its request would be held as long.
-    pub fn patience(&self, deadline: Micros) -> Micros {
+    pub fn time_remaining(&self, deadline: Micros) -> Micros {
         self.patience.as_ref().map_or(deadline, |(ms, _)| ms.saturating_mul(1_000).min(deadline))
     }
 
     /// The line again with another wait, in pieces for a gathered write.
-    pub fn with_patience<'a>(&'a self, digits: &'a [u8]) -> [IoSlice<'a>; 3] {
+    pub fn with_time_remaining_ms<'a>(&'a self, digits: &'a [u8]) -> [IoSlice<'a>; 3] {
         let (before, digits, after) = match &self.patience {
             Some((_, place)) => (&self.line[..place.start], digits, &self.line[place.end..]),
             None => (&self.line[..], &[][..], &[][..]),
@@ -184,52 +184,52 @@
 
 /// What a card server says in a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word<'a> {
+pub enum EndpointLine<'a> {
     /// The session stands.
-    Up,
+    Established,
     /// Served to its end.
-    Bye(&'a str),
+    Completed(&'a str),
     /// The client is sent away.
-    Move,
+    Migrate,
     /// An error.
-    Err(&'a str),
+    Failed(&'a str),
     /// Turned away.
-    Busy(&'a str),
+    Rejected(&'a str),
     /// A probe's answer.
-    Pong(&'a str),
+    Healthy(&'a str),
     /// Probes are not allowed.
-    No,
+    HealthCheckDisallowed,
     /// The session's load now.
     Load(f64),
     /// Anything else, between client and card server.
     Other,
 }
 
-impl<'a> Word<'a> {
+impl<'a> EndpointLine<'a> {
     /// Reads a line, with or without its end.
-    pub fn read(line: &'a [u8]) -> Word<'a> {
-        let Ok(text) = std::str::from_utf8(bare(line)) else { return Word::Other };
+    pub fn parse(line: &'a [u8]) -> EndpointLine<'a> {
+        let Ok(text) = std::str::from_utf8(bare(line)) else { return EndpointLine::Other };
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         match word {
             // Without a receipt no card server made it for this session.
-            "UP" if !rest.is_empty() => Word::Up,
-            "BYE" => Word::Bye(rest),
-            "MOVE" => Word::Move,
-            "ERR" => Word::Err(rest),
-            "BUSY" => Word::Busy(rest),
-            "PONG" => Word::Pong(rest),
-            "NO" => Word::No,
+            "UP" if !rest.is_empty() => EndpointLine::Established,
+            "BYE" => EndpointLine::Completed(rest),
+            "MOVE" => EndpointLine::Migrate,
+            "ERR" => EndpointLine::Failed(rest),
+            "BUSY" => EndpointLine::Rejected(rest),
+            "PONG" => EndpointLine::Healthy(rest),
+            "NO" => EndpointLine::HealthCheckDisallowed,
             "LOAD" => match rest.parse::<f64>() {
-                Ok(load) if load.is_finite() && load >= 0.0 => Word::Load(load),
-                _ => Word::Other,
+                Ok(load) if load.is_finite() && load >= 0.0 => EndpointLine::Load(load),
+                _ => EndpointLine::Other,
             },
-            _ => Word::Other,
+            _ => EndpointLine::Other,
         }
     }
 }
 
 /// A value of a load report such as `inflight=7,queue=2`.
-pub fn report_value(report: &str, name: &str) -> Option<f64> {
+pub fn load_report_value(report: &str, name: &str) -> Option<f64> {
     let pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(n, _)| *n == name).find_map(|(_, value)| value.parse().ok())
 }
@@ -243,7 +243,7 @@
 }
 
 /// Whether an address may be dialled at all.
-pub fn address(text: &str) -> Option<SocketAddr> {
+pub fn socket_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok().filter(|a: &SocketAddr| a.port() != 0)
 }
 
@@ -252,17 +252,17 @@
 
 /// Follows the lines that pass from a card server to a client, whatever pieces they come in.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct LineWatch {
+pub struct LineTracker {
     kept: Vec<u8>,
     inside: bool,
 }
 
-impl LineWatch {
+impl LineTracker {
     /// Takes the next bytes and shows each line that ends in them.
-    pub fn pass(&mut self, mut bytes: &[u8], mut seen: impl FnMut(Word<'_>)) {
+    pub fn pass(&mut self, mut bytes: &[u8], mut seen: impl FnMut(EndpointLine<'_>)) {
         while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
             self.keep(&bytes[..=end]);
-            seen(Word::read(&self.kept));
+            seen(EndpointLine::parse(&self.kept));
             self.kept.clear();
             self.inside = false;
             bytes = &bytes[end + 1..];
--- a/src/relay/endpoints/discovery_client.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 use crate::relay::SharedRelay;
-use crate::relay::connections::protocol::address;
+use crate::relay::connections::protocol::socket_address;
 use crate::relay::timer_wheel::Timers;
 use crate::settings::NameTable;
 use honeyknot_balancer::*;
@@ -46,7 +46,7 @@
     let mut news = EndpointListUpdate { version, whole, entries: Vec::new(), addresses: Vec::new() };
     for server in servers {
         let entry = read_entry(server, names)?;
-        match server.get("addr").and_then(Value::as_str).and_then(address) {
+        match server.get("addr").and_then(Value::as_str).and_then(socket_address) {
             Some(addr) => news.addresses.push((entry.id.clone(), addr)),
             None if entry.state == EndpointState::Removed => {}
             None => return Err("a card server has no address".into()),
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::relay::connections::protocol::{Word, first_line, report_value};
+use crate::relay::connections::protocol::{EndpointLine, first_line_end, load_report_value};
 use crate::relay::{DescriptorPermit, SharedRelay};
 use honeyknot_balancer::*;
 
@@ -90,7 +90,7 @@
     stream.write_all(b"STATS\r\n").await.ok()?;
     let mut bytes = BytesMut::with_capacity(256);
     let end = loop {
-        match first_line(&bytes) {
+        match first_line_end(&bytes) {
             Ok(Some(end)) => break end,
             Ok(None) => {}
             Err(_) => return Some((Outcome::Error, None)),
@@ -100,12 +100,13 @@
         }
     };
     let names = &relay.borrow().names;
-    let report = |text: &str| (!text.is_empty()).then(|| names.load_report(|name| report_value(text, name)));
-    Some(match Word::read(&bytes[..end]) {
-        Word::Pong(text) => (Outcome::Ok, report(text)),
-        Word::Err(text) => (Outcome::Error, report(text)),
-        Word::Busy(text) => (Outcome::Rejected, report(text)),
-        Word::No => (Outcome::NotSent, None),
+    let report =
+        |text: &str| (!text.is_empty()).then(|| names.load_report(|name| load_report_value(text, name)));
+    Some(match EndpointLine::parse(&bytes[..end]) {
+        EndpointLine::Healthy(text) => (Outcome::Ok, report(text)),
+        EndpointLine::Failed(text) => (Outcome::Error, report(text)),
+        EndpointLine::Rejected(text) => (Outcome::Rejected, report(text)),
+        EndpointLine::HealthCheckDisallowed => (Outcome::NotSent, None),
         _ => (Outcome::Error, None),
     })
 }
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -8,7 +8,7 @@
 use honeyknot_zone_failover::Plan;
 use serde_json::Value;
 
-use crate::relay::connections::protocol::address;
+use crate::relay::connections::protocol::socket_address;
 use crate::relay::endpoints::discovery_client::{EndpointListUpdate, read_roll};
 use crate::settings::{self, NameTable};
 use honeyknot_balancer::Settings;
@@ -131,12 +131,12 @@
         };
         let dialled = |name: &str, variable: &str| -> Result<SocketAddr, String> {
             let text = word(name, variable)?;
-            address(&text).ok_or_else(|| format!("`{name}` is no address: {text}"))
+            socket_address(&text).ok_or_else(|| format!("`{name}` is no address: {text}"))
         };
         let admin = var("EDGE_ADMIN_ADDR").or_else(|| Some(value.get("admin_addr")?.as_str()?.to_owned()));
         let admin = match (admin, value.get("admin_addr")) {
             (Some(text), _) => {
-                Some(address(&text).ok_or_else(|| format!("`admin_addr` is no address: {text}"))?)
+                Some(socket_address(&text).ok_or_else(|| format!("`admin_addr` is no address: {text}"))?)
             }
             (None, None | Some(Value::Null)) => None,
             (None, Some(other)) => return Err(format!("`admin_addr` is no address: {other}")),
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -75,7 +75,7 @@
     }
     let (standing, asking) = relay.borrow().open_connections();
     info!(target: "shutdown", sessions = standing.len(), requests = asking, "left over");
-    relay.borrow().idle_connections.call_last();
+    relay.borrow().idle_connections.notify_shutdown();
     // The last lines are on their way: exiting now could reset the connections that carry them.
     let last = timers.clock.now() + LINGER;
     timers.sleep_until(last.min(kill - GONE_BEFORE)).await;
--- a/src/relay/lifecycle/hot_restart.rs
+++ b/src/relay/lifecycle/hot_restart.rs
@@ -21,8 +21,8 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-use crate::relay::connections::established::{self, ConnectionState, ConnectionTransfer};
 use crate::relay::connections::listener;
+use crate::relay::connections::{ConnectionSnapshot, ConnectionTransfer, restore_connection};
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{Relay, SharedRelay};
 use honeyknot_balancer::*;
@@ -88,7 +88,7 @@
         number: u64,
     },
     /// Old to new, with the sockets of its client and its card server: a session that stands.
-    Session(ConnectionState),
+    Session(ConnectionSnapshot),
     /// It holds here too.
     Done {
         /// The number.
@@ -197,7 +197,7 @@
         None => {
             let kept = folder.read();
             relay.borrow_mut().restore_maintenance(kept);
-            listener::open(&relay, &listener);
+            listener::start_accepting(&relay, &listener);
         }
         Some(incumbent) => take_over(&relay, &folder, &listener, incumbent).await?,
     }
@@ -246,7 +246,7 @@
         let notes = relay.borrow_mut().open_link(Stage::TookOver);
         tokio::task::spawn_local(run_link(relay.clone(), folder.clone(), None, line, notes));
     }
-    listener::open(relay, listener);
+    listener::start_accepting(relay, listener);
     info!(target: "handover", old_lives = relay.borrow().listener_ownership.link.is_some(), "took over");
     Ok(())
 }
@@ -325,7 +325,7 @@
     notes.close();
     while let Some(note) = notes.recv().await {
         if let Note::Session(passed) = note {
-            passed.send_away(&timers);
+            passed.migrate(&timers);
         }
     }
     info!(target: "handover", "the other process has ended");
@@ -334,7 +334,7 @@
     };
     if !relay.borrow().is_shutting_down() {
         warn!(target: "handover", "it had taken over: clients are let in here again");
-        listener::open(&relay, &listener);
+        listener::start_accepting(&relay, &listener);
         match folder.publish() {
             Ok(offered) => drop(accept_successors_again(relay, folder, listener, offered)),
             Err(why) => warn!(target: "handover", why, "no process can take over from this one"),
@@ -355,10 +355,10 @@
 
 /// Passes a session on; one that cannot be passed is moved. False if the line has ended.
 async fn send_connection(line: &TakeoverChannel, passed: ConnectionTransfer, timers: &Rc<Timers>) -> bool {
-    let sockets = [passed.client.as_fd(), passed.server.as_fd()];
-    let said = line.say(&HotRestartMessage::Session(passed.bundle.clone()), &sockets).await.is_ok();
+    let sockets = [passed.downstream.as_fd(), passed.upstream.as_fd()];
+    let said = line.say(&HotRestartMessage::Session(passed.snapshot.clone()), &sockets).await.is_ok();
     if !said {
-        passed.send_away(timers);
+        passed.migrate(timers);
     }
     said
 }
@@ -370,7 +370,7 @@
 ) -> bool {
     match word {
         HotRestartMessage::Take if listener.is_some() => {
-            listener::close(relay);
+            listener::stop_accepting(relay);
             if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
                 link.stage = Stage::HandedOver;
             }
@@ -390,13 +390,13 @@
             confirmed.map(|(_, confirmed)| confirmed.send(()));
             true
         }
-        HotRestartMessage::Session(bundle) => {
+        HotRestartMessage::Session(snapshot) => {
             let sockets = (line.descriptor(), line.descriptor());
             if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
                 link.lent = link.lent.saturating_sub(2);
             }
             if let (Some(client), Some(server)) = sockets
-                && let Err(why) = established::restore(relay, bundle, client, server)
+                && let Err(why) = restore_connection(relay, snapshot, client, server)
             {
                 warn!(target: "handover", %why, "a session that was passed here cannot be taken up");
             }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -355,15 +355,15 @@
         Some(Request {
             id: RequestId(self.last_request_id),
             class,
-            session_key: Some(SessionKey(head.key().into())),
+            session_key: Some(SessionKey(head.session_key().into())),
             affinity_group: head
-                .group()
+                .affinity_group()
                 .filter(|_| self.settings.affinity_groups)
                 .map(|g| AffinityGroup(g.into())),
             tenant: head.tenant().and_then(|t| self.names.tenant(t)),
-            expected_load: head.hint,
-            time_remaining: head.patience(deadline),
-            reconnecting: head.returning,
+            expected_load: head.expected_load,
+            time_remaining: head.time_remaining(deadline),
+            reconnecting: head.reconnecting,
             retry: head.retry,
             mid_flow: false,
             allowed_zones: ZoneSet::ALL,
@@ -641,7 +641,7 @@
         let most = self.max_descriptors();
         let short = held >= most.saturating_sub(RESERVE);
         let spare = held < most.saturating_sub(LAST_RESERVE);
-        (!short || spare && self.idle_connections.turn_one_out())
+        (!short || spare && self.idle_connections.evict_one())
             .then(|| DescriptorPermit::new(&self.descriptors_in_use))
     }
 
@@ -651,7 +651,7 @@
     /// card servers turn it away, which must not be taken for their fault.
     pub fn reserve_connection_id(&self, head: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(head.class()?)?;
-        let id: Rc<str> = head.id().into();
+        let id: Rc<str> = head.connection_id().into();
         let fresh = self.open_ids.borrow_mut().insert(id.clone());
         fresh.then(|| ConnectionIdGuard { ids: self.open_ids.clone(), id })
     }
@@ -660,11 +660,11 @@
     fn make_room_for_idle_connection(&self) -> bool {
         let most = self.max_descriptors();
         if self.idle_connections.len() >= most / CROWD_PART {
-            self.idle_connections.turn_one_out();
+            self.idle_connections.evict_one();
         }
         let full = self.descriptors_in_use.get() >= most.saturating_sub(LAST_RESERVE);
         if full {
-            self.idle_connections.turn_one_out();
+            self.idle_connections.evict_one();
         }
         !full
     }
@@ -733,11 +733,10 @@
         Some((listener, from)) => (listener, Some(from)),
         None => {
             let told = |e| format!("{}: {e}", config.listen);
-            (listener::open_listener(config.listen).map_err(told)?, None)
+            (listener::bind(config.listen).map_err(told)?, None)
         }
     };
-    let admin =
-        config.admin.map(|at| listener::open_listener(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
+    let admin = config.admin.map(|at| listener::bind(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
     serve_with_listeners(
         Listeners { clients, admin: admin.transpose()?, folder, from },
         config,
@@ -793,7 +792,7 @@
             tokio::task::spawn_local(hot_restart::run(relay.clone(), folder, clients, listeners.from))
         }
         None => {
-            listener::open(&relay, &clients);
+            listener::start_accepting(&relay, &clients);
             tokio::task::spawn_local(std::future::pending())
         }
     };
--- a/tests/idle_connections.rs
+++ b/tests/idle_connections.rs
@@ -34,7 +34,7 @@
         for round in 0..2 {
             places.borrow_mut().iter_mut().for_each(|(name, place)| tell(name, round, place));
         }
-        while crowd.turn_one_out() {
+        while crowd.evict_one() {
             yield_now().await;
         }
     });
@@ -45,15 +45,15 @@
 fn who_says_nothing_makes_room_before_who_writes_slowly() {
     let told =
         order(&["slow", "silent", "steady", "answered", "late"], |name, round, place| match (name, round) {
-            ("slow" | "answered", 0) | ("steady", _) => place.speaks(),
-            ("answered", _) => place.answered(),
+            ("slow" | "answered", 0) | ("steady", _) => place.mark_receiving(),
+            ("answered", _) => place.mark_answered(),
             _ => {}
         });
     assert_eq!(told, ["answered", "silent", "late", "slow", "steady"]);
     // Who goes on writing stays longer than who came later and has stopped.
     let told = order(&["goes on", "stopped"], |name, round, place| {
         if name == "goes on" || round == 0 {
-            place.speaks();
+            place.mark_receiving();
         }
     });
     assert_eq!(told, ["stopped", "goes on"]);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use honeyknot_relay::relay::connections::protocol::{
-    LONGEST, LineWatch, OpenRequest, Word, first_line, report_value,
+    EndpointLine, LineTracker, MAX_LINE_BYTES, OpenRequest, first_line_end, load_report_value,
 };
 use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
 use honeyknot_relay::relay::lifecycle::config::Config;
@@ -32,7 +32,7 @@
 }
 
 fn words(pieces: &[&[u8]]) -> (Vec<String>, bool) {
-    let (mut watch, mut seen) = (LineWatch::default(), Vec::new());
+    let (mut watch, mut seen) = (LineTracker::default(), Vec::new());
     for piece in pieces {
         watch.pass(piece, |word| seen.push(format!("{word:?}")));
     }
@@ -53,7 +53,7 @@
 
     #[test]
     fn a_head_cut_anywhere_is_never_taken_for_a_whole_one(at in 0..OPEN.len()) {
-        prop_assert_eq!(first_line(&OPEN.as_bytes()[..at]), Ok(None));
+        prop_assert_eq!(first_line_end(&OPEN.as_bytes()[..at]), Ok(None));
         prop_assert!(OpenRequest::parse(Bytes::copy_from_slice(&OPEN.as_bytes()[..at])).is_err());
     }
 
@@ -63,7 +63,7 @@
         if let Ok(head) = OpenRequest::parse(line.clone().into()) {
             let digits = wait.to_string();
             let again: Vec<u8> =
-                head.with_patience(digits.as_bytes()).iter().flat_map(|p| p.to_vec()).collect();
+                head.with_time_remaining_ms(digits.as_bytes()).iter().flat_map(|p| p.to_vec()).collect();
             if more.is_empty() || !more.contains("d=") {
                 prop_assert_eq!(String::from_utf8(again).unwrap(), line.replace("d=2000", &format!("d={wait}")));
             }
@@ -72,11 +72,11 @@
 
     #[test]
     fn garbage_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200), tail in "[ -~]{0,80}") {
-        let _ = (first_line(&bytes), Word::read(&bytes), words(&[&bytes]));
+        let _ = (first_line_end(&bytes), EndpointLine::parse(&bytes), words(&[&bytes]));
         let mut line = format!("OPEN {tail}").into_bytes();
         line.extend(b"\r\n");
         let _ = OpenRequest::parse(line.into());
-        let _ = (OpenRequest::parse(bytes.clone().into()), report_value(&tail, "util"));
+        let _ = (OpenRequest::parse(bytes.clone().into()), load_report_value(&tail, "util"));
         let _ = take_answer(&mut BytesMut::from(&bytes[..]));
         let mut after_head = BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         after_head.extend_from_slice(&bytes);
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_line_too_long_is_told_from_one_not_whole() {
-    assert_eq!(first_line(&[b'a'; LONGEST - 1]), Ok(None));
-    assert!(first_line(&[b'a'; LONGEST]).is_err());
-    assert!(first_line(b"OPEN\n").is_err());
+    assert_eq!(first_line_end(&[b'a'; MAX_LINE_BYTES - 1]), Ok(None));
+    assert!(first_line_end(&[b'a'; MAX_LINE_BYTES]).is_err());
+    assert!(first_line_end(b"OPEN\n").is_err());
 }
