--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -63,7 +63,7 @@
         let max_descriptors = self.max_descriptors();
         let short = in_use >= max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let available = in_use < max_descriptors.saturating_sub(MIN_FREE_DESCRIPTORS);
-        (!short || available && self.idle_connections.turn_one_out())
+        (!short || available && self.idle_connections.evict_one())
             .then(|| DescriptorPermit::new(&self.descriptors_in_use))
     }
 
@@ -71,11 +71,11 @@
     pub(in crate::relay) fn make_room_for_idle_connection(&self) -> bool {
         let max_descriptors = self.max_descriptors();
         if self.idle_connections.len() >= max_descriptors / IDLE_CONNECTIONS_DIVISOR {
-            self.idle_connections.turn_one_out();
+            self.idle_connections.evict_one();
         }
         let full = self.descriptors_in_use.get() >= max_descriptors.saturating_sub(MIN_FREE_DESCRIPTORS);
         if full {
-            self.idle_connections.turn_one_out();
+            self.idle_connections.evict_one();
         }
         !full
     }
