--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -356,7 +356,7 @@
     }
 
     /// Servers that are listed as ready and get nothing new, as they look ill.
-    pub fn suspects(&self) -> impl Iterator<Item = &EndpointId> {
+    pub fn ejected_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
         self.servers.values().filter(|s| s.ready() && s.health.suspect()).map(|s| &s.entry.id)
     }
 
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,156 +1,175 @@
-//! Card servers that operators have taken out by hand: an overlay between discovery's roll and the decisions.
+//! Endpoints that operators have put in maintenance: an overlay between discovery's endpoint list and the balancer.
 //!
-//! The decisions see a roll in which a card server that is out drains, whatever discovery says of it meanwhile, so
-//! that all they do about a drain is done: nothing new, and its connections moved at a pace. Put back, it counts as
-//! cold: operators restart what they take out. It has started when discovery says, if that is since it was taken out,
-//! and else just now, as discovery may tell late or never. No I/O, no clock.
+//! The balancer sees an endpoint in maintenance as draining, whatever discovery says of it meanwhile: it gets no new
+//! connection and its connections migrate at a pace. After maintenance it counts as restarted, because operators
+//! restart what they maintain: its start is the one that discovery reports if that lies after the beginning of the
+//! maintenance, and else the end of the maintenance. No I/O, no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::*;
+use crate::{Endpoint, EndpointId, EndpointState, Micros};
 
-/// No card server of this id was ever named, by the roll or by a ban that was taken over.
+/// No endpoint of this id was ever named, by the endpoint list or by another process of this relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownEndpoint;
 
-/// The roll as discovery tells it, and who is out by hand.
+/// The endpoint list as discovery reports it, and the endpoints in maintenance.
 ///
-/// It holds one entry for each card server that the roll names, and one name for each that it ever named.
+/// It holds one entry for each listed endpoint, and one id for each endpoint that was ever named.
 #[derive(Debug, Default)]
 pub struct MaintenanceOverlay {
-    /// Who is out, and since when.
-    out: BTreeMap<EndpointId, Micros>,
-    roll: BTreeMap<EndpointId, Endpoint>,
-    named: BTreeSet<EndpointId>,
-    /// When card servers were last taken out by hand, and put back.
-    back: BTreeMap<EndpointId, MaintenanceWindow>,
+    /// Endpoints in maintenance, and since when.
+    in_maintenance: BTreeMap<EndpointId, Micros>,
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+    known_ids: BTreeSet<EndpointId>,
+    /// The last completed maintenance of each endpoint.
+    last_windows: BTreeMap<EndpointId, MaintenanceWindow>,
 }
 
-/// From when to when a card server was out by hand.
+/// A completed maintenance of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaintenanceWindow {
-    /// Taken out.
+    /// Its beginning.
     pub from: Micros,
-    /// Put back.
+    /// Its end.
     pub to: Micros,
 }
 
 impl MaintenanceOverlay {
-    /// News of the roll, as the decisions are to see them.
-    pub fn news(&mut self, entries: Vec<Endpoint>, whole: bool) -> Vec<Endpoint> {
-        if whole {
-            self.roll.clear();
+    /// Takes endpoints from discovery and returns them as the balancer is to see them.
+    ///
+    /// `is_full` says that `endpoints` is the whole list and not only what changed.
+    pub fn apply_update(&mut self, endpoints: Vec<Endpoint>, is_full: bool) -> Vec<Endpoint> {
+        if is_full {
+            self.endpoints.clear();
         }
-        let mut shown = Vec::with_capacity(entries.len());
-        for entry in entries {
-            self.named.insert(entry.id.clone());
-            let seen = self.show(&entry);
-            match entry.state {
-                EndpointState::Removed => drop(self.roll.remove(&entry.id)),
-                _ => drop(self.roll.insert(entry.id.clone(), entry)),
+        let mut visible = Vec::with_capacity(endpoints.len());
+        for endpoint in endpoints {
+            self.known_ids.insert(endpoint.id.clone());
+            visible.push(self.overlay(&endpoint));
+            match endpoint.state {
+                EndpointState::Removed => drop(self.endpoints.remove(&endpoint.id)),
+                _ => drop(self.endpoints.insert(endpoint.id.clone(), endpoint)),
             }
-            shown.push(seen);
         }
-        if whole {
-            // Guards against a card server that is out, leaves the roll and comes back while it is still out.
-            let missing = self.out.keys().filter(|id| !self.roll.contains_key(*id));
-            shown.extend(missing.map(|id| absent(id, EndpointState::Draining)));
+        if is_full {
+            // An endpoint in maintenance may leave the list and return to it while still in maintenance.
+            let unlisted = self.in_maintenance.keys().filter(|id| !self.endpoints.contains_key(*id));
+            visible.extend(unlisted.map(|id| unlisted_endpoint(id, EndpointState::Draining)));
         }
-        shown
+        visible
     }
 
-    /// Takes a card server out; what the decisions are to hear of it. Nothing if it is out already.
-    pub fn take_out(&mut self, now: Micros, id: &EndpointId) -> Result<Option<Endpoint>, UnknownEndpoint> {
-        if !self.named.contains(id) {
+    /// Starts the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it is in
+    /// maintenance already.
+    ///
+    /// # Errors
+    /// [`UnknownEndpoint`] if no endpoint of this id was ever named.
+    pub fn start_maintenance(
+        &mut self, now: Micros, id: &EndpointId,
+    ) -> Result<Option<Endpoint>, UnknownEndpoint> {
+        if !self.known_ids.contains(id) {
             return Err(UnknownEndpoint);
         }
-        Ok(self.withhold(now, id))
+        Ok(self.restore_maintenance(now, id))
     }
 
-    /// The same for one that another process of this relay has taken out: it was known there.
-    pub fn withhold(&mut self, since: Micros, id: &EndpointId) -> Option<Endpoint> {
-        self.named.insert(id.clone());
-        if self.out.contains_key(id) {
+    /// Like [`MaintenanceOverlay::start_maintenance`], for an endpoint that another process of this relay has in
+    /// maintenance: its id counts as known.
+    pub fn restore_maintenance(&mut self, since: Micros, id: &EndpointId) -> Option<Endpoint> {
+        self.known_ids.insert(id.clone());
+        if self.in_maintenance.contains_key(id) {
             return None;
         }
-        self.out.insert(id.clone(), since);
-        Some(self.roll.get(id).map_or_else(|| absent(id, EndpointState::Draining), |entry| self.show(entry)))
+        self.in_maintenance.insert(id.clone(), since);
+        Some(match self.endpoints.get(id) {
+            Some(endpoint) => self.overlay(endpoint),
+            None => unlisted_endpoint(id, EndpointState::Draining),
+        })
     }
 
-    /// Puts a card server back; what the decisions are to hear of it. Nothing if it was not out.
-    pub fn put_back(&mut self, now: Micros, id: &EndpointId) -> Result<Option<Endpoint>, UnknownEndpoint> {
-        let Some(from) = self.out.remove(id) else {
-            return self.named.contains(id).then_some(None).ok_or(UnknownEndpoint);
+    /// Ends the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it was not in
+    /// maintenance.
+    ///
+    /// # Errors
+    /// [`UnknownEndpoint`] if no endpoint of this id was ever named.
+    pub fn end_maintenance(
+        &mut self, now: Micros, id: &EndpointId,
+    ) -> Result<Option<Endpoint>, UnknownEndpoint> {
+        let Some(from) = self.in_maintenance.remove(id) else {
+            return self.known_ids.contains(id).then_some(None).ok_or(UnknownEndpoint);
         };
-        self.back.insert(id.clone(), MaintenanceWindow { from, to: now });
-        Ok(Some(match self.roll.get(id) {
-            Some(entry) => self.show(entry),
-            None => absent(id, EndpointState::Removed),
+        self.last_windows.insert(id.clone(), MaintenanceWindow { from, to: now });
+        Ok(Some(match self.endpoints.get(id) {
+            Some(endpoint) => self.overlay(endpoint),
+            None => unlisted_endpoint(id, EndpointState::Removed),
         }))
     }
 
-    /// Notes that another process of this relay has put a card server back; what the decisions are to hear of it.
-    pub fn was_put_back(&mut self, was: MaintenanceWindow, id: &EndpointId) -> Option<Endpoint> {
-        self.named.insert(id.clone());
-        if self.back.get(id).is_none_or(|known| known.to < was.to) {
-            self.back.insert(id.clone(), was);
+    /// Records a maintenance that ended in another process of this relay and returns the endpoint, if listed, as the
+    /// balancer is to see it.
+    pub fn record_window(&mut self, window: MaintenanceWindow, id: &EndpointId) -> Option<Endpoint> {
+        self.known_ids.insert(id.clone());
+        if self.last_windows.get(id).is_none_or(|known| known.to < window.to) {
+            self.last_windows.insert(id.clone(), window);
         }
-        self.roll.get(id).map(|entry| self.show(entry))
+        self.endpoints.get(id).map(|endpoint| self.overlay(endpoint))
     }
 
-    /// What the decisions are to hear where another process was told that these leave: news of discovery that are
-    /// newer than the roll held here.
-    pub fn leaving(&mut self, ids: &[EndpointId]) -> Vec<Endpoint> {
-        let mut told = Vec::new();
+    /// Marks ready endpoints as draining, which another process of this relay has learnt from a newer endpoint list,
+    /// and returns those that changed.
+    pub fn mark_draining(&mut self, ids: &[EndpointId]) -> Vec<Endpoint> {
+        let mut changed = Vec::new();
         for id in ids {
-            let Some(entry) = self.roll.get_mut(id).filter(|e| e.state == EndpointState::Ready) else {
-                continue;
-            };
-            entry.state = EndpointState::Draining;
-            told.push(entry.clone());
+            let ready = self.endpoints.get_mut(id).filter(|e| e.state == EndpointState::Ready);
+            let Some(endpoint) = ready else { continue };
+            endpoint.state = EndpointState::Draining;
+            changed.push(endpoint.clone());
         }
-        told
+        changed
     }
 
-    /// Who was put back, and how long each was out.
-    pub fn back(&self) -> impl Iterator<Item = (&EndpointId, MaintenanceWindow)> {
-        self.back.iter().map(|(id, was)| (id, *was))
+    /// The last completed maintenance of each endpoint.
+    pub fn last_windows(&self) -> impl Iterator<Item = (&EndpointId, MaintenanceWindow)> {
+        self.last_windows.iter().map(|(id, window)| (id, *window))
     }
 
-    /// Who is out, and since when.
-    pub fn out(&self) -> impl Iterator<Item = (&EndpointId, Micros)> {
-        self.out.iter().map(|(id, since)| (id, *since))
+    /// The endpoints in maintenance, and since when.
+    pub fn in_maintenance(&self) -> impl Iterator<Item = (&EndpointId, Micros)> {
+        self.in_maintenance.iter().map(|(id, since)| (id, *since))
     }
 
-    /// Whether a card server is out.
-    pub fn holds(&self, id: &EndpointId) -> bool {
-        self.out.contains_key(id)
+    /// Whether an endpoint is in maintenance.
+    pub fn contains(&self, id: &EndpointId) -> bool {
+        self.in_maintenance.contains_key(id)
     }
 
-    /// How many card servers the roll lists.
-    pub fn listed(&self) -> usize {
-        self.roll.len()
+    /// Number of endpoints that discovery lists.
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.len()
     }
 
-    /// How many of the listed are out by hand, or among those avoided by choice.
-    pub fn avoided<'a>(&'a self, by_choice: impl Iterator<Item = &'a EndpointId>) -> usize {
-        let all: BTreeSet<&EndpointId> = self.out.keys().chain(by_choice).collect();
-        all.into_iter().filter(|id| self.roll.contains_key(*id)).count()
+    /// Number of listed endpoints that get no new connection because they are in maintenance or among `ejected`; each
+    /// counts once.
+    pub fn count_excluded<'a>(&'a self, ejected: impl Iterator<Item = &'a EndpointId>) -> usize {
+        let excluded: BTreeSet<&EndpointId> = self.in_maintenance.keys().chain(ejected).collect();
+        excluded.into_iter().filter(|id| self.endpoints.contains_key(*id)).count()
     }
 
-    fn show(&self, entry: &Endpoint) -> Endpoint {
-        let mut seen = entry.clone();
-        if self.out.contains_key(&entry.id) {
-            seen.state = EndpointState::Draining;
+    /// A listed endpoint as the balancer is to see it.
+    fn overlay(&self, endpoint: &Endpoint) -> Endpoint {
+        let mut visible = endpoint.clone();
+        if self.in_maintenance.contains_key(&endpoint.id) {
+            visible.state = EndpointState::Draining;
         }
-        // Guards against news that tell of the restart late, and against those that never do.
-        let was = self.back.get(&entry.id).filter(|was| entry.started_at <= was.from);
-        seen.started_at = seen.started_at.max(was.map_or(0, |was| was.to));
-        seen
+        // Discovery may report the restart late, or never.
+        let window = self.last_windows.get(&endpoint.id).filter(|w| endpoint.started_at <= w.from);
+        visible.started_at = visible.started_at.max(window.map_or(0, |w| w.to));
+        visible
     }
 }
 
-/// What is known of one that the roll does not name.
-fn absent(id: &EndpointId, state: EndpointState) -> Endpoint {
+/// An endpoint of which only the id and the state are known.
+fn unlisted_endpoint(id: &EndpointId, state: EndpointState) -> Endpoint {
     Endpoint { id: id.clone(), state, ..Endpoint::default() }
 }
--- a/crates/balancer/tests/maintenance.rs
+++ b/crates/balancer/tests/maintenance.rs
@@ -1,5 +1,6 @@
-//! Card servers out by hand, whatever the roll says of them meanwhile.
+//! Endpoints in maintenance, whatever the endpoint list says of them meanwhile.
 
+use EndpointState::{Draining, Ready, Removed};
 use honeyknot_balancer::MaintenanceOverlay;
 use honeyknot_balancer::maintenance::UnknownEndpoint;
 use honeyknot_balancer::*;
@@ -8,59 +9,64 @@
     EndpointId(name.into())
 }
 
-fn entry(name: &str, state: EndpointState, started: Micros) -> Endpoint {
-    Endpoint { id: id(name), state, started_at: started, ..Endpoint::default() }
+fn endpoint(name: &str, state: EndpointState, started_at: Micros) -> Endpoint {
+    Endpoint { id: id(name), state, started_at, ..Endpoint::default() }
 }
 
-use EndpointState::{Draining, Ready, Removed};
-
-/// State and start of a card server in what the decisions see.
-fn seen(entries: &[Endpoint], name: &str) -> Option<(EndpointState, Micros)> {
-    entries.iter().find(|e| e.id == id(name)).map(|e| (e.state, e.started_at))
+/// State and start of an endpoint in what the balancer is to see.
+fn state_and_start(endpoints: &[Endpoint], name: &str) -> Option<(EndpointState, Micros)> {
+    endpoints.iter().find(|e| e.id == id(name)).map(|e| (e.state, e.started_at))
 }
 
 #[test]
-fn what_is_out_drains_whatever_the_roll_says() {
-    let mut withheld = MaintenanceOverlay::default();
-    assert_eq!(withheld.take_out(20, &id("a")), Err(UnknownEndpoint));
-    let first = withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 0)], true);
-    assert_eq!(seen(&first, "a"), Some((Ready, 0)));
-    assert_eq!(withheld.take_out(20, &id("a")), Ok(Some(entry("a", Draining, 0))));
-    assert_eq!(withheld.take_out(20, &id("a")), Ok(None));
-    // A restart, a loss, a list without it, its return: it stays out.
-    for news in [vec![entry("a", Ready, 7)], vec![entry("a", Removed, 7)], vec![entry("a", Ready, 9)]] {
-        assert_eq!(seen(&withheld.news(news, false), "a").map(|s| s.0), Some(Draining));
+fn endpoint_in_maintenance_is_draining_whatever_discovery_reports() {
+    let mut overlay = MaintenanceOverlay::default();
+    assert_eq!(overlay.start_maintenance(20, &id("a")), Err(UnknownEndpoint));
+    let first = overlay.apply_update(vec![endpoint("a", Ready, 0), endpoint("b", Ready, 0)], true);
+    assert_eq!(state_and_start(&first, "a"), Some((Ready, 0)));
+    assert_eq!(overlay.start_maintenance(20, &id("a")), Ok(Some(endpoint("a", Draining, 0))));
+    assert_eq!(overlay.start_maintenance(20, &id("a")), Ok(None));
+    // A restart, a removal, a return, then a full list without it.
+    for update in [endpoint("a", Ready, 7), endpoint("a", Removed, 7), endpoint("a", Ready, 9)] {
+        let visible = overlay.apply_update(vec![update], false);
+        assert_eq!(state_and_start(&visible, "a").map(|s| s.0), Some(Draining));
     }
-    assert_eq!(seen(&withheld.news(vec![entry("b", Ready, 0)], true), "a").map(|s| s.0), Some(Draining));
-    assert_eq!((withheld.listed(), withheld.avoided([].into_iter())), (1, 0));
-    assert_eq!(withheld.put_back(50, &id("a")).map(|e| e.map(|e| e.state)), Ok(Some(Removed)));
-    assert_eq!(withheld.put_back(50, &id("a")), Ok(None));
-    assert_eq!(withheld.put_back(50, &id("nobody")), Err(UnknownEndpoint));
+    let visible = overlay.apply_update(vec![endpoint("b", Ready, 0)], true);
+    assert_eq!(state_and_start(&visible, "a").map(|s| s.0), Some(Draining));
+    assert_eq!((overlay.endpoint_count(), overlay.count_excluded([].into_iter())), (1, 0));
+    assert_eq!(overlay.end_maintenance(50, &id("a")).map(|e| e.map(|e| e.state)), Ok(Some(Removed)));
+    assert_eq!(overlay.end_maintenance(50, &id("a")), Ok(None));
+    assert_eq!(overlay.end_maintenance(50, &id("unknown")), Err(UnknownEndpoint));
 }
 
 #[test]
-fn what_comes_back_has_just_started_however_late_the_roll_tells_of_it() {
-    let mut withheld = MaintenanceOverlay::default();
-    withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 5)], true);
-    assert!(withheld.take_out(20, &id("a")).is_ok());
-    assert_eq!(withheld.put_back(100, &id("a")), Ok(Some(entry("a", Ready, 100))));
-    // News of a start before it was out tell nothing; those of one while it was out are the truth.
-    assert_eq!(seen(&withheld.news(vec![entry("a", Ready, 0)], true), "a"), Some((Ready, 100)));
-    assert_eq!(seen(&withheld.news(vec![entry("a", Ready, 20)], false), "a"), Some((Ready, 100)));
-    assert_eq!(seen(&withheld.news(vec![entry("a", Ready, 60)], false), "a"), Some((Ready, 60)));
-    // It has started again since, and drains as any other.
-    assert_eq!(seen(&withheld.news(vec![entry("a", Ready, 150)], false), "a"), Some((Ready, 150)));
-    assert_eq!(seen(&withheld.news(vec![entry("a", Draining, 150)], false), "a"), Some((Draining, 150)));
+fn endpoint_after_maintenance_counts_as_restarted_even_if_discovery_reports_it_late() {
+    let mut overlay = MaintenanceOverlay::default();
+    overlay.apply_update(vec![endpoint("a", Ready, 0), endpoint("b", Ready, 5)], true);
+    assert!(overlay.start_maintenance(20, &id("a")).is_ok());
+    assert_eq!(overlay.end_maintenance(100, &id("a")), Ok(Some(endpoint("a", Ready, 100))));
+    let mut after = |state, started_at, is_full| {
+        let visible = overlay.apply_update(vec![endpoint("a", state, started_at)], is_full);
+        state_and_start(&visible, "a")
+    };
+    // A start before the maintenance says nothing; one during it is the true one.
+    assert_eq!(after(Ready, 0, true), Some((Ready, 100)));
+    assert_eq!(after(Ready, 20, false), Some((Ready, 100)));
+    assert_eq!(after(Ready, 60, false), Some((Ready, 60)));
+    // It has started again since, and drains like any other.
+    assert_eq!(after(Ready, 150, false), Some((Ready, 150)));
+    assert_eq!(after(Draining, 150, false), Some((Draining, 150)));
 }
 
 #[test]
-fn the_avoided_are_counted_once_and_only_while_listed() {
-    let mut withheld = MaintenanceOverlay::default();
-    withheld.news(vec![entry("a", Ready, 0), entry("b", Ready, 0), entry("c", Ready, 0)], true);
-    assert!(withheld.take_out(20, &id("a")).is_ok());
-    let (a, b, gone) = (id("a"), id("b"), id("z"));
-    assert_eq!(withheld.avoided([&a, &b, &gone].into_iter()), 2);
-    assert_eq!(withheld.withhold(20, &id("z")).map(|e| e.state), Some(Draining));
-    assert_eq!(withheld.avoided([&a, &b].into_iter()), 2);
-    assert_eq!(withheld.out().collect::<Vec<_>>(), [(&a, 20), (&gone, 20)]);
+fn excluded_endpoints_count_once_and_only_while_listed() {
+    let mut overlay = MaintenanceOverlay::default();
+    let listed = ["a", "b", "c"].map(|name| endpoint(name, Ready, 0));
+    overlay.apply_update(listed.into(), true);
+    assert!(overlay.start_maintenance(20, &id("a")).is_ok());
+    let (a, b, unlisted) = (id("a"), id("b"), id("z"));
+    assert_eq!(overlay.count_excluded([&a, &b, &unlisted].into_iter()), 2);
+    assert_eq!(overlay.restore_maintenance(20, &id("z")).map(|e| e.state), Some(Draining));
+    assert_eq!(overlay.count_excluded([&a, &b].into_iter()), 2);
+    assert_eq!(overlay.in_maintenance().collect::<Vec<_>>(), [(&a, 20), (&unlisted, 20)]);
 }
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -36,7 +36,7 @@
         }
         bench.pass(100_000);
     }
-    assert!(bench.balancer.suspects().count() >= 4, "the cut is seen");
+    assert!(bench.balancer.ejected_endpoints().count() >= 4, "the cut is seen");
     bench.pass(20 * SECOND);
     let mut served: Vec<EndpointId> = (100..200)
         .map(|id| {
@@ -47,7 +47,7 @@
     served.sort();
     served.dedup();
     assert_eq!(served.len(), NAMES.len(), "every card server serves again: {served:?}");
-    assert_eq!(bench.balancer.suspects().count(), 0);
+    assert_eq!(bench.balancer.ejected_endpoints().count(), 0);
 }
 
 /// A card server that stays silent costs no more than an attempt a turn, and turns become rare.
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -52,7 +52,7 @@
     fn record_endpoint_list(&mut self, news: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
         self.endpoint_list_version = news.version;
         self.addresses.extend(news.addresses);
-        let entries = self.maintenance.news(news.entries, news.whole);
+        let entries = self.maintenance.apply_update(news.entries, news.whole);
         self.record_endpoints(entries, news.whole)
     }
 
@@ -81,21 +81,21 @@
 
     /// Takes a card server out by hand. When this returns, nothing new goes there.
     pub fn start_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.take_out(self.timers.clock.now(), id)?;
+        let seen = self.maintenance.start_maintenance(self.timers.clock.now(), id)?;
         self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Puts a card server back that was taken out by hand.
     pub fn end_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.put_back(self.timers.clock.now(), id)?;
+        let seen = self.maintenance.end_maintenance(self.timers.clock.now(), id)?;
         self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Whether a card server is out by hand.
     pub fn in_maintenance(&self, id: &EndpointId) -> bool {
-        self.maintenance.holds(id)
+        self.maintenance.contains(id)
     }
 
     /// Tells the decisions what operators have changed of a card server.
@@ -129,7 +129,7 @@
 
     /// Who leaves or is gone by what discovery says.
     pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
-        let by_roll = self.draining.iter().filter(|id| !self.maintenance.holds(id));
+        let by_roll = self.draining.iter().filter(|id| !self.maintenance.contains(id));
         by_roll.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
--- a/src/relay/lifecycle/hot_restart.rs
+++ b/src/relay/lifecycle/hot_restart.rs
@@ -474,14 +474,17 @@
     /// What is out by hand, and what was put back, in the form that is handed over.
     pub(in crate::relay) fn maintenance_state(&self) -> MaintenanceState {
         let name = |id: &EndpointId| id.0.as_ref().to_owned();
-        let back = self.maintenance.back().map(|(id, was)| (name(id), was.from, was.to)).collect();
-        MaintenanceState { out: self.maintenance.out().map(|(id, since)| (name(id), since)).collect(), back }
+        let back = self.maintenance.last_windows().map(|(id, was)| (name(id), was.from, was.to)).collect();
+        MaintenanceState {
+            out: self.maintenance.in_maintenance().map(|(id, since)| (name(id), since)).collect(),
+            back,
+        }
     }
 
     /// Takes on that card servers leave, as another process was told.
     fn mark_draining(&mut self, leaving: &[String]) {
         let ids: Vec<EndpointId> = leaving.iter().map(|id| EndpointId(id.as_str().into())).collect();
-        let entries = self.maintenance.leaving(&ids);
+        let entries = self.maintenance.mark_draining(&ids);
         entries.into_iter().for_each(|entry| self.apply_maintenance_change(Some(entry)));
     }
 
@@ -489,12 +492,13 @@
     fn restore_maintenance(&mut self, by_hand: MaintenanceState) {
         let server = |id: &String| EndpointId(id.as_str().into());
         for (id, from, to) in &by_hand.back {
-            let seen = self.maintenance.was_put_back(MaintenanceWindow { from: *from, to: *to }, &server(id));
+            let seen =
+                self.maintenance.record_window(MaintenanceWindow { from: *from, to: *to }, &server(id));
             self.apply_maintenance_change(seen);
         }
         let out: BTreeMap<EndpointId, Micros> =
             by_hand.out.iter().map(|(id, since)| (server(id), *since)).collect();
-        let held = self.maintenance.out().map(|(id, _)| id);
+        let held = self.maintenance.in_maintenance().map(|(id, _)| id);
         let gone: Vec<EndpointId> = held.filter(|id| !out.contains_key(*id)).cloned().collect();
         let now = self.timers.clock.now();
         gone.iter().for_each(|id| self.apply_maintenance_command(now, id, false));
@@ -504,8 +508,8 @@
     /// Does what an operator has done at another process.
     fn apply_maintenance_command(&mut self, at: Micros, id: &EndpointId, out: bool) {
         let seen = match out {
-            true => self.maintenance.withhold(at, id),
-            false => self.maintenance.put_back(at, id).ok().flatten(),
+            true => self.maintenance.restore_maintenance(at, id),
+            false => self.maintenance.end_maintenance(at, id).ok().flatten(),
         };
         self.apply_maintenance_change(seen);
     }
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -228,8 +228,8 @@
             "results": results,
             "forwards": classes.iter().map(|class| count(Family::Forwards, class)).sum::<u64>(),
             "outstanding": self.open_ids.borrow().len(),
-            "discovered": self.maintenance.listed(),
-            "ejected": self.maintenance.avoided(self.balancer.suspects()),
+            "discovered": self.maintenance.endpoint_count(),
+            "ejected": self.maintenance.count_excluded(self.balancer.ejected_endpoints()),
             "list": {
                 "state": self.list_state.word(),
                 "version": self.endpoint_list_version,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -684,7 +684,7 @@
 
     /// Whether clients are let in here and can be placed, or why not.
     pub fn check_ready(&self) -> Result<(), &'static str> {
-        match (self.shutting_down, self.maintenance.listed()) {
+        match (self.shutting_down, self.maintenance.endpoint_count()) {
             (true, _) => Err("on its way out"),
             (false, 0) => Err("no server roll yet"),
             (false, _)
