--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -13,7 +13,8 @@
         endpoint: EndpointId,
         /// The attempt's time-out.
         timeout: Micros,
-        /// A repeat whose first byte is not written before this is not written at all: the card servers no longer know the first.
+        /// A repeat whose first byte is not written before this is not written at all: the card servers no
+        /// longer know the first.
         send_before: Option<Micros>,
     },
     /// Final answer: refused, trying again is harmless.
--- a/crates/balancer/src/circuit_breaker.rs
+++ b/crates/balancer/src/circuit_breaker.rs
@@ -1,8 +1,9 @@
 //! A circuit breaker round a balancer's belief that there is no room.
 //!
-//! What it believes of loads may be old, or a wave of its own making. One that has turned away all that came for [`HALF_OPEN`] is
-//! *half open*: the next request may go to its group's servers up to a load of 1, and that attempt closes the breaker again. So a balancer
-//! tries something every few seconds, however full all looks, and never just refuses. No I/O, no clock.
+//! What it believes of loads may be old, or a wave of its own making. One that has turned away all that came
+//! for [`HALF_OPEN`] is *half open*: the next request may go to its group's servers up to a load of 1, and
+//! that attempt closes the breaker again. So a balancer tries something every few seconds, however full all
+//! looks, and never just refuses. No I/O, no clock.
 
 use crate::Micros;
 
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -29,7 +29,8 @@
 /// A zone; balancers and servers of equal `ZoneId` are near each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
-/// The zones within which a request may be placed, for as long as it asks. A connection that stands is not touched.
+/// The zones within which a request may be placed, for as long as it asks. A connection that stands is not
+/// touched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneSet(u128);
 
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,9 +1,10 @@
-//! Endpoints that operators have put in maintenance: an overlay between discovery's endpoint list and the balancer.
+//! Endpoints that operators have put in maintenance: an overlay between discovery's endpoint list and the
+//! balancer.
 //!
-//! The balancer sees an endpoint in maintenance as draining, whatever discovery says of it meanwhile: it gets no new
-//! connection and its connections migrate at a pace. After maintenance it counts as restarted, because operators
-//! restart what they maintain: its start is the one that discovery reports if that lies after the beginning of the
-//! maintenance, and else the end of the maintenance. No I/O, no clock.
+//! The balancer sees an endpoint in maintenance as draining, whatever discovery says of it meanwhile: it gets
+//! no new connection and its connections migrate at a pace. After maintenance it counts as restarted, because
+//! operators restart what they maintain: its start is the one that discovery reports if that lies after the
+//! beginning of the maintenance, and else the end of the maintenance. No I/O, no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,8 +75,8 @@
         Ok(self.restore_maintenance(now, id))
     }
 
-    /// Like [`MaintenanceOverlay::start_maintenance`], for an endpoint that another process of this relay has in
-    /// maintenance: its id counts as known.
+    /// Like [`MaintenanceOverlay::start_maintenance`], for an endpoint that another process of this relay has
+    /// in maintenance: its id counts as known.
     pub fn restore_maintenance(&mut self, since: Micros, id: &EndpointId) -> Option<Endpoint> {
         self.known_ids.insert(id.clone());
         if self.in_maintenance.contains_key(id) {
@@ -88,8 +89,8 @@
         })
     }
 
-    /// Ends the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it was not in
-    /// maintenance.
+    /// Ends the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it was not
+    /// in maintenance.
     ///
     /// # Errors
     /// [`UnknownEndpoint`] if no endpoint of this id was ever named.
@@ -106,8 +107,8 @@
         }))
     }
 
-    /// Records a maintenance that ended in another process of this relay and returns the endpoint, if listed, as the
-    /// balancer is to see it.
+    /// Records a maintenance that ended in another process of this relay and returns the endpoint, if listed,
+    /// as the balancer is to see it.
     pub fn record_window(&mut self, window: MaintenanceWindow, id: &EndpointId) -> Option<Endpoint> {
         self.known_ids.insert(id.clone());
         if self.last_windows.get(id).is_none_or(|known| known.to < window.to) {
@@ -116,8 +117,8 @@
         self.endpoints.get(id).map(|endpoint| self.overlay(endpoint))
     }
 
-    /// Marks ready endpoints as draining, which another process of this relay has learnt from a newer endpoint list,
-    /// and returns those that changed.
+    /// Marks ready endpoints as draining, which another process of this relay has learnt from a newer
+    /// endpoint list, and returns those that changed.
     pub fn mark_draining(&mut self, ids: &[EndpointId]) -> Vec<Endpoint> {
         let mut changed = Vec::new();
         for id in ids {
@@ -149,8 +150,8 @@
         self.endpoints.len()
     }
 
-    /// Number of listed endpoints that get no new connection because they are in maintenance or among `ejected`; each
-    /// counts once.
+    /// Number of listed endpoints that get no new connection because they are in maintenance or among
+    /// `ejected`; each counts once.
     pub fn count_excluded<'a>(&'a self, ejected: impl Iterator<Item = &'a EndpointId>) -> usize {
         let excluded: BTreeSet<&EndpointId> = self.in_maintenance.keys().chain(ejected).collect();
         excluded.into_iter().filter(|id| self.endpoints.contains_key(*id)).count()
--- a/crates/balancer/src/rendezvous.rs
+++ b/crates/balancer/src/rendezvous.rs
@@ -1,5 +1,6 @@
-//! Weighted rendezvous hashing, as a race: each server's time to the line is drawn from its hash with a salt, and its weight is
-//! its speed. All who hold the same salt and weights see the same order without a word. No I/O, no clock.
+//! Weighted rendezvous hashing, as a race: each server's time to the line is drawn from its hash with a salt,
+//! and its weight is its speed. All who hold the same salt and weights see the same order without a word. No
+//! I/O, no clock.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -9,7 +10,8 @@
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// When a server crosses the line: the first is drawn in proportion to the weights. One of no weight never does.
+/// When a server crosses the line: the first is drawn in proportion to the weights. One of no weight never
+/// does.
 pub fn race(salt: u64, server: u64, weight: f64) -> f64 {
     -draw(salt, server).ln() / weight
 }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,17 +1,21 @@
-//! What one balancer of many may send to a server that is still cold: *slots*, opened at a pace from a random phase.
+//! What one balancer of many may send to a server that is still cold: *slots*, opened at a pace from a random
+//! phase.
 //!
-//! The rule: a server that starts bears, in the settings' time `fall`, no more than N = multiple x present capacity x `fall`. Its
-//! present capacity is [`warmth`] of the pace that fills it over its warm-up, `holds / cold`, as servers take new connections no
-//! faster than that. All R balancers together open slots at [`PART`] of the multiple times that pace, each 1/R of it from a phase
-//! of its own, uniform on 0 to 1. So the slots that open in a time `t` are a sum of R independent draws whose mean is exactly
-//! PART x N x t / `fall` whatever R is, and whose variance is at most that mean: parts below one are drawn and never rounded up. A
-//! slot that is not used lapses after `fall`: what can come in `fall` after a lull is what opens in twice that time, 4/3 N in the
-//! mean. No I/O, no clock.
+//! The rule: a server that starts bears, in the settings' time `fall`, no more than N = multiple x present
+//! capacity x `fall`. Its present capacity is [`warmth`] of the pace that fills it over its warm-up, `holds /
+//! cold`, as servers take new connections no faster than that. All R balancers together open slots at
+//! [`PART`] of the multiple times that pace, each 1/R of it from a phase of its own, uniform on 0 to 1. So
+//! the slots that open in a time `t` are a sum of R independent draws whose mean is exactly PART x N x t /
+//! `fall` whatever R is, and whose variance is at most that mean: parts below one are drawn and never rounded
+//! up. A slot that is not used lapses after `fall`: what can come in `fall` after a lull is what opens in
+//! twice that time, 4/3 N in the mean. No I/O, no clock.
 
+use crate::balancer::Balancer;
+use crate::endpoint_record::Server;
 use crate::{Micros, Rules};
 
-/// All balancers together send this part of what the rule bears: the rest is for what they cannot know, the size of a connection and
-/// the true pace of warming up.
+/// All balancers together send this part of what the rule bears: the rest is for what they cannot know, the
+/// size of a connection and the true pace of warming up.
 pub const PART: f64 = 2.0 / 3.0;
 
 /// The part of its capacity that a server which started then surely has by now.
@@ -24,8 +28,8 @@
     start + (1.0 - start) * age as f64 / rules.slow_start_duration as f64
 }
 
-/// One balancer's part of the pace at which a server is filled while it is cold, in connections a microsecond at full warmth. A
-/// warm one holds so many connections.
+/// One balancer's part of the pace at which a server is filled while it is cold, in connections a microsecond
+/// at full warmth. A warm one holds so many connections.
 pub fn rate(rules: &Rules, holds: f64, balancers: f64) -> f64 {
     PART * rules.overload_factor * holds / rules.slow_start_duration.max(1) as f64 / balancers
 }
@@ -67,3 +71,18 @@
         self.used = self.used.max(self.opened(rules, started, now, rate) as u64);
     }
 }
+
+impl Balancer {
+    pub(crate) fn warmth(&self, server: &Server, now: Micros) -> f64 {
+        warmth(&self.settings.rules, server.entry.started_at, now)
+    }
+
+    pub(crate) fn slot_rate(&self, server: &Server) -> f64 {
+        rate(&self.settings.rules, server.size() / self.fleet.unit.max(1e-6), self.balancers())
+    }
+
+    /// Whether a cold server can have a connection of this balancer now; a warm one always can.
+    pub(crate) fn slot_open(&self, server: &Server, now: Micros) -> bool {
+        server.slots.open(&self.settings.rules, server.entry.started_at, now, self.slot_rate(server))
+    }
+}
--- a/crates/balancer/src/unreported_load.rs
+++ b/crates/balancer/src/unreported_load.rs
@@ -1,10 +1,11 @@
 //! What a balancer may believe of a server's load where the settings give no reports.
 //!
-//! Its own connections are a sample of all: one in so many balancers sees one in so many connections. If servers' true loads
-//! differ by a factor that is gamma-distributed with shape k about the fleet's mean, and own connections are a Poisson sample, the
-//! best estimate of a server's load is mean x (k + own) / (k + expected), where `expected` is what its size would have of the
-//! own ones. Few own connections leave the mean, many give the sample's word. Failures tell more: a server that turns newcomers
-//! away is full, one that drops open connections has more work than it can do. No I/O, no clock.
+//! Its own connections are a sample of all: one in so many balancers sees one in so many connections. If
+//! servers' true loads differ by a factor that is gamma-distributed with shape k about the fleet's mean, and
+//! own connections are a Poisson sample, the best estimate of a server's load is mean x (k + own) / (k +
+//! expected), where `expected` is what its size would have of the own ones. Few own connections leave the
+//! mean, many give the sample's word. Failures tell more: a server that turns newcomers away is full, one
+//! that drops open connections has more work than it can do. No I/O, no clock.
 
 use crate::{LoadReportSource, Micros, Settings};
 
@@ -15,9 +16,9 @@
 /// ... and of one that turns newcomers away. Both fade with the trust in a report.
 const TURNS_AWAY: f64 = 0.85;
 
-/// Load of one connection on a server of weight 1 until own connections tell. No setting tells it. Taken too high, cold servers idle
-/// while the warm ones jam, and nothing would correct it; taken too low, the margin below the rule on cold servers shrinks.
-/// At this one a server of weight 1 holds fifty.
+/// Load of one connection on a server of weight 1 until own connections tell. No setting tells it. Taken too
+/// high, cold servers idle while the warm ones jam, and nothing would correct it; taken too low, the margin
+/// below the rule on cold servers shrinks. At this one a server of weight 1 holds fifty.
 const UNIT: f64 = 0.02;
 
 /// Whether nothing ever tells the load of a server.
@@ -30,7 +31,8 @@
     if is_blind(settings) { UNIT } else { reported }
 }
 
-/// A server's load, of which nothing is known but own connections: there, and as its size would have of all own ones.
+/// A server's load, of which nothing is known but own connections: there, and as its size would have of all
+/// own ones.
 pub fn guess(mean: f64, own: usize, expected: f64) -> f64 {
     mean * (SHAPE + own as f64) / (SHAPE + expected.max(0.0))
 }
@@ -42,11 +44,12 @@
 /// Part of the own asks of late whose loss shows a jam.
 const PRESSED: f64 = 0.1;
 
-/// Adaptive throttling: how many of the own asks of late were lost, where no report tells that the fleet has no room.
+/// Adaptive throttling: how many of the own asks of late were lost, where no report tells that the fleet has
+/// no room.
 ///
-/// A jammed server drops connections, which come again and jam the next one; that feeds itself. So as many asks are turned away
-/// unsent as were lost of late, by group: groups are kept or turned away whole, and the servers that hold one pay its
-/// cost for more of its connections.
+/// A jammed server drops connections, which come again and jam the next one; that feeds itself. So as many
+/// asks are turned away unsent as were lost of late, by group: groups are kept or turned away whole, and the
+/// servers that hold one pay its cost for more of its connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Throttle {
     asked: f64,
@@ -66,12 +69,14 @@
         self.lost += 1.0;
     }
 
-    /// Whether many of the own asks of late were lost: those that hold the connections are jammed, whatever is believed of them.
+    /// Whether many of the own asks of late were lost: those that hold the connections are jammed, whatever
+    /// is believed of them.
     pub fn pressed(&self) -> bool {
         self.lost - CHANCE > PRESSED * self.asked
     }
 
-    /// Takes an ask; true if it is to be turned away. The draw is uniform on 0 to 1, the same for all asks of a group.
+    /// Takes an ask; true if it is to be turned away. The draw is uniform on 0 to 1, the same for all asks of
+    /// a group.
     pub fn turns_away(&mut self, now: Micros, draw: f64) -> bool {
         self.fade(now);
         self.asked += 1.0;
--- a/crates/balancer/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -703,8 +703,8 @@
     assert!(bench.moved().len() > 16, "{} of 40", bench.moved().len());
 }
 
-/// Where there are many balancers, each sees one or two connections. Each once took two servers a group, brought one
-/// home every tick, and took what it had just placed itself for a thirtieth of a wave.
+/// Where there are many balancers, each sees one or two connections. Each once took two servers a group,
+/// brought one home every tick, and took what it had just placed itself for a thirtieth of a wave.
 fn many(size: u32, load: f64) -> Vec<Bench> {
     let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.2;
--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -36,7 +36,8 @@
     placed
 }
 
-/// Guards against a relay that turned away all of its clients for thirteen seconds on what it believed of loads.
+/// Guards against a relay that turned away all of its clients for thirteen seconds on what it believed of
+/// loads.
 #[test]
 fn a_balancer_that_refuses_all_lets_one_try_every_few_seconds() {
     let placed = placed_at(0.85);
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// After a lull everything that waits comes at once. The page's limit holds in all but one of a hundred draws, whatever the
-/// moment; the stricter one in nine of ten.
+/// After a lull everything that waits comes at once. The page's limit holds in all but one of a hundred
+/// draws, whatever the moment; the stricter one in nine of ten.
 #[test]
 fn what_was_saved_up_in_a_lull_is_bounded() {
     for (rules, holds) in kinds() {
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -1,4 +1,5 @@
-//! A balancer where card servers report nothing and may not be probed: what it knows, it knows from its own attempts.
+//! A balancer where card servers report nothing and may not be probed: what it knows, it knows from its own
+//! attempts.
 
 mod common;
 
@@ -67,7 +68,8 @@
     assert!((3..=20).contains(&wasted), "{wasted} attempts at a silent card server in a minute");
 }
 
-/// Guards against a fleet that is taken for full, or jammed by a wave, because one card server once turned somebody away.
+/// Guards against a fleet that is taken for full, or jammed by a wave, because one card server once turned
+/// somebody away.
 #[test]
 fn one_full_server_says_nothing_of_the_others() {
     let mut bench = bench(5, 5);
@@ -95,8 +97,8 @@
     }
 }
 
-/// Guards against own placements that add up for ever, as no report ever takes them off: after some minutes every card
-/// server would look full, and groups would be scattered by who had least of all time.
+/// Guards against own placements that add up for ever, as no report ever takes them off: after some minutes
+/// every card server would look full, and groups would be scattered by who had least of all time.
 #[test]
 fn a_long_day_keeps_groups_together() {
     let mut bench = bench(100, 6);
@@ -125,7 +127,8 @@
     bench.connect(later);
 }
 
-/// Guards against cold servers that idle while the warm ones jam, as nothing tells how little a session weighs.
+/// Guards against cold servers that idle while the warm ones jam, as nothing tells how little a session
+/// weighs.
 #[test]
 fn a_cold_server_is_filled_at_a_pace_that_nothing_has_to_correct() {
     let mut sent = 0;
@@ -138,7 +141,8 @@
             sent += usize::from(bench.placed(id) == Some(sid("cold:1")));
         }
     }
-    // In 5 of 20 s, from a fifth of its capacity on: some six of the fifty that it is taken to hold, and no more than twice that.
+    // In 5 of 20 s, from a fifth of its capacity on: some six of the fifty that it is taken to hold, and no
+    // more than twice that.
     assert!((60..=260).contains(&sent), "{sent} in 20 days, 120 wanted");
 }
 
@@ -149,7 +153,8 @@
     Bench::new(settings, seed, &listed)
 }
 
-/// Requests of many groups, each of which stands for a moment and is dropped; how many were turned away unsent.
+/// Requests of many groups, each of which stands for a moment and is dropped; how many were turned away
+/// unsent.
 fn jam(bench: &mut Bench, ids: std::ops::Range<u32>, class: impl Fn(u32) -> ClassId) -> Vec<u32> {
     let mut turned_away = Vec::new();
     for id in ids {
@@ -198,7 +203,8 @@
     }
 }
 
-/// Guards against a connection that is cut off in a jam: its server has it still, and only this balancer has lost sight of it.
+/// Guards against a connection that is cut off in a jam: its server has it still, and only this balancer has
+/// lost sight of it.
 #[test]
 fn a_connection_in_mid_flow_goes_back_to_its_server_however_much_is_turned_away() {
     let mut bench = large_fleet(told_nothing(100), 8);
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,4 +1,5 @@
-//! Groups and zones: together on few servers where nothing is reported, in their clients' zones where loads are.
+//! Groups and zones: together on few servers where nothing is reported, in their clients' zones where loads
+//! are.
 
 mod common;
 
@@ -43,8 +44,8 @@
     server
 }
 
-/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: pairs of a group and a server that holds any of
-/// it, and how many of the connections cross zones.
+/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: pairs of a group and
+/// a server that holds any of it, and how many of the connections cross zones.
 fn pairs_and_crossings(load: f64, change: impl Fn(&mut Settings)) -> (usize, usize) {
     let (mut pairs, mut crossings, mut placed) = (BTreeSet::new(), 0, 0);
     for number in 0..80 {
@@ -77,8 +78,8 @@
     settings.permissions.health_checks = false;
 }
 
-/// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and no report told how full it
-/// was.
+/// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and
+/// no report told how full it was.
 #[test]
 fn a_group_is_not_copied_into_every_zone_where_nothing_is_reported() {
     let (pairs, _) = pairs_and_crossings(0.4, told_nothing);
@@ -112,7 +113,8 @@
     assert_eq!(slowdown(0.0, 0.0), 1.0, "crossing costs nothing");
 }
 
-/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one server of the own zone.
+/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one server
+/// of the own zone.
 fn stands_away(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
     // Nothing is reported but to probes, which are allowed.
     let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
@@ -124,7 +126,8 @@
     bench.moved().len()
 }
 
-/// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone once more, for ever.
+/// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone
+/// once more, for ever.
 #[test]
 fn what_stands_with_its_group_is_not_brought_home_from_another_zone() {
     let there = |name: &String| {
