--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,5 +1,6 @@
 //! The operators' address on real sockets: calls, figures, card servers out by hand.
 
+#[path = "support/loopback.rs"]
 mod loopback;
 
 use std::cell::Cell;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,5 +1,6 @@
 //! The program as operators meet it: `check-config`, its faults, and SIGHUP.
 
+#[path = "support/process.rs"]
 mod process;
 
 use std::fs;
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -23,9 +23,9 @@
 #[path = "relay/operator_files.rs"]
 mod operator_files;
 
-#[path = "../loopback/mod.rs"]
+#[path = "../support/loopback.rs"]
 mod loopback;
-#[path = "../process/mod.rs"]
+#[path = "../support/process.rs"]
 mod process;
 
 /// The folder of the files that the program wrote before the renames.
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,5 +1,6 @@
 //! One process of a relay takes over from another, under load and in trouble.
 
+#[path = "support/process.rs"]
 mod process;
 
 use std::fs;
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,5 +1,6 @@
 //! Metrics on real sockets: what sinks get, through deaths of the relay and of sinks.
 
+#[path = "support/process.rs"]
 mod process;
 
 use std::collections::BTreeMap;
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -1,6 +1,7 @@
 //! Moments at which an event comes between two others that usually follow each other. Each case makes the bad order happen
 //! every time, by gates and not by waiting.
 
+#[path = "support/loopback.rs"]
 mod loopback;
 
 use std::time::Duration;
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,5 +1,6 @@
 //! The relay on real sockets of the loopback, with card servers of a few lines.
 
+#[path = "support/loopback.rs"]
 mod loopback;
 
 use std::cell::Cell;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,7 @@
 //! Configurations of four kinds of deployment, each broken in one place after another: the start ends with one line that names the
 //! place, or the decisions serve with what it says, and nothing panics.
 
+#[path = "support/loopback.rs"]
 mod loopback;
 
 use std::collections::BTreeMap;
