--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -301,15 +301,15 @@
         Some(Request {
             id: self.connections.next_request_id(),
             class,
-            session_key: Some(SessionKey(head.key().into())),
+            session_key: Some(SessionKey(head.session_key().into())),
             affinity_group: head
-                .group()
+                .affinity_group()
                 .filter(|_| self.settings.affinity_groups)
                 .map(|g| AffinityGroup(g.into())),
             tenant: head.tenant().and_then(|t| self.names.tenant(t)),
-            expected_load: head.hint,
-            time_remaining: head.patience(deadline),
-            reconnecting: head.returning,
+            expected_load: head.expected_load,
+            time_remaining: head.time_remaining(deadline),
+            reconnecting: head.reconnecting,
             retry: head.retry,
             mid_flow: false,
             allowed_zones: ZoneSet::ALL,
@@ -570,7 +570,7 @@
     /// card servers turn it away, which must not be taken for their fault.
     pub fn reserve_connection_id(&self, head: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(head.class()?)?;
-        self.open_ids.reserve(head.id())
+        self.open_ids.reserve(head.connection_id())
     }
 
     /// Whether a newcomer may be let in.
@@ -636,11 +636,10 @@
         Some((listener, from)) => (listener, Some(from)),
         None => {
             let told = |e| format!("{}: {e}", config.listen);
-            (listener::open_listener(config.listen).map_err(told)?, None)
+            (listener::bind(config.listen).map_err(told)?, None)
         }
     };
-    let admin =
-        config.admin.map(|at| listener::open_listener(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
+    let admin = config.admin.map(|at| listener::bind(at).map_err(|e| format!("`admin_addr` {at}: {e}")));
     serve_with_listeners(
         Listeners { clients, admin: admin.transpose()?, folder, from },
         config,
@@ -696,7 +695,7 @@
             tokio::task::spawn_local(hot_restart::run(relay.clone(), folder, clients, listeners.from))
         }
         None => {
-            listener::open(&relay, &clients);
+            listener::start_accepting(&relay, &clients);
             tokio::task::spawn_local(std::future::pending())
         }
     };
