--- /dev/null
+++ b/src/relay/actions.rs
@@ -0,0 +1,107 @@
+//! Carries out the balancer's actions.
+
+use honeyknot_balancer::{Action, AttemptId, EndpointId, Event, Micros, Outcome, RequestId};
+use honeyknot_metrics::Family;
+use tracing::info;
+
+use super::connection_table::CurrentAttempt;
+use super::endpoints::discovery_client::DiscoveryCommand;
+use super::endpoints::health_check::{self, HealthCheckCommand};
+use super::{AttemptRequest, ConnectionCommand, Relay};
+
+impl Relay {
+    pub(in crate::relay) fn execute_action(&mut self, action: Action) {
+        match action {
+            Action::Forward { id, endpoint, timeout, send_before } => {
+                self.start_attempt(id, endpoint, timeout, send_before)
+            }
+            Action::Reject { id, retry_after } => self.reject(id, retry_after),
+            Action::Fail(id) => {
+                self.record_failed("decisions");
+                self.send_command(id, ConnectionCommand::Fail);
+            }
+            Action::Migrate(id) => {
+                self.update_metrics(|book| book.count(Family::Moves, "decisions"));
+                self.send_command(id, ConnectionCommand::Migrate);
+            }
+            Action::Cancel { id, attempt } => self.send_command(id, ConnectionCommand::Cancel(attempt)),
+            Action::CheckHealth(endpoint) => self.request_health_check(endpoint),
+            Action::CloseIdleConnections(endpoint) => {
+                self.send_health_check_command(endpoint, HealthCheckCommand::Close)
+            }
+            Action::SetTimer { delay, token } => self.timers.decision(delay, token),
+            // The discovery client follows the endpoint list all the time and paces its own polls.
+            Action::Watch(_) => {}
+            Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::Fetch),
+            Action::Log(text) => info!(target: "balancer", "{text}"),
+            // The settings tell the balancer that relays cannot send messages to each other.
+            Action::SendPeerMessage { .. } => {}
+        }
+    }
+
+    fn reject(&mut self, id: RequestId, retry_after: Micros) {
+        let requested_at = self.connections.get(id).map(|entry| entry.requested_at);
+        let elapsed = requested_at.map(|at| self.timers.clock.now().saturating_sub(at));
+        self.record_rejected("decisions", elapsed);
+        self.send_command(id, ConnectionCommand::Reject(retry_after));
+    }
+
+    /// Starts an attempt, or ends it at once where it may not be started; a `timeout` of 0 is the client's deadline.
+    fn start_attempt(
+        &mut self, id: RequestId, endpoint: EndpointId, timeout: Micros, send_before: Option<Micros>,
+    ) {
+        let now = self.timers.clock.now();
+        let max_attempts = self.settings.permissions.max_attempts;
+        let Some(entry) = self.connections.get_mut(id) else { return };
+        let attempt = AttemptId(entry.attempts);
+        entry.attempts += 1;
+        let time_left = entry.deadline.saturating_sub(now);
+        if attempt.0 >= max_attempts || time_left == 0 || entry.established {
+            return self.attempt_not_started(id, attempt, endpoint, Outcome::NotSent);
+        }
+        let Some(address) = self.endpoints.address(&endpoint) else {
+            return self.attempt_not_started(id, attempt, endpoint, Outcome::ConnectFailed);
+        };
+        let timeout = if timeout == 0 { time_left } else { timeout.min(time_left) };
+        entry.attempt = Some(CurrentAttempt { id: attempt, endpoint: endpoint.clone(), started_at: now });
+        let request = AttemptRequest { attempt, endpoint: endpoint.clone(), address, timeout, send_before };
+        let _ = entry.commands.send(ConnectionCommand::Forward(request));
+        self.zone_attempt_started(id, &endpoint);
+        self.record_attempt_started(attempt, &endpoint);
+    }
+
+    /// Queues the end of an attempt, to be handled after the actions under way.
+    fn attempt_not_started(
+        &mut self, id: RequestId, attempt: AttemptId, endpoint: EndpointId, outcome: Outcome,
+    ) {
+        let (closed, elapsed, report) = (false, 0, None);
+        self.events.push_back(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            closed,
+            endpoint,
+            elapsed,
+            report,
+        });
+    }
+
+    pub(in crate::relay) fn send_command(&mut self, id: RequestId, command: ConnectionCommand) {
+        if let Some(entry) = self.connections.get(id) {
+            // A connection that has just ended does not receive; `connection_closed` settles its request.
+            let _ = entry.commands.send(command);
+        }
+    }
+
+    pub(in crate::relay) fn send_health_check_command(
+        &mut self, endpoint: EndpointId, command: HealthCheckCommand,
+    ) {
+        let Some(relay) = self.weak_self.upgrade() else { return };
+        let start = || health_check::start(relay, endpoint.clone());
+        let _ = self.endpoints.health_check(&endpoint, start).send(command);
+    }
+
+    pub(in crate::relay) fn send_discovery_command(&self, command: DiscoveryCommand) {
+        let _ = self.discovery_commands.send(command);
+    }
+}
--- /dev/null
+++ b/src/relay/connection_events.rs
@@ -0,0 +1,178 @@
+//! What happens to connections, as events of the balancer.
+
+use honeyknot_balancer::{
+    AffinityGroup, AttemptId, ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome, Request,
+    RequestId, SessionKey, ZoneSet,
+};
+use honeyknot_metrics::Family;
+use honeyknot_zone_failover::Verdict;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+
+use super::connection_table::{ConnectionEntry, CurrentAttempt};
+use super::connections::protocol::OpenRequest;
+use super::metrics::recorder::Answer;
+use super::{ConnectionCommand, Relay};
+
+/// A registered connection: its id, and the queue of its commands.
+type RegisteredConnection = (RequestId, UnboundedReceiver<ConnectionCommand>);
+
+impl Relay {
+    /// Registers a client's request and has it routed; none if its class is unknown.
+    ///
+    /// Commands come by the queue until [`Relay::connection_closed`].
+    pub fn request_connection(&mut self, open: &OpenRequest) -> Option<RegisteredConnection> {
+        let mut request = self.build_request(open)?;
+        let registered = self.register_connection(&request);
+        self.update_metrics(|book| book.add(Family::Requests, 0, 1));
+        match self.zone_verdict(&request) {
+            Verdict::Within(zones) => {
+                request.allowed_zones = zones;
+                self.handle_event(Event::Request(request));
+            }
+            // Without an allowed zone there is nothing to route, so the balancer does not hear of the request.
+            Verdict::Refuse(retry_after) => {
+                self.record_rejected("site_limit", Some(0));
+                self.send_command(request.id, ConnectionCommand::Reject(retry_after));
+            }
+        }
+        Some(registered)
+    }
+
+    /// Registers a connection that was established at an endpoint before this relay started.
+    pub fn adopt_connection(
+        &mut self, open: &OpenRequest, endpoint: EndpointId,
+    ) -> Option<RegisteredConnection> {
+        self.record_unregistered_answer(open, Answer::Up);
+        self.restore_connection(open, endpoint)
+    }
+
+    /// Registers a connection that another process has established.
+    pub fn restore_connection(
+        &mut self, open: &OpenRequest, endpoint: EndpointId,
+    ) -> Option<RegisteredConnection> {
+        let request = self.build_request(open)?;
+        let (id, commands) = self.register_connection(&request);
+        let started_at = self.timers.clock.now();
+        if let Some(entry) = self.connections.get_mut(id) {
+            (entry.attempts, entry.established) = (1, true);
+            entry.attempt = Some(CurrentAttempt { id: AttemptId(0), endpoint: endpoint.clone(), started_at });
+        }
+        self.zone_connection_adopted(&request, &endpoint);
+        self.handle_event(Event::ConnectionAdopted(request, endpoint));
+        Some((id, commands))
+    }
+
+    fn register_connection(&mut self, request: &Request) -> RegisteredConnection {
+        let (commands, queue) = unbounded_channel();
+        let requested_at = self.timers.clock.now();
+        let entry = ConnectionEntry {
+            commands,
+            attempts: 0,
+            deadline: requested_at.saturating_add(request.time_remaining),
+            attempt: None,
+            established: false,
+            class: request.class,
+            affinity_group: request.affinity_group.clone(),
+            requested_at,
+        };
+        self.connections.insert(request.id, entry);
+        (request.id, queue)
+    }
+
+    fn build_request(&mut self, open: &OpenRequest) -> Option<Request> {
+        let class = self.names.class(open.class()?)?;
+        let deadline = self.settings.classes.get(class.0)?.deadline;
+        let group = open.affinity_group().filter(|_| self.settings.affinity_groups);
+        Some(Request {
+            id: self.connections.next_request_id(),
+            class,
+            session_key: Some(SessionKey(open.session_key().into())),
+            affinity_group: group.map(|name| AffinityGroup(name.into())),
+            tenant: open.tenant().and_then(|name| self.names.tenant(name)),
+            expected_load: open.expected_load,
+            time_remaining: open.time_remaining(deadline),
+            reconnecting: open.reconnecting,
+            retry: open.retry,
+            mid_flow: false,
+            allowed_zones: ZoneSet::ALL,
+        })
+    }
+
+    /// An endpoint has accepted the connection.
+    pub fn connection_established(&mut self, id: RequestId) {
+        let Some(entry) = self.connections.get_mut(id) else { return };
+        entry.established = true;
+        let Some(attempt) = entry.attempt.clone() else { return };
+        let (requested_at, class) = (entry.requested_at, entry.class);
+        self.record_answer(Some(class), Answer::Up);
+        let setup_time = self.timers.clock.now().saturating_sub(requested_at);
+        self.record_established(setup_time);
+        let CurrentAttempt { id: attempt, endpoint, started_at } = attempt;
+        let elapsed = self.timers.clock.now().saturating_sub(started_at);
+        self.zone_connection_established(id, &endpoint);
+        self.handle_event(Event::ConnectionEstablished { id, attempt, endpoint, elapsed });
+    }
+
+    /// The current attempt has ended; `closed` if that has answered the client.
+    pub fn attempt_ended(
+        &mut self, id: RequestId, outcome: Outcome, closed: bool, report: Option<LoadReport>,
+    ) {
+        let Some(attempt) = self.connections.get_mut(id).and_then(|entry| entry.attempt.take()) else {
+            return;
+        };
+        let CurrentAttempt { id: attempt, endpoint, started_at } = attempt;
+        let elapsed = self.timers.clock.now().saturating_sub(started_at);
+        if !self.connections.is_established(id) {
+            self.record_attempt_ended(outcome);
+        }
+        self.zone_attempt_ended(id, &endpoint, outcome);
+        self.handle_event(Event::AttemptEnded { id, attempt, outcome, closed, endpoint, elapsed, report });
+    }
+
+    /// The client of a connection that is not established gets its answer.
+    pub fn request_answered(&mut self, id: RequestId, answer: Answer) {
+        let class = self.connections.get(id).map(|entry| entry.class);
+        self.record_answer(class, answer);
+    }
+
+    /// The connection's task ends; its attempt is settled, and its client's request unless it was `answered`.
+    pub fn connection_closed(&mut self, id: RequestId, answered: bool) {
+        let Some(entry) = self.connections.get(id) else { return };
+        let (attempt_under_way, class) = (entry.attempt.is_some(), entry.class);
+        if !answered && !entry.established {
+            self.record_answer(Some(class), Answer::Failed);
+            self.handle_event(Event::ClientLeft(id));
+        }
+        if attempt_under_way {
+            self.attempt_ended(id, Outcome::Cancelled, true, None);
+        }
+        self.connections.remove(id);
+    }
+
+    /// Returns the endpoint of a connection's current attempt.
+    pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
+        self.connections.attempt(id).map(|attempt| attempt.endpoint.clone())
+    }
+
+    /// The endpoint has reported the connection's load.
+    pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
+        if let Some(zone_failover) = &mut self.zone_failover {
+            zone_failover.load_told(id, load);
+        }
+        self.connection_updated(id, ConnectionUpdate::Load(load));
+    }
+
+    /// A message of the client was answered after this time.
+    pub fn message_latency_measured(&mut self, id: RequestId, latency: Micros) {
+        if let Some(endpoint) = self.endpoint_of(id) {
+            self.update_metrics(|book| book.record(Family::Message, latency));
+            self.note_message_latency(endpoint, latency as f64 / 1e3, false);
+        }
+    }
+
+    pub(in crate::relay) fn connection_updated(&mut self, id: RequestId, update: ConnectionUpdate) {
+        let Some(attempt) = self.connections.attempt(id).cloned() else { return };
+        let CurrentAttempt { id: attempt, endpoint, .. } = attempt;
+        self.handle_event(Event::ConnectionUpdated { id, attempt, endpoint, update });
+    }
+}
--- /dev/null
+++ b/src/relay/endpoint_events.rs
@@ -0,0 +1,59 @@
+//! What is observed of endpoints, as events of the balancer: message latencies and health checks.
+
+use honeyknot_balancer::{ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome};
+
+use super::Relay;
+
+impl Relay {
+    /// A message took this many milliseconds at an endpoint; `reported` if the endpoint says so itself.
+    pub(in crate::relay) fn note_message_latency(
+        &mut self, endpoint: EndpointId, latency_ms: f64, reported: bool,
+    ) {
+        if self.message_latencies.seen(self.timers.clock.now(), &endpoint, latency_ms, reported) {
+            self.report_message_latency(&endpoint, latency_ms);
+        }
+    }
+
+    /// Reports again the latencies that last, as far as they were observed recently.
+    pub(in crate::relay) fn report_lasting_latencies(&mut self) {
+        for (endpoint, latency_ms) in self.message_latencies.due(self.timers.clock.now()) {
+            self.report_message_latency(&endpoint, latency_ms);
+        }
+    }
+
+    /// Checks the health of the endpoint with established connections that was measured longest ago.
+    pub(in crate::relay) fn measure_message_latency(&mut self) {
+        if self.shutting_down {
+            return;
+        }
+        let endpoints = self.connections.established_endpoints();
+        let candidates = endpoints.filter(|id| !self.endpoints.is_draining(id));
+        if let Some(id) = self.message_latencies.next_to_measure(self.timers.clock.now(), candidates) {
+            self.request_health_check(id);
+            self.process_events();
+        }
+    }
+
+    /// Reports a latency on one of the connections established at the endpoint.
+    fn report_message_latency(&mut self, endpoint: &EndpointId, latency_ms: f64) {
+        if let Some(id) = self.connections.first_established_at(endpoint) {
+            self.connection_updated(id, ConnectionUpdate::MessageLatency(latency_ms));
+        }
+    }
+
+    /// A health check has ended.
+    pub fn health_check_ended(
+        &mut self, endpoint: EndpointId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
+    ) {
+        let load = report.as_ref().and_then(|report| report.load);
+        self.message_latencies.measured(self.timers.clock.now(), &endpoint, load);
+        self.zone_health_check_ended(&endpoint, outcome, load);
+        self.share_health_check(&endpoint, outcome, report.as_ref());
+        self.record_health_check(outcome, elapsed);
+        let latency_ms = report.as_ref().and_then(|report| report.latency_ms);
+        self.handle_event(Event::HealthCheckEnded { endpoint: endpoint.clone(), outcome, elapsed, report });
+        if let Some(latency_ms) = latency_ms {
+            self.note_message_latency(endpoint, latency_ms, true);
+        }
+    }
+}
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -18,7 +18,7 @@
     }
 
     fn can_serve(&self) -> Result<(), String> {
-        self.borrow().check_ready().map_err(str::to_owned)
+        self.borrow().check_ready().map_err(|reason| reason.to_string())
     }
 
     fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
--- /dev/null
+++ b/src/relay/serve.rs
@@ -0,0 +1,159 @@
+//! Runs a relay: opens its listeners, starts its tasks, and drains it at the end.
+
+use std::rc::Rc;
+
+use honeyknot_balancer::Event;
+use honeyknot_metrics::{Family, Plan as MetricsConfig};
+use tokio::net::TcpListener;
+use tokio::task::LocalSet;
+use tracing::info;
+
+use super::connections::listener;
+use super::endpoints::discovery_client::{self, DiscoveryCommand};
+use super::endpoints::{message_latency, shared_health_check};
+use super::lifecycle::config::{Config, OperatorFiles};
+use super::lifecycle::hot_restart::{self, Predecessor, StateDirectory};
+use super::lifecycle::{graceful_shutdown, reload};
+use super::metrics::exporter;
+use super::timer_wheel::TimerEvent;
+use super::{Relay, SharedRelay};
+use crate::admin;
+
+/// What a relay is reached by.
+pub struct Listeners {
+    /// The listener for clients.
+    pub clients: TcpListener,
+    /// The listener for operators, if they can call.
+    pub admin: Option<TcpListener>,
+    /// The folder in which processes of this relay meet, if they do.
+    pub folder: Option<Rc<StateDirectory>>,
+    /// The process that has served here so far, if one lives.
+    pub from: Option<Predecessor>,
+}
+
+/// Serves until the process is asked to stop; SIGHUP has the files read again.
+///
+/// # Errors
+/// If the configuration cannot be used, an address cannot be listened on, or a running process of this relay cannot
+/// be replaced.
+pub fn serve(files: OperatorFiles) -> Result<(), String> {
+    let config = Config::from_environment(&files)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(|error| format!("the runtime does not start: {error}"))?;
+    LocalSet::new().block_on(&runtime, open_and_serve(config, files))
+}
+
+async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), String> {
+    let stop = graceful_shutdown::signal()?;
+    let reloads = reload::signal(move || Config::again(&files))?;
+    let folder = config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
+    let predecessor = match &folder {
+        Some(folder) => hot_restart::connect_to_predecessor(folder).await?,
+        None => None,
+    };
+    let (clients, from) = match predecessor {
+        Some((listener, from)) => (listener, Some(from)),
+        None => {
+            let address = config.listen;
+            let listener = listener::bind(address);
+            (listener.map_err(|error| format!("{address}: {error}"))?, None)
+        }
+    };
+    let open_admin =
+        |address| listener::bind(address).map_err(|error| format!("`admin_addr` {address}: {error}"));
+    let admin = config.admin.map(open_admin).transpose()?;
+    serve_with_listeners(Listeners { clients, admin, folder, from }, config, stop, reloads).await
+}
+
+/// Serves the connections of its listeners until `stop` resolves, and then drains the relay.
+///
+/// It must run on a [`LocalSet`]. Configurations received from `reloads` are applied as far as they can be while it
+/// runs.
+///
+/// # Errors
+/// If the relay cannot be made of its configuration, or cannot take over from its predecessor.
+pub async fn serve_with_listeners(
+    listeners: Listeners, config: Config, stop: impl Future<Output = ()>, reloads: reload::Reloads,
+) -> Result<(), String> {
+    let (name, listen, discovery) = (config.name.clone(), config.listen, config.discovery);
+    let metrics = config.metrics.clone();
+    let (relay, discovery_state, discovery_commands) =
+        Relay::new(config).map_err(|error| error.to_string())?;
+    if listeners.from.is_some() {
+        // The successor is bound by what its predecessor was told: it needs the full list now.
+        relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
+    }
+    if let Some(metrics) = metrics {
+        start_metrics(&relay, &metrics, &name);
+    }
+    let client = discovery_client::follow(relay.clone(), discovery, discovery_state, discovery_commands);
+    tokio::task::spawn_local(client);
+    start_tasks(&relay, listeners.admin, reloads);
+    let clients = Rc::new(listeners.clients);
+    let ownership = match listeners.folder {
+        Some(folder) => {
+            tokio::task::spawn_local(hot_restart::run(relay.clone(), folder, clients, listeners.from))
+        }
+        None => {
+            listener::start_accepting(&relay, &clients);
+            tokio::task::spawn_local(std::future::pending())
+        }
+    };
+    let endpoint_list_version = relay.borrow().endpoint_list_version;
+    info!(target: "relay", name, %listen, endpoint_list_version, "serving");
+    tokio::select! {
+        () = stop => {}
+        ended = ownership => if let Ok(Err(error)) = ended {
+            return Err(error);
+        },
+    }
+    graceful_shutdown::drain(relay).await;
+    info!(target: "relay", name, "stopped");
+    Ok(())
+}
+
+fn start_metrics(relay: &SharedRelay, config: &MetricsConfig, relay_name: &str) {
+    if let Some(folder) = &config.state {
+        relay.borrow_mut().restore_counters(folder, relay_name);
+    }
+    exporter::run(relay, config, relay_name);
+}
+
+/// Starts the tasks that run as long as the relay.
+fn start_tasks(relay: &SharedRelay, admin: Option<TcpListener>, reloads: reload::Reloads) {
+    tokio::task::spawn_local(run_timers(relay.clone()));
+    tokio::task::spawn_local(run_periodic_checks(relay.clone()));
+    if relay.borrow().gossip.is_some() {
+        tokio::task::spawn_local(shared_health_check::run(relay.clone()));
+    }
+    if let Some(admin) = admin {
+        tokio::task::spawn_local(admin::serve(relay.clone(), admin));
+    }
+    tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
+}
+
+/// Fires the timers that are due, of tasks and of the balancer.
+async fn run_timers(relay: SharedRelay) {
+    let timers = relay.borrow().timers.clone();
+    loop {
+        let lag = timers.rest().await;
+        relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
+        for event in timers.due() {
+            match event {
+                TimerEvent::Wake(task) => task.wake(),
+                TimerEvent::Decision(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
+            }
+        }
+    }
+}
+
+/// Reports message latencies, measures the next endpoint, and runs zone failover, at each interval.
+async fn run_periodic_checks(relay: SharedRelay) {
+    let timers = relay.borrow().timers.clone();
+    loop {
+        timers.sleep(message_latency::CHECK_INTERVAL).await;
+        relay.borrow_mut().report_lasting_latencies();
+        relay.borrow_mut().measure_message_latency();
+        relay.borrow_mut().run_zone_failover();
+    }
+}
--- /dev/null
+++ b/src/relay/state.rs
@@ -0,0 +1,180 @@
+//! The relay's state and its queue of events.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+
+use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
+use honeyknot_discovery::{Caller, State};
+use honeyknot_gossip::Plan as GossipConfig;
+use honeyknot_metrics::Book;
+use honeyknot_zone_failover::Sites;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tracing::trace;
+
+use super::clock::Clock;
+use super::connection_table::{ConnectionTable, OpenConnectionIds};
+use super::connections::idle::IdleConnections;
+use super::descriptors::{DescriptorCounter, connection_descriptors};
+use super::endpoint_table::EndpointTable;
+use super::endpoints::discovery_client::{self, DiscoveryCommand, EndpointListUpdate};
+use super::endpoints::message_latency::MessageLatencies;
+use super::endpoints::zone_failover;
+use super::error::StartError;
+use super::lifecycle::config::Config;
+use super::lifecycle::hot_restart::ListenerOwnership;
+use super::metrics::{exporter, recorder};
+use super::timer_wheel::Timers;
+use crate::gossip::GossipHandle;
+use crate::settings::NameTable;
+
+/// The relay as its tasks share it.
+pub type SharedRelay = Rc<RefCell<Relay>>;
+
+/// The one owner of the balancer and of what it needs to know of the sockets.
+pub struct Relay {
+    /// Clock and timer wheel.
+    pub timers: Rc<Timers>,
+    /// The settings' names.
+    pub names: NameTable,
+    pub(in crate::relay) settings: Settings,
+    pub(in crate::relay) balancer: Balancer,
+    /// Events that the balancer has not handled yet.
+    pub(in crate::relay) events: VecDeque<Event>,
+    pub(in crate::relay) connections: ConnectionTable,
+    pub(in crate::relay) idle_connections: IdleConnections,
+    /// Ids of the clients' connections that are open.
+    pub(in crate::relay) open_ids: OpenConnectionIds,
+    pub(in crate::relay) endpoints: EndpointTable,
+    pub(in crate::relay) endpoint_list_version: u64,
+    /// The endpoint list by discovery, and the endpoints in maintenance.
+    pub(in crate::relay) maintenance: MaintenanceOverlay,
+    /// How long messages take at the endpoints.
+    pub(in crate::relay) message_latencies: MessageLatencies,
+    /// Zone failover, where operators have switched it on.
+    pub(in crate::relay) zone_failover: Option<Sites>,
+    /// Gossip with other relays, where operators have switched it on.
+    pub(in crate::relay) gossip: Option<GossipHandle>,
+    pub(in crate::relay) metrics: Book,
+    /// Where counters outlast the process, if anywhere.
+    pub(in crate::relay) persistent_counters: Option<recorder::Lasting>,
+    /// The running exporters, by name.
+    pub(in crate::relay) exporters: BTreeMap<String, exporter::Running>,
+    pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
+    /// When discovery last answered.
+    pub(in crate::relay) discovery_answered_at: Micros,
+    pub(in crate::relay) discovery_failing: bool,
+    /// What the relay is doing about its endpoint list.
+    pub(in crate::relay) list_state: State,
+    pub(in crate::relay) descriptors_in_use: DescriptorCounter,
+    pub(in crate::relay) max_descriptors: usize,
+    pub(in crate::relay) admin_enabled: bool,
+    pub(in crate::relay) shutting_down: bool,
+    /// Which process of this relay accepts clients.
+    pub(in crate::relay) listener_ownership: ListenerOwnership,
+    pub(in crate::relay) started_at: Micros,
+    pub(in crate::relay) weak_self: Weak<RefCell<Relay>>,
+}
+
+/// A new relay, its discovery client's state machine, and the commands to that client.
+type NewRelay = (SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>);
+
+impl Relay {
+    /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
+    ///
+    /// # Errors
+    /// If the settings contradict each other, or the gossip socket cannot be opened.
+    pub fn new(config: Config) -> Result<NewRelay, StartError> {
+        let timers = Timers::new(Clock::start());
+        let started_at = timers.clock.now();
+        let mut settings = config.settings;
+        trace!(target: "relay", ?settings, "settings");
+        let zone_failover =
+            zone_failover::start(config.sites, &mut settings, &config.names, config.seed, started_at)
+                .map_err(|error| StartError::ZoneFailover(error.into()))?;
+        let gossip = config.neighbors.as_ref();
+        let gossip =
+            gossip.map(|plan| join_gossip(plan, config.listen, &settings, config.seed)).transpose()?;
+        let balancer = Balancer::new(settings.clone(), config.seed, started_at)
+            .map_err(|error| StartError::Settings(error.into()))?;
+        let (discovery_commands, command_queue) = unbounded_channel();
+        let known_endpoints = config.known.unwrap_or(EndpointListUpdate {
+            version: 0,
+            whole: true,
+            entries: Vec::new(),
+            addresses: Vec::new(),
+        });
+        let discovery = discovery_client::caller(&settings, config.seed, &known_endpoints, started_at);
+        let relay = Rc::new_cyclic(|weak_self| {
+            RefCell::new(Relay {
+                timers,
+                metrics: recorder::open(&config.metrics, &config.names),
+                names: config.names,
+                balancer,
+                events: VecDeque::new(),
+                connections: ConnectionTable::default(),
+                idle_connections: IdleConnections::default(),
+                open_ids: OpenConnectionIds::default(),
+                endpoints: EndpointTable::default(),
+                endpoint_list_version: 0,
+                maintenance: MaintenanceOverlay::default(),
+                message_latencies: MessageLatencies::new(&settings),
+                settings,
+                zone_failover,
+                gossip,
+                persistent_counters: None,
+                exporters: BTreeMap::new(),
+                discovery_commands,
+                discovery_answered_at: started_at,
+                discovery_failing: false,
+                list_state: State::Starting,
+                descriptors_in_use: DescriptorCounter::default(),
+                max_descriptors: connection_descriptors(config.sockets, config.admin.is_some()),
+                admin_enabled: config.admin.is_some(),
+                shutting_down: false,
+                listener_ownership: ListenerOwnership::default(),
+                started_at,
+                weak_self: weak_self.clone(),
+            })
+        });
+        relay.borrow_mut().apply_known_endpoints(known_endpoints);
+        Ok((relay, discovery, command_queue))
+    }
+
+    /// Has the balancer handle an event, and carries out its actions in order.
+    pub(in crate::relay) fn handle_event(&mut self, event: Event) {
+        self.events.push_back(event);
+        self.process_events();
+    }
+
+    /// Has the balancer handle the events that are queued, those included that its actions add.
+    pub(in crate::relay) fn process_events(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            trace!(target: "balancer", ?event);
+            self.balancer.handle(self.timers.clock.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                trace!(target: "balancer", ?action);
+                self.execute_action(action);
+            }
+        }
+    }
+
+    /// Applies what can change of the configuration while connections are established: discovery's address, the
+    /// number of descriptors, and zone failover.
+    ///
+    /// The endpoint list stays in use until discovery at the new address sends its own.
+    pub fn reconfigure(&mut self, config: &Config) {
+        self.max_descriptors = connection_descriptors(config.sockets, self.admin_enabled);
+        self.reconfigure_zone_failover(config);
+        self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
+    }
+}
+
+fn join_gossip(
+    config: &GossipConfig, listen: SocketAddr, settings: &Settings, seed: u64,
+) -> Result<GossipHandle, StartError> {
+    GossipHandle::enter(config, listen, settings.fleet_size, seed)
+        .map_err(|error| StartError::Gossip(error.into()))
+}
