--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -109,7 +109,7 @@
         return None;
     }
     let _ = server.set_nodelay(true);
-    server.write_all(head.as_sent()).await.ok()?;
+    server.write_all(head.as_bytes()).await.ok()?;
     relay.borrow_mut().record_forwarded(head);
     match read_answer(relay, server).await {
         Came::Up(server, bytes) => Some((server, bytes)),
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -11,7 +11,7 @@
 
 use super::graceful_close::close;
 use super::handshake::{BUFFER, Client, ConnectionGuard};
-use super::protocol::{EndpointLine, LineTracker, MOVE, OpenRequest};
+use super::protocol::{EndpointLine, LastLine, LineTracker, MIGRATE, OpenRequest, complete_lines_len};
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{ConnectionCommand, SharedRelay};
 use honeyknot_balancer::*;
@@ -38,7 +38,7 @@
 async fn send_away(timers: &Rc<Timers>, client: TcpStream, server: TcpStream, fits: bool) {
     if fits {
         // Nothing else waits to be sent, so there is room for it.
-        let _ = client.try_write(MOVE);
+        let _ = client.try_write(MIGRATE);
     }
     tokio::join!(close(timers, client), close(timers, server));
 }
@@ -54,7 +54,7 @@
     to_client: Vec<u8>,
     to_server: Vec<u8>,
     watch: LineTracker,
-    last: Last,
+    last: LastLine,
     /// Since when lines of the client wait for anything to come back, in Unix microseconds.
     unanswered: Option<Micros>,
     load: Option<f64>,
@@ -76,7 +76,7 @@
     pub fn migrate(self, timers: &Rc<Timers>) {
         let ConnectionTransfer { snapshot, downstream: client, upstream: server } = self;
         // What waits is no more than the beginning of a line, or nothing and the client has whole lines.
-        let fits = past_last_line(&snapshot.to_client) == 0
+        let fits = complete_lines_len(&snapshot.to_client) == 0
             && (!snapshot.to_client.is_empty() || snapshot.watch.between_lines());
         let timers = timers.clone();
         tokio::task::spawn_local(async move { send_away(&timers, client, server, fits).await });
@@ -106,7 +106,7 @@
         relay.borrow_mut().connection_load_reported(id, load);
     }
     let seat = ConnectionGuard { relay: relay.clone(), id, answered: false };
-    let (whole, half) = snapshot.to_client.split_at(past_last_line(&snapshot.to_client));
+    let (whole, half) = snapshot.to_client.split_at(complete_lines_len(&snapshot.to_client));
     let pump = Pump {
         relay: relay.clone(),
         id,
@@ -148,15 +148,6 @@
     ConnectionTransfer,
 }
 
-/// What the last whole line of the card server was.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-enum Last {
-    Bye,
-    Move,
-    Err,
-    Other,
-}
-
 /// Both sides of a standing session and what is on its way between them.
 struct Pump {
     relay: SharedRelay,
@@ -171,7 +162,7 @@
     cut: bool,
     to_server: BytesMut,
     watch: LineTracker,
-    last: Last,
+    last: LastLine,
     /// The card server's end, and when it came.
     server_end: Option<(bool, Micros)>,
     client_end: Option<(bool, Micros)>,
@@ -201,7 +192,7 @@
         cut: false,
         to_server: client.bytes,
         watch: LineTracker::default(),
-        last: Last::Other,
+        last: LastLine::Other,
         server_end: None,
         client_end: None,
         move_from: None,
@@ -221,16 +212,16 @@
         let outcome = match (&ending, self.last) {
             (Ending::Client { .. } | Ending::Moved | Ending::ConnectionTransfer, _) => Outcome::Cancelled,
             (Ending::Silent, _) => Outcome::Reset,
-            (Ending::Server { .. }, Last::Bye) => Outcome::Ok,
-            (Ending::Server { .. }, Last::Move) => Outcome::Cancelled,
-            (Ending::Server { .. }, Last::Err) => Outcome::Error,
-            (Ending::Server { .. }, Last::Other) => Outcome::Reset,
+            (Ending::Server { .. }, LastLine::Completed) => Outcome::Ok,
+            (Ending::Server { .. }, LastLine::Migrate) => Outcome::Cancelled,
+            (Ending::Server { .. }, LastLine::Failed) => Outcome::Error,
+            (Ending::Server { .. }, LastLine::Other) => Outcome::Reset,
         };
         let how = match (&ending, self.last) {
             (Ending::Client { .. }, _) => "client",
             (Ending::Moved | Ending::Silent, _) => "moved",
             (Ending::ConnectionTransfer, _) => "passed",
-            (Ending::Server { .. }, Last::Bye) => "served",
+            (Ending::Server { .. }, LastLine::Completed) => "served",
             (Ending::Server { reset: true }, _) => "reset",
             (Ending::Server { reset: false }, _) => "server",
         };
@@ -251,7 +242,7 @@
     /// Has another process of this relay go on with it, or moves the client if there is none any more.
     fn pass_on(self, server: &EndpointId) {
         let snapshot = ConnectionSnapshot {
-            head: self.head.as_sent().to_vec(),
+            head: self.head.as_bytes().to_vec(),
             server: server.0.as_ref().to_owned(),
             to_client: [&self.to_client[..], &self.half].concat(),
             to_server: self.to_server.to_vec(),
@@ -368,17 +359,17 @@
     /// Lines of the card server: passed on as they are, its load told to the decisions.
     fn take_lines(&mut self, bytes: BytesMut) {
         let (mut load, mut answered, mut last) = (None, false, self.last);
-        self.watch.pass(&bytes, |word| {
+        self.watch.observe(&bytes, |word| {
             answered |= !matches!(word, EndpointLine::Load(_));
             last = match word {
-                EndpointLine::Completed(_) => Last::Bye,
-                EndpointLine::Migrate => Last::Move,
-                EndpointLine::Failed(_) => Last::Err,
+                EndpointLine::Completed(_) => LastLine::Completed,
+                EndpointLine::Migrate => LastLine::Migrate,
+                EndpointLine::Failed(_) => LastLine::Failed,
                 EndpointLine::Load(now) => {
                     load = Some(now);
-                    Last::Other
+                    LastLine::Other
                 }
-                _ => Last::Other,
+                _ => LastLine::Other,
             };
         });
         self.last = last;
@@ -393,7 +384,7 @@
         }
         self.relay.borrow_mut().record_bytes(true, bytes.len());
         self.half.unsplit(bytes);
-        let whole = past_last_line(&self.half);
+        let whole = complete_lines_len(&self.half);
         if whole == self.half.len() || self.half.len() >= BUFFER {
             // A line that is longer than any may be is not waited for.
             self.cut = whole < self.half.len();
@@ -432,11 +423,6 @@
     }
 }
 
-/// Where the last whole line of these bytes ends.
-fn past_last_line(bytes: &[u8]) -> usize {
-    bytes.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1)
-}
-
 fn is_reset(e: &io::Error) -> bool {
     !matches!(e.kind(), io::ErrorKind::BrokenPipe | io::ErrorKind::NotConnected)
 }
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -12,7 +12,7 @@
 use super::established::pump;
 use super::graceful_close::{GRACEFUL_CLOSE_TIMEOUT, close};
 use super::idle::IdleSlot;
-use super::protocol::{self, FAILED, Malformed, OpenRequest};
+use super::protocol::{self, FAILED, OpenRequest, ProtocolError};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{AttemptRequest, ConnectionCommand, DescriptorPermit, SharedRelay};
@@ -39,7 +39,7 @@
         // a request that arrives as the connection is shut, and would be lost without an answer.
         Ok(Some(First::Rests)) => {
             place.mark_answered();
-            side.farewell(&protocol::busy(0)).await;
+            side.farewell(protocol::REJECTED).await;
         }
         Ok(Some(First::Asks(head))) => {
             let head = *head;
@@ -55,8 +55,8 @@
             }
         }
         Ok(None) => {}
-        Err(Malformed(why)) => {
-            debug!(target: "client", why, "turned away");
+        Err(why) => {
+            debug!(target: "client", %why, "turned away");
             relay.borrow_mut().record_failed("malformed");
             place.mark_answered();
             side.farewell(FAILED).await;
@@ -77,7 +77,7 @@
     /// Reads lines until the head of a session; none if there is nothing to answer. Who rests after a `PONG` is let rest for a while.
     async fn first_line(
         &mut self, relay: &SharedRelay, place: &mut IdleSlot,
-    ) -> Result<Option<First>, Malformed> {
+    ) -> Result<Option<First>, ProtocolError> {
         let timers = self.timers.clone();
         let due = timers.clock.now() + HEAD_WAIT;
         let (mut pinged, last_call) = (false, place.shutdown_notice());
@@ -87,19 +87,19 @@
                 end = self.line(place) => end?,
                 () = timers.sleep_until(due) => match pinged && self.bytes.is_empty() {
                     true => return Ok(Some(First::Rests)),
-                    false => return Err(Malformed("a first line is not whole in time")),
+                    false => return Err(ProtocolError::FirstLineTimeout),
                 },
                 () = last_call.notified() => return Ok(Some(First::Rests)),
             };
             let Some(end) = end else { return Ok(None) };
             let line = self.bytes.split_to(end).freeze();
             if !self.bytes.is_empty() {
-                return Err(Malformed("more than a first line before any answer"));
+                return Err(ProtocolError::DataBeforeAnswer);
             }
-            if protocol::bare(&line) != b"PING" {
+            if protocol::without_line_end(&line) != protocol::PING {
                 return OpenRequest::parse(line).map(|head| Some(First::Asks(Box::new(head))));
             }
-            let answer: &[u8] = if relay.borrow().is_shutting_down() { b"BUSY\r\n" } else { b"PONG\r\n" };
+            let answer = if relay.borrow().is_shutting_down() { protocol::REJECTED } else { protocol::PONG };
             if self.stream.write_all(answer).await.is_err() {
                 return Ok(None);
             }
@@ -109,13 +109,13 @@
     }
 
     /// Reads until a line is whole; none if the client leaves before it begins one.
-    async fn line(&mut self, place: &mut IdleSlot) -> Result<Option<usize>, Malformed> {
+    async fn line(&mut self, place: &mut IdleSlot) -> Result<Option<usize>, ProtocolError> {
         loop {
             if let Some(end) = protocol::first_line_end(&self.bytes)? {
                 return Ok(Some(end));
             }
             match self.stream.read_buf(&mut self.bytes).await {
-                Ok(0) if !self.bytes.is_empty() => return Err(Malformed("a first line is cut short")),
+                Ok(0) if !self.bytes.is_empty() => return Err(ProtocolError::FirstLineTruncated),
                 Ok(0) | Err(_) => return Ok(None),
                 Ok(_) if protocol::may_open(&self.bytes) => place.mark_receiving(),
                 Ok(_) => {}
@@ -201,7 +201,7 @@
         };
         relay.borrow_mut().record_rejected(reason, None);
         relay.borrow_mut().record_unregistered_answer(&head, Answer::Busy);
-        let line = protocol::busy(come_back(&relay));
+        let line = protocol::encode_rejected(come_back(&relay));
         return client.farewell(&line).await;
     };
     let asked = relay.borrow_mut().request_connection(&head);
@@ -326,7 +326,7 @@
 fn final_line(order: &ConnectionCommand) -> Vec<u8> {
     match order {
         // Rounded up: a client that comes back too early is turned away again.
-        ConnectionCommand::Reject(after) => protocol::busy(after.div_ceil(1_000)),
+        ConnectionCommand::Reject(after) => protocol::encode_rejected(after.div_ceil(1_000)),
         _ => FAILED.to_vec(),
     }
 }
@@ -339,7 +339,7 @@
     let Some(_second) = relay.borrow().acquire_descriptor() else {
         relay.borrow_mut().record_rejected("descriptors", None);
         relay.borrow_mut().record_unregistered_answer(&head, Answer::Busy);
-        let line = protocol::busy(come_back(&relay));
+        let line = protocol::encode_rejected(come_back(&relay));
         return client.farewell(&line).await;
     };
     let (timers, due) = (client.timers.clone(), relay.borrow().adoption_deadline());
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -34,7 +34,7 @@
 fn words(pieces: &[&[u8]]) -> (Vec<String>, bool) {
     let (mut watch, mut seen) = (LineTracker::default(), Vec::new());
     for piece in pieces {
-        watch.pass(piece, |word| seen.push(format!("{word:?}")));
+        watch.observe(piece, |word| seen.push(format!("{word:?}")));
     }
     (seen, watch.between_lines())
 }
