--- /dev/null
+++ b/crates/discovery/src/schedule.rs
@@ -0,0 +1,120 @@
+//! When the first request is made, how long watches wait and when a request is abandoned.
+
+use honeyknot_balancer::Micros;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+use crate::config::DiscoveryConfig;
+use crate::notification_deadline::{DEADLINE_AFTER_SERVICE_CHANGE, MAX_PAUSE, deadline_after};
+use crate::poller::DiscoveryPoller;
+use crate::request::DiscoveryRequest;
+
+/// Time that the service is assumed to need for a full list, in microseconds: the spread of requests per relay.
+pub(crate) const FULL_LIST_COST: Micros = 20_000;
+/// Spread of first requests by relays without a list, in percent of [`FULL_LIST_COST`].
+const EMPTY_START_PERCENT: Micros = 80;
+/// Spread of first requests by relays with a list, in percent of [`FULL_LIST_COST`].
+const CACHED_START_PERCENT: Micros = 60;
+/// Longest spread of first requests, in microseconds.
+pub(crate) const MAX_FIRST_REQUEST_SPREAD: Micros = 8_000_000;
+/// Shortest spread of first requests of more than one relay, in microseconds.
+const MIN_FIRST_REQUEST_SPREAD: Micros = 50_000;
+
+/// Mean wait of a watch, in microseconds.
+const WATCH_WAIT: Micros = 5_000_000;
+/// Increase of the first watch's mean wait per relay, in microseconds.
+const FIRST_WATCH_WAIT_PER_RELAY: Micros = 60_000;
+/// Longest mean wait of the first watch, in microseconds.
+const MAX_FIRST_WATCH_WAIT: Micros = 16_600_000;
+/// Least mean wait of a watch per relay, in microseconds.
+const WATCH_WAIT_PER_RELAY: Micros = 20_000;
+/// Longest mean wait of a watch, in microseconds.
+const MAX_WATCH_WAIT: Micros = 20_000_000;
+/// Shortest wait of any watch, in microseconds.
+const MIN_WATCH_WAIT: Micros = 100_000;
+/// Unit of a watch's wait on the wire, in microseconds.
+const WATCH_WAIT_UNIT: Micros = 1_000;
+
+/// Least time left for a second request when one that went silent is abandoned, in microseconds.
+const MIN_SECOND_REQUEST_TIME: Micros = 600_000;
+/// Most time left for a second request, in microseconds.
+pub(crate) const MAX_SECOND_REQUEST_TIME: Micros = 1_400_000;
+/// Assumed lateness of responses at the start per relay, in microseconds.
+const INITIAL_LATENESS_PER_RELAY: Micros = 5_000;
+/// Least timeout of a request to a new service, before the time for a second request is deducted; in microseconds.
+const MIN_SERVICE_CHANGE_TIMEOUT: Micros = 2_000_000;
+
+/// Spread per relay of first requests to a new service, in microseconds.
+const SERVICE_CHANGE_SPREAD_PER_RELAY: Micros = 4_000;
+/// Longest spread of first requests to a new service, in microseconds.
+const MAX_SERVICE_CHANGE_SPREAD: Micros = 1_200_000;
+
+/// Draws the delay of the first request after the relay's start.
+pub(crate) fn first_request_delay(config: &DiscoveryConfig, has_list: bool, rng: &mut Pcg64Mcg) -> Micros {
+    let percent = if has_list { CACHED_START_PERCENT } else { EMPTY_START_PERCENT };
+    let mut spread = config.relay_count() * FULL_LIST_COST / 100 * percent;
+    if has_list {
+        // A relay that serves from a list must have asked in time, whatever that costs the service.
+        let in_time = if config.max_list_age > 0 { config.max_list_age / 10 * 6 } else { Micros::MAX };
+        spread = spread.min(in_time).min(MAX_PAUSE);
+    }
+    let spread = match config.is_single_relay() {
+        true => 0,
+        false => spread.clamp(MIN_FIRST_REQUEST_SPREAD, MAX_FIRST_REQUEST_SPREAD),
+    };
+    rng.random_range(0..=spread)
+}
+
+/// Draws the delay of the first request to a new service.
+pub(crate) fn service_change_delay(config: &DiscoveryConfig, rng: &mut Pcg64Mcg) -> Micros {
+    let spread = match config.fleet_size {
+        0 | 1 => 0,
+        relays => (Micros::from(relays) * SERVICE_CHANGE_SPREAD_PER_RELAY).min(MAX_SERVICE_CHANGE_SPREAD),
+    };
+    rng.random_range(0..=spread)
+}
+
+/// Returns how late responses are assumed to be before the first one.
+pub(crate) fn initial_lateness(config: &DiscoveryConfig) -> Micros {
+    (config.relay_count() * INITIAL_LATENESS_PER_RELAY).min(MAX_SECOND_REQUEST_TIME)
+}
+
+impl DiscoveryPoller {
+    /// Returns the time after which a request made now is abandoned.
+    ///
+    /// A second request must still fit before the changes that the first one missed count as notified. The time left for it
+    /// shrinks as responses get later.
+    pub(crate) fn request_timeout(&self, now: Micros, request: DiscoveryRequest) -> Micros {
+        if let Some(wait) = self.config.agent_watch_wait() {
+            let answer_time =
+                if let DiscoveryRequest::Watch { max_wait, .. } = request { max_wait } else { wait };
+            return wait + answer_time;
+        }
+        let deadline = match self.service_changed_at.filter(|_| self.validator.service_changed()) {
+            Some(changed_at) => (changed_at + DEADLINE_AFTER_SERVICE_CHANGE)
+                .saturating_sub(now)
+                .max(MIN_SERVICE_CHANGE_TIMEOUT),
+            None => deadline_after(request),
+        };
+        let second_request_time =
+            MAX_SECOND_REQUEST_TIME.saturating_sub(self.lateness).max(MIN_SECOND_REQUEST_TIME);
+        deadline.saturating_sub(second_request_time)
+    }
+
+    /// Draws how long a watch waits, out of step with the watches of other relays.
+    pub(crate) fn draw_watch_wait(&mut self, now: Micros) -> Micros {
+        if let Some(wait) = self.config.agent_watch_wait() {
+            return wait;
+        }
+        let relays = self.config.relay_count();
+        let is_first = !self.answered && self.immediate_retries == 0 && !self.config.is_single_relay();
+        let usual = match is_first {
+            true => (WATCH_WAIT + relays * FIRST_WATCH_WAIT_PER_RELAY).min(MAX_FIRST_WATCH_WAIT),
+            false => WATCH_WAIT << self.overloads.min(1),
+        };
+        let mean = (relays * WATCH_WAIT_PER_RELAY).clamp(usual, MAX_WATCH_WAIT);
+        let drawn = self.rng.random_range(mean / 4 * 3..=mean / 4 * 5);
+        let limit = self.validator.check_at().map_or(drawn, |at| at.saturating_sub(now));
+        drawn.min(limit).max(MIN_WATCH_WAIT) / WATCH_WAIT_UNIT * WATCH_WAIT_UNIT
+    }
+}
--- /dev/null
+++ b/crates/discovery/src/stale_list.rs
@@ -0,0 +1,51 @@
+//! Detects a stale endpoint list by endpoints that are listed as ready and refuse connections.
+
+use honeyknot_balancer::Micros;
+
+use crate::request::{DiscoveryRequest, InFlightRequest};
+
+/// Refused connections within [`REFUSAL_WINDOW`] that show the list to be stale.
+const MIN_REFUSALS: u32 = 2;
+/// Time within which refused connections are counted together, in microseconds.
+const REFUSAL_WINDOW: Micros = 2_000_000;
+/// Least age of a watch that is abandoned, in microseconds.
+const MIN_WATCH_AGE: Micros = 1_000_000;
+/// Least time between two watches that are abandoned, in microseconds.
+const MIN_ABANDON_INTERVAL: Micros = 5_000_000;
+
+/// Counts refused connections and decides whether the watch in flight is abandoned.
+#[derive(Debug)]
+pub(crate) struct StaleListDetector {
+    refusals: u32,
+    window_started_at: Micros,
+    /// When a watch was last abandoned.
+    abandoned_at: Option<Micros>,
+}
+
+impl StaleListDetector {
+    pub(crate) fn new(now: Micros) -> StaleListDetector {
+        StaleListDetector { refusals: 0, window_started_at: now, abandoned_at: None }
+    }
+
+    /// Counts a refused connection and returns whether the request in flight is to be abandoned.
+    pub(crate) fn record_refusal(&mut self, now: Micros, in_flight: InFlightRequest) -> bool {
+        if now.saturating_sub(self.window_started_at) > REFUSAL_WINDOW {
+            self.restart_window(now);
+        }
+        self.refusals += 1;
+        let is_old_watch = matches!(in_flight.request, DiscoveryRequest::Watch { .. })
+            && now >= in_flight.started_at + MIN_WATCH_AGE;
+        let may_abandon = self.abandoned_at.is_none_or(|at| now >= at + MIN_ABANDON_INTERVAL);
+        let stale = is_old_watch && may_abandon && self.refusals >= MIN_REFUSALS;
+        if stale {
+            self.restart_window(now);
+            self.abandoned_at = Some(now);
+        }
+        stale
+    }
+
+    fn restart_window(&mut self, now: Micros) {
+        self.refusals = 0;
+        self.window_started_at = now;
+    }
+}
--- a/src/relay/endpoints/discovery_client.rs
+++ b/src/relay/endpoints/discovery_client.rs
@@ -6,7 +6,10 @@
 use std::rc::Rc;
 
 use bytes::{Buf, BytesMut};
-use honeyknot_discovery::{Call, Caller, Roll, State, Told, Trouble};
+use honeyknot_discovery::{
+    DiscoveryConfig, DiscoveryErrorKind, DiscoveryPoller, DiscoveryRequest, DiscoveryState, EndpointList,
+    Poll,
+};
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -94,25 +97,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failure {
     /// What kind of trouble it was.
-    pub trouble: Trouble,
+    pub trouble: DiscoveryErrorKind,
     /// In words.
     pub why: String,
 }
 
 impl Failure {
-    fn new(trouble: Trouble, why: impl ToString) -> Failure {
+    fn new(trouble: DiscoveryErrorKind, why: impl ToString) -> Failure {
         Failure { trouble, why: why.to_string() }
     }
 
     fn io(e: io::Error) -> Failure {
         let refused = e.kind() == io::ErrorKind::ConnectionRefused;
-        Failure::new(if refused { Trouble::Refused } else { Trouble::Broken }, e)
+        Failure::new(
+            if refused {
+                DiscoveryErrorKind::ConnectionRefused
+            } else {
+                DiscoveryErrorKind::ConnectionBroken
+            },
+            e,
+        )
     }
 }
 
 impl From<&str> for Failure {
     fn from(why: &str) -> Failure {
-        Failure::new(Trouble::Senseless, why)
+        Failure::new(DiscoveryErrorKind::InvalidResponse, why)
     }
 }
 
@@ -147,7 +157,7 @@
             }
             () = timers.sleep(wait) => {
                 self.line = None;
-                Err(Failure::new(Trouble::Silent, "no answer in time"))
+                Err(Failure::new(DiscoveryErrorKind::Timeout, "no answer in time"))
             }
         }
     }
@@ -156,7 +166,7 @@
         tokio::select! {
             biased;
             line = TcpStream::connect(self.at) => line.map_err(Failure::io),
-            () = self.timers.sleep(CONNECT_WAIT) => Err(Failure::new(Trouble::Silent, "no connection in time")),
+            () = self.timers.sleep(CONNECT_WAIT) => Err(Failure::new(DiscoveryErrorKind::Timeout, "no connection in time")),
         }
     }
 
@@ -177,12 +187,15 @@
                 let why = format!("status {}", answer.status);
                 return match answer.status {
                     200 => Ok(answer.body),
-                    429 | 503 => Err(Failure::new(Trouble::Busy(answer.retry_after), why)),
-                    _ => Err(Failure::new(Trouble::Senseless, why)),
+                    429 | 503 => Err(Failure::new(
+                        DiscoveryErrorKind::Overloaded { retry_after: answer.retry_after },
+                        why,
+                    )),
+                    _ => Err(Failure::new(DiscoveryErrorKind::InvalidResponse, why)),
                 };
             }
             if line.read_buf(&mut bytes).await.map_err(Failure::io)? == 0 {
-                return Err(Failure::new(Trouble::Broken, "the answer ends early"));
+                return Err(Failure::new(DiscoveryErrorKind::ConnectionBroken, "the answer ends early"));
             }
         }
     }
@@ -212,7 +225,7 @@
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(start) =
-        head.parse(bytes).map_err(|e| Failure::new(Trouble::Senseless, e))?
+        head.parse(bytes).map_err(|e| Failure::new(DiscoveryErrorKind::InvalidResponse, e))?
     else {
         return if bytes.len() > LARGEST { Err("the answer is too long".into()) } else { Ok(None) };
     };
@@ -265,35 +278,35 @@
 }
 
 /// Takes a wish; why the call that is out is not waited for any more, if so.
-fn heed(ask: DiscoveryCommand, caller: &mut Caller, now: Micros) -> Option<Interruption> {
+fn heed(ask: DiscoveryCommand, poller: &mut DiscoveryPoller, now: Micros) -> Option<Interruption> {
     match ask {
         DiscoveryCommand::Fetch => {
-            caller.want_whole();
+            poller.request_full_list();
             None
         }
-        DiscoveryCommand::Refused => caller.refused_by_listed(now).then_some(Interruption::Stale),
+        DiscoveryCommand::Refused => poller.connection_refused(now).then_some(Interruption::Stale),
         DiscoveryCommand::Renew(at) => Some(Interruption::Renewed(at)),
     }
 }
 
 /// Takes wishes until one ends the call that is out; none once nobody can wish any more.
 async fn interrupted(
-    asks: &mut UnboundedReceiver<DiscoveryCommand>, caller: &mut Caller, timers: &Timers,
+    asks: &mut UnboundedReceiver<DiscoveryCommand>, poller: &mut DiscoveryPoller, timers: &Timers,
 ) -> Option<Interruption> {
     loop {
         let ask = asks.recv().await?;
-        if let Some(why) = heed(ask, caller, timers.clock.now()) {
+        if let Some(why) = heed(ask, poller, timers.clock.now()) {
             return Some(why);
         }
     }
 }
 
 /// The path that makes a call.
-fn path(call: Call) -> String {
-    match call {
-        Call::Whole => "/registry/instances".to_owned(),
-        Call::Changes { since, wait } => {
-            format!("/registry/instances?index={since}&wait={}", wait / 1_000)
+fn path(request: DiscoveryRequest) -> String {
+    match request {
+        DiscoveryRequest::FullList => "/registry/instances".to_owned(),
+        DiscoveryRequest::Watch { since_version, max_wait } => {
+            format!("/registry/instances?index={since_version}&wait={}", max_wait / 1_000)
         }
     }
 }
@@ -305,68 +318,68 @@
 /// discovery for the whole roll. Guards against waiting at an address that answers no more while card servers drain unheard of;
 /// the roll held stays in use meanwhile.
 pub async fn follow(
-    relay: SharedRelay, discovery: SocketAddr, mut caller: Caller,
+    relay: SharedRelay, discovery: SocketAddr, mut poller: DiscoveryPoller,
     mut asks: UnboundedReceiver<DiscoveryCommand>,
 ) {
     let timers = relay.borrow().timers.clone();
     let mut desk = Desk::new(discovery, &timers);
     loop {
-        relay.borrow_mut().list_state = caller.state();
-        let due = caller.due();
+        relay.borrow_mut().list_state = poller.state();
+        let due = poller.next_poll_at();
         tokio::select! {
             biased;
             ask = asks.recv() => {
                 let Some(ask) = ask else { return };
-                if let Some(Interruption::Renewed(at)) = heed(ask, &mut caller, timers.clock.now()) {
+                if let Some(Interruption::Renewed(at)) = heed(ask, &mut poller, timers.clock.now()) {
                     desk.go_to(at);
-                    caller.renew(timers.clock.now());
+                    poller.change_service(timers.clock.now());
                 }
                 continue;
             }
             () = timers.sleep_until(due.unwrap_or(0)), if due.is_some() => {}
         }
-        let (call, patience) = caller.call(timers.clock.now());
-        let path = path(call);
+        let Poll { request, timeout } = poller.start_poll(timers.clock.now());
+        let path = path(request);
         let answer = tokio::select! {
             biased;
-            why = interrupted(&mut asks, &mut caller, &timers) => Err(why),
-            answer = ask_roll(&mut desk, &relay, &path, patience) => Ok(answer),
+            why = interrupted(&mut asks, &mut poller, &timers) => Err(why),
+            answer = ask_roll(&mut desk, &relay, &path, timeout) => Ok(answer),
         };
         match answer {
             Ok(Ok(news)) => {
-                let doubted = caller.state() == State::Doubting;
-                let news = believed(&mut caller, timers.clock.now(), news);
-                if !doubted && caller.state() == State::Doubting {
+                let doubted = poller.state() == DiscoveryState::ValidatingOlderList;
+                let news = believed(&mut poller, timers.clock.now(), news);
+                if !doubted && poller.state() == DiscoveryState::ValidatingOlderList {
                     warn!(target: "roll", version = news.version, "an older list: what it lacks stays for now");
-                } else if doubted && caller.state() == State::Following {
+                } else if doubted && poller.state() == DiscoveryState::Following {
                     info!(target: "roll", version = news.version, "the list is believed in whole again");
                 }
                 relay.borrow_mut().apply_endpoint_list(news);
             }
             Ok(Err(failure)) => {
-                caller.failed(timers.clock.now(), failure.trouble);
+                poller.poll_failed(timers.clock.now(), failure.trouble);
                 relay.borrow_mut().discovery_failed(&failure);
             }
             Err(None) => return,
             Err(Some(Interruption::Stale)) => {
                 desk.line = None;
-                caller.failed(timers.clock.now(), Trouble::Silent);
+                poller.poll_failed(timers.clock.now(), DiscoveryErrorKind::Timeout);
                 let why = "listed card servers are gone and no news came";
-                relay.borrow_mut().discovery_failed(&Failure::new(Trouble::Silent, why));
+                relay.borrow_mut().discovery_failed(&Failure::new(DiscoveryErrorKind::Timeout, why));
             }
             Err(Some(Interruption::Renewed(at))) => {
                 desk.go_to(at);
-                caller.renew(timers.clock.now());
+                poller.change_service(timers.clock.now());
             }
         }
     }
 }
 
 /// What is believed of an answer.
-fn believed(caller: &mut Caller, now: Micros, news: EndpointListUpdate) -> EndpointListUpdate {
+fn believed(poller: &mut DiscoveryPoller, now: Micros, news: EndpointListUpdate) -> EndpointListUpdate {
     let told = news.entries.len();
-    let answer = Roll { version: news.version, whole: news.whole, entries: news.entries };
-    let Roll { version, whole, entries } = caller.heard(now, answer);
+    let answer = EndpointList { version: news.version, full: news.whole, endpoints: news.entries };
+    let EndpointList { version, full: whole, endpoints: entries } = poller.poll_succeeded(now, answer);
     let mut addresses = news.addresses;
     if entries.len() < told {
         let known: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
@@ -375,21 +388,27 @@
     EndpointListUpdate { version, whole, entries, addresses }
 }
 
-/// The caller of a relay that starts with this roll.
-pub fn caller(settings: &Settings, seed: u64, known: &EndpointListUpdate, now: Micros) -> Caller {
-    let held = Roll { version: known.version, whole: true, entries: known.entries.clone() };
+/// The poller of a relay that starts with this roll.
+pub fn caller(settings: &Settings, seed: u64, known: &EndpointListUpdate, now: Micros) -> DiscoveryPoller {
+    let held = EndpointList { version: known.version, full: true, endpoints: known.entries.clone() };
     // A seed of its own: the decisions draw from the same one.
     let seed = seed.rotate_left(32) ^ 0x115_7e4;
-    let agent = (settings.discovery == DiscoveryMode::Pushed).then_some(settings.rules.drain_grace);
-    let told = Told { relays: settings.fleet_size, must_ask_in: settings.rules.max_list_age, agent, seed };
-    Caller::new(told, &held, now)
+    let agent_drain_grace =
+        (settings.discovery == DiscoveryMode::Pushed).then_some(settings.rules.drain_grace);
+    let told = DiscoveryConfig {
+        fleet_size: settings.fleet_size,
+        max_list_age: settings.rules.max_list_age,
+        agent_drain_grace,
+        seed,
+    };
+    DiscoveryPoller::new(told, &held, now)
 }
 
 async fn ask_roll(
     desk: &mut Desk, relay: &SharedRelay, path: &str, wait: Micros,
 ) -> Result<EndpointListUpdate, Failure> {
     let body = desk.call(path, wait).await?;
-    let senseless = |why: String| Failure::new(Trouble::Senseless, why);
+    let senseless = |why: String| Failure::new(DiscoveryErrorKind::InvalidResponse, why);
     let value: Value = serde_json::from_slice(&body).map_err(|e| senseless(format!("not JSON: {e}")))?;
     read_roll(&value, &relay.borrow().names).map_err(senseless)
 }
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use honeyknot_balancer::maintenance::UnknownEndpoint;
-use honeyknot_discovery::Trouble;
+use honeyknot_discovery::DiscoveryErrorKind;
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
@@ -13,13 +13,13 @@
 use honeyknot_balancer::*;
 
 /// The tag's value of a failed call.
-fn trouble_word(trouble: Trouble) -> &'static str {
+fn trouble_word(trouble: DiscoveryErrorKind) -> &'static str {
     match trouble {
-        Trouble::Refused => "refused",
-        Trouble::Broken => "broken",
-        Trouble::Busy(_) => "busy",
-        Trouble::Silent => "silent",
-        Trouble::Senseless => "senseless",
+        DiscoveryErrorKind::ConnectionRefused => "refused",
+        DiscoveryErrorKind::ConnectionBroken => "broken",
+        DiscoveryErrorKind::Overloaded { .. } => "busy",
+        DiscoveryErrorKind::Timeout => "silent",
+        DiscoveryErrorKind::InvalidResponse => "senseless",
     }
 }
 
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -231,7 +231,7 @@
             "discovered": self.maintenance.listed(),
             "ejected": self.maintenance.avoided(self.balancer.suspects()),
             "list": {
-                "state": self.list_state.word(),
+                "state": self.list_state.as_str(),
                 "version": self.endpoint_list_version,
                 "answered": self.has_discovery_answered(),
                 "heard_ms_ago": self.timers.clock.now().saturating_sub(self.discovery_answered_at) / 1_000,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-use honeyknot_discovery::{Caller, State};
+use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
 use honeyknot_gossip::Plan as NeighborPlan;
 use honeyknot_metrics::{Book, Family};
 use honeyknot_zone_failover::{Sites, Verdict};
@@ -168,7 +168,7 @@
     discovery_commands: UnboundedSender<DiscoveryCommand>,
     discovery_failing: bool,
     /// What the relay is doing about its list.
-    list_state: State,
+    list_state: DiscoveryState,
     events: VecDeque<Event>,
     descriptors_in_use: Rc<Cell<usize>>,
     max_descriptors: usize,
@@ -191,7 +191,9 @@
 
 impl Relay {
     /// A relay, its caller of discovery, and what the decisions will want of that.
-    pub fn new(config: Config) -> Result<(SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>), String> {
+    pub fn new(
+        config: Config,
+    ) -> Result<(SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>), String> {
         let timers = Timers::new(Clock::start());
         let born = timers.clock.now();
         let mut settings = config.settings;
@@ -235,7 +237,7 @@
                 discovery_answered_at: born,
                 discovery_commands: asks,
                 discovery_failing: false,
-                list_state: State::Starting,
+                list_state: DiscoveryState::Starting,
                 events: VecDeque::new(),
                 descriptors_in_use: Rc::default(),
                 max_descriptors: descriptors(config.sockets, config.admin.is_some()),
--- a/tests/compatibility/relay/admin.rs
+++ b/tests/compatibility/relay/admin.rs
@@ -1,6 +1,6 @@
 //! Operators' commands on the admin address, their answers, and the keys of the figures.
 
-use honeyknot_discovery::State as DiscoveryState;
+use honeyknot_discovery::DiscoveryState;
 use honeyknot_relay::admin::call::{self, Call as AdminCommand};
 use serde_json::Value;
 
@@ -86,8 +86,8 @@
     let states = [
         DiscoveryState::Starting,
         DiscoveryState::Following,
-        DiscoveryState::Doubting,
+        DiscoveryState::ValidatingOlderList,
         DiscoveryState::Failing,
     ];
-    assert_eq!(states.map(DiscoveryState::word), ["starting", "following", "doubting", "failing"]);
+    assert_eq!(states.map(DiscoveryState::as_str), ["starting", "following", "doubting", "failing"]);
 }
