--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -75,7 +75,7 @@
     }
     let (standing, asking) = relay.borrow().open_connections();
     info!(target: "shutdown", sessions = standing.len(), requests = asking, "left over");
-    relay.borrow().idle_connections.call_last();
+    relay.borrow().idle_connections.notify_shutdown();
     // The last lines are on their way: exiting now could reset the connections that carry them.
     let last = timers.clock.now() + LINGER;
     timers.sleep_until(last.min(kill - GONE_BEFORE)).await;
@@ -84,9 +84,7 @@
 /// Requests that are still open get their answer while there is time to send it.
 fn fail_the_rest(relay: &SharedRelay) {
     let mut relay = relay.borrow_mut();
-    let asking: Vec<_> =
-        relay.connections.iter().filter(|(_, s)| !s.established).map(|(id, _)| *id).collect();
-    for id in asking {
+    for id in relay.connections.pending() {
         relay.send_command(id, ConnectionCommand::Fail);
     }
 }
