--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,6 +1,6 @@
 //! Why the simulator's input was refused.
 
-use honeyknot_balancer::balancer::SettingsError as RejectedSettings;
+use honeyknot_balancer::SettingsError as RejectedSettings;
 
 use crate::settings::SettingsError;
 
