--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -6,7 +6,7 @@
 use std::rc::{Rc, Weak};
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
-use honeyknot_discovery::{Caller, State};
+use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
 use honeyknot_gossip::Plan as GossipConfig;
 use honeyknot_metrics::Book;
 use honeyknot_zone_failover::Sites;
@@ -66,7 +66,7 @@
     pub(in crate::relay) discovery_answered_at: Micros,
     pub(in crate::relay) discovery_failing: bool,
     /// What the relay is doing about its endpoint list.
-    pub(in crate::relay) list_state: State,
+    pub(in crate::relay) list_state: DiscoveryState,
     pub(in crate::relay) descriptors_in_use: DescriptorCounter,
     pub(in crate::relay) max_descriptors: usize,
     pub(in crate::relay) admin_enabled: bool,
@@ -78,7 +78,7 @@
 }
 
 /// A new relay, its discovery client's state machine, and the commands to that client.
-type NewRelay = (SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>);
+type NewRelay = (SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>);
 
 impl Relay {
     /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
@@ -128,7 +128,7 @@
                 discovery_commands,
                 discovery_answered_at: started_at,
                 discovery_failing: false,
-                list_state: State::Starting,
+                list_state: DiscoveryState::Starting,
                 descriptors_in_use: DescriptorCounter::default(),
                 max_descriptors: connection_descriptors(config.sockets, config.admin.is_some()),
                 admin_enabled: config.admin.is_some(),
