--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,24 +1,24 @@
-//! What one balancer of many may send to a server that is still cold: *slots*, opened at a pace from a random
-//! phase.
+//! What one balancer of many may send to an endpoint that is still cold: *slots*, opened at a pace from a
+//! random phase.
 //!
-//! The rule: a server that starts bears, in the settings' time `fall`, no more than N = multiple x present
+//! The rule: an endpoint that starts bears, in the settings' time `fall`, no more than N = multiple x present
 //! capacity x `fall`. Its present capacity is [`warmth`] of the pace that fills it over its warm-up, `holds /
-//! cold`, as servers take new connections no faster than that. All R balancers together open slots at
-//! [`PART`] of the multiple times that pace, each 1/R of it from a phase of its own, uniform on 0 to 1. So
-//! the slots that open in a time `t` are a sum of R independent draws whose mean is exactly PART x N x t /
-//! `fall` whatever R is, and whose variance is at most that mean: parts below one are drawn and never rounded
-//! up. A slot that is not used lapses after `fall`: what can come in `fall` after a lull is what opens in
-//! twice that time, 4/3 N in the mean. No I/O, no clock.
+//! cold`, as endpoints take new connections no faster than that. All R balancers together open slots at
+//! [`BUDGET_FRACTION`] of the multiple times that pace, each 1/R of it from a phase of its own, uniform on 0
+//! to 1. So the slots that open in a time `t` are a sum of R independent draws whose mean is exactly
+//! BUDGET_FRACTION x N x t / `fall` whatever R is, and whose variance is at most that mean: parts below one
+//! are drawn and never rounded up. A slot that is not used lapses after `fall`: what can come in `fall` after
+//! a lull is what opens in twice that time, 4/3 N in the mean. No I/O, no clock.
 
 use crate::balancer::Balancer;
-use crate::endpoint_record::Server;
+use crate::endpoint_record::EndpointRecord;
 use crate::{Micros, Rules};
 
 /// All balancers together send this part of what the rule bears: the rest is for what they cannot know, the
 /// size of a connection and the true pace of warming up.
-pub const PART: f64 = 2.0 / 3.0;
+pub const BUDGET_FRACTION: f64 = 2.0 / 3.0;
 
-/// The part of its capacity that a server which started then surely has by now.
+/// The part of its capacity that an endpoint which started then surely has by now.
 pub fn warmth(rules: &Rules, started: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(started);
     if started == 0 || age >= rules.slow_start_duration {
@@ -28,23 +28,23 @@
     start + (1.0 - start) * age as f64 / rules.slow_start_duration as f64
 }
 
-/// One balancer's part of the pace at which a server is filled while it is cold, in connections a microsecond
-/// at full warmth. A warm one holds so many connections.
+/// One balancer's part of the pace at which an endpoint is filled while it is cold, in connections a
+/// microsecond at full warmth. A warm one holds so many connections.
 pub fn rate(rules: &Rules, holds: f64, balancers: f64) -> f64 {
-    PART * rules.overload_factor * holds / rules.slow_start_duration.max(1) as f64 / balancers
+    BUDGET_FRACTION * rules.overload_factor * holds / rules.slow_start_duration.max(1) as f64 / balancers
 }
 
-/// One balancer's slots on one server.
+/// One balancer's slots on one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Slots {
+pub struct SlowStartBudget {
     phase: f64,
     used: u64,
 }
 
-impl Slots {
+impl SlowStartBudget {
     /// Slots from a phase, which is to be drawn from 0 to 1.
-    pub fn new(phase: f64) -> Slots {
-        Slots { phase, used: 0 }
+    pub fn new(phase: f64) -> SlowStartBudget {
+        SlowStartBudget { phase, used: 0 }
     }
 
     /// How many have opened by now.
@@ -55,8 +55,8 @@
         self.phase + rate * age * (start + grown)
     }
 
-    /// Whether one is open now; on a warm server always.
-    pub fn open(&self, rules: &Rules, started: Micros, now: Micros, rate: f64) -> bool {
+    /// Whether one is open now; on a warm endpoint always.
+    pub fn is_open(&self, rules: &Rules, started: Micros, now: Micros, rate: f64) -> bool {
         let warmth = warmth(rules, started, now);
         if warmth >= 1.0 {
             return true;
@@ -67,22 +67,31 @@
     }
 
     /// Uses the one that is open, and those that have lapsed.
-    pub fn take(&mut self, rules: &Rules, started: Micros, now: Micros, rate: f64) {
+    pub fn consume(&mut self, rules: &Rules, started: Micros, now: Micros, rate: f64) {
         self.used = self.used.max(self.opened(rules, started, now, rate) as u64);
     }
 }
 
 impl Balancer {
-    pub(crate) fn warmth(&self, server: &Server, now: Micros) -> f64 {
-        warmth(&self.settings.rules, server.entry.started_at, now)
+    pub(crate) fn warmth(&self, record: &EndpointRecord, now: Micros) -> f64 {
+        warmth(&self.settings.rules, record.endpoint.started_at, now)
     }
 
-    pub(crate) fn slot_rate(&self, server: &Server) -> f64 {
-        rate(&self.settings.rules, server.size() / self.fleet.unit.max(1e-6), self.balancers())
+    pub(crate) fn slow_start_rate(&self, record: &EndpointRecord) -> f64 {
+        rate(
+            &self.settings.rules,
+            record.capacity() / self.fleet_estimate.connection_load.max(1e-6),
+            self.fleet_size(),
+        )
     }
 
-    /// Whether a cold server can have a connection of this balancer now; a warm one always can.
-    pub(crate) fn slot_open(&self, server: &Server, now: Micros) -> bool {
-        server.slots.open(&self.settings.rules, server.entry.started_at, now, self.slot_rate(server))
+    /// Whether a cold endpoint can have a connection of this balancer now; a warm one always can.
+    pub(crate) fn slow_start_admits(&self, record: &EndpointRecord, now: Micros) -> bool {
+        record.slow_start.is_open(
+            &self.settings.rules,
+            record.endpoint.started_at,
+            now,
+            self.slow_start_rate(record),
+        )
     }
 }
--- a/crates/balancer/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -1,13 +1,13 @@
 //! The decision module alone: each rule, each effect and outcome, and each fault that was once found.
 
-mod common;
+mod support;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use common::*;
 use honeyknot_balancer::Balancer;
 use honeyknot_balancer::*;
+use support::*;
 
 fn three(load: f64) -> [(&'static str, Option<f64>); 3] {
     [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -1,21 +1,21 @@
 //! A balancer that turns away all that comes tries again now and then.
 
-mod common;
+mod support;
 
-use common::*;
-use honeyknot_balancer::circuit_breaker::{Breaker, HALF_OPEN};
+use honeyknot_balancer::circuit_breaker::{CircuitBreaker, HALF_OPEN_AFTER};
 use honeyknot_balancer::*;
+use support::*;
 
 #[test]
 fn it_is_half_open_after_its_time_and_closed_by_a_placement() {
-    let mut breaker = Breaker::default();
-    assert!(!breaker.half_open(START + HALF_OPEN), "nothing was turned away");
-    breaker.no_room(START);
-    breaker.no_room(START + HALF_OPEN - 1);
-    assert!(!breaker.half_open(START + HALF_OPEN - 1), "just before");
-    assert!(breaker.half_open(START + HALF_OPEN), "since the first that found no room");
-    breaker.placed();
-    assert!(!breaker.half_open(START + 2 * HALF_OPEN), "one was placed");
+    let mut breaker = CircuitBreaker::default();
+    assert!(!breaker.is_half_open(START + HALF_OPEN_AFTER), "nothing was turned away");
+    breaker.record_no_capacity(START);
+    breaker.record_no_capacity(START + HALF_OPEN_AFTER - 1);
+    assert!(!breaker.is_half_open(START + HALF_OPEN_AFTER - 1), "just before");
+    assert!(breaker.is_half_open(START + HALF_OPEN_AFTER), "since the first that found no room");
+    breaker.record_placement();
+    assert!(!breaker.is_half_open(START + 2 * HALF_OPEN_AFTER), "one was placed");
 }
 
 /// When requests that come every 0.3 s for ten seconds are placed, card servers reporting this load.
@@ -42,8 +42,8 @@
 fn a_balancer_that_refuses_all_lets_one_try_every_few_seconds() {
     let placed = placed_at(0.85);
     assert!((2..=4).contains(&placed.len()), "{placed:?}");
-    assert!(placed[0] >= HALF_OPEN && placed[0] < HALF_OPEN + SECOND, "{placed:?}");
-    assert!(placed.windows(2).all(|two| two[1] - two[0] >= HALF_OPEN), "{placed:?}");
+    assert!(placed[0] >= HALF_OPEN_AFTER && placed[0] < HALF_OPEN_AFTER + SECOND, "{placed:?}");
+    assert!(placed.windows(2).all(|two| two[1] - two[0] >= HALF_OPEN_AFTER), "{placed:?}");
 }
 
 /// A card server that says it has more than it can do is no place to try.
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -1,15 +1,15 @@
 //! Long random but legal sequences of events, checked against what must hold whatever the servers do.
 
-mod common;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::*;
 use honeyknot_balancer::Balancer;
 use honeyknot_balancer::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use support::*;
 
 /// A request as the rules see it.
 struct Open {
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! What all balancers together send to a cold server: sums over instances that know nothing of each other.
 
-use honeyknot_balancer::slow_start::{self, Slots};
+use honeyknot_balancer::slow_start::{self, SlowStartBudget};
 use honeyknot_balancer::{Micros, Rules};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -34,13 +34,14 @@
 fn calls(rules: &Rules, holds: f64, balancers: usize, from: Micros, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let rate = slow_start::rate(rules, holds, balancers as f64);
-    let mut slots: Vec<Slots> = (0..balancers).map(|_| Slots::new(rng.random())).collect();
+    let mut slots: Vec<SlowStartBudget> =
+        (0..balancers).map(|_| SlowStartBudget::new(rng.random())).collect();
     let mut calls = Vec::new();
     for step in from / (20 * MS)..rules.slow_start_duration / (20 * MS) {
         let now = START + step * 20 * MS;
         for slots in &mut slots {
-            if slots.open(rules, START, now, rate) {
-                slots.take(rules, START, now, rate);
+            if slots.is_open(rules, START, now, rate) {
+                slots.consume(rules, START, now, rate);
                 calls.push(now);
             }
         }
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -1,11 +1,11 @@
 //! A balancer where card servers report nothing and may not be probed: what it knows, it knows from its own
 //! attempts.
 
-mod common;
+mod support;
 
-use common::*;
-use honeyknot_balancer::unreported_load::guess;
+use honeyknot_balancer::unreported_load::estimate_load;
 use honeyknot_balancer::*;
+use support::*;
 
 /// Settings of a deployment with no reports and no probes; times and costs are another's than the usual ones.
 fn told_nothing(fleet_size: u32) -> Settings {
@@ -258,11 +258,11 @@
 
 #[test]
 fn few_own_connections_leave_the_mean_and_many_tell() {
-    assert_eq!(guess(0.5, 0, 0.0), 0.5);
-    let one_of_few = guess(0.5, 1, 0.05);
+    assert_eq!(estimate_load(0.5, 0, 0.0), 0.5);
+    let one_of_few = estimate_load(0.5, 1, 0.05);
     assert!(one_of_few < 0.6, "one connection of a thousand: {one_of_few}");
-    let crowded = guess(0.5, 60, 20.0);
+    let crowded = estimate_load(0.5, 60, 20.0);
     assert!(crowded > 1.2, "three times its share of many: {crowded}");
-    let idle = guess(0.5, 0, 20.0);
+    let idle = estimate_load(0.5, 0, 20.0);
     assert!(idle < 0.15, "none of many: {idle}");
 }
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,13 +1,13 @@
 //! Groups and zones: together on few servers where nothing is reported, in their clients' zones where loads
 //! are.
 
-mod common;
+mod support;
 
 use std::collections::BTreeSet;
 
-use common::*;
 use honeyknot_balancer::zone_affinity::{GROUP_COST, copy_cost, slowdown};
 use honeyknot_balancer::*;
+use support::*;
 
 const ZONES: usize = 4;
 const SERVERS: [&str; 12] =
