--- a/crates/lease-consensus/src/log.rs
+++ b/crates/lease-consensus/src/log.rs
@@ -4,14 +4,14 @@
 use raft::eraftpb::{self, ConfState};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-use crate::letter::{Entry, Snapshot, State};
-use crate::{KeeperId, Micros};
+use crate::peer_message::{Entry, HardState, Snapshot};
+use crate::{Micros, ReplicaId};
 
 /// What a keeper found on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistedState {
     /// Its state.
-    pub state: State,
+    pub state: HardState,
     /// The book so far, if it was ever put together.
     pub snapshot: Option<Snapshot>,
     /// All entries after that, in order and without a gap.
@@ -20,9 +20,9 @@
 
 /// What has to be on disk before anything that follows from it is told to anybody. All of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Write {
+pub struct ReplicaWrite {
     /// The new state.
-    pub state: Option<State>,
+    pub state: Option<HardState>,
     /// Takes the place of all entries up to its index.
     pub snapshot: Option<Snapshot>,
     /// All entries from this one on are dropped ...
@@ -31,16 +31,16 @@
     pub entries: Vec<Entry>,
 }
 
-impl Write {
+impl ReplicaWrite {
     /// Whether there is anything in it.
     pub fn is_empty(&self) -> bool {
-        *self == Write::default()
+        *self == ReplicaWrite::default()
     }
 }
 
-impl Kept {
+impl PersistedState {
     /// What is on disk after a write, for stores that hold it all in memory.
-    pub fn write(&mut self, write: Write) {
+    pub fn write(&mut self, write: ReplicaWrite) {
         if let Some(state) = write.state {
             self.state = state;
         }
@@ -77,8 +77,8 @@
 }
 
 pub(crate) struct Log {
-    voters: Vec<KeeperId>,
-    state: State,
+    voters: Vec<ReplicaId>,
+    state: HardState,
     snapshot: Option<Snapshot>,
     /// The entry before the first of `entries`: its index and term.
     before: (u64, u64),
@@ -89,7 +89,7 @@
 const BEHIND: u64 = 512;
 
 impl Log {
-    pub(crate) fn new(voters: &[KeeperId], kept: Kept) -> Log {
+    pub(crate) fn new(voters: &[ReplicaId], kept: PersistedState) -> Log {
         let before = kept.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
         let mut state = kept.state;
         state.commit = state.commit.max(before.0);
@@ -139,7 +139,7 @@
         self.entries.extend(entries);
     }
 
-    pub(crate) fn set_state(&mut self, state: State) {
+    pub(crate) fn set_state(&mut self, state: HardState) {
         self.state = state;
     }
 
--- a/crates/lease-consensus/src/letter.rs
+++ b/crates/lease-consensus/src/peer_message.rs
@@ -3,7 +3,7 @@
 use raft::eraftpb::{self, EntryType, MessageType};
 use serde::{Deserialize, Serialize};
 
-use crate::KeeperId;
+use crate::ReplicaId;
 
 /// An entry of the log: a batch of commands as the leader wrote it, or nothing (a leader's first).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,28 +24,28 @@
     /// That entry's term.
     pub term: u64,
     /// The book.
-    pub book: Vec<u8>,
+    pub lease_table: Vec<u8>,
 }
 
 /// What a keeper must never forget beside its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct HardState {
     /// The term it has come to.
     pub term: u64,
     /// Whom it has voted for in that term; 0 for nobody.
-    pub vote: KeeperId,
+    pub vote: ReplicaId,
     /// The last entry that it knows to be agreed on.
     pub commit: u64,
 }
 
 /// One keeper's word to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letter {
+pub struct PeerMessage {
     kind: u8,
     /// For whom.
-    pub to: KeeperId,
+    pub to: ReplicaId,
     /// By whom.
-    pub from: KeeperId,
+    pub from: ReplicaId,
     term: u64,
     log_term: u64,
     index: u64,
@@ -60,14 +60,14 @@
     priority: i64,
 }
 
-impl Letter {
+impl PeerMessage {
     /// The term that its writer had come to.
     pub(crate) fn term(&self) -> u64 {
         self.term
     }
 
     /// Whether it carries a snapshot: its writer waits until it is told that it went out.
-    pub fn brings_snapshot(&self) -> bool {
+    pub fn has_snapshot(&self) -> bool {
         self.snapshot.is_some()
     }
 
@@ -94,9 +94,9 @@
     sent.into_iter().find(|kind| *kind as u8 == byte)
 }
 
-impl From<eraftpb::Message> for Letter {
-    fn from(mut message: eraftpb::Message) -> Letter {
-        Letter {
+impl From<eraftpb::Message> for PeerMessage {
+    fn from(mut message: eraftpb::Message) -> PeerMessage {
+        PeerMessage {
             kind: message.msg_type as u8,
             to: message.to,
             from: message.from,
@@ -116,10 +116,10 @@
     }
 }
 
-impl Letter {
+impl PeerMessage {
     /// The engine's form, or nothing for a kind that no keeper sends. A snapshot always names the voters of its reader's file:
     /// who votes is not changed by what comes from a socket.
-    pub(crate) fn message(self, voters: &[KeeperId]) -> Option<eraftpb::Message> {
+    pub(crate) fn message(self, voters: &[ReplicaId]) -> Option<eraftpb::Message> {
         let mut message = eraftpb::Message::default();
         message.set_msg_type(kind(self.kind)?);
         message.to = self.to;
@@ -162,29 +162,29 @@
 impl From<eraftpb::Snapshot> for Snapshot {
     fn from(snapshot: eraftpb::Snapshot) -> Snapshot {
         let meta = snapshot.get_metadata();
-        Snapshot { index: meta.index, term: meta.term, book: snapshot.data.to_vec() }
+        Snapshot { index: meta.index, term: meta.term, lease_table: snapshot.data.to_vec() }
     }
 }
 
 impl Snapshot {
-    pub(crate) fn engine(self, voters: &[KeeperId]) -> eraftpb::Snapshot {
+    pub(crate) fn engine(self, voters: &[ReplicaId]) -> eraftpb::Snapshot {
         let mut it = eraftpb::Snapshot::default();
         it.mut_metadata().index = self.index;
         it.mut_metadata().term = self.term;
         it.mut_metadata().mut_conf_state().voters = voters.to_vec();
-        it.data = self.book.into();
+        it.data = self.lease_table.into();
         it
     }
 }
 
-impl From<eraftpb::HardState> for State {
-    fn from(state: eraftpb::HardState) -> State {
-        State { term: state.term, vote: state.vote, commit: state.commit }
+impl From<eraftpb::HardState> for HardState {
+    fn from(state: eraftpb::HardState) -> HardState {
+        HardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 }
 
-impl From<State> for eraftpb::HardState {
-    fn from(state: State) -> eraftpb::HardState {
+impl From<HardState> for eraftpb::HardState {
+    fn from(state: HardState) -> eraftpb::HardState {
         eraftpb::HardState { term: state.term, vote: state.vote, commit: state.commit, ..Default::default() }
     }
 }
--- a/crates/lease-consensus/src/keeper.rs
+++ b/crates/lease-consensus/src/replica.rs
@@ -2,26 +2,29 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use honeyknot_lease::{Answer, Book, Command, Refusal, Said, Terms, Token, Turnstile, Watchman};
+use honeyknot_lease::{
+    AcquireBackoff, Answer, Command, CommandResult, ExpiryTracker, FencingToken, LeaseParameters, LeaseTable,
+    Rejection,
+};
 use raft::eraftpb;
 use raft::{Config, RawNode, Ready, StateRole, Storage};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::letter::{Entry, Letter, Snapshot};
-use crate::log::{Kept, Log, Write, ticks};
-use crate::{KeeperId, Micros};
+use crate::log::{Log, PersistedState, ReplicaWrite, ticks};
+use crate::peer_message::{Entry, PeerMessage, Snapshot};
+use crate::{Micros, ReplicaId};
 
 /// What all keepers of a fleet are told alike, but for their own number.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ReplicaSettings {
     /// The terms of leases.
-    pub terms: Terms,
+    pub parameters: LeaseParameters,
     /// This keeper's number, from 1.
-    pub me: KeeperId,
+    pub me: ReplicaId,
     /// How many keepers there are.
     pub keepers: u64,
-    /// How often [`Keeper::turn`] is called.
+    /// How often [`Replica::max_hold`] is called.
     pub tick: Micros,
     /// A keeper that hears no leader for this long, and a part more by its number, asks to lead.
     pub election: Micros,
@@ -33,7 +36,7 @@
 
 /// What a client wants: commands, in order, all in one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Who asks, as the caller knows it.
     pub from: u64,
     /// Its number, given back with the answer.
@@ -42,32 +45,32 @@
     pub commands: Vec<Command>,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`ClientRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Response {
     /// One for each command, agreed on.
-    Answers(Vec<Said>),
+    Results(Vec<CommandResult>),
     /// All leases, as agreed on.
-    Leases(Vec<View>),
+    Leases(Vec<LeaseView>),
     /// This keeper does not lead, or no more: the commands may have been taken or not. Who leads, as far as it knows.
-    Elsewhere(Option<KeeperId>),
+    NotLeader(Option<ReplicaId>),
     /// Too much is under way.
-    Busy,
+    Overloaded,
 }
 
 /// One lease, as the keeper that leads sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct LeaseView {
     /// The task.
     pub task: String,
     /// Who.
     pub holder: String,
     /// By which token.
-    pub token: Token,
+    pub token: FencingToken,
     /// How often it was renewed.
     pub renewals: u64,
     /// For how long this leader has known it.
-    pub known_for: Micros,
+    pub age: Micros,
     /// For how long yet, unless it is renewed.
     pub left: Micros,
     /// Renewed no more.
@@ -76,30 +79,30 @@
 
 /// What a keeper does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum ReplicaAction {
     /// To another keeper. It may be lost.
-    Send(Letter),
+    Send(PeerMessage),
     /// To who asked.
-    Tell {
+    Respond {
         /// Who.
         to: u64,
         /// What it called its ask.
         id: u64,
         /// The answer.
-        told: Told,
+        told: Response,
     },
 }
 
 /// Why a keeper cannot go on: what it must not have forgotten is not there.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Lost {
+pub enum ReplicaError {
     /// A leader counts on entries that this keeper has agreed to and does not hold.
     #[error(
         "the folder has lost entries: keeper {leader} counts on entry {presumed}, the log ends with {last}; an old copy?"
     )]
     Entries {
         /// Who counts on them.
-        leader: KeeperId,
+        leader: ReplicaId,
         /// Up to which.
         presumed: u64,
         /// What is there.
@@ -113,7 +116,7 @@
         /// The entry.
         index: u64,
         /// Who says so.
-        leader: KeeperId,
+        leader: ReplicaId,
     },
     /// Something agreed on cannot be read.
     #[error("{what} {index} cannot be read: written by another version?")]
@@ -141,8 +144,8 @@
 /// What it keeps in its memory while it leads.
 struct Leading {
     term: u64,
-    watchman: Watchman,
-    turnstile: Turnstile,
+    expiry_tracker: ExpiryTracker,
+    acquire_backoff: AcquireBackoff,
 }
 
 struct Batch {
@@ -152,34 +155,34 @@
 }
 
 /// One keeper.
-pub struct Keeper {
-    settings: Settings,
-    voters: Vec<KeeperId>,
+pub struct Replica {
+    settings: ReplicaSettings,
+    voters: Vec<ReplicaId>,
     node: RawNode<Log>,
-    book: Book,
+    lease_table: LeaseTable,
     applied: u64,
     leading: Option<Leading>,
     /// Asks since the last entry.
-    gathered: VecDeque<(Micros, Ask)>,
+    gathered: VecDeque<(Micros, ClientRequest)>,
     /// By index of the entry.
     batches: BTreeMap<u64, Batch>,
     /// The entry that expires what has run out, while it is not agreed on.
     expiring: Option<u64>,
     ready: Option<Ready>,
     compacted: Option<Snapshot>,
-    out: Vec<Out>,
+    out: Vec<ReplicaAction>,
 }
 
 /// Asks that wait for their entry, or for agreement, at the most; more are told `Busy`.
-const MOST_WAITING: usize = 8_192;
+const MAX_PENDING_REQUESTS: usize = 8_192;
 /// Commands in one entry at the most.
-const MOST_IN_ENTRY: usize = 4_096;
+const MAX_COMMANDS_PER_ENTRY: usize = 4_096;
 
-impl Keeper {
+impl Replica {
     /// A keeper with what it found on its disk; nothing, if it was founded just now.
-    pub fn new(settings: Settings, kept: Kept) -> Result<Keeper, Lost> {
-        kept.check().map_err(Lost::Folder)?;
-        let voters: Vec<KeeperId> = (1..=settings.keepers).collect();
+    pub fn new(settings: ReplicaSettings, kept: PersistedState) -> Result<Replica, ReplicaError> {
+        kept.check().map_err(ReplicaError::Folder)?;
+        let voters: Vec<ReplicaId> = (1..=settings.keepers).collect();
         let election = ticks(settings.election, settings.tick).max(5);
         // An election time of its own for each keeper, without chance: the engine draws between the least and the most.
         let own = election + (settings.me as usize - 1) * (election / 4).max(1);
@@ -193,19 +196,19 @@
         config.max_size_per_msg = 256 * 1024;
         config.max_inflight_msgs = 64;
         config.max_uncommitted_size = 4 << 20;
-        let mut book = Book::founded(settings.tokens_from);
+        let mut lease_table = LeaseTable::with_tokens_from(settings.tokens_from);
         if let Some(snapshot) = &kept.snapshot {
             config.applied = snapshot.index;
-            book = read("snapshot", snapshot.index, &snapshot.book)?;
+            lease_table = read("snapshot", snapshot.index, &snapshot.lease_table)?;
         }
         let applied = config.applied;
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, Log::new(&voters, kept), &quiet).map_err(engine)?;
-        Ok(Keeper {
+        Ok(Replica {
             settings,
             voters,
             node,
-            book,
+            lease_table,
             applied,
             leading: None,
             gathered: VecDeque::new(),
@@ -217,22 +220,22 @@
         })
     }
 
-    /// Every [`Settings::tick`]: the engine counts, and leases that have run out are proposed to be ended.
-    pub fn turn(&mut self, now: Micros) {
+    /// Every [`ReplicaSettings::tick`]: the engine counts, and leases that have run out are proposed to be ended.
+    pub fn tick(&mut self, now: Micros) {
         self.node.tick();
         let Some(leading) = &self.leading else { return };
         if self.expiring.is_some() {
             return;
         }
-        let over = leading.watchman.expired(now);
+        let over = leading.expiry_tracker.expired(now);
         if over.is_empty() {
             return;
         }
-        self.expiring = self.propose(now, &over[..over.len().min(MOST_IN_ENTRY)], Vec::new());
+        self.expiring = self.propose(now, &over[..over.len().min(MAX_COMMANDS_PER_ENTRY)], Vec::new());
     }
 
     /// A letter of another keeper. One that is not for this keeper, or not of another, changes nothing.
-    pub fn heard(&mut self, letter: Letter) -> Result<(), Lost> {
+    pub fn step(&mut self, letter: PeerMessage) -> Result<(), ReplicaError> {
         let (me, from) = (self.settings.me, letter.from);
         if letter.to != me || from == me || !self.voters.contains(&from) {
             return Ok(());
@@ -242,7 +245,7 @@
         let current = letter.term() >= self.node.raft.term;
         // The engine ends the process on these two, as it may not go on; here they are told.
         if let Some(presumed) = letter.presumes().filter(|presumed| current && *presumed > last) {
-            return Err(Lost::Entries { leader: from, presumed, last });
+            return Err(ReplicaError::Entries { leader: from, presumed, last });
         }
         let Some(message) = letter.message(&self.voters) else { return Ok(()) };
         let committed = self.node.raft.raft_log.committed;
@@ -255,7 +258,7 @@
         }
         for entry in message.get_entries().iter().take_while(|entry| current && entry.index <= committed) {
             if self.node.raft.raft_log.term(entry.index).is_ok_and(|term| term != 0 && term != entry.term) {
-                return Err(Lost::Differs { index: entry.index, leader: from });
+                return Err(ReplicaError::Differs { index: entry.index, leader: from });
             }
         }
         // Stale terms and the like are the engine's to ignore.
@@ -264,32 +267,32 @@
     }
 
     /// Another keeper cannot be reached: the engine sends it less.
-    pub fn unreachable(&mut self, keeper: KeeperId) {
+    pub fn report_unreachable(&mut self, keeper: ReplicaId) {
         self.node.report_unreachable(keeper);
         self.node.report_snapshot(keeper, raft::SnapshotStatus::Failure);
     }
 
     /// A snapshot went out to another keeper.
-    pub fn snapshot_sent(&mut self, keeper: KeeperId) {
+    pub fn report_snapshot_sent(&mut self, keeper: ReplicaId) {
         self.node.report_snapshot(keeper, raft::SnapshotStatus::Finish);
     }
 
     /// Somebody asks.
-    pub fn asked(&mut self, now: Micros, ask: Ask) {
+    pub fn request(&mut self, now: Micros, ask: ClientRequest) {
         let waiting =
             self.gathered.len() + self.batches.values().map(|batch| batch.asks.len()).sum::<usize>();
         if self.leading.is_none() {
-            let told = Told::Elsewhere(self.leader());
-            self.out.push(Out::Tell { to: ask.from, id: ask.id, told });
-        } else if waiting >= MOST_WAITING || ask.commands.len() > MOST_IN_ENTRY {
-            self.out.push(Out::Tell { to: ask.from, id: ask.id, told: Told::Busy });
+            let told = Response::NotLeader(self.leader());
+            self.out.push(ReplicaAction::Respond { to: ask.from, id: ask.id, told });
+        } else if waiting >= MAX_PENDING_REQUESTS || ask.commands.len() > MAX_COMMANDS_PER_ENTRY {
+            self.out.push(ReplicaAction::Respond { to: ask.from, id: ask.id, told: Response::Overloaded });
         } else {
             self.gathered.push_back((now, ask));
         }
     }
 
     /// It is about to stop: another, the one that knows most, is asked to lead.
-    pub fn hand_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         if self.node.raft.state != StateRole::Leader {
             return;
         }
@@ -304,12 +307,12 @@
     }
 
     /// Who leads, as far as this keeper knows.
-    pub fn leader(&self) -> Option<KeeperId> {
+    pub fn leader(&self) -> Option<ReplicaId> {
         Some(self.node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leading.is_some()
     }
 
@@ -318,13 +321,13 @@
         self.node.raft.term
     }
 
-    /// What has to be on disk next, if there is anything to do. [`Keeper::written`] follows, and nothing else before it.
-    pub fn work(&mut self, now: Micros) -> Option<Write> {
+    /// What has to be on disk next, if there is anything to do. [`Replica::written`] follows, and nothing else before it.
+    pub fn ready(&mut self, now: Micros) -> Option<ReplicaWrite> {
         self.propose_gathered(now);
         if !self.node.has_ready() && self.compacted.is_none() && self.out.is_empty() {
             return None;
         }
-        let mut write = Write { snapshot: self.compacted.take(), ..Write::default() };
+        let mut write = ReplicaWrite { snapshot: self.compacted.take(), ..ReplicaWrite::default() };
         if self.node.has_ready() {
             let ready = self.node.ready();
             write.state = ready.hs().map(|state| state.clone().into());
@@ -340,14 +343,14 @@
         Some(write)
     }
 
-    /// What [`Keeper::work`] named, given back here, is on disk: what follows from it.
-    pub fn written(&mut self, now: Micros, write: Write) -> Result<Vec<Out>, Lost> {
+    /// What [`Replica::work`] named, given back here, is on disk: what follows from it.
+    pub fn advance(&mut self, now: Micros, write: ReplicaWrite) -> Result<Vec<ReplicaAction>, ReplicaError> {
         if let Some(mut ready) = self.ready.take() {
             let log = self.node.mut_store();
             if !ready.snapshot().is_empty()
                 && let Some(snapshot) = write.snapshot
             {
-                self.book = read("snapshot", snapshot.index, &snapshot.book)?;
+                self.lease_table = read("snapshot", snapshot.index, &snapshot.lease_table)?;
                 self.applied = snapshot.index;
                 log.restore(snapshot);
             }
@@ -380,10 +383,11 @@
         let leads = self.node.raft.state == StateRole::Leader;
         if leads && self.leading.as_ref().is_none_or(|leading| leading.term != term) {
             self.let_go();
-            self.book.taken_up(&self.settings.terms);
-            let terms = self.settings.terms;
-            let watchman = Watchman::leads(terms, now, &self.book);
-            self.leading = Some(Leading { term, watchman, turnstile: Turnstile::new(terms) });
+            self.lease_table.leadership_acquired(&self.settings.parameters);
+            let parameters = self.settings.parameters;
+            let expiry_tracker = ExpiryTracker::new(parameters, now, &self.lease_table);
+            self.leading =
+                Some(Leading { term, expiry_tracker, acquire_backoff: AcquireBackoff::new(parameters) });
         } else if !leads && self.leading.is_some() {
             self.let_go();
         }
@@ -398,7 +402,7 @@
         let batches = std::mem::take(&mut self.batches);
         let proposed = batches.into_values().flat_map(|batch| batch.asks).map(|ask| (ask.from, ask.id));
         for (to, id) in gathered.chain(proposed) {
-            self.out.push(Out::Tell { to, id, told: Told::Elsewhere(leader) });
+            self.out.push(ReplicaAction::Respond { to, id, told: Response::NotLeader(leader) });
         }
     }
 
@@ -406,7 +410,7 @@
         while !self.gathered.is_empty() {
             let (mut commands, mut asks, mut since) = (Vec::new(), Vec::new(), now);
             while let Some((asked, ask)) = self.gathered.front() {
-                if !asks.is_empty() && commands.len() + ask.commands.len() > MOST_IN_ENTRY {
+                if !asks.is_empty() && commands.len() + ask.commands.len() > MAX_COMMANDS_PER_ENTRY {
                     break;
                 }
                 since = since.min(*asked);
@@ -423,7 +427,11 @@
         let data = postcard::to_stdvec(commands).ok();
         let taken = data.is_some_and(|data| self.node.propose(Vec::new(), data).is_ok());
         if !taken {
-            let busy = asks.into_iter().map(|ask| Out::Tell { to: ask.from, id: ask.id, told: Told::Busy });
+            let busy = asks.into_iter().map(|ask| ReplicaAction::Respond {
+                to: ask.from,
+                id: ask.id,
+                told: Response::Overloaded,
+            });
             self.out.extend(busy);
             return None;
         }
@@ -432,20 +440,22 @@
         Some(index)
     }
 
-    fn apply(&mut self, now: Micros, entries: Vec<eraftpb::Entry>) -> Result<(), Lost> {
+    fn apply(&mut self, now: Micros, entries: Vec<eraftpb::Entry>) -> Result<(), ReplicaError> {
         for entry in entries {
             let (mut answers, mut commands) = (Vec::new(), Vec::new());
             if !entry.data.is_empty() {
                 commands = read::<Vec<Command>>("entry", entry.index, &entry.data)?;
                 for command in &commands {
-                    let answer = self.book.apply(&self.settings.terms, command);
+                    let answer = self.lease_table.apply(&self.settings.parameters, command);
                     let again = match (&mut self.leading, command, answer) {
-                        (Some(leading), Command::Acquire { task, .. }, Answer::No(Refusal::Taken)) => {
-                            leading.turnstile.refused(now, task)
-                        }
+                        (
+                            Some(leading),
+                            Command::Acquire { task, .. },
+                            Answer::Rejected(Rejection::Taken),
+                        ) => leading.acquire_backoff.retry_after(now, task),
                         _ => 0,
                     };
-                    answers.push(Said { answer, again });
+                    answers.push(CommandResult { answer, again });
                 }
             }
             self.applied = entry.index;
@@ -455,7 +465,7 @@
             let batch = self.batches.remove(&entry.index);
             let asked = batch.as_ref().map_or(now, |batch| batch.asked);
             if let Some(leading) = &mut self.leading {
-                leading.watchman.applied(asked, now, &self.book, &commands);
+                leading.expiry_tracker.commands_applied(asked, now, &self.lease_table, &commands);
             }
             if let Some(batch) = batch {
                 self.answer(now, entry.term, batch, answers);
@@ -464,31 +474,31 @@
         Ok(())
     }
 
-    fn answer(&mut self, now: Micros, term: u64, batch: Batch, answers: Vec<Said>) {
+    fn answer(&mut self, now: Micros, term: u64, batch: Batch, answers: Vec<CommandResult>) {
         let mut answers = answers.into_iter();
         for ask in batch.asks {
             let told = match ask.commands {
                 // Another leader's entry came to stand in this place.
-                _ if batch.term != term => Told::Elsewhere(self.leader()),
-                0 => Told::Leases(self.view(now)),
-                many => Told::Answers(answers.by_ref().take(many).collect()),
+                _ if batch.term != term => Response::NotLeader(self.leader()),
+                0 => Response::Leases(self.view(now)),
+                many => Response::Results(answers.by_ref().take(many).collect()),
             };
-            self.out.push(Out::Tell { to: ask.from, id: ask.id, told });
+            self.out.push(ReplicaAction::Respond { to: ask.from, id: ask.id, told });
         }
     }
 
     /// All leases, with what this leader counts for each.
-    fn view(&self, now: Micros) -> Vec<View> {
-        let leases = self.book.leases().map(|(task, lease)| {
+    fn view(&self, now: Micros) -> Vec<LeaseView> {
+        let leases = self.lease_table.leases().map(|(task, lease)| {
             let counted =
-                self.leading.as_ref().and_then(|leading| leading.watchman.counted(task, lease.token));
+                self.leading.as_ref().and_then(|leading| leading.expiry_tracker.counted(task, lease.token));
             let (known, until) = counted.unwrap_or((now, now));
-            View {
+            LeaseView {
                 task: task.to_owned(),
                 holder: lease.holder.clone(),
                 token: lease.token,
                 renewals: lease.renewals,
-                known_for: now.saturating_sub(known),
+                age: now.saturating_sub(known),
                 left: until.saturating_sub(now),
                 revoked: lease.revoked,
             }
@@ -502,27 +512,27 @@
             return;
         }
         let term = self.node.store().term(self.applied);
-        if let (Ok(book), Ok(term)) = (postcard::to_stdvec(&self.book), term) {
-            let snapshot = Snapshot { index: self.applied, term, book };
+        if let (Ok(lease_table), Ok(term)) = (postcard::to_stdvec(&self.lease_table), term) {
+            let snapshot = Snapshot { index: self.applied, term, lease_table };
             self.node.mut_store().compact(snapshot.clone());
             self.compacted = Some(snapshot);
         }
     }
 
     fn send(&mut self, messages: Vec<eraftpb::Message>) {
-        self.out.extend(messages.into_iter().map(|message| Out::Send(message.into())));
+        self.out.extend(messages.into_iter().map(|message| ReplicaAction::Send(message.into())));
     }
 
     /// The entries that it holds in memory from this one on, for tests that compare keepers.
-    pub fn log_from(&self, index: u64) -> Vec<Entry> {
+    pub fn log_entries_from(&self, index: u64) -> Vec<Entry> {
         self.node.store().from(index)
     }
 }
 
-fn read<T: for<'a> Deserialize<'a>>(what: &'static str, index: u64, bytes: &[u8]) -> Result<T, Lost> {
-    postcard::from_bytes(bytes).map_err(|_| Lost::Unreadable { what, index })
+fn read<T: for<'a> Deserialize<'a>>(what: &'static str, index: u64, bytes: &[u8]) -> Result<T, ReplicaError> {
+    postcard::from_bytes(bytes).map_err(|_| ReplicaError::Unreadable { what, index })
 }
 
-fn engine(why: raft::Error) -> Lost {
-    Lost::Engine(why.to_string())
+fn engine(why: raft::Error) -> ReplicaError {
+    ReplicaError::Engine(why.to_string())
 }
--- a/crates/lease-consensus/tests/days.rs
+++ b/crates/lease-consensus/tests/days.rs
@@ -6,8 +6,12 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_lease::{Claims, Micros, Permit, Planted, Skewed, Terms, Token, Wish};
-use honeyknot_lease_consensus::{Ask, Keeper, Kept, Letter, Out, Settings, Told};
+use honeyknot_lease::{
+    ClockDriftError, FencingToken, InjectedFault, LeaseClient, LeaseParameters, Micros, Permit, TaskOptions,
+};
+use honeyknot_lease_consensus::{
+    ClientRequest, PeerMessage, PersistedState, Replica, ReplicaAction, ReplicaSettings, Response,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -23,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Plant {
     /// In the pure part.
-    Leases(Planted),
+    Leases(InjectedFault),
     /// A keeper that comes back without its folder votes as if it had never voted.
     EmptyFolderVotes,
     /// A keeper answers before its folder has what the answer stands on.
@@ -31,10 +35,10 @@
 }
 
 enum Event {
-    Turn(usize),
-    Letter(Letter),
-    Ask { keeper: usize, ask: Ask },
-    Told { relay: usize, id: u64, told: Told },
+    Tick(usize),
+    PeerMessage(PeerMessage),
+    ClientRequest { keeper: usize, ask: ClientRequest },
+    Response { relay: usize, id: u64, told: Response },
     Relay(usize),
     Fault,
     Starts(usize),
@@ -42,16 +46,16 @@
 }
 
 struct Seat {
-    clock: Skewed,
-    keeper: Option<Keeper>,
-    kept: Kept,
+    clock: ClockDriftError,
+    keeper: Option<Replica>,
+    kept: PersistedState,
     /// Its work is under way: until then asks and letters gather.
     works: bool,
 }
 
 struct Relay {
-    clock: Skewed,
-    claims: Claims,
+    clock: ClockDriftError,
+    client: LeaseClient,
     acts: Vec<Act>,
 }
 
@@ -67,7 +71,7 @@
 #[derive(Clone, Copy)]
 struct Done {
     act: u64,
-    token: Token,
+    token: FencingToken,
     first: Micros,
     last: Micros,
 }
@@ -77,7 +81,7 @@
     effects: u64,
     changes: u64,
     crashes: u64,
-    terms: u64,
+    parameters: u64,
     last_effect: [Micros; TASKS.len()],
     log: u64,
     broken: Option<String>,
@@ -89,7 +93,7 @@
     now: Micros,
     order: u64,
     events: BTreeMap<(Micros, u64), Event>,
-    settings: Settings,
+    settings: ReplicaSettings,
     seats: Vec<Seat>,
     relays: Vec<Relay>,
     /// Until when each process stands still: keepers, then relays.
@@ -105,15 +109,16 @@
 }
 
 fn play(seed: u64, plant: Option<Plant>) -> Outcome {
-    let planted = match plant {
+    let injected_fault = match plant {
         Some(Plant::Leases(fault)) => Some(fault),
         _ => None,
     };
-    let terms = Terms { planted, drift_ppm: 100_000, margin: 0, ..Terms::new(LEASE) };
+    let parameters =
+        LeaseParameters { injected_fault, drift_ppm: 100_000, margin: 0, ..LeaseParameters::new(LEASE) };
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let keepers = if seed % 4 == 3 { 5 } else { 3 };
-    let settings = Settings {
-        terms,
+    let settings = ReplicaSettings {
+        parameters,
         me: 0,
         keepers,
         tick: TICK,
@@ -121,22 +126,22 @@
         compact_after: 40,
         tokens_from: 1_000 * seed,
     };
-    let ppm = terms.drift_ppm as i64;
-    let clock = |rng: &mut Pcg64Mcg| Skewed {
+    let ppm = parameters.drift_ppm as i64;
+    let clock = |rng: &mut Pcg64Mcg| ClockDriftError {
         offset: rng.random_range(0..1_000 * LEASE),
         ppm: [-ppm, ppm, rng.random_range(-ppm..=ppm)][rng.random_range(0..3)],
     };
     let seats = (0..keepers)
-        .map(|_| Seat { clock: clock(&mut rng), keeper: None, kept: Kept::default(), works: false })
+        .map(|_| Seat { clock: clock(&mut rng), keeper: None, kept: PersistedState::default(), works: false })
         .collect();
     let relays = (0..RELAYS).map(|r| {
         let clock = clock(&mut rng);
-        let mut claims = Claims::new(terms, &format!("n{r}"), keepers, rng.random());
-        let turn = (r % 2 == 0).then_some(3 * LEASE);
+        let mut client = LeaseClient::new(parameters, &format!("n{r}"), keepers, rng.random());
+        let max_hold = (r % 2 == 0).then_some(3 * LEASE);
         for (task, slots) in TASKS {
-            claims.want(clock.at(0), task, Wish { slots, turn, headway: None });
+            client.add_task(clock.at(0), task, TaskOptions { slots, max_hold, max_idle: None });
         }
-        Relay { clock, claims, acts: Vec::new() }
+        Relay { clock, client, acts: Vec::new() }
     });
     let relays = relays.collect();
     let mut world = World {
@@ -157,7 +162,7 @@
     };
     for keeper in 0..keepers as usize {
         world.after(1, Event::Starts(keeper));
-        world.after(1 + keeper as Micros, Event::Turn(keeper));
+        world.after(1 + keeper as Micros, Event::Tick(keeper));
     }
     for relay in 0..RELAYS {
         world.after(LEASE / 2 + relay as Micros, Event::Relay(relay));
@@ -195,9 +200,9 @@
     fn step(&mut self, event: Event) {
         let keepers = self.seats.len();
         let process = match &event {
-            Event::Turn(keeper) | Event::Work(keeper) | Event::Ask { keeper, .. } => Some(*keeper),
-            Event::Letter(letter) => Some(letter.to as usize - 1),
-            Event::Told { relay, .. } | Event::Relay(relay) => Some(keepers + relay),
+            Event::Tick(keeper) | Event::Work(keeper) | Event::ClientRequest { keeper, .. } => Some(*keeper),
+            Event::PeerMessage(letter) => Some(letter.to as usize - 1),
+            Event::Response { relay, .. } | Event::Relay(relay) => Some(keepers + relay),
             Event::Fault | Event::Starts(_) => None,
         };
         if let Some(until) = process.map(|process| self.still[process]).filter(|until| *until > self.now) {
@@ -205,39 +210,39 @@
             return;
         }
         match event {
-            Event::Turn(k) => {
-                self.after(TICK, Event::Turn(k));
+            Event::Tick(k) => {
+                self.after(TICK, Event::Tick(k));
                 let now = self.seats[k].clock.at(self.now);
                 if let Some(keeper) = &mut self.seats[k].keeper {
-                    keeper.turn(now);
+                    keeper.tick(now);
                 }
                 self.works_soon(k);
             }
-            Event::Letter(letter) => {
+            Event::PeerMessage(letter) => {
                 let k = letter.to as usize - 1;
                 let Some(keeper) = &mut self.seats[k].keeper else { return };
-                if let Err(why) = keeper.heard(letter) {
+                if let Err(why) = keeper.step(letter) {
                     return self.breaks(format!("keeper {}: {why}", k + 1));
                 }
                 self.works_soon(k);
             }
-            Event::Ask { keeper: k, ask } => {
+            Event::ClientRequest { keeper: k, ask } => {
                 let now = self.seats[k].clock.at(self.now);
                 let Some(keeper) = &mut self.seats[k].keeper else { return };
-                keeper.asked(now, ask);
+                keeper.request(now, ask);
                 self.works_soon(k);
             }
             Event::Work(k) => {
                 self.seats[k].works = false;
                 self.work(k);
             }
-            Event::Told { relay, id, told } => self.told(relay, id, told),
+            Event::Response { relay, id, told } => self.told(relay, id, told),
             Event::Relay(relay) => self.relay(relay),
             Event::Fault => self.fault(),
             Event::Starts(k) => {
                 let mut settings = self.settings.clone();
                 settings.me = k as u64 + 1;
-                match Keeper::new(settings, self.seats[k].kept.clone()) {
+                match Replica::new(settings, self.seats[k].kept.clone()) {
                     Ok(keeper) => self.seats[k].keeper = Some(keeper),
                     Err(why) => self.breaks(format!("keeper {} does not start: {why}", k + 1)),
                 }
@@ -259,7 +264,7 @@
         loop {
             let now = self.seats[k].clock.at(self.now);
             let Some(keeper) = &mut self.seats[k].keeper else { return };
-            let Some(write) = keeper.work(now) else { break };
+            let Some(write) = keeper.ready(now) else { break };
             // A crash may come before the write is on disk, or after it and before anything is told.
             let crash = self.now < FAULTS && self.rng.random_range(0..1_500) == 0;
             let writes = !crash || self.rng.random_bool(0.5);
@@ -271,7 +276,7 @@
                 return self.crash(k);
             }
             let Some(keeper) = &mut self.seats[k].keeper else { return };
-            match keeper.written(now, write) {
+            match keeper.advance(now, write) {
                 Ok(out) => out.into_iter().for_each(|out| self.carry(out)),
                 Err(why) => return self.breaks(format!("keeper {}: {why}", k + 1)),
             }
@@ -289,47 +294,47 @@
         let commit = self.seats[k].kept.state.commit;
         let from = known.min(commit).saturating_sub(2).max(1);
         let mut broken = None;
-        for entry in keeper.log_from(from).into_iter().take_while(|entry| entry.index <= commit) {
+        for entry in keeper.log_entries_from(from).into_iter().take_while(|entry| entry.index <= commit) {
             let bytes =
                 entry.data.iter().fold(entry.term, |sum, byte| sum.wrapping_mul(131) ^ u64::from(*byte));
             if *self.agreed.entry(entry.index).or_insert(bytes) != bytes {
                 broken = Some(format!("entry {} differs at keeper {}", entry.index, k + 1));
             }
         }
-        self.out.terms = self.out.terms.max(keeper.term());
+        self.out.parameters = self.out.parameters.max(keeper.term());
         if let Some(what) = broken {
             self.breaks(what);
         }
     }
 
-    fn carry(&mut self, out: Out) {
+    fn carry(&mut self, out: ReplicaAction) {
         match out {
-            Out::Send(letter) => {
+            ReplicaAction::Send(letter) => {
                 let cut = self.cut.get(&(letter.from, letter.to)).is_some_and(|until| *until > self.now);
                 let copies =
                     if cut { 0 } else { [0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)] };
                 for _ in 0..copies {
                     let wait = self.delay();
-                    self.after(wait, Event::Letter(letter.clone()));
+                    self.after(wait, Event::PeerMessage(letter.clone()));
                 }
             }
-            Out::Tell { to, id, told } => {
+            ReplicaAction::Respond { to, id, told } => {
                 if self.rng.random_range(0..12) > 0 {
                     let wait = self.delay();
-                    self.after(wait, Event::Told { relay: to as usize, id, told });
+                    self.after(wait, Event::Response { relay: to as usize, id, told });
                 }
             }
         }
     }
 
-    fn told(&mut self, r: usize, id: u64, told: Told) {
+    fn told(&mut self, r: usize, id: u64, told: Response) {
         let relay = &mut self.relays[r];
         let now = relay.clock.at(self.now);
         match told {
-            Told::Answers(said) => relay.claims.told(now, id, &said),
-            Told::Elsewhere(leader) => relay.claims.elsewhere(now, id, leader),
-            Told::Busy => relay.claims.busy(now, id),
-            Told::Leases(_) => {}
+            Response::Results(said) => relay.client.on_response(now, id, &said),
+            Response::NotLeader(leader) => relay.client.on_redirect(now, id, leader),
+            Response::Overloaded => relay.client.on_overload(now, id),
+            Response::Leases(_) => {}
         }
     }
 
@@ -339,7 +344,7 @@
         let now = self.relays[r].clock.at(self.now);
         // One effect of each act that is under way.
         for mut act in std::mem::take(&mut self.relays[r].acts) {
-            let Some(token) = act.permit.shown(now) else { continue };
+            let Some(token) = act.permit.valid_token(now) else { continue };
             self.effect(act.task, act.number, token);
             if act.effects > 0 {
                 act.effects -= 1;
@@ -349,22 +354,22 @@
         for (task, (name, _)) in TASKS.iter().enumerate() {
             if self.relays[r].acts.iter().all(|act| act.task != task) {
                 let longest = self.rng.random_range(LEASE / 50..LEASE / 2);
-                if let Ok(permit) = self.relays[r].claims.permit(now, name, longest) {
+                if let Ok(permit) = self.relays[r].client.permit(now, name, longest) {
                     self.acts += 1;
                     let effects = self.rng.random_range(1..12);
                     self.relays[r].acts.push(Act { task, number: self.acts, permit, effects });
                 }
             }
         }
-        let Some(sending) = self.relays[r].claims.ask(now) else { return };
-        let ask = Ask { from: r as u64, id: sending.id, commands: sending.commands };
+        let Some(sending) = self.relays[r].client.next_request(now) else { return };
+        let ask = ClientRequest { from: r as u64, id: sending.id, commands: sending.commands };
         for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)] {
             let wait = self.delay();
-            self.after(wait, Event::Ask { keeper: sending.keeper as usize - 1, ask: ask.clone() });
+            self.after(wait, Event::ClientRequest { keeper: sending.keeper as usize - 1, ask: ask.clone() });
         }
     }
 
-    fn effect(&mut self, task: usize, act: u64, token: Token) {
+    fn effect(&mut self, task: usize, act: u64, token: FencingToken) {
         let (now, (name, slots)) = (self.now, TASKS[task]);
         let done = &mut self.done[task];
         let new = done.iter().all(|other| other.token != token);
@@ -397,7 +402,7 @@
         self.seats[k].keeper = None;
         self.out.crashes += 1;
         if self.plant == Some(Plant::EmptyFolderVotes) {
-            self.seats[k].kept = Kept::default();
+            self.seats[k].kept = PersistedState::default();
         }
         let wait = self.rng.random_range(0..LEASE);
         self.after(wait, Event::Starts(k));
@@ -420,7 +425,7 @@
             6 => {
                 // Whoever holds something.
                 let held = |relay: &Relay| {
-                    TASKS.iter().any(|(t, _)| relay.claims.holds(relay.clock.at(self.now), t).is_some())
+                    TASKS.iter().any(|(t, _)| relay.client.held_token(relay.clock.at(self.now), t).is_some())
                 };
                 if let Some(relay) = self.relays.iter().position(held) {
                     self.still[keepers + relay] = self.now + self.rng.random_range(0..3 * LEASE);
@@ -467,14 +472,14 @@
         sum.effects += day.effects;
         sum.changes += day.changes;
         sum.crashes += day.crashes;
-        sum.terms += day.terms;
+        sum.parameters += day.parameters;
     }
     println!(
         "{days} days: {} effects, {} changes of holder, {} crashes, {} terms",
-        sum.effects, sum.changes, sum.crashes, sum.terms
+        sum.effects, sum.changes, sum.crashes, sum.parameters
     );
     assert!(
-        sum.changes > 20 * days && sum.crashes > 2 * days && sum.terms > 3 * days,
+        sum.changes > 20 * days && sum.crashes > 2 * days && sum.parameters > 3 * days,
         "the days show little: {sum:?}"
     );
 }
@@ -488,7 +493,7 @@
 
 #[test]
 fn every_planted_fault_is_seen() {
-    let plants = Planted::ALL
+    let plants = InjectedFault::ALL
         .map(Plant::Leases)
         .into_iter()
         .chain([Plant::EmptyFolderVotes, Plant::AnswersBeforeWriting]);
--- a/crates/lease/src/turnstile.rs
+++ b/crates/lease/src/acquire_backoff.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Terms};
+use crate::{LeaseParameters, Micros};
 
 /// Visits of refused claimants to one task in the time of a lease: a lease that ends is taken within so small a part of it.
 const VISITS: u64 = 16;
@@ -12,21 +12,22 @@
 
 /// What the keeper that leads keeps in its memory: for each task, when the next one who is refused may come.
 #[derive(Clone, Debug)]
-pub struct Turnstile {
-    terms: Terms,
+pub struct AcquireBackoff {
+    parameters: LeaseParameters,
     next: BTreeMap<String, Micros>,
 }
 
-impl Turnstile {
+impl AcquireBackoff {
     /// Nobody has been refused yet.
-    pub fn new(terms: Terms) -> Turnstile {
-        Turnstile { terms, next: BTreeMap::new() }
+    pub fn new(parameters: LeaseParameters) -> AcquireBackoff {
+        AcquireBackoff { parameters, next: BTreeMap::new() }
     }
 
     /// Somebody is refused a slot of this task: after how long it may ask again. In order of coming, at even steps.
-    pub fn refused(&mut self, now: Micros, task: &str) -> Micros {
-        let (step, longest) = (self.terms.lease / VISITS, self.terms.lease * LONGEST);
-        let soonest = now + self.terms.lease / 4;
+    pub fn retry_after(&mut self, now: Micros, task: &str) -> Micros {
+        let (step, longest) =
+            (self.parameters.lease_duration / VISITS, self.parameters.lease_duration * LONGEST);
+        let soonest = now + self.parameters.lease_duration / 4;
         if !self.next.contains_key(task) {
             // Tasks that nobody was refused for a while are forgotten: the map is bounded by the tasks of the book.
             self.next.retain(|_, next| *next > now);
--- a/crates/lease/src/rates.rs
+++ b/crates/lease/src/clock_drift.rs
@@ -14,7 +14,7 @@
 /// Compares clocks by the times that others say in their messages. It can tell that two clocks differ by more than the bound allows,
 /// never which of them is wrong.
 #[derive(Clone, Debug)]
-pub struct Rates {
+pub struct ClockDriftMonitor {
     drift_ppm: u64,
     peers: BTreeMap<u64, Peer>,
 }
@@ -29,21 +29,21 @@
 
 /// What a message has shown anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum ClockDriftChange {
     /// The other clock gains so many parts of a million on the own one (or loses, where negative): beyond the bound.
     Beyond(i64),
     /// It is within the bound again.
     Within,
 }
 
-impl Rates {
+impl ClockDriftMonitor {
     /// Nothing heard yet.
-    pub fn new(drift_ppm: u64) -> Rates {
-        Rates { drift_ppm, peers: BTreeMap::new() }
+    pub fn new(drift_ppm: u64) -> ClockDriftMonitor {
+        ClockDriftMonitor { drift_ppm, peers: BTreeMap::new() }
     }
 
     /// A message of another process, which said this time of its clock.
-    pub fn heard(&mut self, now: Micros, from: u64, said: Micros) -> Option<Shown> {
+    pub fn message_received(&mut self, now: Micros, from: u64, said: Micros) -> Option<ClockDriftChange> {
         let peer = self.peers.entry(from).or_default();
         let ahead = now as i64 - said as i64;
         match peer.windows.back_mut() {
@@ -66,13 +66,13 @@
     }
 
     /// A process has started anew, perhaps on another machine: what its clock said before means nothing.
-    pub fn forget(&mut self, from: u64) {
+    pub fn reset_peer(&mut self, from: u64) {
         self.peers.remove(&from);
     }
 }
 
 impl Peer {
-    fn judge(&mut self, drift_ppm: u64) -> Option<Shown> {
+    fn judge(&mut self, drift_ppm: u64) -> Option<ClockDriftChange> {
         let (first, last) = (*self.windows.front()?, *self.windows.back()?);
         let span = last.0.saturating_sub(first.0);
         let lost = last.1 - first.1;
@@ -83,6 +83,10 @@
             return None;
         }
         self.beyond = beyond;
-        Some(if beyond { Shown::Beyond(-lost * 1_000_000 / span.max(1) as i64) } else { Shown::Within })
+        Some(if beyond {
+            ClockDriftChange::Beyond(-lost * 1_000_000 / span.max(1) as i64)
+        } else {
+            ClockDriftChange::Within
+        })
     }
 }
--- a/crates/lease/src/watchman.rs
+++ b/crates/lease/src/expiry_tracker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Book, Command, Micros, Terms, Token, planted};
+use crate::{Command, FencingToken, LeaseParameters, LeaseTable, Micros, fault_injected};
 
 /// A lease as one keeper counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -14,34 +14,36 @@
 
 /// Counts leases by the steady clock of its keeper, and proposes to expire those that have run out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Watchman {
-    terms: Terms,
-    counted: BTreeMap<String, Vec<(Token, Count)>>,
+pub struct ExpiryTracker {
+    parameters: LeaseParameters,
+    counted: BTreeMap<String, Vec<(FencingToken, Count)>>,
 }
 
-impl Watchman {
+impl ExpiryTracker {
     /// The keeper comes to lead. It counts every lease of the book from now: it cannot know how long another has counted,
     /// and may not shorten what that one gave.
-    pub fn leads(terms: Terms, now: Micros, book: &Book) -> Watchman {
-        let mut watchman = Watchman { terms, counted: BTreeMap::new() };
-        for (task, _) in book.leases() {
-            watchman.look(task, now, book);
+    pub fn new(parameters: LeaseParameters, now: Micros, lease_table: &LeaseTable) -> ExpiryTracker {
+        let mut expiry_tracker = ExpiryTracker { parameters, counted: BTreeMap::new() };
+        for (task, _) in lease_table.leases() {
+            expiry_tracker.look(task, now, lease_table);
         }
-        watchman
+        expiry_tracker
     }
 
     /// The book has changed by commands that came at `asked`: what is new in it, or renewed, is counted from now, which is
     /// after it was agreed on. It costs what the tasks named cost, not what the book does.
-    pub fn applied(&mut self, asked: Micros, now: Micros, book: &Book, commands: &[Command]) {
-        let from = if planted!(self.terms, KeeperCountsFromRequest) { asked } else { now };
+    pub fn commands_applied(
+        &mut self, asked: Micros, now: Micros, lease_table: &LeaseTable, commands: &[Command],
+    ) {
+        let from = if fault_injected!(self.parameters, ServerCountsFromRequest) { asked } else { now };
         for command in commands {
-            self.look(command.task(), from.min(now), book);
+            self.look(command.task(), from.min(now), lease_table);
         }
     }
 
-    fn look(&mut self, task: &str, since: Micros, book: &Book) {
+    fn look(&mut self, task: &str, since: Micros, lease_table: &LeaseTable) {
         let before = self.counted.remove(task).unwrap_or_default();
-        let counted = book.leases_of(task).iter().map(|lease| {
+        let counted = lease_table.leases_of(task).iter().map(|lease| {
             let known = before.iter().find(|(token, _)| *token == lease.token).map(|(_, count)| *count);
             let count = match known {
                 Some(same) if same.renewals == lease.renewals => same,
@@ -70,13 +72,13 @@
     }
 
     /// Since when it knows a lease, and until when it will leave it standing if it is not renewed.
-    pub fn counted(&self, task: &str, token: Token) -> Option<(Micros, Micros)> {
+    pub fn counted(&self, task: &str, token: FencingToken) -> Option<(Micros, Micros)> {
         let (_, count) = self.counted.get(task)?.iter().find(|(known, _)| *known == token)?;
         Some((count.known, count.since.saturating_add(self.span())))
     }
 
     /// How long a lease lasts by this keeper's clock.
     fn span(&self) -> Micros {
-        self.terms.lease + self.terms.drift(self.terms.lease)
+        self.parameters.lease_duration + self.parameters.drift(self.parameters.lease_duration)
     }
 }
--- a/crates/lease/src/claims.rs
+++ b/crates/lease/src/lease_client.rs
@@ -7,22 +7,25 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, Asked, Command, Holder, Micros, NotNow, Permit, Refusal, Terms, Token};
+use crate::{
+    Answer, Command, FencingToken, LeaseHolder, LeaseParameters, Micros, Permit, PermitError, Rejection,
+    RequestTime,
+};
 
 /// How a relay wants a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct TaskOptions {
     /// How many may hold it at once.
     pub slots: u32,
     /// Held for this long, it is let go for others.
-    pub turn: Option<Micros>,
+    pub max_hold: Option<Micros>,
     /// Held without an act for this long, it is let go: this relay makes no headway.
-    pub headway: Option<Micros>,
+    pub max_idle: Option<Micros>,
 }
 
 /// What the keepers said to one command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Said {
+pub struct CommandResult {
     /// The answer.
     pub answer: Answer,
     /// For a slot that is taken: come again after this.
@@ -31,7 +34,7 @@
 
 /// An ask to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sending {
+pub struct LeaseRequest {
     /// To which keeper, from 1.
     pub keeper: u64,
     /// Given back with the answer.
@@ -41,15 +44,15 @@
 }
 
 struct Claim {
-    wish: Wish,
-    holder: Holder,
+    options: TaskOptions,
+    holder: LeaseHolder,
     nonce: u64,
     /// No command about it before this.
     due: Micros,
     /// Since when it is held, and when its last act began.
     since: Option<(Micros, Micros)>,
     /// Let go, and not told yet.
-    freeing: Option<Token>,
+    freeing: Option<FencingToken>,
     /// Wanted no more.
     leaves: bool,
 }
@@ -57,17 +60,17 @@
 struct Flight {
     id: u64,
     keeper: u64,
-    asked: Asked,
+    asked: RequestTime,
     until: Micros,
     commands: Vec<Command>,
 }
 
 /// Asks given up that are remembered.
-const MOST_GIVEN_UP: usize = 8;
+const MAX_ABANDONED_REQUESTS: usize = 8;
 
 /// The claims of one process of a relay.
-pub struct Claims {
-    terms: Terms,
+pub struct LeaseClient {
+    parameters: LeaseParameters,
     /// New with each process: an old one that still runs is another holder.
     name: String,
     keepers: u64,
@@ -81,17 +84,17 @@
     /// Asks in a row that came to nothing.
     failures: u32,
     /// Asks in a row that no keeper which leads has answered.
-    unheard: u32,
+    unanswered: u32,
     rest: Micros,
 }
 
-impl Claims {
+impl LeaseClient {
     /// Claims under this name, which no other process has, at keepers 1 to `keepers`.
-    pub fn new(terms: Terms, name: &str, keepers: u64, seed: u64) -> Claims {
+    pub fn new(parameters: LeaseParameters, name: &str, keepers: u64, seed: u64) -> LeaseClient {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let keeper = rng.random_range(1..=keepers.max(1));
-        Claims {
-            terms,
+        LeaseClient {
+            parameters,
             name: name.to_owned(),
             keepers,
             keeper,
@@ -101,20 +104,20 @@
             given_up: VecDeque::new(),
             next_id: 0,
             failures: 0,
-            unheard: 0,
+            unanswered: 0,
             rest: 0,
         }
     }
 
     /// Wants a task from now on.
-    pub fn want(&mut self, now: Micros, task: &str, wish: Wish) {
-        let holder = Holder::new(self.terms);
-        let claim = Claim { wish, holder, nonce: 1, due: now, since: None, freeing: None, leaves: false };
+    pub fn add_task(&mut self, now: Micros, task: &str, options: TaskOptions) {
+        let holder = LeaseHolder::new(self.parameters);
+        let claim = Claim { options, holder, nonce: 1, due: now, since: None, freeing: None, leaves: false };
         self.tasks.entry(task.to_owned()).or_insert(claim).leaves = false;
     }
 
-    /// Wants nothing any more: what is held is let go as soon as no act is under way. Done once [`Claims::idle`].
-    pub fn leave(&mut self, now: Micros) {
+    /// Wants nothing any more: what is held is let go as soon as no act is under way. Done once [`LeaseClient::idle`].
+    pub fn shut_down(&mut self, now: Micros) {
         for claim in self.tasks.values_mut() {
             claim.leaves = true;
             claim.due = now;
@@ -123,15 +126,15 @@
     }
 
     /// Nothing is held, and the keepers know.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.tasks.values().all(|claim| claim.leaves && claim.freeing.is_none() && claim.since.is_none())
     }
 
     /// The right to one act that takes `longest` at the most.
-    pub fn permit(&mut self, now: Micros, task: &str, longest: Micros) -> Result<Permit, NotNow> {
-        let claim = self.tasks.get_mut(task).ok_or(NotNow::NotHeld)?;
+    pub fn permit(&mut self, now: Micros, task: &str, longest: Micros) -> Result<Permit, PermitError> {
+        let claim = self.tasks.get_mut(task).ok_or(PermitError::NotHeld)?;
         if claim.leaves {
-            return Err(NotNow::NotHeld);
+            return Err(PermitError::NotHeld);
         }
         let permit = claim.holder.permit(now, longest)?;
         if let Some((_, last)) = &mut claim.since {
@@ -141,11 +144,11 @@
     }
 
     /// The token by which a task is held.
-    pub fn holds(&self, now: Micros, task: &str) -> Option<Token> {
-        self.tasks.get(task)?.holder.holds(now)
+    pub fn held_token(&self, now: Micros, task: &str) -> Option<FencingToken> {
+        self.tasks.get(task)?.holder.held_token(now)
     }
 
-    /// When [`Claims::ask`] is worth calling next.
+    /// When [`LeaseClient::ask`] is worth calling next.
     pub fn next(&self) -> Micros {
         if let Some(flight) = &self.flight {
             return flight.until;
@@ -155,48 +158,48 @@
     }
 
     /// What is to be sent now, if anything.
-    pub fn ask(&mut self, now: Micros) -> Option<Sending> {
+    pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if self.flight.as_ref().is_some_and(|flight| now >= flight.until) {
-            self.unheard += 1;
+            self.unanswered += 1;
             self.failed(now, self.next_keeper());
         }
         if self.flight.is_some() || now < self.rest {
             return None;
         }
         let mut commands = Vec::new();
-        let soon = now + self.terms.lease / 8;
+        let soon = now + self.parameters.lease_duration / 8;
         // What is due soon goes along, if there is a reason to ask at all.
         let due = self.tasks.values().any(|claim| !claim.rests() && claim.due <= now);
         for (task, claim) in
             self.tasks.iter_mut().filter(|(_, claim)| due && !claim.rests() && claim.due <= soon)
         {
-            commands.extend(claim.command(now, task, &self.name, self.unheard));
+            commands.extend(claim.command(now, task, &self.name, self.unanswered));
         }
         if commands.is_empty() {
             return None;
         }
         self.next_id += 1;
         // Long enough for an election in between, short enough for another try within the lease.
-        let until = now + self.terms.lease / 4;
+        let until = now + self.parameters.lease_duration / 4;
         self.flight = Some(Flight {
             id: self.next_id,
             keeper: self.keeper,
-            asked: Holder::asks(now),
+            asked: RequestTime::at(now),
             until,
             commands: commands.clone(),
         });
-        Some(Sending { keeper: self.keeper, id: self.next_id, commands })
+        Some(LeaseRequest { keeper: self.keeper, id: self.next_id, commands })
     }
 
     /// The answers to an ask, one for each command.
-    pub fn told(&mut self, now: Micros, id: u64, said: &[Said]) {
+    pub fn on_response(&mut self, now: Micros, id: u64, said: &[CommandResult]) {
         let late = self.given_up.iter().position(|flight| flight.id == id);
         let flight = match late {
             Some(place) => self.given_up.remove(place),
             None => self.flight.take_if(|flight| flight.id == id),
         };
         let Some(flight) = flight.filter(|flight| flight.commands.len() == said.len()) else { return };
-        (self.failures, self.unheard) = (0, 0);
+        (self.failures, self.unanswered) = (0, 0);
         if late.is_some() {
             // It was slow, not gone: the next ask goes there again, and at once if one is due.
             (self.keeper, self.rest) = (flight.keeper, now);
@@ -204,26 +207,30 @@
         for (command, said) in flight.commands.iter().zip(said) {
             let Some(claim) = self.tasks.get_mut(command.task()) else { continue };
             match (command, said.answer) {
-                (Command::Release { token, .. }, _) => claim.freed(now, *token, &self.terms),
+                (Command::Release { token, .. }, _) => claim.freed(now, *token, &self.parameters),
                 (_, Answer::Held(token)) => {
-                    let third = self.terms.lease / 3;
+                    let third = self.parameters.lease_duration / 3;
                     let renew = now + self.rng.random_range(third * 3 / 4..=third);
-                    let look = now + self.terms.lease / 64;
+                    let look = now + self.parameters.lease_duration / 64;
                     claim.granted(flight.asked, now, token, if claim.leaves { look } else { renew });
                 }
-                (Command::Renew { token, .. }, Answer::No(Refusal::Ended)) => claim.lost(now, *token),
-                (_, Answer::No(Refusal::Unheard)) => claim.due = now,
+                (Command::Renew { token, .. }, Answer::Rejected(Rejection::Ended)) => {
+                    claim.lease_ended(now, *token)
+                }
+                (_, Answer::Rejected(Rejection::Unheard)) => claim.due = now,
                 // An answer that came late takes nothing from what was granted since.
-                _ if claim.holder.holds(now).is_some() => {}
-                (_, Answer::No(Refusal::Taken)) => claim.due = now + said.again.max(self.terms.lease / 8),
+                _ if claim.holder.held_token(now).is_some() => {}
+                (_, Answer::Rejected(Rejection::Taken)) => {
+                    claim.due = now + said.again.max(self.parameters.lease_duration / 8)
+                }
                 // Neither time nor another try will help soon.
-                _ => claim.due = now + 8 * self.terms.lease,
+                _ => claim.due = now + 8 * self.parameters.lease_duration,
             }
         }
     }
 
     /// The keeper asked does not lead. Who does, if it knows.
-    pub fn elsewhere(&mut self, now: Micros, id: u64, leader: Option<u64>) {
+    pub fn on_redirect(&mut self, now: Micros, id: u64, leader: Option<u64>) {
         if !self.is_out(id) {
             return;
         }
@@ -239,16 +246,16 @@
     }
 
     /// The keeper has too much to do.
-    pub fn busy(&mut self, now: Micros, id: u64) {
+    pub fn on_overload(&mut self, now: Micros, id: u64) {
         if self.is_out(id) {
             self.failed(now, self.keeper);
         }
     }
 
     /// The keeper cannot be reached, or the connection to it has ended.
-    pub fn cut(&mut self, now: Micros, id: u64) {
+    pub fn on_connection_lost(&mut self, now: Micros, id: u64) {
         if self.is_out(id) {
-            self.unheard += 1;
+            self.unanswered += 1;
             self.failed(now, self.next_keeper());
         }
     }
@@ -266,14 +273,16 @@
     fn failed(&mut self, now: Micros, keeper: u64) {
         if let Some(flight) = self.flight.take() {
             self.given_up.push_front(flight);
-            self.given_up.truncate(MOST_GIVEN_UP);
+            self.given_up.truncate(MAX_ABANDONED_REQUESTS);
         }
         self.failures = (self.failures + 1).min(16);
         self.keeper = keeper;
-        let bound = (self.terms.lease / 32).saturating_mul(1 << self.failures.min(8)).min(self.terms.lease);
-        let holds = self.tasks.values().any(|claim| claim.holder.holds(now).is_some());
+        let bound = (self.parameters.lease_duration / 32)
+            .saturating_mul(1 << self.failures.min(8))
+            .min(self.parameters.lease_duration);
+        let holds = self.tasks.values().any(|claim| claim.holder.held_token(now).is_some());
         // Who holds something has a lease to lose.
-        let bound = if holds { bound.min(self.terms.lease / 8) } else { bound };
+        let bound = if holds { bound.min(self.parameters.lease_duration / 8) } else { bound };
         self.rest = now + self.rng.random_range(0..=bound);
     }
 }
@@ -285,21 +294,21 @@
     }
 
     /// What to ask about this task now.
-    fn command(&mut self, now: Micros, task: &str, name: &str, unheard: u32) -> Option<Command> {
+    fn command(&mut self, now: Micros, task: &str, name: &str, unanswered: u32) -> Option<Command> {
         let task = task.to_owned();
         if self.since.is_some() && self.ends(now) {
             match self.holder.release() {
                 Ok(token) => self.freeing = Some(token),
                 // The act ends first; its lease is renewed meanwhile.
-                Err(NotNow::Acting) => {}
+                Err(PermitError::Acting) => {}
                 Err(_) => self.since = None,
             }
         }
         if let Some(token) = self.freeing {
             return Some(Command::Release { task, token });
         }
-        if let Some(token) = self.holder.holds(now) {
-            return Some(Command::Renew { task, token, unheard });
+        if let Some(token) = self.holder.held_token(now) {
+            return Some(Command::Renew { task, token, unanswered });
         }
         if self.leaves {
             // It ran out by itself.
@@ -310,10 +319,10 @@
         self.since = None;
         Some(Command::Acquire {
             task,
-            slots: self.wish.slots,
+            slots: self.options.slots,
             holder: name.to_owned(),
             nonce: self.nonce,
-            unheard,
+            unanswered,
         })
     }
 
@@ -322,15 +331,15 @@
         let Some((since, acted)) = self.since else { return false };
         let over =
             |most: Option<Micros>, from: Micros| most.is_some_and(|most| now >= from.saturating_add(most));
-        self.leaves || over(self.wish.turn, since) || over(self.wish.headway, acted)
+        self.leaves || over(self.options.max_hold, since) || over(self.options.max_idle, acted)
     }
 
-    fn granted(&mut self, asked: Asked, now: Micros, token: Token, renew: Micros) {
+    fn granted(&mut self, asked: RequestTime, now: Micros, token: FencingToken, renew: Micros) {
         self.holder.granted(asked, now, token);
         if self.leaves && self.since.is_none() {
             // Granted after it was wanted no more.
             (self.freeing, self.due) = (Some(token), now);
-        } else if self.holder.holds(now) == Some(token) {
+        } else if self.holder.held_token(now) == Some(token) {
             self.since = self.since.or(Some((now, now)));
             self.due = renew;
         } else {
@@ -340,18 +349,18 @@
     }
 
     /// The keepers know that it is let go: others come first.
-    fn freed(&mut self, now: Micros, token: Token, terms: &Terms) {
+    fn freed(&mut self, now: Micros, token: FencingToken, parameters: &LeaseParameters) {
         if self.freeing.take_if(|freeing| *freeing == token).is_some() {
             self.since = None;
             self.nonce += 1;
-            self.due = now + 2 * terms.lease;
+            self.due = now + 2 * parameters.lease_duration;
         }
     }
 
     /// The lease has ended at the keepers.
-    fn lost(&mut self, now: Micros, token: Token) {
-        self.holder.lost(token);
-        if self.holder.holds(now).is_none() {
+    fn lease_ended(&mut self, now: Micros, token: FencingToken) {
+        self.holder.lease_ended(token);
+        if self.holder.held_token(now).is_none() {
             self.since = None;
             self.nonce += 1;
             self.due = now;
--- a/crates/lease/tests/days.rs
+++ b/crates/lease/tests/days.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 
 use honeyknot_lease::{
-    Answer, Asked, Book, Command, Holder, Micros, Permit, Planted, Refusal, Skewed, Terms, Token, Watchman,
+    Answer, ClockDriftError, Command, ExpiryTracker, FencingToken, InjectedFault, LeaseHolder,
+    LeaseParameters, LeaseTable, Micros, Permit, Rejection, RequestTime,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -25,47 +26,47 @@
 struct Sent {
     from: usize,
     command: Command,
-    asked: Asked,
+    asked: RequestTime,
 }
 
 enum Event {
-    Holder(usize),
-    Keeper,
+    LeaseHolder(usize),
+    Replica,
     Arrives(usize, Sent),
     Agreed { epoch: u64, sent: Option<Sent>, command: Command, came: Micros },
     Answer(usize, Sent, Answer),
     Fault,
 }
 
-struct Keeper {
-    clock: Skewed,
-    book: Book,
+struct Replica {
+    clock: ClockDriftError,
+    lease_table: LeaseTable,
     applied: usize,
 }
 
 struct Relay {
-    clock: Skewed,
-    holder: Holder,
+    clock: ClockDriftError,
+    holder: LeaseHolder,
     act: Option<(Permit, u32)>,
     nonce: u64,
     last_ask: Micros,
 }
 
 struct World {
-    terms: Terms,
+    parameters: LeaseParameters,
     rng: Pcg64Mcg,
     now: Micros,
     order: u64,
     heap: BTreeMap<Reverse<(Micros, u64)>, Event>,
-    keepers: Vec<Keeper>,
+    keepers: Vec<Replica>,
     relays: Vec<Relay>,
     /// Until when each process stands still: keepers first, then holders.
     still: Vec<Micros>,
     log: Vec<Command>,
     epoch: u64,
     leader: usize,
-    watchman: Watchman,
-    highest: Token,
+    expiry_tracker: ExpiryTracker,
+    highest: FencingToken,
     out: Outcome,
 }
 
@@ -80,26 +81,31 @@
     broken: Option<String>,
 }
 
-fn play(seed: u64, planted: Option<Planted>) -> Outcome {
+fn play(seed: u64, injected_fault: Option<InjectedFault>) -> Outcome {
     // Clocks far apart and no margin: what holds is reckoned with and not left to room.
-    let terms = Terms { planted, drift_ppm: 50_000, margin: 0, ..Terms::new(LEASE) };
+    let parameters =
+        LeaseParameters { injected_fault, drift_ppm: 50_000, margin: 0, ..LeaseParameters::new(LEASE) };
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let ppm = terms.drift_ppm as i64;
-    let clock = |rng: &mut Pcg64Mcg| Skewed {
+    let ppm = parameters.drift_ppm as i64;
+    let clock = |rng: &mut Pcg64Mcg| ClockDriftError {
         offset: rng.random_range(0..1_000 * LEASE),
         // As far apart as the bound allows, or anywhere between.
         ppm: [-ppm, ppm, rng.random_range(-ppm..=ppm)][rng.random_range(0..3)],
     };
-    let keepers = (0..KEEPERS).map(|_| Keeper { clock: clock(&mut rng), book: Book::default(), applied: 0 });
-    let keepers: Vec<Keeper> = keepers.collect();
+    let keepers = (0..KEEPERS).map(|_| Replica {
+        clock: clock(&mut rng),
+        lease_table: LeaseTable::default(),
+        applied: 0,
+    });
+    let keepers: Vec<Replica> = keepers.collect();
     let relays = (0..HOLDERS).map(|_| {
-        let (clock, holder) = (clock(&mut rng), Holder::new(terms));
+        let (clock, holder) = (clock(&mut rng), LeaseHolder::new(parameters));
         Relay { clock, holder, act: None, nonce: 0, last_ask: 0 }
     });
     let relays = relays.collect();
-    let watchman = Watchman::leads(terms, keepers[0].clock.at(0), &keepers[0].book);
+    let expiry_tracker = ExpiryTracker::new(parameters, keepers[0].clock.at(0), &keepers[0].lease_table);
     let mut world = World {
-        terms,
+        parameters,
         rng,
         now: 0,
         order: 0,
@@ -110,14 +116,14 @@
         log: Vec::new(),
         epoch: 0,
         leader: 0,
-        watchman,
-        highest: Token(0),
+        expiry_tracker,
+        highest: FencingToken(0),
         out: Outcome::default(),
     };
     for h in 0..HOLDERS {
-        world.after(1 + h as Micros, Event::Holder(h));
+        world.after(1 + h as Micros, Event::LeaseHolder(h));
     }
-    world.after(1, Event::Keeper);
+    world.after(1, Event::Replica);
     world.after(LEASE, Event::Fault);
     while let Some((Reverse((at, _)), event)) = world.heap.pop_last() {
         if at > LENGTH || world.out.broken.is_some() {
@@ -155,9 +161,9 @@
 
     fn step(&mut self, event: Event) {
         let process = match &event {
-            Event::Holder(h) | Event::Answer(h, ..) => Some(KEEPERS + h),
+            Event::LeaseHolder(h) | Event::Answer(h, ..) => Some(KEEPERS + h),
             Event::Arrives(k, _) => Some(*k),
-            Event::Keeper | Event::Agreed { .. } => Some(self.leader),
+            Event::Replica | Event::Agreed { .. } => Some(self.leader),
             Event::Fault => None,
         };
         let event = match process {
@@ -168,13 +174,13 @@
             None => event,
         };
         match event {
-            Event::Holder(h) => self.holder(h),
-            Event::Keeper => {
+            Event::LeaseHolder(h) => self.holder(h),
+            Event::Replica => {
                 let now = self.keepers[self.leader].clock.at(self.now);
-                for command in self.watchman.expired(now) {
+                for command in self.expiry_tracker.expired(now) {
                     self.propose(None, command, now);
                 }
-                self.after(LEASE / 20, Event::Keeper);
+                self.after(LEASE / 20, Event::Replica);
             }
             Event::Arrives(k, sent) => {
                 // One that does not lead says nothing; the holder asks again.
@@ -205,8 +211,13 @@
         let now = self.now;
         let keeper = &mut self.keepers[self.leader];
         keeper.applied = self.log.len();
-        let answer = keeper.book.apply(&self.terms, &command);
-        self.watchman.applied(came, keeper.clock.at(now), &keeper.book, std::slice::from_ref(&command));
+        let answer = keeper.lease_table.apply(&self.parameters, &command);
+        self.expiry_tracker.commands_applied(
+            came,
+            keeper.clock.at(now),
+            &keeper.lease_table,
+            std::slice::from_ref(&command),
+        );
         if let (Command::Acquire { .. }, Answer::Held(token)) = (&command, &answer)
             && self.out.granted.last().is_none_or(|(last, _)| *last != token.0)
         {
@@ -228,7 +239,7 @@
     }
 
     fn send(&mut self, h: usize, command: Command) {
-        let asked = Holder::asks(self.relays[h].clock.at(self.now));
+        let asked = RequestTime::at(self.relays[h].clock.at(self.now));
         self.relays[h].last_ask = self.now;
         // Lost, told once, or told twice; mostly to the keeper that leads.
         for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)] {
@@ -242,16 +253,16 @@
 
     fn holder(&mut self, h: usize) {
         let wait = self.rng.random_range(LEASE / 60..LEASE / 20);
-        self.after(wait, Event::Holder(h));
+        self.after(wait, Event::LeaseHolder(h));
         let now = self.relays[h].clock.at(self.now);
         self.effect(h, now);
         let asks_again = self.now >= self.relays[h].last_ask + LEASE / 4;
-        let Some(token) = self.relays[h].holder.holds(now) else {
+        let Some(token) = self.relays[h].holder.held_token(now) else {
             if asks_again {
                 // A new request, or the last one again.
                 self.relays[h].nonce += u64::from(self.rng.random_bool(0.7));
                 let (holder, nonce) = (format!("n{h}"), self.relays[h].nonce);
-                self.send(h, Command::Acquire { task: TASK.into(), slots: 1, holder, nonce, unheard: 0 });
+                self.send(h, Command::Acquire { task: TASK.into(), slots: 1, holder, nonce, unanswered: 0 });
             }
             return;
         };
@@ -262,7 +273,7 @@
             return;
         }
         if asks_again {
-            self.send(h, Command::Renew { task: TASK.into(), token, unheard: 0 });
+            self.send(h, Command::Renew { task: TASK.into(), token, unanswered: 0 });
         }
         if self.relays[h].act.is_none() {
             let longest = self.rng.random_range(LEASE / 50..LEASE / 2);
@@ -277,7 +288,7 @@
     /// One effect of the act that is under way.
     fn effect(&mut self, h: usize, now: Micros) {
         let Some((permit, left)) = self.relays[h].act.take() else { return };
-        let Some(token) = permit.shown(now) else { return };
+        let Some(token) = permit.valid_token(now) else { return };
         if token < self.highest {
             self.out.broken = Some(format!("an effect by token {} after one by {}", token.0, self.highest.0));
         }
@@ -296,7 +307,9 @@
             (Command::Acquire { .. } | Command::Renew { .. }, Answer::Held(token)) => {
                 relay.holder.granted(sent.asked, now, token);
             }
-            (Command::Renew { token, .. }, Answer::No(Refusal::Ended)) => relay.holder.lost(*token),
+            (Command::Renew { token, .. }, Answer::Rejected(Rejection::Ended)) => {
+                relay.holder.lease_ended(*token)
+            }
             _ => {}
         }
     }
@@ -313,7 +326,7 @@
             0 | 1 => self.still[process] = self.now + self.rng.random_range(0..2 * LEASE),
             // A keeper loses what it had in memory.
             2 if process < KEEPERS && process != self.leader => {
-                self.keepers[process].book = Book::default();
+                self.keepers[process].lease_table = LeaseTable::default();
                 self.keepers[process].applied = 0;
             }
             _ => self.elect(),
@@ -328,11 +341,12 @@
         self.out.elections += 1;
         let keeper = &mut self.keepers[next];
         for command in &self.log[keeper.applied..] {
-            keeper.book.apply(&self.terms, command);
+            keeper.lease_table.apply(&self.parameters, command);
         }
         keeper.applied = self.log.len();
-        keeper.book.taken_up(&self.terms);
-        self.watchman = Watchman::leads(self.terms, keeper.clock.at(self.now), &keeper.book);
+        keeper.lease_table.leadership_acquired(&self.parameters);
+        self.expiry_tracker =
+            ExpiryTracker::new(self.parameters, keeper.clock.at(self.now), &keeper.lease_table);
     }
 }
 
@@ -356,7 +370,7 @@
 
 #[test]
 fn every_planted_fault_is_seen() {
-    for fault in Planted::ALL {
+    for fault in InjectedFault::ALL {
         let seen = (0..4_000).find(|seed| play(*seed, Some(fault)).broken.is_some());
         assert!(seen.is_some(), "{fault:?} is not seen in 4,000 days");
         println!("{fault:?}: seed {seen:?}");
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeSet;
 
 use honeyknot_lease::{
-    Answer, Book, Command, Holder, Known, Micros, Permit, Planted, Refusal, Terms, Token, Watchman,
+    Answer, Command, ExpiryTracker, FencingToken, HolderState, InjectedFault, LeaseHolder, LeaseParameters,
+    LeaseTable, Micros, Permit, Rejection, RequestTime,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -21,8 +22,8 @@
 struct State {
     /// True time, in ticks.
     tick: u8,
-    book: Book,
-    watchman: Watchman,
+    lease_table: LeaseTable,
+    expiry_tracker: ExpiryTracker,
     holders: Vec<Seat>,
     /// On their way to the keepers: by whom, when asked by its clock, when told to the leader.
     asks: BTreeSet<(u8, Micros, Ask)>,
@@ -43,8 +44,8 @@
 /// A holder: what it knows, its permit if it acts, its nonce, the asks that it may yet send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Seat {
-    known: Known,
-    act: Option<(Token, Micros)>,
+    known: HolderState,
+    act: Option<(FencingToken, Micros)>,
     nonce: u64,
     asks: u8,
 }
@@ -68,7 +69,7 @@
 enum Step {
     Tick,
     Asks(u8),
-    Told(u8, Micros, Ask, bool),
+    Response(u8, Micros, Ask, bool),
     Hears(u8, Micros, Ask, Reply),
     Proposes(u64, u64),
     Expires(u64, u64),
@@ -80,7 +81,7 @@
 }
 
 struct Days {
-    terms: Terms,
+    parameters: LeaseParameters,
     ticks: u8,
     /// By holder.
     asks: Vec<u8>,
@@ -101,18 +102,18 @@
         let task = TASK.to_owned();
         match ask {
             Ask::Acquire(nonce) => {
-                Command::Acquire { task, slots: 1, holder: format!("h{holder}"), nonce, unheard: 0 }
+                Command::Acquire { task, slots: 1, holder: format!("h{holder}"), nonce, unanswered: 0 }
             }
-            Ask::Renew(token) => Command::Renew { task, token: Token(token), unheard: 0 },
-            Ask::Release(token) => Command::Release { task, token: Token(token) },
+            Ask::Renew(token) => Command::Renew { task, token: FencingToken(token), unanswered: 0 },
+            Ask::Release(token) => Command::Release { task, token: FencingToken(token) },
         }
     }
 
     /// Puts a holder's changed knowledge back.
-    fn with<T>(&self, seat: &mut Seat, change: impl FnOnce(&mut Holder) -> T) -> T {
-        let mut holder = Holder::knowing(self.terms, seat.known);
+    fn with<T>(&self, seat: &mut Seat, change: impl FnOnce(&mut LeaseHolder) -> T) -> T {
+        let mut holder = LeaseHolder::from_state(self.parameters, seat.known);
         let result = change(&mut holder);
-        seat.known = holder.known();
+        seat.known = holder.state();
         seat.known.acting = usize::from(seat.act.is_some());
         result
     }
@@ -123,13 +124,13 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let book = Book::founded(0);
-        let known = Holder::new(self.terms).known();
+        let lease_table = LeaseTable::with_tokens_from(0);
+        let known = LeaseHolder::new(self.parameters).state();
         let seat = |asks: &u8| Seat { known, act: None, nonce: 1, asks: *asks };
         vec![State {
             tick: 0,
-            watchman: Watchman::leads(self.terms, 0, &book),
-            book,
+            expiry_tracker: ExpiryTracker::new(self.parameters, 0, &lease_table),
+            lease_table,
             holders: self.asks.iter().map(seat).collect(),
             asks: BTreeSet::new(),
             answers: BTreeSet::new(),
@@ -150,7 +151,7 @@
         }
         for (n, seat) in state.holders.iter().enumerate() {
             let n = n as u8;
-            let holder = Holder::knowing(self.terms, seat.known);
+            let holder = LeaseHolder::from_state(self.parameters, seat.known);
             let now = self.slow(state.tick);
             if seat.asks > 0 {
                 steps.push(Step::Asks(n));
@@ -163,20 +164,20 @@
                 }
                 Some(_) => steps.extend([Step::Effect(n), Step::Ends(n)]),
             }
-            if holder.holds(now).is_some() {
+            if holder.held_token(now).is_some() {
                 steps.push(Step::Releases(n));
             }
         }
         for (holder, asked, ask) in &state.asks {
-            steps.push(Step::Told(*holder, *asked, *ask, false));
+            steps.push(Step::Response(*holder, *asked, *ask, false));
             if state.doubles > 0 {
-                steps.push(Step::Told(*holder, *asked, *ask, true));
+                steps.push(Step::Response(*holder, *asked, *ask, true));
             }
         }
         for (holder, asked, ask, reply) in &state.answers {
             steps.push(Step::Hears(*holder, *asked, *ask, *reply));
         }
-        for command in state.watchman.expired(self.fast(state.tick)) {
+        for command in state.expiry_tracker.expired(self.fast(state.tick)) {
             if let Command::Expire { token, renewals, .. } = command
                 && !state.expiring.contains(&(token.0, renewals))
             {
@@ -197,22 +198,23 @@
                 let now = self.slow(state.tick);
                 let seat = &mut state.holders[usize::from(n)];
                 seat.asks -= 1;
-                let holder = Holder::knowing(self.terms, seat.known);
-                let ask = holder.holds(now).map_or(Ask::Acquire(seat.nonce), |token| Ask::Renew(token.0));
+                let holder = LeaseHolder::from_state(self.parameters, seat.known);
+                let ask =
+                    holder.held_token(now).map_or(Ask::Acquire(seat.nonce), |token| Ask::Renew(token.0));
                 state.asks.insert((n, now, ask));
             }
-            Step::Told(n, asked, ask, again) => {
+            Step::Response(n, asked, ask, again) => {
                 if again {
                     state.doubles -= 1;
                 } else {
                     state.asks.remove(&(n, asked, ask));
                 }
                 let command = self.command(n, ask);
-                let answer = state.book.apply(&self.terms, &command);
+                let answer = state.lease_table.apply(&self.parameters, &command);
                 let now = self.fast(state.tick);
                 // What is planted counts from the request: here from as long ago as the holder asked.
                 let came = asked / SLOW * FAST;
-                state.watchman.applied(came, now, &state.book, &[command]);
+                state.expiry_tracker.commands_applied(came, now, &state.lease_table, &[command]);
                 let reply = match answer {
                     Answer::Held(token) => {
                         if matches!(ask, Ask::Acquire(_)) && !state.granted.contains(&token.0) {
@@ -221,7 +223,7 @@
                         }
                         Reply::Held(token.0)
                     }
-                    Answer::No(Refusal::Ended) => Reply::Ended,
+                    Answer::Rejected(Rejection::Ended) => Reply::Ended,
                     _ => Reply::Other,
                 };
                 if !matches!((ask, reply), (Ask::Release(_), _) | (_, Reply::Other)) {
@@ -234,8 +236,10 @@
                 let seat = &mut state.holders[usize::from(n)];
                 let before = seat.known;
                 self.with(seat, |holder| match (ask, reply) {
-                    (_, Reply::Held(token)) => holder.granted(Holder::asks(asked), now, Token(token)),
-                    (Ask::Renew(token), _) => holder.lost(Token(token)),
+                    (_, Reply::Held(token)) => {
+                        holder.granted(RequestTime::at(asked), now, FencingToken(token))
+                    }
+                    (Ask::Renew(token), _) => holder.lease_ended(FencingToken(token)),
                     _ => {}
                 });
                 if before == seat.known {
@@ -247,20 +251,22 @@
             }
             Step::Expires(token, renewals) => {
                 state.expiring.remove(&(token, renewals));
-                let command = Command::Expire { task: TASK.to_owned(), token: Token(token), renewals };
-                state.book.apply(&self.terms, &command);
+                let command = Command::Expire { task: TASK.to_owned(), token: FencingToken(token), renewals };
+                state.lease_table.apply(&self.parameters, &command);
                 let now = self.fast(state.tick);
-                state.watchman.applied(now, now, &state.book, &[command]);
+                state.expiry_tracker.commands_applied(now, now, &state.lease_table, &[command]);
             }
             Step::Leads => {
                 state.leads -= 1;
-                state.book.taken_up(&self.terms);
-                state.watchman = Watchman::leads(self.terms, self.fast(state.tick), &state.book);
+                state.lease_table.leadership_acquired(&self.parameters);
+                state.expiry_tracker =
+                    ExpiryTracker::new(self.parameters, self.fast(state.tick), &state.lease_table);
             }
             Step::Acts(n) => {
                 let now = self.slow(state.tick);
                 let seat = &mut state.holders[usize::from(n)];
-                let permit = Holder::knowing(self.terms, seat.known).permit(now, LEASE / 2).ok()?;
+                let permit =
+                    LeaseHolder::from_state(self.parameters, seat.known).permit(now, LEASE / 2).ok()?;
                 seat.act = Some(permit.parts());
                 seat.known.acting = 1;
             }
@@ -268,7 +274,7 @@
                 let now = self.slow(state.tick);
                 let seat = &mut state.holders[usize::from(n)];
                 let (token, until) = seat.act?;
-                match Permit::of(self.terms, token, until).shown(now) {
+                match Permit::from_parts(self.parameters, token, until).valid_token(now) {
                     Some(token) => {
                         if token.0 == state.highest {
                             return None;
@@ -291,7 +297,7 @@
             Step::Releases(n) => {
                 let now = self.slow(state.tick);
                 let seat = &mut state.holders[usize::from(n)];
-                let token = self.with(seat, Holder::release).ok()?;
+                let token = self.with(seat, LeaseHolder::release).ok()?;
                 seat.nonce += 1;
                 state.asks.insert((n, now, Ask::Release(token.0)));
             }
@@ -309,9 +315,10 @@
 }
 
 /// Two holders with two asks and one, and so many changes of leader and doubled asks.
-fn days(planted: Option<Planted>, ticks: u8, leads: u8, doubles: u8) -> Days {
-    let terms = Terms { planted, drift_ppm: 100_000, margin: 0, ..Terms::new(LEASE) };
-    Days { terms, ticks, asks: vec![2, 1], leads, doubles }
+fn days(injected_fault: Option<InjectedFault>, ticks: u8, leads: u8, doubles: u8) -> Days {
+    let parameters =
+        LeaseParameters { injected_fault, drift_ppm: 100_000, margin: 0, ..LeaseParameters::new(LEASE) };
+    Days { parameters, ticks, asks: vec![2, 1], leads, doubles }
 }
 
 fn holds(leads: u8, doubles: u8) {
@@ -348,11 +355,11 @@
 
 #[test]
 fn every_planted_fault_is_found() {
-    use Planted::*;
+    use InjectedFault::*;
     let all = [
         (CountsFromAnswer, 5, 0, 0),
         (NoDrift, 5, 0, 0),
-        (KeeperCountsFromRequest, 5, 0, 1),
+        (ServerCountsFromRequest, 5, 0, 1),
         (TokenFromMemory, 2, 1, 0),
         (ForgetsLeases, 2, 1, 0),
         (PermitNotChecked, 5, 0, 0),
--- a/crates/testbed/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_lease::Wish;
+use honeyknot_lease::TaskOptions;
 use honeyknot_relay::lease_client::client::Client;
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -28,14 +28,14 @@
     for task in 0..plan.leases.tasks {
         // Turns of different lengths, so that tasks change hands out of step.
         let turn = Some(lease * (3 + (n + task) as u64 % 4));
-        client.want(&Keeping::task(task), Wish { slots: 1, turn, headway: None });
+        client.add_task(&Keeping::task(task), TaskOptions { slots: 1, max_hold: turn, max_idle: None });
         spawn_local(works(plan.clone(), client.clone(), task, name.clone(), acts.clone()));
     }
     Ok(move |line: &str| {
         if line == "leave" {
             let client = client.clone();
             spawn_local(async move {
-                client.leave(Duration::from_secs(10)).await;
+                client.shut_down(Duration::from_secs(10)).await;
                 std::process::exit(0);
             });
         }
@@ -55,7 +55,7 @@
         acts.set(acts.get() + 1);
         let act = format!("{name}-{}", acts.get());
         let mut effects = rng.random_range(1..12);
-        while let Some(token) = client.shown(&permit).filter(|_| effects > 0) {
+        while let Some(token) = client.valid_token(&permit).filter(|_| effects > 0) {
             // Whatever goes wrong at the far side ends the act.
             if effect(&plan, &mut far, &format!("{task} {} {act}\n", token.0)).await.is_none() {
                 far = None;
--- a/crates/testbed/src/leases/keeper.rs
+++ b/crates/testbed/src/leases/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::io::BufRead;
 
-use honeyknot_relay::lease_server::{Seat, run};
+use honeyknot_relay::lease_server::{LeaseServerOptions, run};
 
 use crate::fleet::Plan;
 
@@ -15,7 +15,7 @@
     let (number, found) = plan.part;
     println!("ready");
     let leases = plan.leases_plan(&plan.leases_of_keeper(number))?;
-    let seat = Seat {
+    let seat = LeaseServerOptions {
         number: number as u64,
         folder: plan.folder.join(format!("k{number}")),
         found: (found == 1).then_some(0),
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -14,8 +14,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use honeyknot_lease::{Planted, Skewed};
-use honeyknot_relay::lease_client::{Clock, boot_clock, plan};
+use honeyknot_lease::{ClockDriftError, InjectedFault};
+use honeyknot_relay::lease_client::{Clock, boot_clock, config};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{Link, Plan};
@@ -36,7 +36,7 @@
     /// Rates of clocks in parts of a million, by keeper and then by holder; the machine's own where there is none.
     pub skew_ppm: Vec<i64>,
     /// A fault planted in all of them.
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedFault>,
 }
 
 impl Keeping {
@@ -48,12 +48,12 @@
     /// The clock of the process of this place: keepers first, then holders.
     pub fn clock(&self, place: usize) -> Clock {
         let ppm = self.skew_ppm.get(place).copied().unwrap_or(0);
-        Rc::new(move || Skewed { offset: 0, ppm }.at(boot_clock()))
+        Rc::new(move || ClockDriftError { offset: 0, ppm }.at(boot_clock()))
     }
 }
 
 /// The planted fault of this name; the error names all that there are.
-pub fn fault(name: &str) -> Result<Planted, String> {
+pub fn fault(name: &str) -> Result<InjectedFault, String> {
     serde_json::from_value(name.into()).map_err(|why| why.to_string())
 }
 
@@ -94,9 +94,9 @@
     }
 
     /// That file read, with what is planted.
-    pub fn leases_plan(&self, text: &str) -> Result<plan::Plan, String> {
-        let mut read = plan::Plan::read("leases.conf", text).map_err(|faults| faults.to_string())?;
-        read.terms.planted = self.leases.planted;
+    pub fn leases_plan(&self, text: &str) -> Result<config::LeaseConfig, String> {
+        let mut read = config::LeaseConfig::read("leases.conf", text).map_err(|faults| faults.to_string())?;
+        read.parameters.injected_fault = self.leases.planted;
         Ok(read)
     }
 }
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -6,10 +6,10 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use honeyknot_lease_consensus::Told;
-use honeyknot_relay::lease_client::plan;
-use honeyknot_relay::lease_client::staff;
-use honeyknot_relay::lease_client::wire::{Hello, Who};
+use honeyknot_lease_consensus::Response;
+use honeyknot_relay::lease_client::admin_commands;
+use honeyknot_relay::lease_client::codec::{Greeting, GreetingSender};
+use honeyknot_relay::lease_client::config;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -53,7 +53,7 @@
 struct Day {
     plan: Plan,
     lab: PathBuf,
-    direct: plan::Plan,
+    direct: config::LeaseConfig,
     keepers: BTreeMap<usize, Running>,
     holders: BTreeMap<usize, Part>,
     links: Option<Part>,
@@ -203,9 +203,9 @@
 
     /// A holder of some task, as the keepers' list names it, if they answer in time.
     async fn a_holder(&mut self) -> usize {
-        let asked = timeout(self.leases(1.0), staff::ask(&self.direct, Vec::new())).await;
+        let asked = timeout(self.leases(1.0), admin_commands::request(&self.direct, Vec::new())).await;
         let mut holders: Vec<usize> = Vec::new();
-        if let Ok(Ok(Told::Leases(views))) = asked {
+        if let Ok(Ok(Response::Leases(views))) = asked {
             let number = |name: &str| name.strip_prefix('h')?.split('.').next()?.parse::<usize>().ok();
             holders.extend(views.iter().filter_map(|view| number(&view.holder)));
         }
@@ -217,12 +217,13 @@
 
     /// The keeper that leads, as the others say.
     async fn leader(&mut self) -> usize {
-        let hello = Hello::new(Who::Client("harness".into()), &self.direct);
-        for (number, at) in &self.direct.keepers {
-            let asked = timeout(Duration::from_millis(300), staff::ask_one(*at, &hello, &[])).await;
+        let hello = Greeting::new(GreetingSender::Client("harness".into()), &self.direct);
+        for (number, at) in &self.direct.servers {
+            let asked =
+                timeout(Duration::from_millis(300), admin_commands::request_once(*at, &hello, &[])).await;
             match asked {
-                Ok(Ok(Told::Leases(_))) => return *number as usize,
-                Ok(Ok(Told::Elsewhere(Some(leader)))) => return leader as usize,
+                Ok(Ok(Response::Leases(_))) => return *number as usize,
+                Ok(Ok(Response::NotLeader(Some(leader)))) => return leader as usize,
                 _ => {}
             }
         }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use honeyknot_lease::Planted;
+use honeyknot_lease::InjectedFault;
 use honeyknot_testbed::day::{Day, Report, SPILL_SLACK, play};
 use honeyknot_testbed::fleet;
 use honeyknot_testbed::fleet::starts::ColdStart;
@@ -159,7 +159,7 @@
     seed: u64,
     /// Plant a fault, which the day must show.
     #[arg(long, value_name = "NAME", value_parser = leases::fault)]
-    planted: Option<Planted>,
+    planted: Option<InjectedFault>,
     #[command(flatten)]
     day: DayArgs,
 }
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use honeyknot_lease::Planted;
+use honeyknot_lease::InjectedFault;
 use honeyknot_testbed::fleet::Plan;
 use honeyknot_testbed::fleet::run::Net;
 use honeyknot_testbed::leases::Keeping;
@@ -11,7 +11,7 @@
 use honeyknot_testbed::leases::run::{Scenario, play};
 
 /// A day of three keepers and eight holders with leases of a second.
-fn day(scenario: Scenario, planted: Option<Planted>, seed: u64, seconds: u64) -> Report {
+fn day(scenario: Scenario, planted: Option<InjectedFault>, seed: u64, seconds: u64) -> Report {
     let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
     let program = lab.with_file_name("honeyknot-relay");
     assert!(program.is_file(), "build the whole workspace first: cargo build --workspace");
@@ -38,7 +38,7 @@
 }
 
 /// A planted fault shows on one of a few days: when it meets its moment is the machine's to say.
-fn shows(scenario: Scenario, planted: Planted, broken: &str) {
+fn shows(scenario: Scenario, planted: InjectedFault, broken: &str) {
     let mut seen = Vec::new();
     for seed in [1, 3, 5, 7, 9] {
         let report = day(scenario, Some(planted), seed, 15);
@@ -72,15 +72,15 @@
 
 #[test]
 fn a_permit_that_is_not_looked_at_again_shows() {
-    shows(Scenario::Pause, Planted::PermitNotChecked, "overlapped");
+    shows(Scenario::Pause, InjectedFault::PermitNotChecked, "overlapped");
 }
 
 #[test]
 fn a_leader_that_forgets_leases_shows() {
-    shows(Scenario::Leader, Planted::ForgetsLeases, "overlapped");
+    shows(Scenario::Leader, InjectedFault::ForgetsLeases, "overlapped");
 }
 
 #[test]
 fn a_drift_that_nobody_reckons_with_shows() {
-    shows(Scenario::Skew, Planted::NoDrift, "overlapped");
+    shows(Scenario::Skew, InjectedFault::NoDrift, "overlapped");
 }
--- a/src/lease_client/staff.rs
+++ b/src/lease_client/admin_commands.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use honeyknot_lease::{Answer, Command, Token};
-use honeyknot_lease_consensus::{KeeperId, Told, View};
+use honeyknot_lease::{Answer, Command, FencingToken};
+use honeyknot_lease_consensus::{LeaseView, ReplicaId, Response};
 use tokio::time::timeout;
 
-use super::plan::Plan;
-use super::wire::{self, Frame, Hello, Who};
+use super::codec::{self, Frame, Greeting, GreetingSender};
+use super::config::LeaseConfig;
 
 /// What staff want.
 #[derive(Clone, Debug, Subcommand)]
-pub enum Call {
+pub enum AdminCommand {
     /// All leases: task, holder, token, how long known to the keeper that leads, how long yet, renewals.
     List,
     /// The leases of one task.
@@ -39,13 +39,13 @@
 const ROUNDS: u32 = 5;
 
 /// Makes a call, and prints the answer. An error names what every keeper said.
-pub fn call(plan: &Plan, call: &Call) -> Result<(), String> {
+pub fn call(plan: &LeaseConfig, call: &AdminCommand) -> Result<(), String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|why| why.to_string())?;
     runtime.block_on(async {
         match call {
-            Call::List => show(&leases(plan).await?),
-            Call::Show { task } => {
+            AdminCommand::List => show(&leases(plan).await?),
+            AdminCommand::Show { task } => {
                 let mut views = leases(plan).await?;
                 views.retain(|view| view.task == *task);
                 if views.is_empty() {
@@ -53,20 +53,20 @@
                 }
                 show(&views);
             }
-            Call::Release { task, token } => release(plan, task, Token(*token)).await?,
-            Call::Watch => watch(plan).await?,
+            AdminCommand::Release { task, token } => release(plan, task, FencingToken(*token)).await?,
+            AdminCommand::Watch => watch(plan).await?,
         }
         Ok(())
     })
 }
 
-async fn release(plan: &Plan, task: &str, token: Token) -> Result<(), String> {
+async fn release(plan: &LeaseConfig, task: &str, token: FencingToken) -> Result<(), String> {
     let command = Command::Revoke { task: task.to_owned(), token };
-    match ask(plan, vec![command]).await? {
-        Told::Answers(said) => match said.first().map(|said| said.answer) {
-            Some(Answer::No(why)) => Err(format!("`{task}`: {why}")),
+    match request(plan, vec![command]).await? {
+        Response::Results(said) => match said.first().map(|said| said.answer) {
+            Some(Answer::Rejected(why)) => Err(format!("`{task}`: {why}")),
             _ => {
-                let most = plan.terms.lease as f64 / 1e6;
+                let most = plan.parameters.lease_duration as f64 / 1e6;
                 println!("`{task}` is renewed no more for token {}; it is free within {most} s", token.0);
                 Ok(())
             }
@@ -75,14 +75,14 @@
     }
 }
 
-async fn leases(plan: &Plan) -> Result<Vec<View>, String> {
-    match ask(plan, Vec::new()).await? {
-        Told::Leases(views) => Ok(views),
+async fn leases(plan: &LeaseConfig) -> Result<Vec<LeaseView>, String> {
+    match request(plan, Vec::new()).await? {
+        Response::Leases(views) => Ok(views),
         other => Err(format!("an answer that was not asked for: {other:?}")),
     }
 }
 
-fn show(views: &[View]) {
+fn show(views: &[LeaseView]) {
     println!(
         "{:<24} {:<28} {:>12} {:>9} {:>9} {:>9}",
         "task", "holder", "token", "known", "left", "renewals"
@@ -95,7 +95,7 @@
             view.task,
             view.holder,
             view.token.0,
-            seconds(view.known_for),
+            seconds(view.age),
             seconds(view.left),
             view.renewals,
         );
@@ -103,8 +103,8 @@
 }
 
 /// Every second all leases are asked for; what has changed is told.
-async fn watch(plan: &Plan) -> Result<(), String> {
-    let mut before: Vec<(String, Token, String)> = Vec::new();
+async fn watch(plan: &LeaseConfig) -> Result<(), String> {
+    let mut before: Vec<(String, FencingToken, String)> = Vec::new();
     loop {
         let views = leases(plan).await?;
         let now: Vec<_> = views.into_iter().map(|view| (view.task, view.token, view.holder)).collect();
@@ -120,25 +120,27 @@
 }
 
 /// Asks the keepers in turn, and whom they name, until one that leads answers.
-pub async fn ask(plan: &Plan, commands: Vec<Command>) -> Result<Told, String> {
-    let hello = Hello::new(Who::Client("staff".into()), plan);
+pub async fn request(plan: &LeaseConfig, commands: Vec<Command>) -> Result<Response, String> {
+    let hello = Greeting::new(GreetingSender::Client("staff".into()), plan);
     let mut troubles = Vec::new();
     for _ in 0..ROUNDS {
         troubles.clear();
-        let mut order: Vec<KeeperId> = plan.keepers.keys().copied().collect();
+        let mut order: Vec<ReplicaId> = plan.servers.keys().copied().collect();
         let mut asked = 0;
-        while asked < order.len() && asked < 2 * plan.keepers.len() {
+        while asked < order.len() && asked < 2 * plan.servers.len() {
             let keeper = order[asked];
             asked += 1;
-            let Some(at) = plan.keepers.get(&keeper) else { continue };
-            let answer = timeout(PATIENCE, ask_one(*at, &hello, &commands)).await;
+            let Some(at) = plan.servers.get(&keeper) else { continue };
+            let answer = timeout(PATIENCE, request_once(*at, &hello, &commands)).await;
             match answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-                Ok(Told::Elsewhere(Some(leader))) => {
+                Ok(Response::NotLeader(Some(leader))) => {
                     order.insert(asked, leader);
                     troubles.push(format!("keeper {keeper}: keeper {leader} leads"));
                 }
-                Ok(Told::Elsewhere(None)) => troubles.push(format!("keeper {keeper}: it knows no leader")),
-                Ok(Told::Busy) => troubles.push(format!("keeper {keeper}: it has too much to do")),
+                Ok(Response::NotLeader(None)) => {
+                    troubles.push(format!("keeper {keeper}: it knows no leader"))
+                }
+                Ok(Response::Overloaded) => troubles.push(format!("keeper {keeper}: it has too much to do")),
                 Ok(told) => return Ok(told),
                 Err(why) => troubles.push(format!("keeper {keeper} at {at}: {why}")),
             }
@@ -149,11 +151,11 @@
 }
 
 /// Asks one keeper once.
-pub async fn ask_one(at: SocketAddr, hello: &Hello, commands: &[Command]) -> io::Result<Told> {
-    let (mut reader, mut to) = wire::dial(at, hello, PATIENCE).await?;
-    wire::send(&mut to, &Frame::Ask { id: 1, commands: commands.to_vec() }, PATIENCE).await?;
+pub async fn request_once(at: SocketAddr, hello: &Greeting, commands: &[Command]) -> io::Result<Response> {
+    let (mut reader, mut to) = codec::dial(at, hello, PATIENCE).await?;
+    codec::send(&mut to, &Frame::Request { id: 1, commands: commands.to_vec() }, PATIENCE).await?;
     match reader.next().await? {
-        Some(Frame::Told { told, .. }) => Ok(told),
+        Some(Frame::Response { told, .. }) => Ok(told),
         Some(_) => Err(io::Error::other("a frame that only keepers are sent")),
         None => Err(io::ErrorKind::ConnectionReset.into()),
     }
--- a/src/lease_client/client.rs
+++ b/src/lease_client/client.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_lease::{Claims, NotNow, Permit, Token, Wish};
-use honeyknot_lease_consensus::{KeeperId, Told};
+use honeyknot_lease::{FencingToken, LeaseClient, Permit, PermitError, TaskOptions};
+use honeyknot_lease_consensus::{ReplicaId, Response};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
 
 use super::Clock;
-use super::plan::Plan;
-use super::wire::{self, Frame, Hello, Who};
+use super::codec::{self, Frame, Greeting, GreetingSender};
+use super::config::LeaseConfig;
 use honeyknot_balancer::Micros;
 
 /// Frames that wait for a keeper at the most: a relay has one ask out at a time.
@@ -24,7 +24,7 @@
 
 /// The claims of this process, carried out by a task of their own until it is dropped.
 pub struct Client {
-    claims: Rc<RefCell<Claims>>,
+    client: Rc<RefCell<LeaseClient>>,
     changed: Rc<Notify>,
     clock: Clock,
     task: JoinHandle<()>,
@@ -32,49 +32,49 @@
 
 impl Client {
     /// Begins, within a `LocalSet`. `name` is this process's alone: an old process of the same relay is another holder.
-    pub fn start(plan: &Plan, name: &str, seed: u64, clock: Clock) -> Client {
-        let claims = Claims::new(plan.terms, name, plan.keepers.len() as u64, seed);
-        let claims = Rc::new(RefCell::new(claims));
+    pub fn start(plan: &LeaseConfig, name: &str, seed: u64, clock: Clock) -> Client {
+        let client = LeaseClient::new(plan.parameters, name, plan.servers.len() as u64, seed);
+        let client = Rc::new(RefCell::new(client));
         let changed = Rc::new(Notify::new());
-        let hello = Hello::new(Who::Client(name.to_owned()), plan);
+        let hello = Greeting::new(GreetingSender::Client(name.to_owned()), plan);
         let (news, heard) = mpsc::channel(QUEUE);
         let carrier = Carrier {
-            claims: claims.clone(),
+            client: client.clone(),
             changed: changed.clone(),
             clock: clock.clone(),
-            keepers: plan.keepers.clone(),
+            keepers: plan.servers.clone(),
             hello,
             lines: BTreeMap::new(),
             told: None,
-            patience: Duration::from_micros(plan.terms.lease / 4),
+            patience: Duration::from_micros(plan.parameters.lease_duration / 4),
             news,
         };
         let task = tokio::task::spawn_local(carrier.run(heard));
-        Client { claims, changed, clock, task }
+        Client { client, changed, clock, task }
     }
 
     /// Wants a task from now on.
-    pub fn want(&self, task: &str, wish: Wish) {
-        self.claims.borrow_mut().want((self.clock)(), task, wish);
+    pub fn add_task(&self, task: &str, options: TaskOptions) {
+        self.client.borrow_mut().add_task((self.clock)(), task, options);
         self.changed.notify_one();
     }
 
     /// The right to one act on a task, which takes `longest` at the most, or why there is none.
-    pub fn permit(&self, task: &str, longest: Micros) -> Result<Permit, NotNow> {
-        self.claims.borrow_mut().permit((self.clock)(), task, longest)
+    pub fn permit(&self, task: &str, longest: Micros) -> Result<Permit, PermitError> {
+        self.client.borrow_mut().permit((self.clock)(), task, longest)
     }
 
     /// The token of an act, if it may go on. To be asked before each of its effects.
-    pub fn shown(&self, permit: &Permit) -> Option<Token> {
-        permit.shown((self.clock)())
+    pub fn valid_token(&self, permit: &Permit) -> Option<FencingToken> {
+        permit.valid_token((self.clock)())
     }
 
     /// Lets go of everything as acts end, for `most` at the longest; whether the keepers know.
-    pub async fn leave(&self, most: Duration) -> bool {
-        self.claims.borrow_mut().leave((self.clock)());
+    pub async fn shut_down(&self, most: Duration) -> bool {
+        self.client.borrow_mut().shut_down((self.clock)());
         self.changed.notify_one();
         let idle = async {
-            while !self.claims.borrow().idle() {
+            while !self.client.borrow().is_idle() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
@@ -89,18 +89,18 @@
 }
 
 enum News {
-    Told(u64, Told),
-    Gone(KeeperId, String),
+    Response(u64, Response),
+    Gone(ReplicaId, String),
 }
 
 struct Carrier {
-    claims: Rc<RefCell<Claims>>,
+    client: Rc<RefCell<LeaseClient>>,
     changed: Rc<Notify>,
     clock: Clock,
-    keepers: BTreeMap<KeeperId, SocketAddr>,
-    hello: Hello,
+    keepers: BTreeMap<ReplicaId, SocketAddr>,
+    hello: Greeting,
     /// To each keeper, while there is a connection: frames, and the ask that went there last.
-    lines: BTreeMap<KeeperId, (mpsc::Sender<Frame>, u64)>,
+    lines: BTreeMap<ReplicaId, (mpsc::Sender<Frame>, u64)>,
     /// The trouble that was told last: once a cause, not once a try.
     told: Option<String>,
     patience: Duration,
@@ -111,15 +111,15 @@
     async fn run(mut self, mut heard: mpsc::Receiver<News>) {
         loop {
             let now = (self.clock)();
-            let sending = self.claims.borrow_mut().ask(now);
+            let sending = self.client.borrow_mut().next_request(now);
             if let Some(sending) = sending {
                 self.send(
                     sending.keeper,
-                    Frame::Ask { id: sending.id, commands: sending.commands },
+                    Frame::Request { id: sending.id, commands: sending.commands },
                     sending.id,
                 );
             }
-            let next = self.claims.borrow().next();
+            let next = self.client.borrow().next();
             // An hour is as good as never; clocks of leases and of timers may differ a little in rate.
             let wait = Duration::from_micros(next.saturating_sub((self.clock)()).min(3_600_000_000) + 500);
             let changed = self.changed.clone();
@@ -134,7 +134,7 @@
         }
     }
 
-    fn send(&mut self, keeper: KeeperId, frame: Frame, id: u64) {
+    fn send(&mut self, keeper: ReplicaId, frame: Frame, id: u64) {
         let Some(at) = self.keepers.get(&keeper).copied() else { return };
         let line = self.lines.entry(keeper).or_insert_with(|| {
             let (sender, frames) = mpsc::channel(QUEUE);
@@ -151,26 +151,26 @@
         line.1 = id;
         if line.0.try_send(frame).is_err() {
             self.lines.remove(&keeper);
-            self.claims.borrow_mut().cut((self.clock)(), id);
+            self.client.borrow_mut().on_connection_lost((self.clock)(), id);
         }
     }
 
     fn hears(&mut self, news: News) {
         let now = (self.clock)();
-        let mut claims = self.claims.borrow_mut();
+        let mut client = self.client.borrow_mut();
         match news {
-            News::Told(id, told) => {
+            News::Response(id, told) => {
                 match told {
-                    Told::Answers(said) => claims.told(now, id, &said),
-                    Told::Elsewhere(leader) => claims.elsewhere(now, id, leader),
-                    Told::Busy => claims.busy(now, id),
-                    Told::Leases(_) => {}
+                    Response::Results(said) => client.on_response(now, id, &said),
+                    Response::NotLeader(leader) => client.on_redirect(now, id, leader),
+                    Response::Overloaded => client.on_overload(now, id),
+                    Response::Leases(_) => {}
                 }
                 self.told = None;
             }
             News::Gone(keeper, why) => {
                 if let Some((_, id)) = self.lines.remove(&keeper) {
-                    claims.cut(now, id);
+                    client.on_connection_lost(now, id);
                 }
                 if self.told.as_ref() != Some(&why) {
                     warn!(target: "leases", keeper, why, "a keeper cannot be asked; the others are");
@@ -183,8 +183,8 @@
 
 /// One connection to a keeper, until it ends or nobody has answered for long.
 async fn line(
-    keeper: KeeperId, at: SocketAddr, hello: Hello, frames: mpsc::Receiver<Frame>, news: mpsc::Sender<News>,
-    patience: Duration,
+    keeper: ReplicaId, at: SocketAddr, hello: Greeting, frames: mpsc::Receiver<Frame>,
+    news: mpsc::Sender<News>, patience: Duration,
 ) {
     let why = match carry(at, &hello, frames, &news, patience).await {
         Ok(()) => return,
@@ -195,10 +195,10 @@
 }
 
 async fn carry(
-    at: SocketAddr, hello: &Hello, mut frames: mpsc::Receiver<Frame>, news: &mpsc::Sender<News>,
+    at: SocketAddr, hello: &Greeting, mut frames: mpsc::Receiver<Frame>, news: &mpsc::Sender<News>,
     patience: Duration,
 ) -> std::io::Result<()> {
-    let (mut reader, mut to) = wire::dial(at, hello, patience).await?;
+    let (mut reader, mut to) = codec::dial(at, hello, patience).await?;
     let mut unanswered = 0;
     loop {
         tokio::select! {
@@ -209,12 +209,12 @@
                 if unanswered > 3 {
                     return Err(std::io::ErrorKind::TimedOut.into());
                 }
-                wire::send(&mut to, &frame, patience).await?;
+                codec::send(&mut to, &frame, patience).await?;
             }
             frame = reader.next() => match frame? {
-                Some(Frame::Told { id, told }) => {
+                Some(Frame::Response { id, told }) => {
                     unanswered = 0;
-                    if news.send(News::Told(id, told)).await.is_err() {
+                    if news.send(News::Response(id, told)).await.is_err() {
                         return Ok(());
                     }
                 }
--- a/src/lease_client/wire.rs
+++ b/src/lease_client/codec.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use honeyknot_lease::Command;
-use honeyknot_lease_consensus::{KeeperId, Letter, Told};
+use honeyknot_lease_consensus::{PeerMessage, ReplicaId, Response};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-use super::plan::Plan;
+use super::config::LeaseConfig;
 use honeyknot_balancer::Micros;
 
 /// The version that this build speaks. Others are told so and turned away.
@@ -32,22 +32,22 @@
 
 /// What a side says first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Greeting {
     /// Who.
-    pub who: Who,
+    pub who: GreetingSender,
     /// The fleet's name.
     pub fleet: String,
     /// How many keepers it has.
     pub keepers: u64,
     /// Lease, drift in parts of a million, margin: both sides must reckon alike.
-    pub terms: (Micros, u64, Micros),
+    pub parameters: (Micros, u64, Micros),
 }
 
 /// Who speaks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Who {
+pub enum GreetingSender {
     /// A keeper: its number, and its folder's mark, drawn when that was founded.
-    Keeper(KeeperId, u64),
+    LeaseServer(ReplicaId, u64),
     /// A relay or staff, by name.
     Client(String),
 }
@@ -56,32 +56,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Keeper to keeper: the writer's clock when it was sent, and the letter.
-    Letter(Micros, Letter),
+    PeerMessage(Micros, PeerMessage),
     /// Client to keeper.
-    Ask {
+    Request {
         /// Given back with the answer.
         id: u64,
         /// Commands; none asks for all leases.
         commands: Vec<Command>,
     },
     /// Keeper to client.
-    Told {
+    Response {
         /// The ask's.
         id: u64,
         /// The answer.
-        told: Told,
+        told: Response,
     },
 }
 
-impl Hello {
+impl Greeting {
     /// What a side with this plan says.
-    pub fn new(who: Who, plan: &Plan) -> Hello {
-        let terms = (plan.terms.lease, plan.terms.drift_ppm, plan.terms.margin);
-        Hello { who, fleet: plan.fleet.clone(), keepers: plan.keepers.len() as u64, terms }
+    pub fn new(who: GreetingSender, plan: &LeaseConfig) -> Greeting {
+        let parameters = (plan.parameters.lease_duration, plan.parameters.drift_ppm, plan.parameters.margin);
+        Greeting { who, fleet: plan.fleet.clone(), keepers: plan.servers.len() as u64, parameters }
     }
 
     /// Why the other side is not to be talked to, if so.
-    pub fn differs(&self, other: &Hello) -> Option<String> {
+    pub fn differs(&self, other: &Greeting) -> Option<String> {
         if self.fleet != other.fleet {
             return Some(format!("fleet `{}`, here `{}`", other.fleet, self.fleet));
         }
@@ -91,22 +91,23 @@
         let told = |(lease, drift, margin): (Micros, u64, Micros)| {
             format!("lease {} ms, drift {drift} ppm, margin {} ms", lease / 1_000, margin / 1_000)
         };
-        (self.terms != other.terms).then(|| format!("{}, here {}", told(other.terms), told(self.terms)))
+        (self.parameters != other.parameters)
+            .then(|| format!("{}, here {}", told(other.parameters), told(self.parameters)))
     }
 }
 
 /// Frames out of a socket's reading half.
-pub struct Reader<R> {
+pub struct FrameReader<R> {
     from: R,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
-impl<R: AsyncRead + Unpin> Reader<R> {
+impl<R: AsyncRead + Unpin> FrameReader<R> {
     /// Nothing read yet.
-    pub fn new(from: R) -> Reader<R> {
+    pub fn new(from: R) -> FrameReader<R> {
         let codec = LengthDelimitedCodec::builder().max_frame_length(LARGEST_FIRST).new_codec();
-        Reader { from, codec, buffer: BytesMut::new() }
+        FrameReader { from, codec, buffer: BytesMut::new() }
     }
 
     /// The next frame's bytes; nothing at the end of the stream. Nothing is lost if it is cancelled.
@@ -177,13 +178,13 @@
 
 /// Dials a keeper, says who this is, and hears whether it is welcome. The connection itself has `patience` to come about.
 pub async fn dial(
-    at: SocketAddr, hello: &Hello, patience: Duration,
-) -> io::Result<(Reader<OwnedReadHalf>, OwnedWriteHalf)> {
+    at: SocketAddr, hello: &Greeting, patience: Duration,
+) -> io::Result<(FrameReader<OwnedReadHalf>, OwnedWriteHalf)> {
     let late = |_| io::Error::from(ErrorKind::TimedOut);
     let stream = timeout(patience, TcpStream::connect(at)).await.map_err(late)??;
     stream.set_nodelay(true)?;
     let (from, mut to) = stream.into_split();
-    let mut reader = Reader::new(from);
+    let mut reader = FrameReader::new(from);
     say_first(&mut to, hello).await?;
     let welcome: Result<(), String> = reader.first().await?;
     welcome.map_err(|why| io::Error::new(ErrorKind::PermissionDenied, format!("turned away: {why}")))?;
@@ -192,13 +193,13 @@
 
 /// The listening side's greeting: hears who comes, and says whether they are welcome.
 pub async fn welcome<R, W>(
-    reader: &mut Reader<R>, writer: &mut W, check: impl FnOnce(&Hello) -> Result<(), String>,
-) -> io::Result<Hello>
+    reader: &mut FrameReader<R>, writer: &mut W, check: impl FnOnce(&Greeting) -> Result<(), String>,
+) -> io::Result<Greeting>
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let hello = match reader.first::<Hello>().await {
+    let hello = match reader.first::<Greeting>().await {
         Ok(hello) => hello,
         Err(why) => {
             // Who speaks another version learns why it is not answered.
--- a/src/lease_client/plan.rs
+++ b/src/lease_client/config.rs
@@ -5,53 +5,53 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot_lease::Terms;
+use honeyknot_lease::LeaseParameters;
 use honeyknot_operator_config::{Faults, Section, parse, units};
 
 use honeyknot_balancer::Micros;
 
 /// The operators' settings for keepers and their clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct LeaseConfig {
     /// The fleet's name: keepers of one do not talk to those of another.
     pub fleet: String,
     /// Where each keeper listens, from number 1 on without a gap.
-    pub keepers: BTreeMap<u64, SocketAddr>,
+    pub servers: BTreeMap<u64, SocketAddr>,
     /// The terms of all leases.
-    pub terms: Terms,
+    pub parameters: LeaseParameters,
     /// How long keepers that hear no leader wait before they elect another.
-    pub election: Micros,
+    pub election_timeout: Micros,
 }
 
 /// What a keeper may be one of.
 const NUMBERS: [usize; 4] = [1, 3, 5, 7];
 
-impl Plan {
+impl LeaseConfig {
     /// Reads the file of this name.
-    pub fn load(path: &str) -> Result<Plan, String> {
+    pub fn load(path: &str) -> Result<LeaseConfig, String> {
         let text = std::fs::read_to_string(path).map_err(|why| format!("{path}: {why}"))?;
-        Plan::read(path, &text).map_err(|faults| faults.to_string())
+        LeaseConfig::read(path, &text).map_err(|faults| faults.to_string())
     }
 
     /// Reads a file's text; `file` is only named in faults. All faults come at once.
-    pub fn read(file: &str, text: &str) -> Result<Plan, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<LeaseConfig, Faults> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
-        let plan = Plan::from_section(Section::file(file, &tree, &faults));
+        let plan = LeaseConfig::from_section(Section::file(file, &tree, &faults));
         Section::faults(faults).map(|()| plan)
     }
 
-    fn from_section(mut top: Section) -> Plan {
+    fn from_section(mut top: Section) -> LeaseConfig {
         let span =
             |least_ms, most_s| units::micros(Duration::from_millis(least_ms)..=Duration::from_secs(most_s));
         let fleet = top.required("fleet", units::text()).unwrap_or_default();
         let lease = top.value("lease", span(500, 3_600)).unwrap_or(10_000_000);
-        let mut terms = Terms::new(lease);
+        let mut parameters = LeaseParameters::new(lease);
         if let Some(drift) = top.value("clock-drift", units::share(0.0..=0.1)) {
-            terms.drift_ppm = (drift * 1e6).round() as u64;
+            parameters.drift_ppm = (drift * 1e6).round() as u64;
         }
         if let Some(margin) = top.value("margin", span(0, 3_600)) {
-            terms.margin = margin;
+            parameters.margin = margin;
         }
         let election = top.value("election", span(100, 60)).unwrap_or(1_000_000);
         let plain = top.bare("plain-network");
@@ -90,7 +90,7 @@
             top.required("keeper", units::text());
         }
         // What a holder may use of a lease, and what an election takes of it.
-        let used = terms.usable();
+        let used = parameters.usable();
         if used < lease / 2
             && let Some(directive) = top.only("margin").or_else(|| top.only("clock-drift"))
         {
@@ -105,6 +105,6 @@
             );
         }
         top.finish();
-        Plan { fleet, keepers, terms, election }
+        LeaseConfig { fleet, servers: keepers, parameters, election_timeout: election }
     }
 }
--- a/src/lease_client/mod.rs
+++ b/src/lease_client/mod.rs
@@ -3,10 +3,10 @@
 //! The file comes in as text, frames by sockets; permits go out to whoever acts. What is asked and when is
 //! `honeyknot-lease`'s to say. Nothing here votes, and no relay needs it to serve.
 
+pub mod admin_commands;
 pub mod client;
-pub mod plan;
-pub mod staff;
-pub mod wire;
+pub mod codec;
+pub mod config;
 
 use rustix::time::{ClockId, clock_gettime};
 
--- a/src/lease_server/lines.rs
+++ b/src/lease_server/connections.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_lease_consensus::{KeeperId, Letter};
+use honeyknot_lease_consensus::{PeerMessage, ReplicaId};
 use rand::{Rng, SeedableRng};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use super::{Heard, MOST_CLIENTS, QUEUE};
+use super::{Heard, MAX_CONNECTIONS, QUEUE};
 use crate::lease_client::Clock;
-use crate::lease_client::wire::{self, Frame, Hello, Reader, Who};
+use crate::lease_client::codec::{self, Frame, FrameReader, Greeting, GreetingSender};
 
 /// A client that takes this long to read one frame is closed.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -26,14 +26,14 @@
 /// The folders that the other keepers greeted with. One that comes with another has lost what it had agreed to, and its
 /// word must not count.
 #[derive(Clone)]
-pub struct Marks(Rc<RefCell<BTreeMap<KeeperId, u64>>>);
+pub struct Marks(Rc<RefCell<BTreeMap<ReplicaId, u64>>>);
 
 impl Marks {
-    pub fn new(known: BTreeMap<KeeperId, u64>) -> Marks {
+    pub fn new(known: BTreeMap<ReplicaId, u64>) -> Marks {
         Marks(Rc::new(RefCell::new(known)))
     }
 
-    fn check(&self, keeper: KeeperId, mark: u64) -> Result<(), String> {
+    fn check(&self, keeper: ReplicaId, mark: u64) -> Result<(), String> {
         let known = *self.0.borrow_mut().entry(keeper).or_insert(mark);
         if known != mark {
             return Err(format!(
@@ -45,7 +45,7 @@
 }
 
 /// Takes connections.
-pub async fn listen(listener: TcpListener, hello: Hello, marks: Marks, heard: mpsc::Sender<Heard>) {
+pub async fn listen(listener: TcpListener, hello: Greeting, marks: Marks, heard: mpsc::Sender<Heard>) {
     let open = Rc::new(());
     for number in 0.. {
         let stream = match listener.accept().await {
@@ -56,7 +56,7 @@
                 continue;
             }
         };
-        if Rc::strong_count(&open) > MOST_CLIENTS {
+        if Rc::strong_count(&open) > MAX_CONNECTIONS {
             continue;
         }
         let (hello, marks, heard, open) = (hello.clone(), marks.clone(), heard.clone(), open.clone());
@@ -70,54 +70,54 @@
 }
 
 async fn serve(
-    number: u64, stream: TcpStream, own: Hello, marks: Marks, heard: &mpsc::Sender<Heard>,
+    number: u64, stream: TcpStream, own: Greeting, marks: Marks, heard: &mpsc::Sender<Heard>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (from, mut to) = stream.into_split();
-    let mut reader = Reader::new(from);
-    let check = |other: &Hello| {
+    let mut reader = FrameReader::new(from);
+    let check = |other: &Greeting| {
         if let Some(what) = own.differs(other) {
             return Err(what);
         }
         match other.who {
-            Who::Keeper(id, mark) => {
+            GreetingSender::LeaseServer(id, mark) => {
                 let checked = marks.check(id, mark);
                 if let Err(why) = &checked {
                     warn!(target: "keeper", keeper = id, why, "turns a keeper away");
                 }
                 checked
             }
-            Who::Client(_) => Ok(()),
+            GreetingSender::Client(_) => Ok(()),
         }
     };
-    let hello = wire::welcome(&mut reader, &mut to, check).await?;
+    let hello = codec::welcome(&mut reader, &mut to, check).await?;
     match hello.who {
-        Who::Keeper(id, mark) => {
+        GreetingSender::LeaseServer(id, mark) => {
             let _ = heard.send(Heard::Greeted(id, mark)).await;
             while let Some(frame) = reader.next().await? {
                 match frame {
-                    Frame::Letter(said, letter) if letter.from == id => {
-                        let _ = heard.send(Heard::Letter(said, letter)).await;
+                    Frame::PeerMessage(said, letter) if letter.from == id => {
+                        let _ = heard.send(Heard::PeerMessage(said, letter)).await;
                     }
                     _ => return Err(io::Error::other("a frame that no keeper sends")),
                 }
             }
         }
-        Who::Client(_) => {
+        GreetingSender::Client(_) => {
             let (frames, mut answers) = mpsc::channel(QUEUE);
             let _ = heard.send(Heard::Came { from: number, frames }).await;
             loop {
                 tokio::select! {
                     frame = reader.next() => match frame? {
-                        Some(Frame::Ask { id, commands }) => {
-                            let _ = heard.send(Heard::Ask { from: number, id, commands }).await;
+                        Some(Frame::Request { id, commands }) => {
+                            let _ = heard.send(Heard::Request { from: number, id, commands }).await;
                         }
                         Some(_) => return Err(io::Error::other("a frame that no client sends")),
                         None => return Ok(()),
                     },
                     answer = answers.recv() => {
                         let Some(answer) = answer else { return Ok(()) };
-                        wire::send(&mut to, &answer, PATIENCE).await?;
+                        codec::send(&mut to, &answer, PATIENCE).await?;
                     }
                 }
             }
@@ -128,7 +128,7 @@
 
 /// Brings letters to another keeper, over one connection after the other. Letters that wait meanwhile are lost: the engine sends anew.
 pub async fn dial(
-    keeper: KeeperId, at: SocketAddr, hello: Hello, mut letters: mpsc::Receiver<Letter>,
+    keeper: ReplicaId, at: SocketAddr, hello: Greeting, mut letters: mpsc::Receiver<PeerMessage>,
     heard: mpsc::Sender<Heard>, patience: Duration, clock: Clock,
 ) {
     let mut rng = rand::rngs::StdRng::seed_from_u64(keeper ^ u64::from(std::process::id()));
@@ -153,16 +153,16 @@
 }
 
 async fn deliver(
-    at: SocketAddr, hello: &Hello, letters: &mut mpsc::Receiver<Letter>, patience: Duration, clock: &Clock,
-    reached: &mut bool,
+    at: SocketAddr, hello: &Greeting, letters: &mut mpsc::Receiver<PeerMessage>, patience: Duration,
+    clock: &Clock, reached: &mut bool,
 ) -> io::Result<()> {
-    let (mut reader, mut to) = wire::dial(at, hello, patience).await?;
+    let (mut reader, mut to) = codec::dial(at, hello, patience).await?;
     *reached = true;
     loop {
         tokio::select! {
             letter = letters.recv() => {
                 let Some(letter) = letter else { return Ok(()) };
-                wire::send(&mut to, &Frame::Letter(clock(), letter), 2 * patience).await?;
+                codec::send(&mut to, &Frame::PeerMessage(clock(), letter), 2 * patience).await?;
             }
             // The other side says nothing more; its end shows that it has gone.
             _ = reader.next() => return Err(io::ErrorKind::ConnectionReset.into()),
--- a/src/lease_server/mod.rs
+++ b/src/lease_server/mod.rs
@@ -1,19 +1,21 @@
 //! `honeyknot-relay keeper`: the engine, its disk and its wire round the lease book.
 //!
-//! One task owns the [`Keeper`]: letters and asks come to it by a queue, ticks by a timer; whatever it wants written is on disk before
+//! One task owns the [`Replica`]: letters and asks come to it by a queue, ticks by a timer; whatever it wants written is on disk before
 //! anything that follows from it leaves. It decides nothing about who holds what, and no relay needs it to serve.
-//! Memory: the book and the log's tail (`honeyknot-lease-consensus`), [`MOST_CLIENTS`] connections with [`QUEUE`] frames each.
+//! Memory: the book and the log's tail (`honeyknot-lease-consensus`), [`MAX_CONNECTIONS`] connections with [`QUEUE`] frames each.
 
-pub mod disk;
-mod lines;
+mod connections;
+pub mod storage;
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_lease::{Command, Micros, Rates, Shown};
-use honeyknot_lease_consensus::{Ask, Keeper, KeeperId, Letter, Out, Settings};
+use honeyknot_lease::{ClockDriftChange, ClockDriftMonitor, Command, Micros};
+use honeyknot_lease_consensus::{
+    ClientRequest, PeerMessage, Replica, ReplicaAction, ReplicaId, ReplicaSettings,
+};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -21,13 +23,13 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout_at};
 use tracing::{error, info, warn};
 
-use crate::lease_client::plan::Plan;
-use crate::lease_client::wire::{Frame, Hello, Who};
+use crate::lease_client::codec::{Frame, Greeting, GreetingSender};
+use crate::lease_client::config::LeaseConfig;
 use crate::lease_client::{Clock, boot_clock};
-use disk::{Disk, Founding};
+use storage::{DatabaseOwner, LeaseDatabase};
 
 /// Connections of clients at the most.
-pub const MOST_CLIENTS: usize = 4_096;
+pub const MAX_CONNECTIONS: usize = 4_096;
 /// Frames that wait for one connection at the most; a client that does not read is closed, a keeper's letters are lost.
 pub const QUEUE: usize = 256;
 /// Frames that wait for the keeper at the most; who sends more waits.
@@ -39,10 +41,10 @@
 
 /// Which keeper this is.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Seat {
+pub struct LeaseServerOptions {
     /// Its number in the file.
     #[arg(long)]
-    pub number: KeeperId,
+    pub number: ReplicaId,
     /// The folder that is this keeper's alone.
     #[arg(long)]
     pub folder: PathBuf,
@@ -53,12 +55,12 @@
 }
 
 /// Serves until SIGTERM, or until it may not go on.
-pub fn serve(plan: &Plan, seat: &Seat) -> Result<(), String> {
+pub fn serve(plan: &LeaseConfig, seat: &LeaseServerOptions) -> Result<(), String> {
     run(plan, seat, Rc::new(boot_clock))
 }
 
 /// [`serve`] by another clock.
-pub fn run(plan: &Plan, seat: &Seat, clock: Clock) -> Result<(), String> {
+pub fn run(plan: &LeaseConfig, seat: &LeaseServerOptions, clock: Clock) -> Result<(), String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|why| why.to_string())?;
     LocalSet::new().block_on(&runtime, keep(plan, seat, clock))
@@ -67,8 +69,8 @@
 /// What comes to the keeper.
 enum Heard {
     /// With the writer's clock when it was sent.
-    Letter(Micros, Letter),
-    Ask {
+    PeerMessage(Micros, PeerMessage),
+    Request {
         from: u64,
         id: u64,
         commands: Vec<Command>,
@@ -80,41 +82,41 @@
     Gone {
         from: u64,
     },
-    Unreachable(KeeperId),
+    Unreachable(ReplicaId),
     /// A keeper has greeted with the mark of its folder.
-    Greeted(KeeperId, u64),
+    Greeted(ReplicaId, u64),
 }
 
-async fn keep(plan: &Plan, seat: &Seat, clock: Clock) -> Result<(), String> {
+async fn keep(plan: &LeaseConfig, seat: &LeaseServerOptions, clock: Clock) -> Result<(), String> {
     let me = seat.number;
-    let at = plan.keepers.get(&me).copied();
+    let at = plan.servers.get(&me).copied();
     let at =
-        at.ok_or_else(|| format!("the file names {} keepers, none of them number {me}", plan.keepers.len()))?;
-    let founding = Founding { fleet: plan.fleet.clone(), keepers: plan.keepers.len() as u64, me };
-    let (disk, found) = Disk::open(&seat.folder, founding, seat.found)?;
-    let tick = (plan.election / 20).clamp(5_000, 200_000);
-    let settings = Settings {
-        terms: plan.terms,
+        at.ok_or_else(|| format!("the file names {} keepers, none of them number {me}", plan.servers.len()))?;
+    let founding = DatabaseOwner { fleet: plan.fleet.clone(), keepers: plan.servers.len() as u64, me };
+    let (disk, found) = LeaseDatabase::open(&seat.folder, founding, seat.found)?;
+    let tick = (plan.election_timeout / 20).clamp(5_000, 200_000);
+    let settings = ReplicaSettings {
+        parameters: plan.parameters,
         me,
-        keepers: plan.keepers.len() as u64,
+        keepers: plan.servers.len() as u64,
         tick,
-        election: plan.election,
+        election: plan.election_timeout,
         compact_after: COMPACT_AFTER,
         tokens_from: found.tokens_from,
     };
     let keeper =
-        Keeper::new(settings, found.kept).map_err(|why| format!("{}: {why}", seat.folder.display()))?;
+        Replica::new(settings, found.kept).map_err(|why| format!("{}: {why}", seat.folder.display()))?;
     let listener = TcpListener::bind(at).await.map_err(|why| format!("{at}: {why}"))?;
     info!(target: "keeper", number = me, at = %at, folder = %seat.folder.display(), term = keeper.term(), "keeps leases");
     let (send, heard) = mpsc::channel(MOST_HEARD);
-    let hello = Hello::new(Who::Keeper(me, found.mark), plan);
-    let marks = lines::Marks::new(found.marks);
-    tokio::task::spawn_local(lines::listen(listener, hello.clone(), marks, send.clone()));
+    let hello = Greeting::new(GreetingSender::LeaseServer(me, found.mark), plan);
+    let marks = connections::Marks::new(found.marks);
+    tokio::task::spawn_local(connections::listen(listener, hello.clone(), marks, send.clone()));
     let mut peers = BTreeMap::new();
-    for (id, at) in plan.keepers.iter().filter(|(id, _)| **id != me) {
+    for (id, at) in plan.servers.iter().filter(|(id, _)| **id != me) {
         let (letters, queue) = mpsc::channel(QUEUE);
-        let patience = Duration::from_micros(plan.election);
-        tokio::task::spawn_local(lines::dial(
+        let patience = Duration::from_micros(plan.election_timeout);
+        tokio::task::spawn_local(connections::dial(
             *id,
             *at,
             hello.clone(),
@@ -131,7 +133,7 @@
         clock,
         peers,
         clients: BTreeMap::new(),
-        rates: Rates::new(plan.terms.drift_ppm),
+        clock_drift: ClockDriftMonitor::new(plan.parameters.drift_ppm),
         leader: None,
         leads: false,
     };
@@ -140,13 +142,13 @@
 
 /// The task that owns the keeper.
 struct Office {
-    keeper: Keeper,
-    disk: Disk,
+    keeper: Replica,
+    disk: LeaseDatabase,
     clock: Clock,
-    peers: BTreeMap<KeeperId, mpsc::Sender<Letter>>,
+    peers: BTreeMap<ReplicaId, mpsc::Sender<PeerMessage>>,
     clients: BTreeMap<u64, mpsc::Sender<Frame>>,
-    rates: Rates,
-    leader: Option<KeeperId>,
+    clock_drift: ClockDriftMonitor,
+    leader: Option<ReplicaId>,
     leads: bool,
 }
 
@@ -166,22 +168,22 @@
                         self.hears(more)?;
                     }
                 }
-                _ = turns.tick() => self.keeper.turn((self.clock)()),
+                _ = turns.tick() => self.keeper.tick((self.clock)()),
                 _ = stop.recv() => break,
             }
             self.work()?;
         }
         // Whoever asks next need not wait for an election.
         let until = Instant::now() + HAND_OVER;
-        self.keeper.hand_over();
+        self.keeper.transfer_leadership();
         self.work()?;
-        while self.keeper.leads() {
+        while self.keeper.is_leader() {
             tokio::select! {
                 some = timeout_at(until, heard.recv()) => match some {
                     Ok(Some(heard)) => self.hears(heard)?,
                     _ => break,
                 },
-                _ = turns.tick() => self.keeper.turn((self.clock)()),
+                _ = turns.tick() => self.keeper.tick((self.clock)()),
             }
             self.work()?;
         }
@@ -191,13 +193,13 @@
 
     fn hears(&mut self, heard: Heard) -> Result<(), String> {
         match heard {
-            Heard::Letter(said, letter) => {
-                let shown = self.rates.heard((self.clock)(), letter.from, said);
+            Heard::PeerMessage(said, letter) => {
+                let shown = self.clock_drift.message_received((self.clock)(), letter.from, said);
                 self.tell_of_clock(letter.from, shown);
-                self.keeper.heard(letter).map_err(|why| why.to_string())?;
+                self.keeper.step(letter).map_err(|why| why.to_string())?;
             }
-            Heard::Ask { from, id, commands } => {
-                self.keeper.asked((self.clock)(), Ask { from, id, commands })
+            Heard::Request { from, id, commands } => {
+                self.keeper.request((self.clock)(), ClientRequest { from, id, commands })
             }
             Heard::Came { from, frames } => {
                 self.clients.insert(from, frames);
@@ -205,10 +207,10 @@
             Heard::Gone { from } => {
                 self.clients.remove(&from);
             }
-            Heard::Unreachable(keeper) => self.keeper.unreachable(keeper),
+            Heard::Unreachable(keeper) => self.keeper.report_unreachable(keeper),
             Heard::Greeted(keeper, mark) => {
                 // A new connection is perhaps a new process, on a machine that was started since.
-                self.rates.forget(keeper);
+                self.clock_drift.reset_peer(keeper);
                 self.disk.remember(keeper, mark)?;
             }
         }
@@ -216,25 +218,27 @@
     }
 
     /// It can only be told: which of two clocks is wrong nobody here can know, and leases stay as safe as tokens make them.
-    fn tell_of_clock(&self, keeper: KeeperId, shown: Option<Shown>) {
+    fn tell_of_clock(&self, keeper: ReplicaId, shown: Option<ClockDriftChange>) {
         match shown {
-            Some(Shown::Beyond(ppm)) => {
+            Some(ClockDriftChange::Beyond(ppm)) => {
                 error!(target: "keeper", keeper, ppm, "its clock or this one is beyond the bound that leases stand on");
             }
-            Some(Shown::Within) => info!(target: "keeper", keeper, "its clock is within the bound again"),
+            Some(ClockDriftChange::Within) => {
+                info!(target: "keeper", keeper, "its clock is within the bound again")
+            }
             None => {}
         }
     }
 
     /// Writes what has to be written and sends what follows, until there is nothing more.
     fn work(&mut self) -> Result<(), String> {
-        while let Some(write) = self.keeper.work((self.clock)()) {
+        while let Some(write) = self.keeper.ready((self.clock)()) {
             // A write that failed is the end: what the engine believes to be on disk is not.
             self.disk.write(&write)?;
-            let out = self.keeper.written((self.clock)(), write).map_err(|why| why.to_string())?;
+            let out = self.keeper.advance((self.clock)(), write).map_err(|why| why.to_string())?;
             out.into_iter().for_each(|out| self.carry(out));
         }
-        let (leader, leads) = (self.keeper.leader(), self.keeper.leads());
+        let (leader, leads) = (self.keeper.leader(), self.keeper.is_leader());
         if (leader, leads) != (self.leader, self.leads) {
             (self.leader, self.leads) = (leader, leads);
             let term = self.keeper.term();
@@ -247,23 +251,23 @@
         Ok(())
     }
 
-    fn carry(&mut self, out: Out) {
+    fn carry(&mut self, out: ReplicaAction) {
         match out {
-            Out::Send(letter) => {
+            ReplicaAction::Send(letter) => {
                 let to = letter.to;
-                let snapshot = letter.brings_snapshot();
+                let snapshot = letter.has_snapshot();
                 let sent = self.peers.get(&to).is_some_and(|queue| queue.try_send(letter).is_ok());
                 match (sent, snapshot) {
-                    (false, _) => self.keeper.unreachable(to),
-                    (true, true) => self.keeper.snapshot_sent(to),
+                    (false, _) => self.keeper.report_unreachable(to),
+                    (true, true) => self.keeper.report_snapshot_sent(to),
                     (true, false) => {}
                 }
             }
-            Out::Tell { to, id, told } => {
+            ReplicaAction::Respond { to, id, told } => {
                 let full = self
                     .clients
                     .get(&to)
-                    .is_some_and(|client| client.try_send(Frame::Told { id, told }).is_err());
+                    .is_some_and(|client| client.try_send(Frame::Response { id, told }).is_err());
                 if full {
                     // Its line ends with its queue.
                     self.clients.remove(&to);
--- a/src/lease_server/disk.rs
+++ b/src/lease_server/storage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use honeyknot_lease_consensus::{KeeperId, Kept, State, Write};
+use honeyknot_lease_consensus::{HardState, PersistedState, ReplicaId, ReplicaWrite};
 use rand::TryRngCore;
 use rand::rngs::OsRng;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
@@ -21,45 +21,47 @@
 
 /// Whose folder it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Founding {
+pub struct DatabaseOwner {
     /// Of which fleet.
     pub fleet: String,
     /// Of how many keepers.
     pub keepers: u64,
     /// Of which.
-    pub me: KeeperId,
+    pub me: ReplicaId,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Founded {
-    founding: Founding,
+struct DatabaseHeader {
+    founding: DatabaseOwner,
     tokens_from: u64,
     mark: u64,
 }
 
 /// What a folder held.
 #[derive(Debug)]
-pub struct Found {
+pub struct DatabaseContent {
     /// What the engine must not have forgotten.
-    pub kept: Kept,
+    pub kept: PersistedState,
     /// Tokens rise from here.
     pub tokens_from: u64,
     /// Drawn when the folder was founded.
     pub mark: u64,
     /// The marks that the other keepers came with.
-    pub marks: BTreeMap<KeeperId, u64>,
+    pub marks: BTreeMap<ReplicaId, u64>,
 }
 
 /// An open folder.
-pub struct Disk {
+pub struct LeaseDatabase {
     base: Database,
     path: String,
 }
 
-impl Disk {
+impl LeaseDatabase {
     /// Opens a folder, or founds it if told to. An empty folder is not opened without that word: its keeper would vote as if it had
     /// never voted, and what it once agreed to could be unsaid.
-    pub fn open(folder: &Path, founding: Founding, found: Option<u64>) -> Result<(Disk, Found), String> {
+    pub fn open(
+        folder: &Path, founding: DatabaseOwner, found: Option<u64>,
+    ) -> Result<(LeaseDatabase, DatabaseContent), String> {
         let file = folder.join(FILE);
         let path = file.display().to_string();
         let there = file.try_exists().map_err(|why| format!("{path}: {why}"))?;
@@ -76,19 +78,19 @@
         if let Some(tokens_from) = found {
             create(folder, &file, &founding, tokens_from)?;
         }
-        let disk = Disk { base: Database::open(&file).map_err(|why| unopened(&path, why))?, path };
+        let disk = LeaseDatabase { base: Database::open(&file).map_err(|why| unopened(&path, why))?, path };
         let found = disk.read(&founding).map_err(|why| disk.wrong(why))?;
         Ok((disk, found))
     }
 
-    fn read(&self, founding: &Founding) -> Result<Found, Trouble> {
+    fn read(&self, founding: &DatabaseOwner) -> Result<DatabaseContent, BoxedError> {
         let txn = self.base.begin_read()?;
         let kept = txn.open_table(KEPT)?;
-        let founded: Option<Founded> = read(&kept, "founded")?;
+        let founded: Option<DatabaseHeader> = read(&kept, "founded")?;
         let founded =
             founded.ok_or("the folder was never founded to its end; remove it and found it anew")?;
         if founded.founding != *founding {
-            let Founding { fleet, keepers, me } = &founded.founding;
+            let DatabaseOwner { fleet, keepers, me } = &founded.founding;
             return Err(format!(
                 "the folder is keeper {me}'s of {keepers} of the fleet `{fleet}`, not keeper {}'s of {} of `{}`",
                 founding.me, founding.keepers, founding.fleet
@@ -104,13 +106,14 @@
             let (keeper, mark) = item?;
             marks.insert(keeper.value(), mark.value());
         }
-        let state: Option<State> = read(&kept, "state")?;
-        let kept = Kept { state: state.unwrap_or_default(), snapshot: read(&kept, "snapshot")?, entries };
-        Ok(Found { kept, tokens_from: founded.tokens_from, mark: founded.mark, marks })
+        let state: Option<HardState> = read(&kept, "state")?;
+        let kept =
+            PersistedState { state: state.unwrap_or_default(), snapshot: read(&kept, "snapshot")?, entries };
+        Ok(DatabaseContent { kept, tokens_from: founded.tokens_from, mark: founded.mark, marks })
     }
 
     /// Puts a write on disk, whole, and waits until it is there.
-    pub fn write(&self, write: &Write) -> Result<(), String> {
+    pub fn write(&self, write: &ReplicaWrite) -> Result<(), String> {
         if write.is_empty() {
             return Ok(());
         }
@@ -134,7 +137,7 @@
     }
 
     /// Remembers the mark of another keeper's folder. One that is known costs no write: keepers greet again and again.
-    pub fn remember(&self, keeper: KeeperId, mark: u64) -> Result<(), String> {
+    pub fn remember(&self, keeper: ReplicaId, mark: u64) -> Result<(), String> {
         if self.known(keeper).map_err(|why| self.wrong(why))? == Some(mark) {
             return Ok(());
         }
@@ -144,20 +147,20 @@
         })
     }
 
-    fn known(&self, keeper: KeeperId) -> Result<Option<u64>, Trouble> {
+    fn known(&self, keeper: ReplicaId) -> Result<Option<u64>, BoxedError> {
         let mark = self.base.begin_read()?.open_table(MARKS)?.get(keeper)?;
         Ok(mark.map(|mark| mark.value()))
     }
 
-    fn wrong(&self, why: Trouble) -> String {
+    fn wrong(&self, why: BoxedError) -> String {
         format!("{}: {why}", self.path)
     }
 
-    fn change(&self, change: impl FnOnce(&mut Tables) -> Result<(), Trouble>) -> Result<(), String> {
+    fn change(&self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>) -> Result<(), String> {
         self.changed(change).map_err(|why| self.wrong(why))
     }
 
-    fn changed(&self, change: impl FnOnce(&mut Tables) -> Result<(), Trouble>) -> Result<(), Trouble> {
+    fn changed(&self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>) -> Result<(), BoxedError> {
         // Durable when `commit` returns: the store's own default.
         let txn = self.base.begin_write()?;
         {
@@ -182,7 +185,7 @@
 
 /// Makes a folder's file under another name until it is whole: what a full disk or a kill leaves half founded is neither opened
 /// nor in the way of the next try.
-fn create(folder: &Path, file: &Path, founding: &Founding, tokens_from: u64) -> Result<(), String> {
+fn create(folder: &Path, file: &Path, founding: &DatabaseOwner, tokens_from: u64) -> Result<(), String> {
     std::fs::create_dir_all(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
     let half = file.with_extension("founding");
     let path = half.display().to_string();
@@ -192,8 +195,8 @@
     }
     let mark = OsRng.try_next_u64().map_err(|why| format!("the system gives no chance: {why}"))?;
     let base = Database::create(&half).map_err(|why| unopened(&path, why))?;
-    let disk = Disk { base, path: path.clone() };
-    let founded = Founded { founding: founding.clone(), tokens_from, mark };
+    let disk = LeaseDatabase { base, path: path.clone() };
+    let founded = DatabaseHeader { founding: founding.clone(), tokens_from, mark };
     disk.change(|tables| tables.keep("founded", &founded))?;
     drop(disk);
     std::fs::rename(&half, file).map_err(told)?;
@@ -201,7 +204,7 @@
     std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(told)
 }
 
-type Trouble = Box<dyn std::error::Error>;
+type BoxedError = Box<dyn std::error::Error>;
 
 struct Tables<'t> {
     log: redb::Table<'t, u64, &'static [u8]>,
@@ -210,7 +213,7 @@
 }
 
 impl Tables<'_> {
-    fn keep(&mut self, name: &str, what: &impl Serialize) -> Result<(), Trouble> {
+    fn keep(&mut self, name: &str, what: &impl Serialize) -> Result<(), BoxedError> {
         let bytes = postcard::to_stdvec(what)?;
         self.kept.insert(name, &bytes[..])?;
         Ok(())
@@ -219,7 +222,7 @@
 
 fn read<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>, name: &str,
-) -> Result<Option<T>, Trouble> {
+) -> Result<Option<T>, BoxedError> {
     let Some(bytes) = table.get(name)? else { return Ok(None) };
     Ok(Some(postcard::from_bytes(bytes.value())?))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,8 +6,8 @@
 use clap::{Parser, Subcommand};
 use honeyknot_relay::admin::ask;
 use honeyknot_relay::inspect::{self, Show};
-use honeyknot_relay::lease_client::{plan::Plan, staff};
-use honeyknot_relay::lease_server::{self, Seat};
+use honeyknot_relay::lease_client::{admin_commands, config::LeaseConfig};
+use honeyknot_relay::lease_server::{self, LeaseServerOptions};
 use honeyknot_relay::logger::{self, Form};
 use honeyknot_relay::relay::{
     self,
@@ -62,7 +62,7 @@
         #[arg(long)]
         leases: String,
         #[command(flatten)]
-        seat: Seat,
+        seat: LeaseServerOptions,
         /// The least level that is logged.
         #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
         log: LevelFilter,
@@ -76,7 +76,7 @@
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
-        call: staff::Call,
+        call: admin_commands::AdminCommand,
     },
     /// Print name and version.
     Version,
@@ -99,9 +99,11 @@
         },
         Command::LeaseServer { leases, seat, log, log_form } => {
             logger::start(log, log_form);
-            Plan::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
+            LeaseConfig::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
+        }
+        Command::Lease { leases, call } => {
+            LeaseConfig::load(&leases).and_then(|plan| admin_commands::call(&plan, &call))
         }
-        Command::Lease { leases, call } => Plan::load(&leases).and_then(|plan| staff::call(&plan, &call)),
         Command::Version => {
             println!("honeyknot {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -2,10 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
-use honeyknot_lease_consensus::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
-use honeyknot_relay::lease_server::disk::{
-    Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner,
-};
+use honeyknot_lease_consensus::{Replica, ReplicaSettings, ReplicaWrite};
+use honeyknot_relay::lease_server::storage::{DatabaseContent, DatabaseOwner, LeaseDatabase};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 use super::fixture::{all, decode_hex, encode, one, path};
@@ -188,7 +186,7 @@
     let folder = TemporaryFolder::with_recorded_database("replica");
     let (_database, content) = open_recorded(&folder);
     let settings = ReplicaSettings {
-        terms: lease_parameters(),
+        parameters: lease_parameters(),
         me: 2,
         keepers: 3,
         tick: 50_000,
@@ -198,6 +196,6 @@
     };
     let replica = Replica::new(settings, content.kept).expect("the content is sound");
     assert_eq!(replica.term(), 8);
-    let indices: Vec<u64> = replica.log_from(0).iter().map(|entry| entry.index).collect();
+    let indices: Vec<u64> = replica.log_entries_from(0).iter().map(|entry| entry.index).collect();
     assert_eq!(indices, [41, 42]);
 }
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -2,12 +2,10 @@
 
 use std::time::Duration;
 
-use honeyknot_lease::{
-    Answer as LeaseAnswer, Command as LeaseCommand, Refusal as LeaseRefusal, Said as CommandResult,
-};
-use honeyknot_lease_consensus::{Told as Response, View as LeaseView};
-use honeyknot_relay::lease_client::wire::{
-    Frame as LeaseFrame, Hello as Greeting, Reader as FrameReader, Who as GreetingSender, dial, send, welcome,
+use honeyknot_lease::{Answer, Command, CommandResult, Rejection};
+use honeyknot_lease_consensus::{LeaseView, Response};
+use honeyknot_relay::lease_client::codec::{
+    Frame, FrameReader, Greeting, GreetingSender, dial, send, welcome,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -20,21 +18,21 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 const REJECTION: &str = "fleet `beta`, here `alpha`";
 
-fn request(id: u64, commands: Vec<LeaseCommand>) -> LeaseFrame {
-    LeaseFrame::Ask { id, commands }
+fn request(id: u64, commands: Vec<Command>) -> Frame {
+    Frame::Request { id, commands }
 }
 
-fn response(id: u64, response: Response) -> LeaseFrame {
-    LeaseFrame::Told { id, told: response }
+fn response(id: u64, response: Response) -> Frame {
+    Frame::Response { id, told: response }
 }
 
-fn results(answers: Vec<(LeaseAnswer, u64)>) -> Response {
+fn results(answers: Vec<(Answer, u64)>) -> Response {
     let results = answers.into_iter().map(|(answer, again)| CommandResult { answer, again });
-    Response::Answers(results.collect())
+    Response::Results(results.collect())
 }
 
-fn rejected(refusal: LeaseRefusal) -> LeaseAnswer {
-    LeaseAnswer::No(refusal)
+fn rejected(refusal: Rejection) -> Answer {
+    Answer::Rejected(refusal)
 }
 
 fn lease_view() -> LeaseView {
@@ -43,43 +41,43 @@
         holder: "relay-a".into(),
         token: fencing_token(70_001),
         renewals: 12,
-        known_for: 3_000_000,
+        age: 3_000_000,
         left: 8_500_000,
         revoked: true,
     }
 }
 
 /// One frame for each variant of request, response, answer and refusal.
-pub fn client_frames() -> Vec<(&'static str, LeaseFrame)> {
+pub fn client_frames() -> Vec<(&'static str, Frame)> {
     let commands = command_variants().into_iter().map(|(_, command)| command).collect();
     let refused = |id, refusal| response(id, results(vec![(rejected(refusal), 0)]));
     vec![
         ("request_commands", request(501, commands)),
         ("request_all_leases", request(502, Vec::new())),
-        ("answer_held", response(503, results(vec![(LeaseAnswer::Held(fencing_token(70_001)), 0)]))),
-        ("answer_free", response(504, results(vec![(LeaseAnswer::Free, 0)]))),
-        ("answer_taken", response(505, results(vec![(rejected(LeaseRefusal::Taken), 2_500_000)]))),
-        ("answer_ended", refused(506, LeaseRefusal::Ended)),
-        ("answer_renewed", refused(507, LeaseRefusal::Renewed)),
-        ("answer_unheard", refused(508, LeaseRefusal::Unheard)),
-        ("answer_full", refused(509, LeaseRefusal::Full)),
-        ("answer_name", refused(510, LeaseRefusal::Name)),
-        ("answer_slots", refused(511, LeaseRefusal::Slots)),
+        ("answer_held", response(503, results(vec![(Answer::Held(fencing_token(70_001)), 0)]))),
+        ("answer_free", response(504, results(vec![(Answer::Free, 0)]))),
+        ("answer_taken", response(505, results(vec![(rejected(Rejection::Taken), 2_500_000)]))),
+        ("answer_ended", refused(506, Rejection::Ended)),
+        ("answer_renewed", refused(507, Rejection::Renewed)),
+        ("answer_unheard", refused(508, Rejection::Unheard)),
+        ("answer_full", refused(509, Rejection::Full)),
+        ("answer_name", refused(510, Rejection::Name)),
+        ("answer_slots", refused(511, Rejection::Slots)),
         ("leases", response(512, Response::Leases(vec![lease_view()]))),
-        ("other_leader", response(513, Response::Elsewhere(Some(3)))),
-        ("no_leader", response(514, Response::Elsewhere(None))),
-        ("busy", response(515, Response::Busy)),
+        ("other_leader", response(513, Response::NotLeader(Some(3)))),
+        ("no_leader", response(514, Response::NotLeader(None))),
+        ("busy", response(515, Response::Overloaded)),
     ]
 }
 
 fn greeting(from: GreetingSender) -> Greeting {
-    Greeting { who: from, fleet: "alpha".into(), keepers: 3, terms: (10_000_000, 1_000, 500_000) }
+    Greeting { who: from, fleet: "alpha".into(), keepers: 3, parameters: (10_000_000, 1_000, 500_000) }
 }
 
 /// The first frame of each kind of dialing side.
 pub fn greetings() -> [(&'static str, Greeting); 2] {
     [
-        ("server", greeting(GreetingSender::Keeper(2, 0x0123_4567_89ab_cdef))),
+        ("server", greeting(GreetingSender::LeaseServer(2, 0x0123_4567_89ab_cdef))),
         ("client", greeting(GreetingSender::Client("relay-a".into()))),
     ]
 }
@@ -90,7 +88,7 @@
 }
 
 /// Reads the one frame of these bytes.
-pub async fn read_frame(bytes: &[u8]) -> LeaseFrame {
+pub async fn read_frame(bytes: &[u8]) -> Frame {
     let mut reader = FrameReader::new(bytes);
     let frame = reader.next().await.expect("the frame is readable").expect("there is a frame");
     assert_eq!(reader.next().await.expect("the stream ends between frames"), None);
@@ -98,7 +96,7 @@
 }
 
 /// Writes a frame as a connection carries it.
-pub async fn write_frame(frame: &LeaseFrame) -> Vec<u8> {
+pub async fn write_frame(frame: &Frame) -> Vec<u8> {
     let mut bytes = Vec::new();
     send(&mut bytes, frame, TIMEOUT).await.expect("memory takes the frame");
     bytes
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -1,12 +1,7 @@
 //! Commands in log entries, and the snapshot of the lease table.
 
-use honeyknot_lease::{
-    Answer as LeaseAnswer, Book as LeaseTable, Command as LeaseCommand, Terms as LeaseParameters,
-    Token as FencingToken,
-};
-use honeyknot_lease_consensus::{
-    Entry as LogEntry, Kept as PersistedState, Snapshot as ReplicaSnapshot, State as HardState,
-};
+use honeyknot_lease::{Answer, Command, FencingToken, LeaseParameters, LeaseTable};
+use honeyknot_lease_consensus::{Entry, HardState, PersistedState, Snapshot};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
 
@@ -24,48 +19,46 @@
     FencingToken(number)
 }
 
-pub fn acquire(task: &str, slots: u32, holder: &str, nonce: u64, unanswered: u32) -> LeaseCommand {
+pub fn acquire(task: &str, slots: u32, holder: &str, nonce: u64, unanswered: u32) -> Command {
     let (task, holder) = (task.to_owned(), holder.to_owned());
-    LeaseCommand::Acquire { task, slots, holder, nonce, unheard: unanswered }
+    Command::Acquire { task, slots, holder, nonce, unanswered }
 }
 
-pub fn renew(task: &str, token: u64, unanswered: u32) -> LeaseCommand {
-    LeaseCommand::Renew { task: task.to_owned(), token: fencing_token(token), unheard: unanswered }
+pub fn renew(task: &str, token: u64, unanswered: u32) -> Command {
+    Command::Renew { task: task.to_owned(), token: fencing_token(token), unanswered }
 }
 
-pub fn release(task: &str, token: u64) -> LeaseCommand {
-    LeaseCommand::Release { task: task.to_owned(), token: fencing_token(token) }
+pub fn release(task: &str, token: u64) -> Command {
+    Command::Release { task: task.to_owned(), token: fencing_token(token) }
 }
 
-pub fn revoke(task: &str, token: u64) -> LeaseCommand {
-    LeaseCommand::Revoke { task: task.to_owned(), token: fencing_token(token) }
+pub fn revoke(task: &str, token: u64) -> Command {
+    Command::Revoke { task: task.to_owned(), token: fencing_token(token) }
 }
 
-pub fn expire(task: &str, token: u64, renewals: u64) -> LeaseCommand {
-    LeaseCommand::Expire { task: task.to_owned(), token: fencing_token(token), renewals }
+pub fn expire(task: &str, token: u64, renewals: u64) -> Command {
+    Command::Expire { task: task.to_owned(), token: fencing_token(token), renewals }
 }
 
-pub fn log_entry(index: u64, term: u64, commands: &[LeaseCommand]) -> LogEntry {
+pub fn log_entry(index: u64, term: u64, commands: &[Command]) -> Entry {
     let data = if commands.is_empty() { Vec::new() } else { encode(&commands) };
-    LogEntry { index, term, data }
+    Entry { index, term, data }
 }
 
-pub fn replica_snapshot(index: u64, term: u64, table: Vec<u8>) -> ReplicaSnapshot {
-    ReplicaSnapshot { index, term, book: table }
+pub fn replica_snapshot(index: u64, term: u64, table: Vec<u8>) -> Snapshot {
+    Snapshot { index, term, lease_table: table }
 }
 
 pub fn hard_state(term: u64, vote: u64, commit: u64) -> HardState {
     HardState { term, vote, commit }
 }
 
-pub fn persisted_state(
-    state: HardState, snapshot: Option<ReplicaSnapshot>, entries: Vec<LogEntry>,
-) -> PersistedState {
+pub fn persisted_state(state: HardState, snapshot: Option<Snapshot>, entries: Vec<Entry>) -> PersistedState {
     PersistedState { state, snapshot, entries }
 }
 
 /// Each variant, with a different value in each field.
-pub fn command_variants() -> [(&'static str, LeaseCommand); 5] {
+pub fn command_variants() -> [(&'static str, Command); 5] {
     [
         ("acquire", acquire("sweep", 2, "relay-a", 901, 3)),
         ("renew", renew("sweep", 70_001, 4)),
@@ -76,7 +69,7 @@
 }
 
 /// The commands that lead to the recorded table.
-pub fn recorded_commands() -> Vec<LeaseCommand> {
+pub fn recorded_commands() -> Vec<Command> {
     vec![
         acquire("sweep", 2, "relay-a", 901, 0),
         acquire("sweep", 2, "relay-b", 902, 0),
@@ -91,10 +84,10 @@
 }
 
 fn empty_table() -> LeaseTable {
-    LeaseTable::founded(TOKENS_FROM)
+    LeaseTable::with_tokens_from(TOKENS_FROM)
 }
 
-fn apply_all(table: &mut LeaseTable, commands: &[LeaseCommand]) {
+fn apply_all(table: &mut LeaseTable, commands: &[Command]) {
     for command in commands {
         table.apply(&lease_parameters(), command);
     }
@@ -113,7 +106,7 @@
     assert_labels(COMMANDS, command_variants().iter().map(|(label, _)| *label));
     for (label, command) in command_variants() {
         let bytes = one(COMMANDS, label);
-        assert_eq!(decode::<LeaseCommand>(&bytes), command, "{label} is read");
+        assert_eq!(decode::<Command>(&bytes), command, "{label} is read");
         assert_eq!(encode(&command), bytes, "{label} is written");
     }
 }
@@ -121,13 +114,13 @@
 #[test]
 fn a_log_entry_from_the_previous_version_is_read_and_written_unchanged() {
     let bytes = one(TABLE, "entry");
-    let entry: LogEntry = decode(&bytes);
+    let entry: Entry = decode(&bytes);
     assert_eq!((entry.index, entry.term), (41, 7));
-    assert_eq!(decode::<Vec<LeaseCommand>>(&entry.data), recorded_commands());
+    assert_eq!(decode::<Vec<Command>>(&entry.data), recorded_commands());
     assert_eq!(encode(&log_entry(41, 7, &recorded_commands())), bytes);
 
     let bytes = one(TABLE, "entry_without_commands");
-    assert_eq!(decode::<LogEntry>(&bytes), log_entry(42, 8, &[]));
+    assert_eq!(decode::<Entry>(&bytes), log_entry(42, 8, &[]));
     assert_eq!(encode(&log_entry(42, 8, &[])), bytes);
 }
 
@@ -141,7 +134,7 @@
 #[test]
 fn a_lease_table_snapshot_from_the_previous_version_is_read_and_written_unchanged() {
     let bytes = one(TABLE, "snapshot");
-    let snapshot: ReplicaSnapshot = decode(&bytes);
+    let snapshot: Snapshot = decode(&bytes);
     let table_bytes = one(TABLE, "table");
     assert_eq!(snapshot, replica_snapshot(40, 6, table_bytes.clone()));
     assert_eq!(encode(&snapshot), bytes);
@@ -154,9 +147,9 @@
 
 #[test]
 fn the_recorded_commands_lead_to_the_recorded_lease_table() {
-    let entry: LogEntry = decode(&one(TABLE, "entry"));
+    let entry: Entry = decode(&one(TABLE, "entry"));
     let mut table = empty_table();
-    apply_all(&mut table, &decode::<Vec<LeaseCommand>>(&entry.data));
+    apply_all(&mut table, &decode::<Vec<Command>>(&entry.data));
     assert_eq!(encode(&table), one(TABLE, "table"));
 }
 
@@ -165,7 +158,7 @@
     let mut table: LeaseTable = decode(&one(TABLE, "table"));
     for (task, next) in [("audit", 70_002), ("rebuild", 70_002), ("sweep", 70_003), ("new", 70_001)] {
         let answer = table.apply(&lease_parameters(), &acquire(task, 3, "relay-d", 905, 0));
-        assert_eq!(answer, LeaseAnswer::Held(fencing_token(next)), "{task}");
+        assert_eq!(answer, Answer::Held(fencing_token(next)), "{task}");
     }
 }
 
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -2,11 +2,11 @@
 
 use std::collections::VecDeque;
 
+use honeyknot_lease::Command;
 use honeyknot_lease_consensus::{
-    Ask as ClientRequest, Entry as LogEntry, Keeper as Replica, Letter as PeerMessage, Out as ReplicaAction,
-    Settings as ReplicaSettings, Snapshot as ReplicaSnapshot,
+    ClientRequest, Entry, PeerMessage, Replica, ReplicaAction, ReplicaSettings, Snapshot,
 };
-use honeyknot_relay::lease_client::wire::Frame as LeaseFrame;
+use honeyknot_relay::lease_client::codec::Frame;
 use serde::{Deserialize, Serialize};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
@@ -31,18 +31,18 @@
 const LAGGING_TERM: u64 = 5;
 const LENGTH_PREFIX: usize = 4;
 
-pub fn peer_frame(clock: u64, message: PeerMessage) -> LeaseFrame {
-    LeaseFrame::Letter(clock, message)
+pub fn peer_frame(clock: u64, message: PeerMessage) -> Frame {
+    Frame::PeerMessage(clock, message)
 }
 
-fn peer_message(frame: LeaseFrame) -> (u64, PeerMessage) {
-    let LeaseFrame::Letter(clock, message) = frame else { panic!("a frame between lease servers") };
+fn peer_message(frame: Frame) -> (u64, PeerMessage) {
+    let Frame::PeerMessage(clock, message) = frame else { panic!("a frame between lease servers") };
     (clock, message)
 }
 
 fn replica_settings(id: u64) -> ReplicaSettings {
     ReplicaSettings {
-        terms: lease_parameters(),
+        parameters: lease_parameters(),
         me: id,
         keepers: REPLICAS,
         tick: TICK_MICROS,
@@ -52,14 +52,14 @@
     }
 }
 
-fn client_request(id: u64, commands: Vec<honeyknot_lease::Command>) -> ClientRequest {
+fn client_request(id: u64, commands: Vec<Command>) -> ClientRequest {
     ClientRequest { from: 1, id, commands }
 }
 
 fn sent_messages(actions: Vec<ReplicaAction>) -> impl Iterator<Item = PeerMessage> {
     actions.into_iter().filter_map(|action| match action {
         ReplicaAction::Send(message) => Some(message),
-        ReplicaAction::Tell { .. } => None,
+        ReplicaAction::Respond { .. } => None,
     })
 }
 
@@ -74,10 +74,10 @@
     pub term: u64,
     pub log_term: u64,
     pub index: u64,
-    pub entries: Vec<LogEntry>,
+    pub entries: Vec<Entry>,
     pub commit: u64,
     pub commit_term: u64,
-    pub snapshot: Option<ReplicaSnapshot>,
+    pub snapshot: Option<Snapshot>,
     pub request_snapshot: u64,
     pub reject: bool,
     pub reject_hint: u64,
@@ -201,8 +201,8 @@
     fn outgoing(&mut self) -> Vec<PeerMessage> {
         let mut messages = Vec::new();
         for replica in &mut self.replicas {
-            while let Some(write) = replica.work(self.now) {
-                let actions = replica.written(self.now, write).expect("the replica goes on");
+            while let Some(write) = replica.ready(self.now) {
+                let actions = replica.advance(self.now, write).expect("the replica goes on");
                 messages.extend(sent_messages(actions));
             }
         }
@@ -216,10 +216,10 @@
             queue.extend(self.outgoing());
             let Some(message) = queue.pop_front() else { return };
             let message = carry(self.now, message);
-            if message.brings_snapshot() {
-                self.replica(message.from).snapshot_sent(message.to);
+            if message.has_snapshot() {
+                self.replica(message.from).report_snapshot_sent(message.to);
             }
-            self.replica(message.to).heard(message).expect("the replica goes on");
+            self.replica(message.to).step(message).expect("the replica goes on");
         }
     }
 }
@@ -232,18 +232,18 @@
         cluster.now = tick * TICK_MICROS;
         let now = cluster.now;
         for id in 1..=REPLICAS {
-            cluster.replica(id).turn(now);
+            cluster.replica(id).tick(now);
         }
         match tick {
-            REQUEST_TICK => cluster.replica(1).asked(now, client_request(21, recorded_commands())),
+            REQUEST_TICK => cluster.replica(1).request(now, client_request(21, recorded_commands())),
             RENEWAL_TICK => {
-                cluster.replica(1).asked(now, client_request(22, vec![renew("sweep", 70_003, 1)]))
+                cluster.replica(1).request(now, client_request(22, vec![renew("sweep", 70_003, 1)]))
             }
             _ => {}
         }
         cluster.settle(&mut carry);
     }
-    cluster.replica(1).hand_over();
+    cluster.replica(1).transfer_leadership();
     let last_messages = cluster.outgoing();
     for message in last_messages {
         carry(cluster.now, message);
@@ -257,7 +257,7 @@
         assert_eq!(write_frame(&frame).await, bytes, "{label} is written");
         let recorded: RecordedFrame = decode(&bytes[LENGTH_PREFIX..]);
         let (clock, message) = peer_message(frame);
-        let read = (clock, message.from, message.to, message.brings_snapshot());
+        let read = (clock, message.from, message.to, message.has_snapshot());
         let expected = (recorded.clock, recorded.from, recorded.to, recorded.snapshot.is_some());
         assert_eq!(read, expected, "{label} is read");
     }
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -7,7 +7,7 @@
 use honeyknot_metrics::collectd::Security;
 use honeyknot_metrics::graphite::Paths;
 use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
-use honeyknot_relay::lease_client::plan::Plan as LeasesPlan;
+use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_zone_failover::Plan as SitesPlan;
 
 use super::{address, fixture_text};
@@ -30,8 +30,8 @@
     MetricsPlan::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
 }
 
-fn read_leases(file: &str) -> Result<LeasesPlan, String> {
-    LeasesPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+fn read_leases(file: &str) -> Result<LeaseConfig, String> {
+    LeaseConfig::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
 }
 
 fn names(words: &[&str]) -> Vec<String> {
@@ -183,13 +183,16 @@
 
 #[test]
 fn a_leases_file_of_the_previous_version_means_what_it_meant() {
-    let plan = read_leases("leases.conf").expect("a sound file");
-    assert_eq!(plan.fleet, "example");
-    let replicas = [(1, "127.0.0.1:7401"), (2, "127.0.0.1:7402"), (3, "127.0.0.1:7403")];
-    assert_eq!(plan.keepers, replicas.map(|(number, at)| (number, address(at))).into());
-    let terms = plan.terms;
-    assert_eq!((terms.lease, terms.drift_ppm, terms.margin), (10_000_000, 1_000, 500_000));
-    assert_eq!(plan.election, 1_000_000);
+    let config = read_leases("leases.conf").expect("a sound file");
+    assert_eq!(config.fleet, "example");
+    let servers = [(1, "127.0.0.1:7401"), (2, "127.0.0.1:7402"), (3, "127.0.0.1:7403")];
+    assert_eq!(config.servers, servers.map(|(number, at)| (number, address(at))).into());
+    let parameters = config.parameters;
+    assert_eq!(
+        (parameters.lease_duration, parameters.drift_ppm, parameters.margin),
+        (10_000_000, 1_000, 500_000)
+    );
+    assert_eq!(config.election_timeout, 1_000_000);
 }
 
 #[test]
@@ -198,7 +201,7 @@
     assert!(neighbors.plain);
     assert_eq!(neighbors.seeds, [address("192.0.2.1:7500")]);
     let leases = read_leases("leases-plain.conf").expect("a sound file");
-    assert_eq!(leases.keepers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
+    assert_eq!(leases.servers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
 }
 
 #[test]
--- a/tests/lease_servers.rs
+++ b/tests/lease_servers.rs
@@ -7,17 +7,17 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use honeyknot_lease::{Answer, Command as Lease, Refusal, Token};
-use honeyknot_lease_consensus::Told;
-use honeyknot_relay::lease_client::plan::Plan;
-use honeyknot_relay::lease_client::staff;
+use honeyknot_lease::{Answer, Command as Lease, FencingToken, Rejection};
+use honeyknot_lease_consensus::Response;
+use honeyknot_relay::lease_client::admin_commands;
+use honeyknot_relay::lease_client::config::LeaseConfig;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_honeyknot-relay");
 
 /// Three keepers in a folder of their own; killed when dropped.
 struct Keepers {
     folder: PathBuf,
-    plan: Plan,
+    config: LeaseConfig,
     running: Vec<Option<Child>>,
 }
 
@@ -35,8 +35,8 @@
             text += &format!("keeper {n} 127.{}.{low}.{}:7401\n", 128 | high, 4 * test + n);
         }
         std::fs::write(folder.join("leases.conf"), &text).unwrap();
-        let plan = Plan::read("leases.conf", &text).unwrap();
-        Keepers { folder, plan, running: vec![None, None, None] }
+        let config = LeaseConfig::read("leases.conf", &text).unwrap();
+        Keepers { folder, config, running: vec![None, None, None] }
     }
 
     fn command(&self, number: usize, found: Option<u64>) -> Command {
@@ -75,11 +75,11 @@
     }
 
     /// Asks until a leader answers, which an election may put off.
-    fn ask(&self, commands: Vec<Lease>) -> Told {
+    fn ask(&self, commands: Vec<Lease>) -> Response {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let until = Instant::now() + Duration::from_secs(20);
         loop {
-            match runtime.block_on(staff::ask(&self.plan, commands.clone())) {
+            match runtime.block_on(admin_commands::request(&self.config, commands.clone())) {
                 Ok(told) => return told,
                 Err(why) if Instant::now() > until => panic!("{why}"),
                 Err(_) => std::thread::sleep(Duration::from_millis(50)),
@@ -89,8 +89,8 @@
 
     fn acquire(&self, task: &str, holder: &str) -> Answer {
         let (task, holder) = (task.to_owned(), holder.to_owned());
-        let Told::Answers(said) =
-            self.ask(vec![Lease::Acquire { task, slots: 1, holder, nonce: 1, unheard: 0 }])
+        let Response::Results(said) =
+            self.ask(vec![Lease::Acquire { task, slots: 1, holder, nonce: 1, unanswered: 0 }])
         else {
             panic!("no answer to an acquire");
         };
@@ -109,18 +109,18 @@
 fn leases_and_tokens_outlast_all_keepers_killed_at_once() {
     let mut keepers = Keepers::new("killed");
     (1..=3).for_each(|number| keepers.start(number, Some(500)));
-    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(Token(501)));
-    assert_eq!(keepers.acquire("probes", "b"), Answer::No(Refusal::Taken));
+    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(FencingToken(501)));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
     (1..=3).for_each(|number| keepers.kill(number));
     // Two of them are enough, and have not forgotten who holds it.
     keepers.start(1, None);
     keepers.start(3, None);
-    assert_eq!(keepers.acquire("probes", "b"), Answer::No(Refusal::Taken));
-    let Told::Leases(views) = keepers.ask(Vec::new()) else { panic!("no list") };
-    assert_eq!((views.len(), &views[0].holder[..], views[0].token), (1, "a", Token(501)));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
+    let Response::Leases(views) = keepers.ask(Vec::new()) else { panic!("no list") };
+    assert_eq!((views.len(), &views[0].holder[..], views[0].token), (1, "a", FencingToken(501)));
     // Staff take it away; it is free once it has run out, and the next token is a later one.
-    let revoke = Lease::Revoke { task: "probes".into(), token: Token(501) };
-    assert!(matches!(keepers.ask(vec![revoke]), Told::Answers(_)));
+    let revoke = Lease::Revoke { task: "probes".into(), token: FencingToken(501) };
+    assert!(matches!(keepers.ask(vec![revoke]), Response::Results(_)));
     let until = Instant::now() + Duration::from_secs(20);
     let token = loop {
         match keepers.acquire("probes", "b") {
@@ -129,7 +129,7 @@
         }
         std::thread::sleep(Duration::from_millis(100));
     };
-    assert!(token > Token(501), "{token:?}");
+    assert!(token > FencingToken(501), "{token:?}");
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let said = keepers.refusal(1, None);
     assert!(said.contains("k1/keeper.redb is not there") && said.contains("--found"), "{said}");
     (1..=3).for_each(|number| keepers.start(number, Some(0)));
-    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(Token(1)));
+    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(FencingToken(1)));
     let said = keepers.refusal(1, None);
     assert!(said.contains("in use by another process"), "{said}");
     let said = keepers.refusal(1, Some(0));
@@ -156,7 +156,7 @@
 fn a_keeper_that_lost_its_folder_is_not_counted() {
     let mut keepers = Keepers::new("lost");
     (1..=3).for_each(|number| keepers.start(number, Some(0)));
-    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(Token(1)));
+    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(FencingToken(1)));
     std::thread::sleep(Duration::from_millis(500));
     // One is dead; another has lost its disk, and somebody founds it anew, as they should not: alone with it, the third
     // must not come to lead, as the two of them may not know all.
@@ -165,30 +165,30 @@
     keepers.start(2, None);
     keepers.start(3, Some(0));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let asked = runtime.block_on(staff::ask(&keepers.plan, Vec::new()));
+    let asked = runtime.block_on(admin_commands::request(&keepers.config, Vec::new()));
     assert!(asked.is_err(), "{asked:?}");
     // With the one that was dead there are two again that know.
     keepers.start(1, None);
-    assert_eq!(keepers.acquire("probes", "b"), Answer::No(Refusal::Taken));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
 }
 
 #[test]
 fn with_two_folders_lost_nothing_is_given_until_all_are_founded_above_what_was() {
     let mut keepers = Keepers::new("two-lost");
     (1..=3).for_each(|number| keepers.start(number, Some(0)));
-    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(Token(1)));
+    assert_eq!(keepers.acquire("probes", "a"), Answer::Held(FencingToken(1)));
     (1..=3).for_each(|number| keepers.kill(number));
     for lost in ["k2", "k3"] {
         std::fs::remove_dir_all(keepers.folder.join(lost)).unwrap();
     }
     keepers.start(1, None);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let asked = runtime.block_on(staff::ask(&keepers.plan, Vec::new()));
+    let asked = runtime.block_on(admin_commands::request(&keepers.config, Vec::new()));
     assert!(asked.is_err(), "{asked:?}");
     keepers.kill(1);
     std::fs::remove_dir_all(keepers.folder.join("k1")).unwrap();
     (1..=3).for_each(|number| keepers.start(number, Some(1_000)));
-    assert_eq!(keepers.acquire("probes", "b"), Answer::Held(Token(1_001)));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Held(FencingToken(1_001)));
 }
 
 #[test]
@@ -225,9 +225,9 @@
             slots: 1,
             holder: "a".into(),
             nonce: 1,
-            unheard: 0,
+            unanswered: 0,
         });
-        let Told::Answers(said) = keepers.ask(many.collect()) else { panic!("no answers") };
+        let Response::Results(said) = keepers.ask(many.collect()) else { panic!("no answers") };
         assert_eq!(said.len(), 200);
         if keepers.running[2].as_mut().unwrap().try_wait().unwrap().is_some() {
             break;
@@ -246,7 +246,7 @@
 fn strangers_are_told_why_they_are_turned_away() {
     let mut keepers = Keepers::new("strangers");
     keepers.start(1, Some(0));
-    let at: SocketAddr = keepers.plan.keepers[&1];
+    let at: SocketAddr = keepers.config.servers[&1];
     let connect = || {
         let until = Instant::now() + Duration::from_secs(20);
         loop {
@@ -273,17 +273,17 @@
     // A length that no first frame has, and bytes that mean nothing: the keeper goes on.
     let said = answer(&[0xff; 64]);
     assert!(!said.is_empty());
-    let mut other = keepers.plan.clone();
-    other.terms.lease *= 2;
+    let mut other = keepers.config.clone();
+    other.parameters.lease_duration *= 2;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let why = runtime.block_on(staff::ask(&other, Vec::new())).unwrap_err();
+    let why = runtime.block_on(admin_commands::request(&other, Vec::new())).unwrap_err();
     assert!(why.contains("lease 3000 ms") && why.contains("here lease 1500 ms"), "{why}");
     assert!(Path::new(&keepers.folder).exists());
 }
 
 #[test]
 fn the_file_names_what_is_wrong_with_it() {
-    let wrong = |text: &str| Plan::read("leases.conf", text).unwrap_err().to_string();
+    let wrong = |text: &str| LeaseConfig::read("leases.conf", text).unwrap_err().to_string();
     let said = wrong("fleet a\nkeeper 1 10.0.0.1:7401\n");
     assert!(
         said.contains("`10.0.0.1:7401` is not a loopback address") && said.contains("plain-network"),
@@ -298,6 +298,6 @@
         assert!(said.contains(part), "{part}: {said}");
     }
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/leases.conf")).unwrap();
-    assert_eq!(Plan::read("deploy/leases.conf", &text).unwrap().keepers.len(), 3);
-    assert!(Plan::read("leases.conf", "fleet a\nplain-network\nkeeper 1 10.0.0.1:7401\n").is_ok());
+    assert_eq!(LeaseConfig::read("deploy/leases.conf", &text).unwrap().servers.len(), 3);
+    assert!(LeaseConfig::read("leases.conf", "fleet a\nplain-network\nkeeper 1 10.0.0.1:7401\n").is_ok());
 }
