--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -11,9 +11,9 @@
 //!   the request is held for some milliseconds (`route`).
 //! - The draw of the split is weighted rendezvous hashing of the connection's group, or else its client: all
 //!   agree without a word where a group goes, and where a connection is that reaches them in mid flow.
-//! - A returning client leans to its remembered endpoint. A draining endpoint leaves the table; its connections
-//!   are flagged and moved a few at a time (`plan_migration`, `run_migrations`). A moved client lands on a random
-//!   ready endpoint.
+//! - A returning client leans to its remembered endpoint. A draining endpoint leaves the table; its
+//!   connections are flagged and moved a few at a time (`plan_migration`, `run_migrations`). A moved client
+//!   lands on a random ready endpoint.
 //! - Cold endpoints get no more than this balancer's share of what they can bear (`cold`); silent
 //!   and jammed ones lose their connections at a pace, unless the trouble is everywhere (`shed_load`).
 
