--- a/crates/lease-consensus/src/replica.rs
+++ b/crates/lease-consensus/src/replica.rs
@@ -447,15 +447,15 @@
                 commands = read::<Vec<Command>>("entry", entry.index, &entry.data)?;
                 for command in &commands {
                     let answer = self.lease_table.apply(&self.settings.parameters, command);
-                    let again = match (&mut self.leading, command, answer) {
+                    let retry_after = match (&mut self.leading, command, answer) {
                         (
                             Some(leading),
                             Command::Acquire { task, .. },
-                            Answer::Rejected(Rejection::Taken),
+                            Answer::Rejected(Rejection::SlotsTaken),
                         ) => leading.acquire_backoff.retry_after(now, task),
                         _ => 0,
                     };
-                    answers.push(CommandResult { answer, again });
+                    answers.push(CommandResult { answer, retry_after });
                 }
             }
             self.applied = entry.index;
@@ -490,9 +490,11 @@
     /// All leases, with what this leader counts for each.
     fn view(&self, now: Micros) -> Vec<LeaseView> {
         let leases = self.lease_table.leases().map(|(task, lease)| {
-            let counted =
-                self.leading.as_ref().and_then(|leading| leading.expiry_tracker.counted(task, lease.token));
-            let (known, until) = counted.unwrap_or((now, now));
+            let counted = self
+                .leading
+                .as_ref()
+                .and_then(|leading| leading.expiry_tracker.lease_times(task, lease.token));
+            let (known, until) = counted.map_or((now, now), |times| (times.known_since, times.expires_at));
             LeaseView {
                 task: task.to_owned(),
                 holder: lease.holder.clone(),
--- a/crates/lease-consensus/tests/days.rs
+++ b/crates/lease-consensus/tests/days.rs
@@ -361,11 +361,11 @@
                 }
             }
         }
-        let Some(sending) = self.relays[r].client.next_request(now) else { return };
-        let ask = ClientRequest { from: r as u64, id: sending.id, commands: sending.commands };
+        let Some(request) = self.relays[r].client.next_request(now) else { return };
+        let ask = ClientRequest { from: r as u64, id: request.id, commands: request.commands };
         for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)] {
             let wait = self.delay();
-            self.after(wait, Event::ClientRequest { keeper: sending.keeper as usize - 1, ask: ask.clone() });
+            self.after(wait, Event::ClientRequest { keeper: request.server as usize - 1, ask: ask.clone() });
         }
     }
 
--- a/crates/lease/src/acquire_backoff.rs
+++ b/crates/lease/src/acquire_backoff.rs
@@ -1,40 +1,40 @@
-//! When those who were refused may come again: what a task costs the keepers does not grow with the relays that want it.
+//! Backoff of rejected acquire requests, spread over the waiting clients so that the load of a task does not grow with them.
 
 use std::collections::BTreeMap;
 
 use crate::{LeaseParameters, Micros};
 
-/// Visits of refused claimants to one task in the time of a lease: a lease that ends is taken within so small a part of it.
-const VISITS: u64 = 16;
-/// The longest that a claimant is told to stay away, in leases. Beyond `VISITS` times so many claimants of one task, visits
-/// grow with them again.
-const LONGEST: u64 = 64;
+/// Retries of one task that are scheduled in the duration of a lease.
+const RETRIES_PER_LEASE: u64 = 16;
+/// Maximum backoff, in lease durations.
+const MAX_BACKOFF_LEASES: u64 = 64;
 
-/// What the keeper that leads keeps in its memory: for each task, when the next one who is refused may come.
+/// For each contended task, when the next rejected client is to retry. Kept in the memory of the leader only.
 #[derive(Clone, Debug)]
 pub struct AcquireBackoff {
     parameters: LeaseParameters,
-    next: BTreeMap<String, Micros>,
+    next_retry: BTreeMap<String, Micros>,
 }
 
 impl AcquireBackoff {
-    /// Nobody has been refused yet.
+    /// A backoff without waiting clients.
     pub fn new(parameters: LeaseParameters) -> AcquireBackoff {
-        AcquireBackoff { parameters, next: BTreeMap::new() }
+        AcquireBackoff { parameters, next_retry: BTreeMap::new() }
     }
 
-    /// Somebody is refused a slot of this task: after how long it may ask again. In order of coming, at even steps.
+    /// After how many microseconds a client whose acquire was rejected is to retry. Clients of one task retry in order of
+    /// rejection at even intervals.
     pub fn retry_after(&mut self, now: Micros, task: &str) -> Micros {
-        let (step, longest) =
-            (self.parameters.lease_duration / VISITS, self.parameters.lease_duration * LONGEST);
-        let soonest = now + self.parameters.lease_duration / 4;
-        if !self.next.contains_key(task) {
-            // Tasks that nobody was refused for a while are forgotten: the map is bounded by the tasks of the book.
-            self.next.retain(|_, next| *next > now);
-            self.next.insert(task.to_owned(), soonest);
+        let duration = self.parameters.lease_duration;
+        let (interval, max_backoff) = (duration / RETRIES_PER_LEASE, duration * MAX_BACKOFF_LEASES);
+        let earliest = now + duration / 4;
+        if !self.next_retry.contains_key(task) {
+            // Tasks without a recent rejection are dropped, so the map is bounded by the tasks of the table.
+            self.next_retry.retain(|_, next| *next > now);
+            self.next_retry.insert(task.to_owned(), earliest);
         }
-        let Some(next) = self.next.get_mut(task) else { return soonest - now };
-        *next = (*next + step).max(soonest).min(now + longest);
+        let Some(next) = self.next_retry.get_mut(task) else { return earliest - now };
+        *next = (*next + interval).max(earliest).min(now + max_backoff);
         *next - now
     }
 }
--- a/crates/lease/src/clock_drift.rs
+++ b/crates/lease/src/clock_drift.rs
@@ -1,92 +1,99 @@
-//! Whether the clocks of other processes keep within the bound on drift that leases stand on, as far as messages show it.
+//! Comparison of the clocks of other processes with the own one, by the timestamps in their messages.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
 
-/// Of the messages in a span of this length the fastest one counts.
+/// Length of the window of which the fastest message counts, in microseconds.
 const WINDOW: Micros = 5_000_000;
-/// Spans that are remembered: what is too slow a drift to show in five minutes hurts no lease.
-const WINDOWS: usize = 60;
-/// By how much the fastest messages of two spans may differ on their way.
-const WAY: i64 = 500_000;
+/// Maximum number of windows that are compared.
+const MAX_WINDOWS: usize = 60;
+/// By how much the delays of the fastest messages of two windows may differ, in microseconds.
+const MAX_DELAY_DIFFERENCE: i64 = 500_000;
 
-/// Compares clocks by the times that others say in their messages. It can tell that two clocks differ by more than the bound allows,
-/// never which of them is wrong.
+/// A change in whether a peer's clock is within the drift bound.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClockDriftChange {
+    /// The peer's clock gains so many parts per million on the own clock (loses, if negative), which exceeds the bound.
+    Exceeded(i64),
+    /// The peer's clock is within the bound again.
+    WithinBound,
+}
+
+/// Detects that the rate of a peer's clock and of the own one differ by more than the drift bound. It cannot tell which of the
+/// two is wrong.
 #[derive(Clone, Debug)]
 pub struct ClockDriftMonitor {
     drift_ppm: u64,
     peers: BTreeMap<u64, Peer>,
 }
 
-#[derive(Clone, Debug, Default)]
-struct Peer {
-    /// When a span's fastest message came, by the own clock, and how far that was ahead of the time it said.
-    windows: VecDeque<(Micros, i64)>,
-    began: Micros,
-    beyond: bool,
+/// The fastest message of a window.
+#[derive(Clone, Copy, Debug)]
+struct FastestMessage {
+    /// When it arrived, by the own clock.
+    received_at: Micros,
+    /// The own clock minus the peer's timestamp, in microseconds.
+    offset: i64,
 }
 
-/// What a message has shown anew.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClockDriftChange {
-    /// The other clock gains so many parts of a million on the own one (or loses, where negative): beyond the bound.
-    Beyond(i64),
-    /// It is within the bound again.
-    Within,
+#[derive(Clone, Debug, Default)]
+struct Peer {
+    windows: VecDeque<FastestMessage>,
+    window_started_at: Micros,
+    exceeded: bool,
 }
 
 impl ClockDriftMonitor {
-    /// Nothing heard yet.
+    /// A monitor without peers, for a drift bound in parts per million.
     pub fn new(drift_ppm: u64) -> ClockDriftMonitor {
         ClockDriftMonitor { drift_ppm, peers: BTreeMap::new() }
     }
 
-    /// A message of another process, which said this time of its clock.
-    pub fn message_received(&mut self, now: Micros, from: u64, said: Micros) -> Option<ClockDriftChange> {
-        let peer = self.peers.entry(from).or_default();
-        let ahead = now as i64 - said as i64;
+    /// Takes note of a peer's message that was sent at `sent_at` by the peer's clock.
+    pub fn message_received(&mut self, now: Micros, peer: u64, sent_at: Micros) -> Option<ClockDriftChange> {
+        let peer = self.peers.entry(peer).or_default();
+        let message = FastestMessage { received_at: now, offset: now as i64 - sent_at as i64 };
         match peer.windows.back_mut() {
-            Some(last) if now < peer.began + WINDOW => {
-                if ahead < last.1 {
-                    *last = (now, ahead);
+            Some(fastest) if now < peer.window_started_at + WINDOW => {
+                if message.offset < fastest.offset {
+                    *fastest = message;
                 }
                 return None;
             }
             _ => {}
         }
-        // The span before is over: only now is its fastest message known.
-        let shown = peer.judge(self.drift_ppm);
-        peer.windows.push_back((now, ahead));
-        if peer.windows.len() > WINDOWS {
+        // The last window is over: only now is its fastest message known.
+        let change = peer.compare_windows(self.drift_ppm);
+        peer.windows.push_back(message);
+        if peer.windows.len() > MAX_WINDOWS {
             peer.windows.pop_front();
         }
-        peer.began = now;
-        shown
+        peer.window_started_at = now;
+        change
     }
 
-    /// A process has started anew, perhaps on another machine: what its clock said before means nothing.
-    pub fn reset_peer(&mut self, from: u64) {
-        self.peers.remove(&from);
+    /// Drops what is known of a peer, which may have restarted on another machine.
+    pub fn reset_peer(&mut self, peer: u64) {
+        self.peers.remove(&peer);
     }
 }
 
 impl Peer {
-    fn judge(&mut self, drift_ppm: u64) -> Option<ClockDriftChange> {
+    fn compare_windows(&mut self, drift_ppm: u64) -> Option<ClockDriftChange> {
         let (first, last) = (*self.windows.front()?, *self.windows.back()?);
-        let span = last.0.saturating_sub(first.0);
-        let lost = last.1 - first.1;
-        // Both clocks may be off by the bound, each to its own side.
-        let allowed = (span.saturating_mul(2 * drift_ppm) / 1_000_000) as i64 + WAY;
-        let beyond = lost.abs() > allowed;
-        if beyond == self.beyond {
+        let span = last.received_at.saturating_sub(first.received_at);
+        let lost = last.offset - first.offset;
+        // Both clocks may be off by the bound, in opposite directions.
+        let allowed = (span.saturating_mul(2 * drift_ppm) / 1_000_000) as i64 + MAX_DELAY_DIFFERENCE;
+        let exceeded = lost.abs() > allowed;
+        if exceeded == self.exceeded {
             return None;
         }
-        self.beyond = beyond;
-        Some(if beyond {
-            ClockDriftChange::Beyond(-lost * 1_000_000 / span.max(1) as i64)
-        } else {
-            ClockDriftChange::Within
-        })
+        self.exceeded = exceeded;
+        if !exceeded {
+            return Some(ClockDriftChange::WithinBound);
+        }
+        Some(ClockDriftChange::Exceeded(-lost * 1_000_000 / span.max(1) as i64))
     }
 }
--- a/crates/lease/src/expiry_tracker.rs
+++ b/crates/lease/src/expiry_tracker.rs
@@ -1,84 +1,93 @@
-//! What the keeper that leads keeps beside the book, in its own memory: since when it counts each lease.
+//! When leases run out, by the leader's clock.
 
 use std::collections::BTreeMap;
 
 use crate::{Command, FencingToken, LeaseParameters, LeaseTable, Micros, fault_injected};
 
-/// A lease as one keeper counts it.
+/// When the leader learned of a lease and when it lets it expire, by the leader's clock in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseTimes {
+    /// When this leader first knew of the lease.
+    pub known_since: Micros,
+    /// When the lease expires unless it is renewed.
+    pub expires_at: Micros,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Count {
+struct TrackedLease {
+    token: FencingToken,
     renewals: u64,
-    known: Micros,
-    since: Micros,
+    known_since: Micros,
+    renewed_at: Micros,
 }
 
-/// Counts leases by the steady clock of its keeper, and proposes to expire those that have run out.
+/// Measures leases by the leader's monotonic clock and proposes to expire those that have run out. Kept in the memory of the
+/// leader only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     parameters: LeaseParameters,
-    counted: BTreeMap<String, Vec<(FencingToken, Count)>>,
+    tracked: BTreeMap<String, Vec<TrackedLease>>,
 }
 
 impl ExpiryTracker {
-    /// The keeper comes to lead. It counts every lease of the book from now: it cannot know how long another has counted,
-    /// and may not shorten what that one gave.
+    /// A tracker for a new leader. Every lease counts from now, as the leader cannot know how far its predecessor had counted.
     pub fn new(parameters: LeaseParameters, now: Micros, lease_table: &LeaseTable) -> ExpiryTracker {
-        let mut expiry_tracker = ExpiryTracker { parameters, counted: BTreeMap::new() };
+        let mut tracker = ExpiryTracker { parameters, tracked: BTreeMap::new() };
         for (task, _) in lease_table.leases() {
-            expiry_tracker.look(task, now, lease_table);
+            tracker.update_task(task, now, lease_table);
         }
-        expiry_tracker
+        tracker
     }
 
-    /// The book has changed by commands that came at `asked`: what is new in it, or renewed, is counted from now, which is
-    /// after it was agreed on. It costs what the tasks named cost, not what the book does.
+    /// Follows the commands of an applied entry that was requested at `requested_at`. New and renewed leases count from now,
+    /// which is after their commit. The cost grows with the commands, not with the table.
     pub fn commands_applied(
-        &mut self, asked: Micros, now: Micros, lease_table: &LeaseTable, commands: &[Command],
+        &mut self, requested_at: Micros, now: Micros, lease_table: &LeaseTable, commands: &[Command],
     ) {
-        let from = if fault_injected!(self.parameters, ServerCountsFromRequest) { asked } else { now };
+        let from = if fault_injected!(self.parameters, ServerCountsFromRequest) { requested_at } else { now };
         for command in commands {
-            self.look(command.task(), from.min(now), lease_table);
+            self.update_task(command.task(), from.min(now), lease_table);
         }
     }
 
-    fn look(&mut self, task: &str, since: Micros, lease_table: &LeaseTable) {
-        let before = self.counted.remove(task).unwrap_or_default();
-        let counted = lease_table.leases_of(task).iter().map(|lease| {
-            let known = before.iter().find(|(token, _)| *token == lease.token).map(|(_, count)| *count);
-            let count = match known {
-                Some(same) if same.renewals == lease.renewals => same,
-                Some(older) => Count { renewals: lease.renewals, since, ..older },
-                None => Count { renewals: lease.renewals, known: since, since },
-            };
-            (lease.token, count)
+    fn update_task(&mut self, task: &str, renewed_at: Micros, lease_table: &LeaseTable) {
+        let previous = self.tracked.remove(task).unwrap_or_default();
+        let leases = lease_table.leases_of(task).iter().map(|lease| {
+            let (token, renewals) = (lease.token, lease.renewals);
+            match previous.iter().find(|tracked| tracked.token == token) {
+                Some(unchanged) if unchanged.renewals == renewals => *unchanged,
+                Some(renewed) => TrackedLease { renewals, renewed_at, ..*renewed },
+                None => TrackedLease { token, renewals, known_since: renewed_at, renewed_at },
+            }
         });
-        let counted: Vec<_> = counted.collect();
-        if !counted.is_empty() {
-            self.counted.insert(task.to_owned(), counted);
+        let leases: Vec<_> = leases.collect();
+        if !leases.is_empty() {
+            self.tracked.insert(task.to_owned(), leases);
         }
     }
 
-    /// The leases that have run out by now. Each is proposed to the log, again and again until it is agreed on or refused.
+    /// Commands that expire all leases that have run out by now, repeated until each is applied or rejected.
     pub fn expired(&self, now: Micros) -> Vec<Command> {
-        let all =
-            self.counted.iter().flat_map(|(task, leases)| leases.iter().map(move |lease| (task, lease)));
-        let over = all.filter(|(_, (_, count))| now >= count.since.saturating_add(self.span()));
-        over.map(|(task, (token, count))| Command::Expire {
-            task: task.clone(),
-            token: *token,
-            renewals: count.renewals,
-        })
-        .collect()
+        let tracked = self.tracked.iter().flat_map(|(task, leases)| leases.iter().map(move |it| (task, it)));
+        let expired = tracked.filter(|(_, lease)| now >= self.expires_at(lease));
+        expired
+            .map(|(task, lease)| Command::Expire {
+                task: task.clone(),
+                token: lease.token,
+                renewals: lease.renewals,
+            })
+            .collect()
     }
 
-    /// Since when it knows a lease, and until when it will leave it standing if it is not renewed.
-    pub fn counted(&self, task: &str, token: FencingToken) -> Option<(Micros, Micros)> {
-        let (_, count) = self.counted.get(task)?.iter().find(|(known, _)| *known == token)?;
-        Some((count.known, count.since.saturating_add(self.span())))
+    /// The times of a lease, if it is tracked.
+    pub fn lease_times(&self, task: &str, token: FencingToken) -> Option<LeaseTimes> {
+        let lease = self.tracked.get(task)?.iter().find(|lease| lease.token == token)?;
+        Some(LeaseTimes { known_since: lease.known_since, expires_at: self.expires_at(lease) })
     }
 
-    /// How long a lease lasts by this keeper's clock.
-    fn span(&self) -> Micros {
-        self.parameters.lease_duration + self.parameters.drift(self.parameters.lease_duration)
+    /// A lease lasts longer here than at its holder, by the drift that the two clocks may have.
+    fn expires_at(&self, lease: &TrackedLease) -> Micros {
+        let duration = self.parameters.lease_duration;
+        lease.renewed_at.saturating_add(duration + self.parameters.drift(duration))
     }
 }
--- /dev/null
+++ b/crates/lease/src/lease.rs
@@ -0,0 +1,22 @@
+//! A granted lease and its fencing token.
+
+use serde::{Deserialize, Serialize};
+
+/// A fencing token: of one task, each later grant has a greater token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct FencingToken(pub u64);
+
+/// One held slot of a task.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Lease {
+    /// Name of the holder.
+    pub holder: String,
+    /// Nonce of the acquire request: the same request sent again is granted once.
+    pub nonce: u64,
+    /// Fencing token of this grant.
+    pub token: FencingToken,
+    /// Number of renewals.
+    pub renewals: u64,
+    /// Whether renewals are rejected, so that the lease runs out.
+    pub revoked: bool,
+}
--- a/crates/lease/src/lease_holder.rs
+++ b/crates/lease/src/lease_holder.rs
@@ -1,162 +1,125 @@
-//! The holder's side of one task: may it act now?
+//! The holder's view of its lease of one task.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-use thiserror::Error;
+use crate::{FencingToken, LeaseParameters, Micros, Permit, PermitError, fault_injected};
 
-use crate::{FencingToken, LeaseParameters, Micros, fault_injected};
-
-/// A request that was sent: when, by the holder's clock.
+/// When a request was sent, by the holder's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTime(Micros);
 
 impl RequestTime {
-    /// Taken *before* a request to acquire or renew is sent: the lease counts from here.
+    /// To be taken *before* a request to acquire or renew is sent: the lease counts from here.
     pub fn at(now: Micros) -> RequestTime {
         RequestTime(now)
     }
 }
 
-/// Why a holder may not act, or not let go, now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PermitError {
-    /// It holds nothing.
-    #[error("the task is not held")]
-    NotHeld,
-    /// What is left of the lease does not cover the act.
-    #[error("what is left of the lease does not cover the act")]
-    TooShort,
-    /// An act is under way.
-    #[error("an act is under way")]
-    Acting,
-}
-
-/// What a holder knows, as plain data: for a model that copies it.
-#[cfg(feature = "injected-faults")]
+/// A lease as its holder knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct HolderState {
-    /// The token held, and until when.
-    pub held: Option<(FencingToken, Micros)>,
-    /// The last lease that has ended here.
-    pub ended: FencingToken,
-    /// Acts under way.
-    pub acting: usize,
-}
-
-#[cfg(feature = "injected-faults")]
-impl LeaseHolder {
-    /// A holder that knows this.
-    pub fn from_state(parameters: LeaseParameters, known: HolderState) -> LeaseHolder {
-        LeaseHolder {
-            parameters,
-            held: known.held,
-            ended: known.ended,
-            acts: Rc::new(Cell::new(known.acting)),
-        }
-    }
-
-    /// What it knows.
-    pub fn state(&self) -> HolderState {
-        HolderState { held: self.held, ended: self.ended, acting: self.acts.get() }
-    }
-}
-
-#[cfg(feature = "injected-faults")]
-impl Permit {
-    /// A permit of these parts, of a holder that counts its acts elsewhere.
-    pub fn from_parts(parameters: LeaseParameters, token: FencingToken, until: Micros) -> Permit {
-        Permit { token, until, parameters, acts: Rc::default() }
-    }
-
-    /// Its token, and until when it holds.
-    pub fn parts(&self) -> (FencingToken, Micros) {
-        (self.token, self.until)
-    }
+pub struct HeldLease {
+    /// Fencing token of the lease.
+    pub token: FencingToken,
+    /// Until when the holder may act, by its own clock in microseconds.
+    pub usable_until: Micros,
 }
 
-/// One relay's hold on a task.
+/// One client's lease of one task, if it holds one.
 #[derive(Debug)]
 pub struct LeaseHolder {
     parameters: LeaseParameters,
-    held: Option<(FencingToken, Micros)>,
-    /// The last lease that has ended here: an answer about it, or an older one, may still be on its way.
-    ended: FencingToken,
-    acts: Rc<Cell<usize>>,
-}
-
-/// The right to one act. It must be shown before each effect; dropping it ends the act.
-#[derive(Debug)]
-pub struct Permit {
-    token: FencingToken,
-    until: Micros,
-    #[cfg_attr(not(feature = "injected-faults"), allow(dead_code))]
-    parameters: LeaseParameters,
-    acts: Rc<Cell<usize>>,
+    held: Option<HeldLease>,
+    /// Greatest token whose lease has ended here: answers about it or an older one may still arrive.
+    last_ended: FencingToken,
+    actions_in_progress: Rc<Cell<usize>>,
 }
 
 impl LeaseHolder {
-    /// Holds nothing yet.
+    /// A holder without a lease.
     pub fn new(parameters: LeaseParameters) -> LeaseHolder {
-        LeaseHolder { parameters, held: None, ended: FencingToken(0), acts: Rc::default() }
+        LeaseHolder {
+            parameters,
+            held: None,
+            last_ended: FencingToken(0),
+            actions_in_progress: Rc::default(),
+        }
     }
 
-    /// The request was granted. A grant whose answer took longer than the lease is worth nothing.
-    pub fn granted(&mut self, asked: RequestTime, now: Micros, token: FencingToken) {
-        let from = if fault_injected!(self.parameters, CountsFromAnswer) { now } else { asked.0 };
-        let until = from.saturating_add(self.parameters.usable());
+    /// Takes note of a granted request. Answers may arrive late and out of order.
+    pub fn granted(&mut self, requested_at: RequestTime, now: Micros, token: FencingToken) {
+        let from = if fault_injected!(self.parameters, CountsFromAnswer) { now } else { requested_at.0 };
+        let usable_until = from.saturating_add(self.parameters.usable());
         match self.held {
-            // Guards against a renewal that is answered after the lease was released, and acting on it.
-            _ if token <= self.ended => {}
-            // Answers may come out of order: an older one shortens nothing.
-            Some((held, longer)) if held > token || held == token && longer >= until => {}
-            _ => self.held = Some((token, until)),
+            // A renewal that is answered after the release must not bring the lease back.
+            _ if token <= self.last_ended => {}
+            // An older answer shortens nothing.
+            Some(held) if held.token > token || held.token == token && held.usable_until >= usable_until => {}
+            _ => self.held = Some(HeldLease { token, usable_until }),
         }
     }
 
-    /// The keepers say that the lease with this token has ended.
+    /// Takes note that the lease with this token has ended at the servers.
     pub fn lease_ended(&mut self, token: FencingToken) {
-        self.ended = self.ended.max(token);
-        self.held.take_if(|(held, _)| *held == token);
+        self.last_ended = self.last_ended.max(token);
+        self.held.take_if(|held| held.token == token);
     }
 
-    /// The token held, if what is left of its lease is worth anything.
+    /// The token of the held lease while it is usable.
     pub fn held_token(&self, now: Micros) -> Option<FencingToken> {
-        self.held.filter(|(_, until)| now < *until).map(|(token, _)| token)
+        self.held.filter(|held| now < held.usable_until).map(|held| held.token)
     }
 
-    /// The right to an act that takes `longest` at the most, by this clock.
-    pub fn permit(&self, now: Micros, longest: Micros) -> Result<Permit, PermitError> {
-        let (token, until) = self.held.ok_or(PermitError::NotHeld)?;
-        let end = now.saturating_add(longest);
-        if end > until {
-            return Err(PermitError::TooShort);
+    /// Permits one action of at most `max_duration` microseconds.
+    ///
+    /// # Errors
+    /// [`PermitError::NotHeld`] without a lease, [`PermitError::LeaseTooShort`] if it ends before the action.
+    pub fn permit(&self, now: Micros, max_duration: Micros) -> Result<Permit, PermitError> {
+        let held = self.held.ok_or(PermitError::NotHeld)?;
+        let valid_until = now.saturating_add(max_duration);
+        if valid_until > held.usable_until {
+            return Err(PermitError::LeaseTooShort);
         }
-        self.acts.set(self.acts.get() + 1);
-        Ok(Permit { token, until: end, parameters: self.parameters, acts: self.acts.clone() })
+        Ok(Permit::begin(self.parameters, held.token, valid_until, &self.actions_in_progress))
     }
 
-    /// Lets go, so that the next holder need not wait: the token to release. Not while an act is under way.
+    /// Gives the lease up and returns its token, which is then to be released at the servers.
+    ///
+    /// # Errors
+    /// [`PermitError::ActionInProgress`] during an action, [`PermitError::NotHeld`] without a lease.
     pub fn release(&mut self) -> Result<FencingToken, PermitError> {
-        if self.acts.get() > 0 && !fault_injected!(self.parameters, EarlyRelease) {
-            return Err(PermitError::Acting);
+        if self.actions_in_progress.get() > 0 && !fault_injected!(self.parameters, EarlyRelease) {
+            return Err(PermitError::ActionInProgress);
         }
-        let (token, _) = self.held.take().ok_or(PermitError::NotHeld)?;
-        self.ended = self.ended.max(token);
-        Ok(token)
+        let held = self.held.take().ok_or(PermitError::NotHeld)?;
+        self.last_ended = self.last_ended.max(held.token);
+        Ok(held.token)
     }
 }
 
-impl Permit {
-    /// The token to act under, if the permit still covers this moment. A process may have stood still since it last looked:
-    /// it asks before each effect, and gives the act up on a no.
-    pub fn valid_token(&self, now: Micros) -> Option<FencingToken> {
-        (now < self.until || fault_injected!(self.parameters, PermitNotChecked)).then_some(self.token)
-    }
+/// A holder's state as plain data, for the model checker.
+#[cfg(feature = "injected-faults")]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct HolderState {
+    /// The held lease.
+    pub held: Option<HeldLease>,
+    /// Greatest token whose lease has ended here.
+    pub last_ended: FencingToken,
+    /// Number of actions in progress.
+    pub actions_in_progress: usize,
 }
 
-impl Drop for Permit {
-    fn drop(&mut self) {
-        self.acts.set(self.acts.get().saturating_sub(1));
+#[cfg(feature = "injected-faults")]
+impl LeaseHolder {
+    /// A holder with this state.
+    pub fn from_state(parameters: LeaseParameters, state: HolderState) -> LeaseHolder {
+        let actions_in_progress = Rc::new(Cell::new(state.actions_in_progress));
+        LeaseHolder { parameters, held: state.held, last_ended: state.last_ended, actions_in_progress }
+    }
+
+    /// The holder's state.
+    pub fn state(&self) -> HolderState {
+        let actions_in_progress = self.actions_in_progress.get();
+        HolderState { held: self.held, last_ended: self.last_ended, actions_in_progress }
     }
 }
--- /dev/null
+++ b/crates/lease/src/permit.rs
@@ -0,0 +1,68 @@
+//! The permission to perform one action under a lease.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use thiserror::Error;
+
+use crate::{FencingToken, LeaseParameters, Micros, fault_injected};
+
+/// Why a permit or a release is refused for now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum PermitError {
+    /// No lease of the task is held.
+    #[error("the task is not held")]
+    NotHeld,
+    /// The lease ends before the action would.
+    #[error("what is left of the lease does not cover the act")]
+    LeaseTooShort,
+    /// An action is in progress.
+    #[error("an act is under way")]
+    ActionInProgress,
+}
+
+/// The permission to perform one action. [`Permit::valid_token`] must be asked before each effect; dropping the permit ends the
+/// action.
+#[derive(Debug)]
+pub struct Permit {
+    token: FencingToken,
+    valid_until: Micros,
+    #[cfg_attr(not(feature = "injected-faults"), allow(dead_code))]
+    parameters: LeaseParameters,
+    actions_in_progress: Rc<Cell<usize>>,
+}
+
+impl Permit {
+    /// Counts one more action in progress, until the permit is dropped.
+    pub(crate) fn begin(
+        parameters: LeaseParameters, token: FencingToken, valid_until: Micros,
+        actions_in_progress: &Rc<Cell<usize>>,
+    ) -> Permit {
+        actions_in_progress.set(actions_in_progress.get() + 1);
+        Permit { token, valid_until, parameters, actions_in_progress: actions_in_progress.clone() }
+    }
+
+    /// The fencing token to act with, if the permit is still valid. The process may have been suspended since the last check, so
+    /// this is asked before each effect, and the action is given up on `None`.
+    pub fn valid_token(&self, now: Micros) -> Option<FencingToken> {
+        (now < self.valid_until || fault_injected!(self.parameters, PermitNotChecked)).then_some(self.token)
+    }
+
+    /// A permit whose action is counted elsewhere, for the model checker.
+    #[cfg(feature = "injected-faults")]
+    pub fn from_parts(parameters: LeaseParameters, token: FencingToken, valid_until: Micros) -> Permit {
+        Permit { token, valid_until, parameters, actions_in_progress: Rc::default() }
+    }
+
+    /// Its token and until when it is valid, for the model checker.
+    #[cfg(feature = "injected-faults")]
+    pub fn parts(&self) -> (FencingToken, Micros) {
+        (self.token, self.valid_until)
+    }
+}
+
+impl Drop for Permit {
+    fn drop(&mut self) {
+        self.actions_in_progress.set(self.actions_in_progress.get().saturating_sub(1));
+    }
+}
--- a/crates/lease/tests/clock_drift.rs
+++ b/crates/lease/tests/clock_drift.rs
@@ -24,7 +24,7 @@
 fn a_clock_that_is_a_fifth_fast_is_noticed_within_a_quarter_of_a_minute() {
     for ppm in [200_000, -200_000] {
         let shown = hear(&mut ClockDriftMonitor::new(10_000), 60, ppm, 50_000, 1);
-        let [(at, ClockDriftChange::Beyond(seen))] = shown[..] else { panic!("{shown:?}") };
+        let [(at, ClockDriftChange::Exceeded(seen))] = shown[..] else { panic!("{shown:?}") };
         assert!(at <= 15 && (seen - ppm).abs() < 40_000, "{shown:?}");
     }
 }
@@ -32,7 +32,7 @@
 #[test]
 fn a_small_drift_beyond_the_bound_is_noticed_in_minutes_and_one_within_it_never() {
     let shown = hear(&mut ClockDriftMonitor::new(1_000), 400, 6_000, 20_000, 2);
-    assert!(matches!(shown[..], [(at, ClockDriftChange::Beyond(_))] if at < 200), "{shown:?}");
+    assert!(matches!(shown[..], [(at, ClockDriftChange::Exceeded(_))] if at < 200), "{shown:?}");
     for (seed, ppm) in [(3, 2_000), (4, -2_000), (5, 0)] {
         // Ways that take up to half a second, for an hour.
         assert_eq!(hear(&mut ClockDriftMonitor::new(1_000), 3_600, ppm, 450_000, seed), []);
@@ -42,7 +42,10 @@
 #[test]
 fn a_clock_that_was_put_right_is_within_the_bound_again() {
     let mut clock_drift = ClockDriftMonitor::new(10_000);
-    assert!(matches!(hear(&mut clock_drift, 60, 100_000, 1_000, 6)[..], [(_, ClockDriftChange::Beyond(_))]));
+    assert!(matches!(
+        hear(&mut clock_drift, 60, 100_000, 1_000, 6)[..],
+        [(_, ClockDriftChange::Exceeded(_))]
+    ));
     // Its process started anew.
     clock_drift.reset_peer(2);
     assert_eq!(hear(&mut clock_drift, 60, 0, 1_000, 7), []);
--- a/crates/lease/tests/days.rs
+++ b/crates/lease/tests/days.rs
@@ -307,7 +307,7 @@
             (Command::Acquire { .. } | Command::Renew { .. }, Answer::Held(token)) => {
                 relay.holder.granted(sent.asked, now, token);
             }
-            (Command::Renew { token, .. }, Answer::Rejected(Rejection::Ended)) => {
+            (Command::Renew { token, .. }, Answer::Rejected(Rejection::LeaseEnded)) => {
                 relay.holder.lease_ended(*token)
             }
             _ => {}
--- a/crates/lease/tests/lease_client.rs
+++ b/crates/lease/tests/lease_client.rs
@@ -31,19 +31,19 @@
         }
     }
 
-    fn hears(&mut self, now: Micros, sending: &LeaseRequest) -> Vec<CommandResult> {
+    fn hears(&mut self, now: Micros, request: &LeaseRequest) -> Vec<CommandResult> {
         self.asks += 1;
-        sending.commands.iter().map(|command| self.applies(now, command)).collect()
+        request.commands.iter().map(|command| self.applies(now, command)).collect()
     }
 
     fn applies(&mut self, now: Micros, command: &Command) -> CommandResult {
         self.commands += 1;
         let answer = self.lease_table.apply(&self.parameters, command);
         self.expiry_tracker.commands_applied(now, now, &self.lease_table, std::slice::from_ref(command));
-        let taken = answer == Answer::Rejected(Rejection::Taken);
+        let taken = answer == Answer::Rejected(Rejection::SlotsTaken);
         CommandResult {
             answer,
-            again: if taken { self.acquire_backoff.retry_after(now, command.task()) } else { 0 },
+            retry_after: if taken { self.acquire_backoff.retry_after(now, command.task()) } else { 0 },
         }
     }
 
@@ -68,18 +68,18 @@
             deaf.add_task(now, "probes", ONE);
         }
         // The keeper hears it; it hears nothing after its first answers.
-        if let Some(sending) = deaf.next_request(now) {
-            let said = keeper.hears(now, &sending);
+        if let Some(request) = deaf.next_request(now) {
+            let said = keeper.hears(now, &request);
             if now < 2 * LEASE {
-                deaf.on_response(now, sending.id, &said);
+                deaf.on_response(now, request.id, &said);
             }
         }
         if now == 2 * LEASE {
             other.add_task(now, "probes", ONE);
         }
-        if let Some(sending) = other.next_request(now) {
-            let said = keeper.hears(now, &sending);
-            other.on_response(now, sending.id, &said);
+        if let Some(request) = other.next_request(now) {
+            let said = keeper.hears(now, &request);
+            other.on_response(now, request.id, &said);
         }
         if taken.is_none() && other.held_token(now, "probes").is_some() {
             assert!(deaf.held_token(now, "probes").is_none());
@@ -108,9 +108,9 @@
             }
             !due
         });
-        if let Some(sending) = slow.next_request(now) {
+        if let Some(request) = slow.next_request(now) {
             // Longer than it waits for an answer, and shorter than the lease.
-            late.push((now + LEASE * 2 / 5, sending.id, keeper.hears(now, &sending)));
+            late.push((now + LEASE * 2 / 5, request.id, keeper.hears(now, &request)));
         }
         held += u64::from(slow.held_token(now, "probes").is_some());
     }
@@ -130,9 +130,9 @@
         let now = step * LEASE / 50;
         keeper.expires(now);
         for (_, client) in client.iter_mut().enumerate().filter(|(n, _)| dead != Some(*n)) {
-            let Some(sending) = client.next_request(now) else { continue };
-            let said = keeper.hears(now, &sending);
-            client.on_response(now, sending.id, &said);
+            let Some(request) = client.next_request(now) else { continue };
+            let said = keeper.hears(now, &request);
+            client.on_response(now, request.id, &said);
         }
         let holder = client.iter().position(|client| client.held_token(now, "probes").is_some());
         if now == 40 * LEASE {
@@ -176,10 +176,10 @@
             until = now;
         }
         if until == 0
-            && let Some(sending) = holder.next_request(now)
+            && let Some(request) = holder.next_request(now)
         {
-            let said = keeper.hears(now, &sending);
-            holder.on_response(now, sending.id, &said);
+            let said = keeper.hears(now, &request);
+            holder.on_response(now, request.id, &said);
         }
     }
     assert!((2 * LEASE + LEASE / 2..4 * LEASE).contains(&until), "free at {until}");
@@ -191,24 +191,24 @@
     let mut keeper = Replica::new(parameters);
     let mut old = LeaseClient::new(parameters, "old", 1, 1);
     old.add_task(0, "probes", ONE);
-    let sending = old.next_request(0).expect("it wants a task");
-    let said = keeper.hears(0, &sending);
-    old.on_response(0, sending.id, &said);
+    let request = old.next_request(0).expect("it wants a task");
+    let said = keeper.hears(0, &request);
+    old.on_response(0, request.id, &said);
     let permit = old.permit(1_000, "probes", 10_000).expect("it holds it");
     old.shut_down(2_000);
     assert!(!old.is_idle());
     // The act that is under way ends first.
-    let sending = old.next_request(3_000).expect("its lease goes on while it acts");
-    assert!(matches!(sending.commands[..], [Command::Renew { .. }]), "{sending:?}");
-    let said = keeper.hears(3_000, &sending);
-    old.on_response(3_000, sending.id, &said);
+    let request = old.next_request(3_000).expect("its lease goes on while it acts");
+    assert!(matches!(request.commands[..], [Command::Renew { .. }]), "{request:?}");
+    let said = keeper.hears(3_000, &request);
+    old.on_response(3_000, request.id, &said);
     assert!(old.permit(4_000, "probes", 10_000).is_err());
     drop(permit);
     let later = 5_000 + LEASE / 64;
-    let sending = old.next_request(later).expect("it lets go");
-    assert!(matches!(sending.commands[..], [Command::Release { .. }]), "{sending:?}");
-    let said = keeper.hears(later, &sending);
-    old.on_response(later, sending.id, &said);
+    let request = old.next_request(later).expect("it lets go");
+    assert!(matches!(request.commands[..], [Command::Release { .. }]), "{request:?}");
+    let said = keeper.hears(later, &request);
+    old.on_response(later, request.id, &said);
     assert!(old.is_idle());
     assert_eq!(keeper.lease_table.leases().count(), 0);
 }
@@ -227,9 +227,9 @@
             let now = step * LEASE / 50;
             keeper.expires(now);
             for (client, held) in client.iter_mut().zip(&mut held) {
-                if let Some(sending) = client.next_request(now) {
-                    let said = keeper.hears(now, &sending);
-                    client.on_response(now, sending.id, &said);
+                if let Some(request) = client.next_request(now) {
+                    let said = keeper.hears(now, &request);
+                    client.on_response(now, request.id, &said);
                 }
                 *held += u32::from(client.held_token(now, "probes").is_some());
             }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -114,7 +114,7 @@
         let mut holder = LeaseHolder::from_state(self.parameters, seat.known);
         let result = change(&mut holder);
         seat.known = holder.state();
-        seat.known.acting = usize::from(seat.act.is_some());
+        seat.known.actions_in_progress = usize::from(seat.act.is_some());
         result
     }
 }
@@ -203,8 +203,8 @@
                     holder.held_token(now).map_or(Ask::Acquire(seat.nonce), |token| Ask::Renew(token.0));
                 state.asks.insert((n, now, ask));
             }
-            Step::Response(n, asked, ask, again) => {
-                if again {
+            Step::Response(n, asked, ask, is_duplicate) => {
+                if is_duplicate {
                     state.doubles -= 1;
                 } else {
                     state.asks.remove(&(n, asked, ask));
@@ -223,7 +223,7 @@
                         }
                         Reply::Held(token.0)
                     }
-                    Answer::Rejected(Rejection::Ended) => Reply::Ended,
+                    Answer::Rejected(Rejection::LeaseEnded) => Reply::Ended,
                     _ => Reply::Other,
                 };
                 if !matches!((ask, reply), (Ask::Release(_), _) | (_, Reply::Other)) {
@@ -268,7 +268,7 @@
                 let permit =
                     LeaseHolder::from_state(self.parameters, seat.known).permit(now, LEASE / 2).ok()?;
                 seat.act = Some(permit.parts());
-                seat.known.acting = 1;
+                seat.known.actions_in_progress = 1;
             }
             Step::Effect(n) => {
                 let now = self.slow(state.tick);
@@ -285,14 +285,14 @@
                     }
                     None => {
                         seat.act = None;
-                        seat.known.acting = 0;
+                        seat.known.actions_in_progress = 0;
                     }
                 }
             }
             Step::Ends(n) => {
                 let seat = &mut state.holders[usize::from(n)];
                 seat.act = None;
-                seat.known.acting = 0;
+                seat.known.actions_in_progress = 0;
             }
             Step::Releases(n) => {
                 let now = self.slow(state.tick);
--- a/src/lease_client/client.rs
+++ b/src/lease_client/client.rs
@@ -111,15 +111,15 @@
     async fn run(mut self, mut heard: mpsc::Receiver<News>) {
         loop {
             let now = (self.clock)();
-            let sending = self.client.borrow_mut().next_request(now);
-            if let Some(sending) = sending {
+            let request = self.client.borrow_mut().next_request(now);
+            if let Some(request) = request {
                 self.send(
-                    sending.keeper,
-                    Frame::Request { id: sending.id, commands: sending.commands },
-                    sending.id,
+                    request.server,
+                    Frame::Request { id: request.id, commands: request.commands },
+                    request.id,
                 );
             }
-            let next = self.client.borrow().next();
+            let next = self.client.borrow().next_request_at();
             // An hour is as good as never; clocks of leases and of timers may differ a little in rate.
             let wait = Duration::from_micros(next.saturating_sub((self.clock)()).min(3_600_000_000) + 500);
             let changed = self.changed.clone();
--- a/src/lease_server/mod.rs
+++ b/src/lease_server/mod.rs
@@ -220,10 +220,10 @@
     /// It can only be told: which of two clocks is wrong nobody here can know, and leases stay as safe as tokens make them.
     fn tell_of_clock(&self, keeper: ReplicaId, shown: Option<ClockDriftChange>) {
         match shown {
-            Some(ClockDriftChange::Beyond(ppm)) => {
+            Some(ClockDriftChange::Exceeded(ppm)) => {
                 error!(target: "keeper", keeper, ppm, "its clock or this one is beyond the bound that leases stand on");
             }
-            Some(ClockDriftChange::Within) => {
+            Some(ClockDriftChange::WithinBound) => {
                 info!(target: "keeper", keeper, "its clock is within the bound again")
             }
             None => {}
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -27,7 +27,7 @@
 }
 
 fn results(answers: Vec<(Answer, u64)>) -> Response {
-    let results = answers.into_iter().map(|(answer, again)| CommandResult { answer, again });
+    let results = answers.into_iter().map(|(answer, retry_after)| CommandResult { answer, retry_after });
     Response::Results(results.collect())
 }
 
@@ -56,13 +56,13 @@
         ("request_all_leases", request(502, Vec::new())),
         ("answer_held", response(503, results(vec![(Answer::Held(fencing_token(70_001)), 0)]))),
         ("answer_free", response(504, results(vec![(Answer::Free, 0)]))),
-        ("answer_taken", response(505, results(vec![(rejected(Rejection::Taken), 2_500_000)]))),
-        ("answer_ended", refused(506, Rejection::Ended)),
-        ("answer_renewed", refused(507, Rejection::Renewed)),
-        ("answer_unheard", refused(508, Rejection::Unheard)),
-        ("answer_full", refused(509, Rejection::Full)),
-        ("answer_name", refused(510, Rejection::Name)),
-        ("answer_slots", refused(511, Rejection::Slots)),
+        ("answer_taken", response(505, results(vec![(rejected(Rejection::SlotsTaken), 2_500_000)]))),
+        ("answer_ended", refused(506, Rejection::LeaseEnded)),
+        ("answer_renewed", refused(507, Rejection::LeaseRenewed)),
+        ("answer_unheard", refused(508, Rejection::TooManyUnanswered)),
+        ("answer_full", refused(509, Rejection::TableFull)),
+        ("answer_name", refused(510, Rejection::InvalidName)),
+        ("answer_slots", refused(511, Rejection::InvalidSlotCount)),
         ("leases", response(512, Response::Leases(vec![lease_view()]))),
         ("other_leader", response(513, Response::NotLeader(Some(3)))),
         ("no_leader", response(514, Response::NotLeader(None))),
--- a/tests/lease_servers.rs
+++ b/tests/lease_servers.rs
@@ -110,12 +110,12 @@
     let mut keepers = Keepers::new("killed");
     (1..=3).for_each(|number| keepers.start(number, Some(500)));
     assert_eq!(keepers.acquire("probes", "a"), Answer::Held(FencingToken(501)));
-    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::SlotsTaken));
     (1..=3).for_each(|number| keepers.kill(number));
     // Two of them are enough, and have not forgotten who holds it.
     keepers.start(1, None);
     keepers.start(3, None);
-    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::SlotsTaken));
     let Response::Leases(views) = keepers.ask(Vec::new()) else { panic!("no list") };
     assert_eq!((views.len(), &views[0].holder[..], views[0].token), (1, "a", FencingToken(501)));
     // Staff take it away; it is free once it has run out, and the next token is a later one.
@@ -169,7 +169,7 @@
     assert!(asked.is_err(), "{asked:?}");
     // With the one that was dead there are two again that know.
     keepers.start(1, None);
-    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::Taken));
+    assert_eq!(keepers.acquire("probes", "b"), Answer::Rejected(Rejection::SlotsTaken));
 }
 
 #[test]
