--- a/crates/balancer/src/affinity.rs
+++ b/crates/balancer/src/affinity.rs
@@ -1,107 +1,172 @@
-//! Sticky endpoints of clients and the endpoints of an affinity group.
+//! Affinity of clients and groups: a client's sticky endpoint, and the endpoints of an affinity group.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::balancer::Balancer;
+use crate::discovery::DEFAULT_DRAIN_TIMEOUT;
 use crate::endpoint_record::EndpointRecord;
-use crate::rendezvous::rendezvous_order;
+use crate::rendezvous::{GROUP_HASH_SEED, rendezvous_order};
 use crate::request_state::RequestState;
 use crate::unreported_load::is_unreported;
-use crate::{AffinityGroup, EndpointId, EndpointState, Micros, Request, zone_affinity};
-
-/// A group takes a further endpoint when its endpoints' load is this far above the fleet's mean ...
-pub(crate) const SPILL_MARGIN: f64 = 0.15;
-/// ... within these bounds.
-pub(crate) const MIN_SPILL_LOAD: f64 = 0.6;
-pub(crate) const MAX_SPILL_LOAD: f64 = 0.68;
-/// Endpoints for a group at the least, as one alone would take all of a wave that no report shows yet; but
-/// one where balancers outnumber endpoints: each sees too little of a group to split it, and every split
-/// costs.
-pub(crate) const MIN_GROUP_ENDPOINTS: usize = 2;
-/// What a connection asked for adds to its group's own: one makes a group look large to who sees few.
-pub(crate) const GROUP_PRIOR_CONNECTIONS: f64 = 0.3;
-/// Own connections by which the share of a group is doubted while there are few.
-pub(crate) const GROUP_SHARE_SMOOTHING: f64 = 8.0;
-/// Load of the fleet that is allowed for at the least: at a start the reports have not caught up.
-pub(crate) const MIN_GROUP_LOAD: f64 = 0.5;
-
-/// What seeds the race of the request's group.
+use crate::{AffinityGroup, EndpointId, EndpointState, Micros, Request, SessionKey, zone_affinity};
+
+/// A returning client goes back to its sticky endpoint while that has less load than this.
+const MAX_STICKY_LOAD: f64 = 0.75;
+/// Sticky endpoints that are remembered; above this number, the older ones are forgotten.
+const MAX_STICKY_ENDPOINTS: usize = 20_000;
+
+/// A group takes a further endpoint when its endpoints' load is this far above the fleet's mean, within
+/// [`MIN_SPILL_LOAD`] and [`MAX_SPILL_LOAD`].
+const SPILL_MARGIN: f64 = 0.15;
+const MIN_SPILL_LOAD: f64 = 0.6;
+const MAX_SPILL_LOAD: f64 = 0.68;
+
+/// Least number of endpoints of a group: a single one would take all of a surge that no report shows yet.
+const MIN_GROUP_ENDPOINTS: usize = 2;
+/// The same where there are more balancers than endpoints: each sees too little of a group to split it.
+const MIN_GROUP_ENDPOINTS_OF_LARGE_FLEET: usize = 1;
+/// Added to the number of a group's connections when its share is estimated, for the connection that is
+/// requested.
+const GROUP_PRIOR_CONNECTIONS: f64 = 0.3;
+/// Added to the number of all connections when a group's share is estimated, so that few connections do not
+/// make a group look large.
+const GROUP_SHARE_SMOOTHING: f64 = 8.0;
+/// Least mean load of the fleet that the number of a group's endpoints allows for: after a start the reports
+/// do not show the load yet.
+const MIN_GROUP_LOAD: f64 = 0.5;
+
+/// The endpoint where a client had its last connection.
+#[derive(Clone, Debug)]
+pub(crate) struct StickyEndpoint {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) established_at: Micros,
+}
+
+/// Seed of the rendezvous order of a request's affinity group.
 pub(crate) fn group_salt(request: &Request) -> Option<u64> {
-    request.affinity_group.as_ref().map(|group| xxh3_64_with_seed(group.0.as_bytes(), 2))
+    let group = request.affinity_group.as_ref()?;
+    Some(xxh3_64_with_seed(group.0.as_bytes(), GROUP_HASH_SEED))
 }
 
 impl Balancer {
-    /// Where this client's connection was last, if it may go there.
+    pub(crate) fn set_sticky_endpoint(&mut self, now: Micros, key: SessionKey, endpoint: EndpointId) {
+        self.sticky_endpoints.insert(key, StickyEndpoint { endpoint, established_at: now });
+    }
+
+    /// The endpoint of the client's last connection, if the request may go there.
+    ///
+    /// A request in mid flow may also go to an endpoint that has not drained for long.
     pub(crate) fn sticky_endpoint(&self, state: &RequestState, now: Micros) -> Option<EndpointId> {
-        let key =
-            state.request.session_key.as_ref().filter(|key| !self.migrated_clients.contains_key(*key))?;
-        let (id, _) = self.sticky_endpoints.get(key)?;
+        let key = state.request.session_key.as_ref()?;
+        if self.migrated_clients.contains_key(key) {
+            return None;
+        }
+        let id = &self.sticky_endpoints.get(key)?.endpoint;
         let record = self.endpoints.get(id)?;
+        let takes_mid_flow = state.request.mid_flow && self.is_in_drain_grace(record, now);
+        let may_go_there = (record.is_ready() || takes_mid_flow)
+            && !state.failed_endpoints.contains(id)
+            && self.may_send(state, &record.endpoint, now);
+        may_go_there.then(|| id.clone())
+    }
+
+    /// Whether an endpoint drains, for no longer than half the time within which sends to it must stop.
+    fn is_in_drain_grace(&self, record: &EndpointRecord, now: Micros) -> bool {
         let grace = self.settings.rules.drain_grace / 2;
-        let drains_still = state.request.mid_flow
-            && record.endpoint.state == EndpointState::Draining
-            && record.leaving_since.is_some_and(|told| now.saturating_sub(told) < grace);
-        let fit = (record.is_ready() || drains_still) && !state.failed_endpoints.contains(id);
-        (fit && self.may_send(state, &record.endpoint, now)).then(|| id.clone())
+        record.endpoint.state == EndpointState::Draining
+            && record.leaving_since.is_some_and(|since| now.saturating_sub(since) < grace)
     }
 
-    /// Whether an endpoint comes so late in its group's race that the group has no need of it.
+    /// Whether a client's sticky endpoint has capacity for it.
+    pub(crate) fn has_sticky_capacity(&self, id: &EndpointId, now: Micros) -> bool {
+        self.endpoints.get(id).is_some_and(|record| {
+            self.estimate(record, now) < MAX_STICKY_LOAD
+                && !record.has_slow_messages(now)
+                && self.slow_start_admits(record, now)
+        })
+    }
+
+    /// Forgets the older half of the sticky endpoints when there are too many, and clients that have not
+    /// returned after a migration.
+    pub(crate) fn forget_old_clients(&mut self, now: Micros) {
+        if self.sticky_endpoints.len() > MAX_STICKY_ENDPOINTS {
+            let times = self.sticky_endpoints.values().map(|sticky| sticky.established_at);
+            let mean = times.sum::<Micros>() / self.sticky_endpoints.len() as Micros;
+            self.sticky_endpoints.retain(|_, sticky| sticky.established_at > mean);
+        }
+        self.migrated_clients
+            .retain(|_, client| now.saturating_sub(client.migrated_at) < DEFAULT_DRAIN_TIMEOUT);
+    }
+
+    /// Whether an endpoint comes so late in the order of a request's group that the group does not need it.
     pub(crate) fn is_misplaced(&self, request: &Request, record: &EndpointRecord, now: Micros) -> bool {
         let Some(salt) = group_salt(request) else { return false };
-        let place = |s: &EndpointRecord| rendezvous_order(salt, s.id_hash, self.endpoint_weight(s, now));
-        let (copy, need) = (self.group_copy_cost(request), self.group_endpoint_count(request));
-        let (own, far) = (place(record), self.distance_penalty(record, copy));
-        let (mut before_wide, mut before_near) = (0, 0);
-        for other in self.endpoints.values().filter(|s| s.is_ready()) {
-            let theirs = place(other);
-            before_wide += usize::from(theirs < own);
-            before_near += usize::from(theirs * self.distance_penalty(other, copy) < own * far);
+        let global_order = |record: &EndpointRecord| {
+            rendezvous_order(salt, record.id_hash, self.endpoint_weight(record, now))
+        };
+        let copy_cost = self.group_copy_cost(request);
+        let needed = self.group_endpoint_count(request);
+        let own_global = global_order(record);
+        let own_local = own_global * self.distance_penalty(record, copy_cost);
+        let (mut before_global, mut before_local) = (0, 0);
+        for other in self.endpoints.values().filter(|other| other.is_ready()) {
+            let other_global = global_order(other);
+            let other_local = other_global * self.distance_penalty(other, copy_cost);
+            before_global += usize::from(other_global < own_global);
+            before_local += usize::from(other_local < own_local);
         }
-        before_wide > need && before_near > need
+        before_global > needed && before_local > needed
+    }
+
+    /// Load at which a group's endpoints get no new connection of the group while others have capacity.
+    pub(crate) fn spill_load(&self) -> f64 {
+        (self.fleet_estimate.mean_load + SPILL_MARGIN).clamp(MIN_SPILL_LOAD, MAX_SPILL_LOAD)
     }
 
-    /// The part of all connections that a group probably has.
-    pub(crate) fn group_share(&self, group: &AffinityGroup) -> f64 {
-        let own = self.group_connections.get(group).copied().unwrap_or(0) as f64 + GROUP_PRIOR_CONNECTIONS;
+    /// Estimated fraction of all connections that belong to a group.
+    fn group_share(&self, group: &AffinityGroup) -> f64 {
+        let connections = self.group_connections.get(group).copied().unwrap_or(0);
+        let own = connections as f64 + GROUP_PRIOR_CONNECTIONS;
         own / (self.connection_count as f64 + GROUP_SHARE_SMOOTHING)
     }
 
-    /// How many endpoints a group needs, going by this balancer's share of it.
+    /// Number of endpoints that the request's group needs by this balancer's share of it; no limit for a
+    /// request without a group.
     pub(crate) fn group_endpoint_count(&self, request: &Request) -> usize {
         let Some(group) = &request.affinity_group else { return usize::MAX };
         let load = self.fleet_estimate.mean_load.max(MIN_GROUP_LOAD);
-        let endpoints =
-            self.group_share(group) * self.fleet_estimate.local_endpoints as f64 * load / MIN_SPILL_LOAD;
-        let many = self.settings.fleet_size as usize > self.fleet_estimate.ready_endpoints;
-        (endpoints.ceil() as usize).max(if many { 1 } else { MIN_GROUP_ENDPOINTS })
+        let local_endpoints = self.fleet_estimate.local_endpoints as f64;
+        let needed = self.group_share(group) * local_endpoints * load / MIN_SPILL_LOAD;
+        let has_more_balancers = self.settings.fleet_size as usize > self.fleet_estimate.ready_endpoints;
+        let min = if has_more_balancers { MIN_GROUP_ENDPOINTS_OF_LARGE_FLEET } else { MIN_GROUP_ENDPOINTS };
+        (needed.ceil() as usize).max(min)
     }
 
-    /// Whether an endpoint is of the own zone, or as good as that where crossing costs nothing.
+    /// Whether an endpoint is in this balancer's zone, or as good as that because crossing zones is free.
     pub(crate) fn is_local(&self, record: &EndpointRecord) -> bool {
         let zones = self.settings.zone.zip(record.endpoint.zone);
-        zones.is_none_or(|(own, zone)| own == zone) || self.settings.prices.cross_zone == 0.0
+        zones.is_none_or(|(own, other)| own == other) || self.settings.prices.cross_zone == 0.0
     }
 
-    /// How much crossing zones slows an endpoint down in the race of a group whose copy costs so much.
-    pub(crate) fn distance_penalty(&self, record: &EndpointRecord, copy: f64) -> f64 {
+    /// Factor, 1 or more, by which an endpoint's place in a group's order is moved back for its zone.
+    pub(crate) fn distance_penalty(&self, record: &EndpointRecord, copy_cost: f64) -> f64 {
         if self.is_local(record) {
-            1.0
-        } else {
-            zone_affinity::slowdown(self.settings.prices.cross_zone, copy)
+            return 1.0;
         }
+        zone_affinity::slowdown(self.settings.prices.cross_zone, copy_cost)
     }
 
-    /// What it costs each connection of the request's group that the own zone has an endpoint of its own for
-    /// it.
+    /// Cost to each connection of the request's group of having an endpoint for the group in this zone.
+    ///
+    /// Where loads are reported it is 0: a full zone spills to others by its reported load.
     pub(crate) fn group_copy_cost(&self, request: &Request) -> f64 {
-        // Where loads are reported, the spill to other zones is what spares a full one.
-        let Some(group) = request.affinity_group.as_ref().filter(|_| is_unreported(&self.settings)) else {
+        let Some(group) = &request.affinity_group else { return 0.0 };
+        if !is_unreported(&self.settings) {
             return 0.0;
-        };
-        let near =
-            self.fleet_estimate.local_endpoints as f64 / self.fleet_estimate.ready_endpoints.max(1) as f64;
-        zone_affinity::copy_cost(
-            self.group_share(group) * self.connection_count as f64 * self.fleet_size() * near,
-        )
+        }
+        let estimate = &self.fleet_estimate;
+        let local_fraction = estimate.local_endpoints as f64 / estimate.ready_endpoints.max(1) as f64;
+        let own = self.group_share(group) * self.connection_count as f64;
+        zone_affinity::copy_cost(own * self.fleet_size() * local_fraction)
     }
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,82 +1,91 @@
-//! All decisions of honeyknot, and all its tunables. The types that go in and out are in `src/event.rs` and
-//! `src/action.rs`.
+//! The balancer: its state, and which handler takes which event. The types that go in and out are in
+//! `src/event.rs` and `src/action.rs`.
 //!
-//! A [`Balancer`] is one of many that share a fleet of endpoints and tell each other nothing. It keeps a
-//! table of ready endpoints, each with its last report of load over capacity and the report's age, and for
-//! each connection that it placed the endpoint, the client's key and whether it is in migration
-//! (`MigrationPlan`).
+//! A [`Balancer`] is one of many that share a fleet of endpoints and do not talk to each other. It keeps a
+//! record of each endpoint, with its last load report and the report's age, and the state of each request,
+//! with the endpoint that it was forwarded to, the client's session key and its affinity group.
 //!
-//! - A new connection goes by a randomised split that favours spare reported capacity and trusts old reports
-//!   less (`rank`, `weight`, `estimate`). The few endpoints that the split likes best are probed first, while
-//!   the request is held for some milliseconds (`route`).
-//! - The draw of the split is weighted rendezvous hashing of the connection's group, or else its client: all
-//!   agree without a word where a group goes, and where a connection is that reaches them in mid flow.
-//! - A returning client leans to its remembered endpoint. A draining endpoint leaves the table; its connections
-//!   are flagged and moved a few at a time (`plan_migration`, `run_migrations`). A moved client lands on a random
-//!   ready endpoint.
-//! - Cold endpoints get no more than this balancer's share of what they can bear (`cold`); silent
-//!   and jammed ones lose their connections at a pace, unless the trouble is everywhere (`shed_load`).
+//! - A new connection goes to an endpoint by a weighted random choice that favours spare reported capacity
+//!   and trusts old reports less (`routing`, `load_estimate`). The best candidates get a health check first,
+//!   while the request is pending for some milliseconds (`health_check`).
+//! - The choice is weighted rendezvous hashing of the connection's affinity group, or else of its session
+//!   key: all balancers agree without communication where a group goes (`rendezvous`, `affinity`).
+//! - A returning client prefers its sticky endpoint. The connections of a draining endpoint migrate at a pace
+//!   (`migration`), and their clients go to other endpoints.
+//! - An endpoint in slow start gets no more than this balancer's share of what it can bear (`slow_start`).
+//! - Unresponsive and overloaded endpoints lose connections at a pace, unless so many are unresponsive that
+//!   the fault is probably elsewhere (`outlier_detection`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::admission::RecentPlacements;
+use crate::affinity::StickyEndpoint;
 use crate::circuit_breaker::CircuitBreaker;
-use crate::discovery::{DEFAULT_DRAIN_TIMEOUT, MAX_INITIAL_DISCOVERY_DELAY};
+use crate::discovery::MAX_INITIAL_DISCOVERY_DELAY;
 use crate::endpoint_record::EndpointRecord;
-use crate::load_estimate::{DEFAULT_CONNECTION_LOAD, FleetEstimate};
+use crate::load_estimate::{ConnectionLoads, FleetEstimate};
+use crate::migration::MigratedClient;
 use crate::request_state::RequestState;
+use crate::retry::EndedAttempt;
 use crate::settings_check::{self, SettingsError};
 use crate::unreported_load::AdaptiveThrottle;
 use crate::{
     Action, AffinityGroup, DiscoveryMode, EndpointId, EndpointState, Event, Micros, RequestClass, RequestId,
-    SessionKey, Settings, TimerToken, unreported_load,
+    SessionKey, Settings, TimerToken,
 };
 
-/// Housekeeping interval: fine enough to pace moves within a drain of a few seconds.
+/// Interval of the periodic work; migrations within a drain of a few seconds are paced by it.
 pub(crate) const TICK_INTERVAL: Micros = 200_000;
-/// Log lines of one balancer, at most.
-pub(crate) const MAX_LOG_LINES: u32 = 12;
-/// Remembered clients, at most.
-pub(crate) const MAX_STICKY_ENDPOINTS: usize = 20_000;
-pub(crate) const TICK_TOKEN: TimerToken = TimerToken(0);
+/// Log lines that one balancer writes in its life, at most.
+const MAX_LOG_LINES: u32 = 12;
+
+/// Timer of the periodic work.
+const TICK_TOKEN: TimerToken = TimerToken(0);
+/// Timer after which discovery is asked for the endpoint list.
 pub(crate) const DISCOVERY_TOKEN: TimerToken = TimerToken(1);
-/// Tokens from here on name held requests.
+/// Timers of pending requests have this number and those above it.
 pub(crate) const FIRST_REQUEST_TOKEN: u64 = 2;
 
-/// The decisions of one balancer.
+/// One balancer: it takes events and answers with actions.
+#[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) endpoints: BTreeMap<EndpointId, EndpointRecord>,
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
+    /// Requests that wait for health checks or for a timer.
     pub(crate) pending_requests: BTreeSet<RequestId>,
-    /// Where clients were last seen.
-    pub(crate) sticky_endpoints: BTreeMap<SessionKey, (EndpointId, Micros)>,
-    /// Clients that were asked to move, and from where.
-    pub(crate) migrated_clients: BTreeMap<SessionKey, (EndpointId, Micros)>,
-    /// Own standing connections of each group.
+    pub(crate) sticky_endpoints: BTreeMap<SessionKey, StickyEndpoint>,
+    /// Clients whose connection was migrated and that have not returned yet.
+    pub(crate) migrated_clients: BTreeMap<SessionKey, MigratedClient>,
+    /// Number of this balancer's established connections of each group; no group has 0.
     pub(crate) group_connections: BTreeMap<AffinityGroup, usize>,
-    /// Own standing connections.
+    /// Number of this balancer's established connections.
     pub(crate) connection_count: usize,
     pub(crate) throttle: AdaptiveThrottle,
     pub(crate) circuit_breaker: CircuitBreaker,
-    /// Own placements of late, fading over the lag of reports, and when that was reckoned.
-    pub(crate) recent_placements: (f64, Micros),
+    pub(crate) recent_placements: RecentPlacements,
     pub(crate) fleet_estimate: FleetEstimate,
-    /// Mean hint or told load of a connection, over all and for each class.
-    pub(crate) mean_connection_load: Option<f64>,
-    pub(crate) class_connection_load: Vec<Option<f64>>,
+    pub(crate) connection_loads: ConnectionLoads,
+    /// The shortest drain seen from its beginning to the endpoint's removal.
     pub(crate) shortest_drain: Option<Micros>,
+    /// Polls of discovery that failed since the last endpoint list.
     pub(crate) failed_discovery_polls: u32,
-    pub(crate) started: bool,
     pub(crate) started_at: Micros,
-    pub(crate) log_lines_left: u32,
+    has_timers: bool,
+    log_lines_left: u32,
 }
 
 impl Balancer {
-    /// A balancer with nothing but its settings; the list of endpoints comes as an event.
+    /// Creates a balancer without endpoints; the endpoint list comes as an event.
+    ///
+    /// Equal seeds and events give equal actions.
+    ///
+    /// # Errors
+    /// [`SettingsError`] if a figure of the settings is out of its range.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Balancer, SettingsError> {
         settings_check::check(&settings)?;
         Ok(Balancer {
@@ -90,95 +99,82 @@
             connection_count: 0,
             throttle: AdaptiveThrottle::default(),
             circuit_breaker: CircuitBreaker::default(),
-            recent_placements: (0.0, now),
-            started_at: now,
-            fleet_estimate: FleetEstimate {
-                mean_load: 0.5,
-                connection_load: unreported_load::initial_connection_load(&settings, DEFAULT_CONNECTION_LOAD),
-                spare_connections: f64::INFINITY,
-                ..FleetEstimate::default()
-            },
-            mean_connection_load: None,
-            class_connection_load: vec![None; settings.classes.len()],
+            recent_placements: RecentPlacements::new(now),
+            fleet_estimate: FleetEstimate::new(&settings),
+            connection_loads: ConnectionLoads::new(settings.classes.len()),
             shortest_drain: None,
             failed_discovery_polls: 0,
-            started: false,
+            started_at: now,
+            has_timers: false,
             log_lines_left: MAX_LOG_LINES,
             settings,
         })
     }
 
-    /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        if !self.started {
-            self.started = true;
-            out.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
-            if self.settings.discovery == DiscoveryMode::OnRequest {
-                let spread = MAX_INITIAL_DISCOVERY_DELAY.min(self.settings.rules.max_list_age / 3);
-                out.push(Action::SetTimer {
-                    delay: self.rng.random_range(0..=spread),
-                    token: DISCOVERY_TOKEN,
-                });
-            }
+    /// Takes one event and appends the actions that follow from it, in their order.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        if !self.has_timers {
+            self.has_timers = true;
+            self.set_first_timers(actions);
         }
         match event {
-            Event::EndpointsUpdated { update, .. } => self.update_endpoints(now, update, out),
-            Event::Request(request) => self.accept_request(now, request, out),
-            Event::ConnectionAdopted(request, record) => self.adopt_connection(now, request, record),
-            Event::ConnectionEstablished { id, endpoint: record, .. } => {
-                self.connection_established(now, id, record)
+            Event::EndpointsUpdated { update, .. } => self.update_endpoints(now, update, actions),
+            Event::Request(request) => self.accept_request(now, request, actions),
+            Event::ConnectionAdopted(request, endpoint) => self.adopt_connection(now, request, endpoint),
+            Event::ConnectionEstablished { id, endpoint, .. } => {
+                self.connection_established(now, id, endpoint);
             }
-            Event::AttemptEnded { id, outcome, closed, endpoint: record, report, .. } => {
-                self.attempt_ended(now, id, outcome, closed, record, report, out)
+            Event::AttemptEnded { id, outcome, closed, endpoint, report, .. } => {
+                let attempt = EndedAttempt { id, outcome, closed, endpoint, report };
+                self.attempt_ended(now, attempt, actions);
             }
             Event::ClientLeft(id) => self.release(id),
-            Event::HealthCheckEnded { endpoint: record, outcome, report, .. } => {
-                self.health_check_ended(now, record, outcome, report, out)
+            Event::HealthCheckEnded { endpoint, outcome, report, .. } => {
+                self.health_check_ended(now, endpoint, outcome, report, actions);
             }
-            Event::ConnectionUpdated { id, endpoint: record, update: note, .. } => {
-                self.connection_updated(now, id, record, note, out)
+            Event::ConnectionUpdated { id, endpoint, update, .. } => {
+                self.connection_updated(now, id, endpoint, update, actions);
             }
-            Event::TimerFired(TICK_TOKEN) => self.tick(now, out),
-            Event::TimerFired(DISCOVERY_TOKEN) => out.push(Action::Watch(true)),
-            Event::TimerFired(token) => self.pending_timer_fired(now, token, out),
+            Event::TimerFired(TICK_TOKEN) => self.tick(now, actions),
+            Event::TimerFired(DISCOVERY_TOKEN) => actions.push(Action::Watch(true)),
+            Event::TimerFired(token) => self.pending_timer_fired(now, token, actions),
             Event::PeerMessage { .. } => {}
         }
     }
 
-    /// Endpoints that are listed as ready and get nothing new, as they look ill.
+    /// Endpoints that are ready by the endpoint list and get no new connection, as they are ejected.
     pub fn ejected_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
-        self.endpoints
-            .values()
-            .filter(|s| s.is_ready() && s.outlier_detector.is_ejected())
-            .map(|s| &s.endpoint.id)
+        let ejected = |record: &&EndpointRecord| record.is_ready() && record.outlier_detector.is_ejected();
+        self.endpoints.values().filter(ejected).map(|record| &record.endpoint.id)
     }
 
-    pub(crate) fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
-        self.update_fleet_estimate(now);
-        self.rebalance(now, out);
-        self.run_migrations(now, out);
-        for record in self.endpoints.values_mut() {
-            let due = record.is_ready() && record.outlier_detector.check_due(now);
-            if due && self.settings.permissions.health_checks {
-                record.check_health(now, out);
-            } else if due {
-                record.outlier_detector.start_trial(now);
-            }
-        }
-        self.endpoints.retain(|_, s| s.endpoint.state != EndpointState::Removed || !s.connections.is_empty());
-        if self.sticky_endpoints.len() > MAX_STICKY_ENDPOINTS {
-            let middle = self.sticky_endpoints.values().map(|(_, at)| *at).sum::<u64>()
-                / self.sticky_endpoints.len() as u64;
-            self.sticky_endpoints.retain(|_, (_, at)| *at > middle);
+    fn set_first_timers(&mut self, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
+        if self.settings.discovery == DiscoveryMode::OnRequest {
+            let max_delay = MAX_INITIAL_DISCOVERY_DELAY.min(self.settings.rules.max_list_age / 3);
+            let delay = self.rng.random_range(0..=max_delay);
+            actions.push(Action::SetTimer { delay, token: DISCOVERY_TOKEN });
         }
-        self.migrated_clients.retain(|_, (_, at)| now.saturating_sub(*at) < DEFAULT_DRAIN_TIMEOUT);
     }
 
-    pub(crate) fn log(&mut self, text: String, out: &mut Vec<Action>) {
+    /// The periodic work.
+    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
+        self.update_fleet_estimate(now);
+        self.rebalance(now, actions);
+        self.run_migrations(now, actions);
+        self.check_due_endpoints(now, actions);
+        self.endpoints.retain(|_, record| {
+            record.endpoint.state != EndpointState::Removed || !record.connections.is_empty()
+        });
+        self.forget_old_clients(now);
+    }
+
+    /// Writes a line for the operators, unless this balancer has written [`MAX_LOG_LINES`].
+    pub(crate) fn log(&mut self, text: String, actions: &mut Vec<Action>) {
         if self.log_lines_left > 0 {
             self.log_lines_left -= 1;
-            out.push(Action::Log(text));
+            actions.push(Action::Log(text));
         }
     }
 
@@ -186,6 +182,7 @@
         self.settings.classes.get(state.request.class.0)
     }
 
+    /// Number of balancers, at least 1.
     pub(crate) fn fleet_size(&self) -> f64 {
         f64::from(self.settings.fleet_size.max(1))
     }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list.
+//! Updates of the endpoint list: endpoints that are added, drain or are removed.
 
 use std::collections::BTreeSet;
 
@@ -8,95 +8,113 @@
 use crate::balancer::{Balancer, DISCOVERY_TOKEN};
 use crate::endpoint_record::EndpointRecord;
 use crate::migration::SHED_DURATION;
+use crate::rendezvous::ENDPOINT_HASH_SEED;
 use crate::slow_start::SlowStartBudget;
 use crate::{Action, Endpoint, EndpointId, EndpointState, EndpointUpdate, Micros};
 
-/// Drain timeout where no drain has been seen to its end.
+/// Duration of a drain where none has been seen to its end; migrated clients are remembered as long.
 pub(crate) const DEFAULT_DRAIN_TIMEOUT: Micros = 30_000_000;
-/// Moves begin as if an unknown drain were this much shorter than the timeout: many are.
-pub(crate) const UNKNOWN_DRAIN_DIVISOR: u64 = 10;
-/// Part of the expected drain in which the moves are made.
-pub(crate) const DRAIN_MIGRATION_FRACTION: f64 = 0.7;
-/// Longest first wait before the list is asked for, so that balancers started together do not ask together.
+/// Until a drain has been seen to its end, migrations expect one this many times shorter than
+/// [`DEFAULT_DRAIN_TIMEOUT`].
+const UNKNOWN_DRAIN_DIVISOR: Micros = 10;
+/// Fraction of the expected drain within which the connections migrate.
+const DRAIN_MIGRATION_FRACTION: f64 = 0.7;
+/// Longest random delay before the first request for the endpoint list, so that balancers that start together
+/// do not ask at the same time.
 pub(crate) const MAX_INITIAL_DISCOVERY_DELAY: Micros = 2_000_000;
-/// First wait after a refused call; it doubles up to 8 times this.
-pub(crate) const DISCOVERY_BACKOFF: Micros = 500_000;
+/// Mean delay after the first failed poll of discovery; it doubles with each further one.
+const DISCOVERY_BACKOFF: Micros = 500_000;
+/// The delay after a failed poll doubles at most this many times.
+const MAX_DISCOVERY_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Balancer {
-    pub(crate) fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate, out: &mut Vec<Action>) {
-        let (entries, whole) = match update {
-            EndpointUpdate::Failed => {
-                // A refused call is a sign that all ask at once: wait longer each time, and not in step.
-                let wait = DISCOVERY_BACKOFF << self.failed_discovery_polls.min(3);
-                self.failed_discovery_polls += 1;
-                let delay = self.rng.random_range(wait / 2..=wait + wait / 2);
-                out.push(Action::SetTimer { delay, token: DISCOVERY_TOKEN });
-                return;
-            }
-            EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (entries, true),
-            EndpointUpdate::Delta(entries) => (entries, false),
+    pub(crate) fn update_endpoints(
+        &mut self, now: Micros, update: EndpointUpdate, actions: &mut Vec<Action>,
+    ) {
+        let (endpoints, is_full) = match update {
+            EndpointUpdate::Failed => return self.back_off_discovery(actions),
+            EndpointUpdate::Cached(endpoints) | EndpointUpdate::Full(endpoints) => (endpoints, true),
+            EndpointUpdate::Delta(endpoints) => (endpoints, false),
         };
         self.failed_discovery_polls = 0;
-        if whole {
-            let named: BTreeSet<&EndpointId> = entries.iter().map(|e| &e.id).collect();
-            let lost: Vec<EndpointId> =
-                self.endpoints.keys().filter(|id| !named.contains(id)).cloned().collect();
-            for id in lost {
-                self.mark_leaving(now, &id, EndpointState::Removed);
-            }
+        if is_full {
+            self.remove_unlisted(now, &endpoints);
         }
-        for entry in entries.iter() {
-            match entry.state {
-                EndpointState::Ready => self.add_endpoint(entry),
-                state => {
-                    if state == EndpointState::Draining && !self.endpoints.contains_key(&entry.id) {
-                        self.add_endpoint(entry);
-                    }
-                    self.mark_leaving(now, &entry.id, state);
-                }
-            }
+        for endpoint in endpoints.iter() {
+            self.update_endpoint(now, endpoint);
         }
         self.update_fleet_estimate(now);
     }
 
-    pub(crate) fn add_endpoint(&mut self, entry: &Endpoint) {
-        let mut standing = BTreeSet::new();
-        if let Some(known) = self.endpoints.get_mut(&entry.id) {
-            if known.endpoint.started_at == entry.started_at && known.is_ready() {
-                known.endpoint = entry.clone();
+    /// Polls discovery again after a random delay, longer each time.
+    fn back_off_discovery(&mut self, actions: &mut Vec<Action>) {
+        let mean = DISCOVERY_BACKOFF << self.failed_discovery_polls.min(MAX_DISCOVERY_BACKOFF_DOUBLINGS);
+        self.failed_discovery_polls += 1;
+        let delay = self.rng.random_range(mean / 2..=mean + mean / 2);
+        actions.push(Action::SetTimer { delay, token: DISCOVERY_TOKEN });
+    }
+
+    /// Marks the endpoints as removed that a full list does not name.
+    fn remove_unlisted(&mut self, now: Micros, listed: &[Endpoint]) {
+        let listed: BTreeSet<&EndpointId> = listed.iter().map(|endpoint| &endpoint.id).collect();
+        let removed: Vec<EndpointId> =
+            self.endpoints.keys().filter(|id| !listed.contains(id)).cloned().collect();
+        for id in removed {
+            self.mark_leaving(now, &id, EndpointState::Removed);
+        }
+    }
+
+    fn update_endpoint(&mut self, now: Micros, endpoint: &Endpoint) {
+        let is_known = self.endpoints.contains_key(&endpoint.id);
+        match endpoint.state {
+            EndpointState::Ready => self.add_endpoint(endpoint),
+            EndpointState::Draining if !is_known => {
+                self.add_endpoint(endpoint);
+                self.mark_leaving(now, &endpoint.id, EndpointState::Draining);
+            }
+            state => self.mark_leaving(now, &endpoint.id, state),
+        }
+    }
+
+    /// Adds an endpoint, or updates the record of one that has not restarted since.
+    fn add_endpoint(&mut self, endpoint: &Endpoint) {
+        let mut connections = BTreeSet::new();
+        if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
+            if known.endpoint.started_at == endpoint.started_at && known.is_ready() {
+                known.endpoint = endpoint.clone();
                 return;
             }
-            // A new process: nothing known of the old one holds, but what stood there still ends.
-            standing = std::mem::take(&mut known.connections);
+            // Nothing known of the earlier process holds for the new one, but its connections still end.
+            connections = std::mem::take(&mut known.connections);
         }
         let record = EndpointRecord {
-            id_hash: xxh3_64_with_seed(entry.id.0.as_bytes(), 0),
-            endpoint: entry.clone(),
-            connections: standing,
+            id_hash: xxh3_64_with_seed(endpoint.id.0.as_bytes(), ENDPOINT_HASH_SEED),
+            endpoint: endpoint.clone(),
+            connections,
             slow_start: SlowStartBudget::new(self.rng.random()),
             ..EndpointRecord::default()
         };
-        self.endpoints.insert(entry.id.clone(), record);
+        self.endpoints.insert(endpoint.id.clone(), record);
     }
 
-    /// An endpoint drains or is gone: it takes nothing new, and what stands there is flagged and moved.
-    pub(crate) fn mark_leaving(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
+    /// Marks an endpoint as draining or removed: it gets no new connection, and all it has migrate.
+    fn mark_leaving(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
         let Some(record) = self.endpoints.get_mut(id) else { return };
         if state == EndpointState::Removed
-            && let (EndpointState::Draining, Some(told)) = (record.endpoint.state, record.leaving_since)
+            && record.endpoint.state == EndpointState::Draining
+            && let Some(drain_start) = record.leaving_since
         {
-            // The shortest drain seen sets the pace of the next.
-            let lasted = now.saturating_sub(told);
-            self.shortest_drain = Some(self.shortest_drain.map_or(lasted, |seen| seen.min(lasted)));
+            let drain = now.saturating_sub(drain_start);
+            self.shortest_drain = Some(self.shortest_drain.map_or(drain, |shortest| shortest.min(drain)));
         }
-        let first = record.leaving_since.is_none();
+        let was_leaving = record.leaving_since.is_some();
         record.endpoint.state = state;
         record.leaving_since.get_or_insert(now);
         if state == EndpointState::Removed {
             self.plan_migration(now, id, 1.0, SHED_DURATION);
-        } else if first {
-            let lasts = self.shortest_drain.unwrap_or(DEFAULT_DRAIN_TIMEOUT / UNKNOWN_DRAIN_DIVISOR);
-            self.plan_migration(now, id, 1.0, (lasts as f64 * DRAIN_MIGRATION_FRACTION) as Micros);
+        } else if !was_leaving {
+            let drain = self.shortest_drain.unwrap_or(DEFAULT_DRAIN_TIMEOUT / UNKNOWN_DRAIN_DIVISOR);
+            self.plan_migration(now, id, 1.0, (drain as f64 * DRAIN_MIGRATION_FRACTION) as Micros);
         }
     }
 }
--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -1,138 +1,151 @@
-//! Health checks before a request is placed, and their results.
+//! Health checks: before a request is placed, of endpoints that have failed, and their results.
 
 use std::collections::BTreeSet;
 
 use rand::Rng;
 
-use crate::balancer::{Balancer, FIRST_REQUEST_TOKEN};
-use crate::estimates::update_mean;
+use crate::balancer::Balancer;
+use crate::endpoint_record::EndpointRecord;
 use crate::outlier_detection::SHED_THRESHOLD;
-use crate::request_state::{PendingRequest, RequestState};
-use crate::routing::HEALTH_CHECK_SAMPLE;
-use crate::{
-    Action, ConnectionUpdate, EndpointId, LoadReport, LoadReportSource, Micros, Outcome, RequestId,
-    TimerToken,
-};
+use crate::request_state::{PendingRequest, RequestState, pending_token};
+use crate::{Action, ConnectionUpdate, EndpointId, LoadReport, LoadReportSource, Micros, Outcome, RequestId};
 
-/// The longest that a request is held for probe answers; small beside any wait a person notices.
+/// Candidates that get a health check in a request's first round, at most.
+pub(crate) const HEALTH_CHECK_SAMPLE: usize = 3;
+/// Rounds of health checks for a request before it is placed with what is known.
+pub(crate) const MAX_HEALTH_CHECK_ROUNDS: u32 = 2;
+/// Longest time that a request waits for health checks.
 pub(crate) const MAX_HEALTH_CHECK_WAIT: Micros = 30_000;
 
 impl Balancer {
-    /// Probes the best candidates whose report is stale; true if the request now waits for answers.
+    /// Sends health checks to the best candidates without a fresh report. Returns whether the request now
+    /// waits for results.
     pub(crate) fn check_candidates(
-        &mut self, now: Micros, state: &mut RequestState, home: Option<&EndpointId>, ranking: &[EndpointId],
-        out: &mut Vec<Action>,
+        &mut self, now: Micros, state: &mut RequestState, sticky: Option<&EndpointId>,
+        ranking: &[EndpointId], actions: &mut Vec<Action>,
     ) -> bool {
         if !self.settings.permissions.health_checks
             || self.settings.load_reports == LoadReportSource::Unavailable
         {
             return false;
         }
-        // The second round only asks for a winner that the first round's answers brought up.
-        let size = if state.health_check_rounds == 0 { HEALTH_CHECK_SAMPLE } else { 1 };
+        let is_first_round = state.health_check_rounds == 0;
+        // A further round checks only a new first candidate, if the results of the last one have brought it
+        // up.
+        let sample = if is_first_round { HEALTH_CHECK_SAMPLE } else { 1 };
         let until = now + MAX_HEALTH_CHECK_WAIT.min(state.deadline.saturating_sub(now) / 2);
-        let mut health_checks = BTreeSet::new();
-        // One of them is any ready endpoint: the ranking alone would never learn of room elsewhere, and the
-        // mean would be that of the endpoints it likes.
-        let any = self.rng.random_range(0..self.endpoints.len().max(1));
-        let any =
-            self.endpoints.values().nth(any).filter(|s| {
-                state.health_check_rounds == 0 && s.is_ready() && !s.outlier_detector.is_ejected()
-            });
-        let any = any.map(|s| s.endpoint.id.clone());
-        for id in home.into_iter().chain(ranking).take(size).chain(any.as_ref()) {
-            let Some(record) = self.endpoints.get_mut(id) else { continue };
-            if record.has_fresh_report(now) {
-                continue;
+        let random = self.random_available_endpoint().filter(|_| is_first_round);
+        let mut awaited = BTreeSet::new();
+        for id in sticky.into_iter().chain(ranking).take(sample).chain(random.as_ref()) {
+            if self.check_candidate(now, id, actions) {
+                awaited.insert(id.clone());
             }
-            record.check_health(now, out);
-            if record.health_check_sent_at.is_some_and(|at| now.saturating_sub(at) >= MAX_HEALTH_CHECK_WAIT) {
-                continue;
-            }
-            health_checks.insert(id.clone());
         }
         state.health_check_rounds += 1;
-        if health_checks.is_empty() {
+        if awaited.is_empty() {
             return false;
         }
-        state.pending = Some(PendingRequest { until, health_checks });
-        let token = TimerToken(FIRST_REQUEST_TOKEN + u64::from(state.request.id.0));
-        out.push(Action::SetTimer { delay: until - now, token });
+        state.pending = Some(PendingRequest { until, health_checks: awaited });
+        let token = pending_token(state.request.id);
+        actions.push(Action::SetTimer { delay: until - now, token });
         true
     }
 
+    /// Draws an endpoint; `None` if it is not available.
+    ///
+    /// Health checks of ranked endpoints alone would never find spare capacity elsewhere, and the estimated
+    /// mean load would be that of the endpoints that rank high.
+    fn random_available_endpoint(&mut self) -> Option<EndpointId> {
+        let index = self.rng.random_range(0..self.endpoints.len().max(1));
+        let record = self.endpoints.values().nth(index)?;
+        record.is_available().then(|| record.endpoint.id.clone())
+    }
+
+    /// Sends a health check to a candidate unless its report is fresh. Returns whether its result is worth
+    /// waiting for.
+    fn check_candidate(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) -> bool {
+        let Some(record) = self.endpoints.get_mut(id) else { return false };
+        if record.has_fresh_report(now) {
+            return false;
+        }
+        record.check_health(now, actions);
+        !record.is_health_check_overdue(now)
+    }
+
+    /// Checks the endpoints again that have failed a while ago. Where health checks are not permitted, they
+    /// get a trial instead.
+    pub(crate) fn check_due_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let is_due =
+            |record: &&mut EndpointRecord| record.is_ready() && record.outlier_detector.is_check_due(now);
+        for record in self.endpoints.values_mut().filter(is_due) {
+            if self.settings.permissions.health_checks {
+                record.check_health(now, actions);
+            } else {
+                record.outlier_detector.start_trial(now);
+            }
+        }
+    }
+
+    /// Takes the result of a health check and routes the requests that have waited for it alone.
     pub(crate) fn health_check_ended(
         &mut self, now: Micros, id: EndpointId, outcome: Outcome, report: Option<LoadReport>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_health_check(now, &id, outcome, actions);
+        if let Some(report) = report {
+            self.record_report(now, &id, &report);
+            let load = self.endpoints.get(&id).and_then(|record| record.reported_load);
+            if load.is_some_and(|report| report.load > SHED_THRESHOLD) {
+                self.shed_load(now, &id, actions);
+            }
+        }
+        for request in self.requests_with_last_result(&id) {
+            self.route(now, request, actions);
+        }
+    }
+
+    fn record_health_check(
+        &mut self, now: Micros, id: &EndpointId, outcome: Outcome, actions: &mut Vec<Action>,
     ) {
-        if let Some(record) = self.endpoints.get_mut(&id) {
+        let mut is_nearly_unresponsive = false;
+        if let Some(record) = self.endpoints.get_mut(id) {
             record.health_check_sent_at = None;
+            is_nearly_unresponsive = record.outlier_detector.is_nearly_unresponsive();
         }
         match outcome {
-            Outcome::Ok => self.record_success(now, &id),
-            // It answers: guards against moving away what stands there and is served.
-            Outcome::Error
-                if self.endpoints.get(&id).is_some_and(|s| s.outlier_detector.is_nearly_unresponsive()) =>
-            {
-                self.endpoints
-                    .entry(id.clone())
-                    .and_modify(|s| s.outlier_detector.record_error_response(now, &self.settings));
+            Outcome::Ok => self.record_success(now, id),
+            // It answers: its connections, which are served, are not to migrate.
+            Outcome::Error if is_nearly_unresponsive => {
+                if let Some(record) = self.endpoints.get_mut(id) {
+                    record.outlier_detector.record_error_response(now, &self.settings);
+                }
             }
-            // Turned away by the cap on probes: no sign of ill health.
+            // Held back by the limit on health checks: this says nothing of the endpoint.
             Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => {}
-            _ => self.record_failure(now, &id, out),
-        }
-        if let Some(report) = report {
-            self.record_report(now, &id, &report);
-            if self
-                .endpoints
-                .get(&id)
-                .is_some_and(|s| s.reported_load.is_some_and(|(load, _)| load > SHED_THRESHOLD))
-            {
-                self.shed_load(now, &id, out);
-            }
+            _ => self.record_failure(now, id, actions),
         }
-        let mut answered = |held: &RequestId| {
-            let hold = self.requests.get_mut(held).and_then(|f| f.pending.as_mut());
-            hold.is_some_and(|h| h.health_checks.remove(&id) && h.health_checks.is_empty())
+    }
+
+    /// Takes an endpoint off the health checks that requests wait for; the requests that now wait for none.
+    fn requests_with_last_result(&mut self, id: &EndpointId) -> Vec<RequestId> {
+        let requests = &mut self.requests;
+        let mut was_last = |request: &&RequestId| {
+            let pending = requests.get_mut(*request).and_then(|state| state.pending.as_mut());
+            pending
+                .is_some_and(|pending| pending.health_checks.remove(id) && pending.health_checks.is_empty())
         };
-        let ready: Vec<RequestId> =
-            self.pending_requests.iter().filter(|held| answered(held)).copied().collect();
-        for request in ready {
-            self.route(now, request, out);
-        }
+        self.pending_requests.iter().filter(|request| was_last(request)).copied().collect()
     }
 
+    /// Takes news of an established connection.
     pub(crate) fn connection_updated(
-        &mut self, now: Micros, id: RequestId, at: EndpointId, note: ConnectionUpdate, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: RequestId, endpoint: EndpointId, update: ConnectionUpdate,
+        actions: &mut Vec<Action>,
     ) {
-        match note {
-            ConnectionUpdate::Load(load) => {
-                let Some(state) = self.requests.get_mut(&id) else { return };
-                state.connection_load = Some(load);
-                if let Some(mean) = self.class_connection_load.get_mut(state.request.class.0) {
-                    update_mean(mean, load);
-                }
-                if state.request.expected_load.is_none() {
-                    update_mean(&mut self.mean_connection_load, load);
-                }
-            }
-            ConnectionUpdate::MessageLatency(ms) => {
-                let aims = self.settings.classes.iter().map(|c| c.message_latency_objective);
-                let aim = aims.filter(|aim| *aim > 0).min().unwrap_or(Micros::MAX);
-                let Some(record) = self.endpoints.get_mut(&at) else { return };
-                if ms * 1e3 < aim as f64 * 0.5 {
-                    record.slow_messages_at = None;
-                    return;
-                }
-                record.slow_messages_at = Some(now);
-                let may_ask =
-                    self.settings.permissions.health_checks && record.health_check_sent_at.is_none();
-                if may_ask && !record.has_fresh_report(now) && record.is_ready() {
-                    record.check_health(now, out);
-                } else {
-                    self.shed_load(now, &at, out);
-                }
+        match update {
+            ConnectionUpdate::Load(load) => self.record_connection_load(id, load),
+            ConnectionUpdate::MessageLatency(milliseconds) => {
+                self.record_message_latency(now, &endpoint, milliseconds, actions);
             }
         }
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,9 +1,18 @@
 #![forbid(unsafe_code)]
-//! The decision module: which card server a request goes to, whether it is tried again, what is turned away.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+//! The balancer: which endpoint a request goes to, whether it is attempted again, what is rejected.
 //!
 //! Events go in with the time, actions come out ([`Event`], [`Action`]); [`Balancer`] decides. It never does
 //! I/O, never reads a clock and draws every random number from its seed, so that sockets, the simulator's
 //! wire, a test or a virtual clock can drive it alike, and the same events give the same actions.
+//!
+//! - Types that go in and out: [`event`], [`action`], [`ids`], [`settings`].
+//! - State and dispatch of events: [`balancer`].
+//! - Handlers, spread over `impl Balancer` blocks: `admission`, `affinity`, `discovery`, `health_check`,
+//!   `load_estimate`, `migration`, `rebalancing`, `request_state`, `retry`, `routing`.
+//! - Parts that can be used alone: [`circuit_breaker`], [`outlier_detection`], [`rendezvous`],
+//!   [`slow_start`], [`unreported_load`], [`zone_affinity`].
+//! - [`maintenance`] stands between discovery and the balancer.
 
 pub mod action;
 mod admission;
@@ -12,7 +21,6 @@
 pub mod circuit_breaker;
 mod discovery;
 mod endpoint_record;
-mod estimates;
 pub mod event;
 mod health_check;
 pub mod ids;
--- a/crates/balancer/src/migration.rs
+++ b/crates/balancer/src/migration.rs
@@ -1,73 +1,105 @@
-//! Migration of established connections at a pace.
+//! Paced migration of established connections away from an endpoint.
 
 use rand::Rng;
 
 use crate::balancer::{Balancer, TICK_INTERVAL};
 use crate::{Action, ClassId, EndpointId, Micros, RequestId};
 
-/// Connections of a silent or jammed endpoint leave over this time.
+/// Time within which connections leave an unresponsive, overloaded or removed endpoint.
 pub(crate) const SHED_DURATION: Micros = 1_500_000;
+/// Least load of a class that is divided by.
+const MIN_CLASS_LOAD: f64 = 1e-9;
 
-/// The connections of an endpoint that are in migration, and when the last of them should have moved.
+/// The connections of an endpoint that are to migrate.
+#[derive(Debug)]
 pub(crate) struct MigrationPlan {
+    /// They migrate from the last to the first.
     pub(crate) connections: Vec<RequestId>,
+    /// When the last of them should have migrated.
     pub(crate) end: Micros,
 }
 
+/// A client whose connection was migrated: it does not go back to the same endpoint at once.
+#[derive(Clone, Debug)]
+pub(crate) struct MigratedClient {
+    pub(crate) from: EndpointId,
+    pub(crate) migrated_at: Micros,
+}
+
+/// Priority of a class, and the relative loads of this balancer's connections of it.
+#[derive(Clone, Copy, Debug)]
+struct ClassLoad {
+    priority: f64,
+    load: f64,
+}
+
 impl Balancer {
-    /// Flags a part of an endpoint's load to move within a time, the least worth for its load first.
-    ///
-    /// A balancer holds few of the endpoint's connections, so each is drawn: the classes' parts of all its
-    /// own load tell which classes have to go, and all balancers together take about the part that is wanted.
-    pub(crate) fn plan_migration(&mut self, now: Micros, id: &EndpointId, part: f64, within: Micros) {
-        let count = self.settings.classes.len();
-        let mut classes: Vec<(f64, f64)> =
-            (0..count).map(|i| (self.class_priority(ClassId(i)), 0.0)).collect();
-        for state in self.requests.values().filter(|f| f.connection_established) {
-            if let Some(class) = classes.get_mut(state.request.class.0) {
-                class.1 += self.relative_load(state);
-            }
-        }
-        let total: f64 = classes.iter().map(|c| c.1).sum();
-        let Some(record) = self.endpoints.get(id) else { return };
-        let (mut connections, mut strays) = (Vec::new(), Vec::new());
-        for flow_id in &record.connections {
-            let Some(state) = self.requests.get(flow_id) else { continue };
-            let own = classes.get(state.request.class.0).copied().unwrap_or((0.0, total));
-            let cheaper: f64 = classes.iter().filter(|c| c.0 < own.0).map(|c| c.1).sum();
-            let chance = (part * total - cheaper) / own.1.max(1e-9);
-            // What a group holds far from its own endpoints costs the most: it goes first.
-            if part >= 1.0 || self.is_misplaced(&state.request, record, now) {
-                strays.push(*flow_id);
-            } else if self.rng.random::<f64>() < chance {
-                connections.push(*flow_id);
-            }
-        }
-        if strays.len() as f64 >= part * record.connections.len() as f64 {
-            connections.clear();
-        }
-        connections.append(&mut strays);
+    /// Plans to migrate a fraction of an endpoint's load within a time, classes of low priority first.
+    pub(crate) fn plan_migration(&mut self, now: Micros, id: &EndpointId, fraction: f64, duration: Micros) {
+        let mut connections = self.select_connections(now, id, fraction);
         if connections.is_empty() {
             return;
         }
-        for i in (1..connections.len()).rev() {
-            connections.swap(i, self.rng.random_range(0..=i));
+        for index in (1..connections.len()).rev() {
+            connections.swap(index, self.rng.random_range(0..=index));
         }
         if let Some(record) = self.endpoints.get_mut(id) {
-            record.migration = Some(MigrationPlan { connections, end: now + within });
+            record.migration = Some(MigrationPlan { connections, end: now + duration });
+        }
+    }
+
+    /// The connections of an endpoint that make up a fraction of its load.
+    ///
+    /// Misplaced connections cost the most and go first. A balancer has few of an endpoint's connections, so
+    /// each other one is selected with a probability that follows from its class's part of this balancer's
+    /// whole load: all balancers together select about the wanted fraction, and the classes of low priority.
+    fn select_connections(&mut self, now: Micros, id: &EndpointId, fraction: f64) -> Vec<RequestId> {
+        let class_loads = self.class_loads();
+        let total: f64 = class_loads.iter().map(|class| class.load).sum();
+        let Some(record) = self.endpoints.get(id) else { return Vec::new() };
+        let (mut selected, mut misplaced) = (Vec::new(), Vec::new());
+        for connection in &record.connections {
+            let Some(state) = self.requests.get(connection) else { continue };
+            let unknown_class = ClassLoad { priority: 0.0, load: total };
+            let own = class_loads.get(state.request.class.0).copied().unwrap_or(unknown_class);
+            let lower = class_loads.iter().filter(|class| class.priority < own.priority);
+            let lower_load: f64 = lower.map(|class| class.load).sum();
+            let probability = (fraction * total - lower_load) / own.load.max(MIN_CLASS_LOAD);
+            if fraction >= 1.0 || self.is_misplaced(&state.request, record, now) {
+                misplaced.push(*connection);
+            } else if self.rng.random::<f64>() < probability {
+                selected.push(*connection);
+            }
+        }
+        if misplaced.len() as f64 >= fraction * record.connections.len() as f64 {
+            return misplaced;
+        }
+        selected.append(&mut misplaced);
+        selected
+    }
+
+    fn class_loads(&self) -> Vec<ClassLoad> {
+        let classes = (0..self.settings.classes.len()).map(ClassId);
+        let mut class_loads: Vec<ClassLoad> =
+            classes.map(|class| ClassLoad { priority: self.class_priority(class), load: 0.0 }).collect();
+        for state in self.requests.values().filter(|state| state.established) {
+            if let Some(class) = class_loads.get_mut(state.request.class.0) {
+                class.load += self.relative_load(state);
+            }
         }
+        class_loads
     }
 
-    /// Moves as many flagged connections as keep each plan on time.
-    pub(crate) fn run_migrations(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Migrates as many connections as keep each plan on time.
+    pub(crate) fn run_migrations(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
         for record in self.endpoints.values_mut() {
             let Some(plan) = &mut record.migration else { continue };
             plan.connections.retain(|id| record.connections.contains(id));
-            let share = plan.connections.len() as f64 * TICK_INTERVAL as f64
-                / plan.end.saturating_sub(now).max(TICK_INTERVAL) as f64;
-            let count = share as usize + usize::from(self.rng.random::<f64>() < share.fract());
-            for _ in 0..count {
+            let time_left = plan.end.saturating_sub(now).max(TICK_INTERVAL);
+            let mean_count = plan.connections.len() as f64 * TICK_INTERVAL as f64 / time_left as f64;
+            let rounds_up = self.rng.random::<f64>() < mean_count.fract();
+            for _ in 0..mean_count as usize + usize::from(rounds_up) {
                 due.extend(plan.connections.pop());
             }
             if plan.connections.is_empty() {
@@ -75,12 +107,17 @@
             }
         }
         for id in due {
-            let Some(state) = self.requests.get(&id) else { continue };
-            if let (Some(key), Some(from)) = (&state.request.session_key, &state.attempt_endpoint) {
-                self.migrated_clients.insert(key.clone(), (from.clone(), now));
-            }
-            out.push(Action::Migrate(id));
-            self.release(id);
+            self.migrate(now, id, actions);
+        }
+    }
+
+    fn migrate(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(&id) else { return };
+        if let (Some(key), Some(from)) = (&state.request.session_key, &state.attempt_endpoint) {
+            let client = MigratedClient { from: from.clone(), migrated_at: now };
+            self.migrated_clients.insert(key.clone(), client);
         }
+        actions.push(Action::Migrate(id));
+        self.release(id);
     }
 }
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,177 +1,232 @@
-//! Whether an endpoint looks ill to one balancer: strikes, the time to ask again, the way back.
+//! Outlier detection: endpoints that fail are ejected, checked again, and recover at a pace; overloaded and
+//! unresponsive ones lose connections.
 //!
-//! Failures without a sign of life are strikes. [`EJECTION_FAILURES`] in a row make a suspect, which gets
-//! nothing new. It comes back by any sign of life. Where it may be probed, a probe brings that; where it may
-//! not, it gets a *turn* once its time is up: newcomers again, at a small part of its weight, until one
-//! attempt tells. No I/O, no clock; the caller says what happened.
+//! A failure without a sign of life in between is consecutive to the last. [`EJECTION_FAILURES`] of them
+//! eject an endpoint: it gets no new connection until any sign of life. Where health checks are permitted,
+//! these bring one. Where they are not, the endpoint gets a *trial* after a time: new connections again, at a
+//! small fraction of its weight, until one attempt succeeds or fails. No I/O, no clock.
 
 use crate::balancer::Balancer;
+use crate::endpoint_record::EndpointRecord;
 use crate::load_estimate::REPORT_LAG;
 use crate::migration::SHED_DURATION;
 use crate::{Action, EndpointId, Micros, Settings};
 
-/// Time-outs and failures in a row after which an endpoint gets nothing new.
+/// Consecutive failures after which an endpoint is ejected.
 pub const EJECTION_FAILURES: u32 = 2;
-/// Strikes in a row after which its connections are moved.
+/// Consecutive failures after which an endpoint is unresponsive and its connections migrate.
 pub const UNRESPONSIVE_FAILURES: u32 = 4;
-/// First wait before a suspect is asked again; it doubles up to 32 times this.
+/// Least delay before an endpoint that has failed is checked again; it doubles with each failure of an
+/// unresponsive one.
 const RECHECK_INTERVAL: Micros = 500_000;
-/// ... or after this for each balancer: all together ask a suspect at a pace that does not grow with them.
+/// The same for each balancer, so that the checks by all together do not grow with their number.
 const RECHECK_INTERVAL_PER_BALANCER: Micros = 40_000;
-/// An endpoint that answers again is led back to its full weight over this time.
+/// The delay before a check doubles at most this many times.
+const MAX_RECHECK_DOUBLINGS: u32 = 5;
+/// Longest delay before an endpoint is checked again.
+const MAX_RECHECK_INTERVAL: Micros = RECHECK_INTERVAL * 32;
+/// An endpoint that was ejected regains its full weight over this time.
 const RECOVERY_RAMP: Micros = 3_000_000;
+/// Fraction of its weight at the beginning of the recovery ramp, and during a trial.
+const MIN_RECOVERY_WEIGHT: f64 = 0.1;
 
-/// What one balancer has seen of one endpoint's health.
+/// If more than this fraction of the ready endpoints is unresponsive, the fault is probably this balancer's
+/// network, and no load is shed.
+const MAX_UNRESPONSIVE_FRACTION: f64 = 0.34;
+/// An endpoint with a higher reported load than this sheds load.
+pub(crate) const SHED_THRESHOLD: f64 = 0.9;
+/// Load that an overloaded endpoint is to have afterwards.
+const SHED_TARGET: f64 = 0.7;
+/// The same where the other endpoints have spare capacity for all of its load.
+const SHED_TARGET_WITH_SPARE_CAPACITY: f64 = 0.45;
+/// Least time between two sheddings of one endpoint, in which reports show the effect of the first; it is
+/// half of this where the other endpoints have spare capacity.
+const SHED_INTERVAL: Micros = 4_000_000;
+/// Fraction of its load that an endpoint sheds of which only slow messages are known.
+const SHED_FRACTION_UNREPORTED: f64 = 0.15;
+/// Messages are slow from this fraction of the strictest latency objective on.
+const SLOW_MESSAGE_FRACTION: f64 = 0.5;
+
+/// What one balancer has seen of one endpoint's failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutlierDetector {
-    /// Failures in a row without a sign of life.
     consecutive_failures: u32,
-    /// A suspect that has its turn, as it may not be probed.
+    /// The endpoint gets new connections although it has failed too often.
     on_trial: bool,
     recheck_at: Micros,
+    /// When it was last ejected no more, or its trial began.
     recovering_since: Option<Micros>,
 }
 
 impl OutlierDetector {
-    /// It gets nothing new.
+    /// Whether the endpoint gets no new connection.
     pub fn is_ejected(&self) -> bool {
         self.consecutive_failures >= EJECTION_FAILURES && !self.on_trial
     }
 
-    /// It has failed so often that what stands there is to move.
+    /// Whether it has failed so often that its connections are to migrate.
     pub fn is_unresponsive(&self) -> bool {
         self.consecutive_failures >= UNRESPONSIVE_FAILURES
     }
 
-    /// The last strike was the one that made it silent.
+    /// Whether the last failure was the one that made it unresponsive.
     pub fn became_unresponsive(&self) -> bool {
         self.consecutive_failures == UNRESPONSIVE_FAILURES
     }
 
-    /// One more strike would make it silent, or it is.
+    /// Whether it is unresponsive, or would be after one more failure.
     pub fn is_nearly_unresponsive(&self) -> bool {
         self.consecutive_failures + 1 >= UNRESPONSIVE_FAILURES
     }
 
-    /// A sign of life.
+    /// Records a sign of life.
     pub fn record_success(&mut self, now: Micros) {
         if self.is_ejected() {
             self.recovering_since = Some(now);
         }
-        (self.consecutive_failures, self.on_trial) = (0, false);
+        self.consecutive_failures = 0;
+        self.on_trial = false;
     }
 
-    /// A failure that may mean that it is silent. It ends a turn.
+    /// Records a failure without a sign of life; it ends a trial.
     pub fn record_failure(&mut self, now: Micros, settings: &Settings) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.on_trial = false;
-        self.schedule_check(now, settings);
+        self.schedule_check(now, settings, self.consecutive_failures);
     }
 
-    /// It is asked again later, the later the longer it has been silent.
-    pub fn schedule_check(&mut self, now: Micros, settings: &Settings) {
-        let doubled = self.consecutive_failures.saturating_sub(UNRESPONSIVE_FAILURES).min(5);
-        let all = RECHECK_INTERVAL_PER_BALANCER * Micros::from(settings.fleet_size);
-        self.recheck_at = now + (RECHECK_INTERVAL.max(all) << doubled).min(RECHECK_INTERVAL * 32);
+    /// Records that it answers, if only with an error: the next check comes after the least delay.
+    pub fn record_error_response(&mut self, now: Micros, settings: &Settings) {
+        self.schedule_check(now, settings, 0);
     }
 
-    /// It answers, if only with errors: it is asked again after the first wait.
-    pub fn record_error_response(&mut self, now: Micros, settings: &Settings) {
-        let consecutive_failures = std::mem::take(&mut self.consecutive_failures);
-        self.schedule_check(now, settings);
-        self.consecutive_failures = consecutive_failures;
+    fn schedule_check(&mut self, now: Micros, settings: &Settings, failures: u32) {
+        let doublings = failures.saturating_sub(UNRESPONSIVE_FAILURES).min(MAX_RECHECK_DOUBLINGS);
+        let fleet_interval = RECHECK_INTERVAL_PER_BALANCER * Micros::from(settings.fleet_size);
+        let interval = RECHECK_INTERVAL.max(fleet_interval) << doublings;
+        self.recheck_at = now + interval.min(MAX_RECHECK_INTERVAL);
     }
 
-    /// Whether it is to be asked whether it lives.
-    pub fn check_due(&self, now: Micros) -> bool {
+    /// Whether it has failed and is to be checked again now.
+    pub fn is_check_due(&self, now: Micros) -> bool {
         self.consecutive_failures > 0 && now >= self.recheck_at
     }
 
-    /// Lets a suspect that may not be probed have its turn. Guards against two failures that end an endpoint
-    /// for good.
+    /// Starts a trial if it is ejected. Without one, an endpoint that may not be checked would stay ejected.
     pub fn start_trial(&mut self, now: Micros) {
         if self.is_ejected() {
-            (self.on_trial, self.recovering_since) = (true, Some(now));
+            self.on_trial = true;
+            self.recovering_since = Some(now);
         }
     }
 
-    /// The part of its weight that it has: all, or less after it came back.
+    /// Fraction of its weight that it has now: 1, or less on trial and while it recovers.
     pub fn weight_fraction(&self, now: Micros) -> f64 {
-        let part = |at| (now.saturating_sub(at) as f64 / RECOVERY_RAMP as f64).clamp(0.1, 1.0);
-        // What a turn brings is not known yet: it stays at the least.
-        if self.on_trial { 0.1 } else { self.recovering_since.map_or(1.0, part) }
+        match self.recovering_since {
+            _ if self.on_trial => MIN_RECOVERY_WEIGHT,
+            Some(since) => {
+                let ramp = now.saturating_sub(since) as f64 / RECOVERY_RAMP as f64;
+                ramp.clamp(MIN_RECOVERY_WEIGHT, 1.0)
+            }
+            None => 1.0,
+        }
     }
 }
 
-/// At most this part of the ready endpoints may be held silent; beyond it the fault lies elsewhere.
-pub(crate) const MAX_UNRESPONSIVE_FRACTION: f64 = 0.34;
-/// An endpoint whose load exceeds this sheds connections ...
-pub(crate) const SHED_THRESHOLD: f64 = 0.9;
-/// ... down to this load ...
-pub(crate) const SHED_TARGET: f64 = 0.7;
-/// ... or this one, and twice as often, where the others have room for all that it holds ...
-pub(crate) const SHED_TARGET_WITH_SPARE_CAPACITY: f64 = 0.45;
-/// ... and not again before reports can show the effect.
-pub(crate) const SHED_INTERVAL: Micros = 4_000_000;
-/// Part of the connections that an endpoint sheds of which only slow messages tell.
-pub(crate) const SHED_FRACTION_UNREPORTED: f64 = 0.15;
+/// To which load an overloaded endpoint sheds, and how long until it may do so again.
+#[derive(Clone, Copy, Debug)]
+struct ShedTarget {
+    load: f64,
+    interval: Micros,
+}
+
+impl ShedTarget {
+    /// The target for an endpoint, with the load that fits on all endpoints before they are full.
+    fn new(record: &EndpointRecord, spare_load: f64) -> ShedTarget {
+        let load = record.reported_load.map_or(f64::INFINITY, |report| report.load) * record.capacity();
+        if spare_load > load {
+            ShedTarget { load: SHED_TARGET_WITH_SPARE_CAPACITY, interval: SHED_INTERVAL / 2 }
+        } else {
+            ShedTarget { load: SHED_TARGET, interval: SHED_INTERVAL }
+        }
+    }
+
+    /// The fraction of its load that the endpoint is to shed, if any.
+    fn shed_fraction(self, record: &EndpointRecord, now: Micros) -> Option<f64> {
+        let recent = record.reported_load.filter(|report| now.saturating_sub(report.at) < REPORT_LAG);
+        match recent {
+            Some(report) if report.load > SHED_THRESHOLD => Some(1.0 - self.load / report.load),
+            _ if record.has_slow_messages(now) => Some(SHED_FRACTION_UNREPORTED),
+            _ if record.outlier_detector.is_unresponsive() => Some(1.0),
+            _ => None,
+        }
+    }
+}
 
 impl Balancer {
+    /// Records a sign of life of an endpoint.
     pub(crate) fn record_success(&mut self, now: Micros, id: &EndpointId) {
         if let Some(record) = self.endpoints.get_mut(id) {
             record.outlier_detector.record_success(now);
         }
     }
 
-    /// A failure that may mean the endpoint is silent: it is asked at once whether it lives.
-    pub(crate) fn record_failure(&mut self, now: Micros, id: &EndpointId, out: &mut Vec<Action>) {
+    /// Records a failure without a sign of life, and checks the endpoint at once.
+    pub(crate) fn record_failure(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) {
         let Some(record) = self.endpoints.get_mut(id) else { return };
         record.outlier_detector.record_failure(now, &self.settings);
-        if self.settings.permissions.health_checks
-            && record.is_ready()
-            && !record.outlier_detector.is_unresponsive()
-        {
-            record.check_health(now, out);
+        let may_check = self.settings.permissions.health_checks && record.is_ready();
+        if may_check && !record.outlier_detector.is_unresponsive() {
+            record.check_health(now, actions);
         }
         if record.outlier_detector.became_unresponsive() {
-            self.shed_load(now, id, out);
+            self.shed_load(now, id, actions);
         }
     }
 
-    /// An endpoint stays silent, or its messages crawl: move its connections away, all or some.
-    pub(crate) fn shed_load(&mut self, now: Micros, id: &EndpointId, out: &mut Vec<Action>) {
-        let is_unresponsive =
-            self.endpoints.values().filter(|s| s.is_ready() && s.outlier_detector.is_unresponsive()).count();
-        // Guards against moving everybody because this balancer's own link, or all probing, has failed.
-        if is_unresponsive as f64
-            > (self.fleet_estimate.ready_endpoints as f64 * MAX_UNRESPONSIVE_FRACTION).max(1.0)
-        {
+    /// Takes the time that messages take at an endpoint; while they are slow, its load is checked and shed.
+    pub(crate) fn record_message_latency(
+        &mut self, now: Micros, id: &EndpointId, milliseconds: f64, actions: &mut Vec<Action>,
+    ) {
+        let objectives = self.settings.classes.iter().map(|class| class.message_latency_objective);
+        let strictest = objectives.filter(|objective| *objective > 0).min().unwrap_or(Micros::MAX);
+        let Some(record) = self.endpoints.get_mut(id) else { return };
+        if milliseconds * 1e3 < strictest as f64 * SLOW_MESSAGE_FRACTION {
+            record.slow_messages_at = None;
+            return;
+        }
+        record.slow_messages_at = Some(now);
+        let may_check = self.settings.permissions.health_checks && record.health_check_sent_at.is_none();
+        if may_check && !record.has_fresh_report(now) && record.is_ready() {
+            record.check_health(now, actions);
+        } else {
+            self.shed_load(now, id, actions);
+        }
+    }
+
+    /// Plans to migrate connections away from an endpoint that is overloaded, slow or unresponsive.
+    pub(crate) fn shed_load(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) {
+        if self.is_fault_elsewhere() {
             return;
         }
-        // Guards against clients left on a jammed endpoint that gets worse, bit by bit, while others are
-        // idle.
-        let room = self.fleet_estimate.spare_connections * self.fleet_estimate.connection_load;
+        let spare_load = self.fleet_estimate.spare_connections * self.fleet_estimate.connection_load;
         let Some(record) = self.endpoints.get_mut(id) else { return };
         if !record.is_ready() || now < record.next_shed_at {
             return;
         }
-        let slow = record.has_slow_messages(now);
-        let held = record.reported_load.map_or(f64::INFINITY, |(load, _)| load) * record.capacity();
-        let (target, again) = if room > held {
-            (SHED_TARGET_WITH_SPARE_CAPACITY, SHED_INTERVAL / 2)
-        } else {
-            (SHED_TARGET, SHED_INTERVAL)
-        };
-        let load =
-            record.reported_load.filter(|(_, at)| now.saturating_sub(*at) < REPORT_LAG).map(|(load, _)| load);
-        let part = match load {
-            Some(load) if load > SHED_THRESHOLD => 1.0 - target / load,
-            _ if slow => SHED_FRACTION_UNREPORTED,
-            _ if record.outlier_detector.is_unresponsive() => 1.0,
-            _ => return,
-        };
-        record.next_shed_at = now + again;
-        self.plan_migration(now, id, part, SHED_DURATION);
-        self.log(format!("{}: {:.0}% of its load is to move away", id.0, part * 100.0), out);
+        let target = ShedTarget::new(record, spare_load);
+        let Some(fraction) = target.shed_fraction(record, now) else { return };
+        record.next_shed_at = now + target.interval;
+        self.plan_migration(now, id, fraction, SHED_DURATION);
+        self.log(format!("{}: {:.0}% of its load is to move away", id.0, fraction * 100.0), actions);
+    }
+
+    /// Whether so many endpoints are unresponsive that the fault is probably not theirs.
+    fn is_fault_elsewhere(&self) -> bool {
+        let is_unresponsive =
+            |record: &&EndpointRecord| record.is_ready() && record.outlier_detector.is_unresponsive();
+        let unresponsive = self.endpoints.values().filter(is_unresponsive).count();
+        let max = (self.fleet_estimate.ready_endpoints as f64 * MAX_UNRESPONSIVE_FRACTION).max(1.0);
+        unresponsive as f64 > max
     }
 }
--- a/crates/balancer/src/rebalancing.rs
+++ b/crates/balancer/src/rebalancing.rs
@@ -1,4 +1,4 @@
-//! Migration of misplaced connections to the zone and the endpoints where they belong.
+//! Rebalancing: migration of misplaced connections to the zone and the endpoints where they belong.
 
 use rand::Rng;
 
@@ -6,51 +6,74 @@
 use crate::endpoint_record::EndpointRecord;
 use crate::migration::MigrationPlan;
 use crate::request_state::RequestState;
-use crate::{Action, Micros};
+use crate::{Action, EndpointId, Micros, RequestId};
 
-/// A stray is brought home while an endpoint there has less load than this: near a spill it crosses again ...
-pub(crate) const MAX_REBALANCING_LOAD: f64 = 0.55;
-/// ... and has stood for this long, so that reports show what came before it.
-pub(crate) const MIN_MISPLACED_TIME: Micros = 2_000_000;
-/// So many balancers a tick bring one home, however many there are: reports must keep up with all of them.
-pub(crate) const REBALANCING_BALANCERS_PER_TICK: f64 = 4.0;
+/// Connections migrate back only while the least loaded local endpoint has less load than this: near the load
+/// at which a group spills over, they would leave again.
+const MAX_REBALANCING_LOAD: f64 = 0.55;
+/// A connection is established for at least this long before it is rebalanced, so that the reports show what
+/// came before it.
+const MIN_MISPLACED_TIME: Micros = 2_000_000;
+/// Mean number of balancers, of all, that rebalance a connection in one tick: the reports must keep up.
+const REBALANCING_BALANCERS_PER_TICK: f64 = 4.0;
 
 impl Balancer {
-    /// Flags one stray, a connection that crosses zones or stands far from its group's endpoints, while a
-    /// endpoint of the own zone has room by a fresh report; the oldest first, as those have shown to last.
-    /// Guards against what was placed before the start, or by need, costing by the second to its end.
-    pub(crate) fn rebalance(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Plans to migrate one connection that crosses zones or is far from its group's endpoints, while a local
+    /// endpoint has capacity by a fresh report.
+    ///
+    /// What was placed before the start, or for want of capacity, would otherwise cost until its end.
+    pub(crate) fn rebalance(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.rng.random::<f64>() * self.fleet_size() >= REBALANCING_BALANCERS_PER_TICK {
             return;
         }
-        let near = self.endpoints.values().filter(|s| self.is_local(s) && !s.has_slow_messages(now));
-        let near = near.filter(|s| self.endpoint_weight(s, now) > 0.0).map(|s| (self.estimate(s, now), s));
-        let Some((load, near)) = near.min_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-        let near = near.endpoint.id.clone();
-        let stood = self
-            .requests
-            .iter()
-            .rev()
-            .filter(|(_, f)| f.connection_established && now >= f.sent_at + MIN_MISPLACED_TIME);
-        let stood =
-            stood.filter_map(|(id, f)| Some((*id, f, self.endpoints.get(f.attempt_endpoint.as_ref()?)?)));
-        let away = |f: &RequestState, s: &EndpointRecord| {
-            self.distance_penalty(s, self.group_copy_cost(&f.request)) > 1.0
-        };
-        let strays = stood.filter(|(_, f, s)| {
-            if away(f, s) { self.settings.rebalancing } else { self.is_misplaced(&f.request, s, now) }
-        });
-        let strays =
-            strays.filter(|(_, _, s)| s.migration.is_none()).map(|(id, _, s)| (self.estimate(s, now), id, s));
-        let Some((_, id, from)) = strays.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-        let from = from.endpoint.id.clone();
-        if let Some(record) = self.endpoints.get_mut(&near).filter(|s| !s.has_fresh_report(now)) {
-            // Where it may not be asked, a report that comes with an answer is waited for.
+        let Some((load, local)) = self.least_loaded_local_endpoint(now) else { return };
+        let Some((connection, from)) = self.misplaced_connection(now) else { return };
+        if let Some(record) = self.endpoints.get_mut(&local).filter(|record| !record.has_fresh_report(now)) {
+            // Where health checks are not permitted, the next report comes with the outcome of an attempt.
             if self.settings.permissions.health_checks {
-                record.check_health(now, out);
+                record.check_health(now, actions);
             }
-        } else if let Some(record) = self.endpoints.get_mut(&from).filter(|_| load < MAX_REBALANCING_LOAD) {
-            record.migration = Some(MigrationPlan { connections: vec![id], end: now });
+        } else if load < MAX_REBALANCING_LOAD
+            && let Some(record) = self.endpoints.get_mut(&from)
+        {
+            record.migration = Some(MigrationPlan { connections: vec![connection], end: now });
+        }
+    }
+
+    fn least_loaded_local_endpoint(&self, now: Micros) -> Option<(f64, EndpointId)> {
+        let is_usable = |record: &&EndpointRecord| {
+            self.is_local(record) && !record.has_slow_messages(now) && self.endpoint_weight(record, now) > 0.0
+        };
+        let usable = self.endpoints.values().filter(is_usable);
+        let loads = usable.map(|record| (self.estimate(record, now), record));
+        let (load, record) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        Some((load, record.endpoint.id.clone()))
+    }
+
+    /// The misplaced connection at the endpoint with the highest load, and that endpoint; of several there
+    /// the oldest, as it has shown to last.
+    fn misplaced_connection(&self, now: Micros) -> Option<(RequestId, EndpointId)> {
+        let is_settled =
+            |state: &RequestState| state.established && now >= state.sent_at + MIN_MISPLACED_TIME;
+        let settled = self.requests.iter().rev().filter(|(_, state)| is_settled(state));
+        let with_record = settled.filter_map(|(id, state)| {
+            let record = self.endpoints.get(state.attempt_endpoint.as_ref()?)?;
+            Some((*id, state, record))
+        });
+        let misplaced = with_record.filter(|(_, state, record)| {
+            self.is_to_be_rebalanced(state, record, now) && record.migration.is_none()
+        });
+        let loads = misplaced.map(|(id, _, record)| (self.estimate(record, now), id, record));
+        let (_, id, record) = loads.max_by(|a, b| a.0.total_cmp(&b.0))?;
+        Some((id, record.endpoint.id.clone()))
+    }
+
+    fn is_to_be_rebalanced(&self, state: &RequestState, record: &EndpointRecord, now: Micros) -> bool {
+        let copy_cost = self.group_copy_cost(&state.request);
+        if self.distance_penalty(record, copy_cost) > 1.0 {
+            self.settings.rebalancing
+        } else {
+            self.is_misplaced(&state.request, record, now)
         }
     }
 }
--- a/crates/balancer/src/request_state.rs
+++ b/crates/balancer/src/request_state.rs
@@ -2,41 +2,80 @@
 
 use std::collections::BTreeSet;
 
-use crate::balancer::Balancer;
-use crate::estimates::update_mean;
+use crate::balancer::{Balancer, FIRST_REQUEST_TOKEN};
 use crate::migration::{MigrationPlan, SHED_DURATION};
-use crate::{Action, CellId, EndpointId, Micros, Request, RequestId, ZoneId};
+use crate::{Action, CellId, EndpointId, Micros, Request, RequestId, TimerToken, ZoneId};
 
-/// A request, from its arrival to the last word on its attempts.
-#[derive(Default)]
+/// A request, from its arrival to the outcome of its last attempt.
+#[derive(Debug, Default)]
 pub(crate) struct RequestState {
     pub(crate) request: Request,
     pub(crate) deadline: Micros,
+    /// Attempts made so far.
     pub(crate) attempts: u32,
+    /// The endpoint of the attempt in flight, or of the established connection.
     pub(crate) attempt_endpoint: Option<EndpointId>,
-    /// Endpoints that failed this request.
+    /// Endpoints where an attempt of this request has failed.
     pub(crate) failed_endpoints: BTreeSet<EndpointId>,
-    /// The first endpoint on which it may have run, and when it was sent there.
-    pub(crate) possible_run: Option<(Option<ZoneId>, CellId, Micros)>,
+    /// The first attempt that may have run.
+    pub(crate) possible_run: Option<PossibleRun>,
+    /// When the last attempt was sent, or the request arrived.
     pub(crate) sent_at: Micros,
     pub(crate) pending: Option<PendingRequest>,
+    /// Rounds of health checks since the last attempt or deferral.
     pub(crate) health_check_rounds: u32,
-    pub(crate) connection_established: bool,
-    /// Load in microseconds a second, where told.
+    pub(crate) established: bool,
+    /// Load of the connection in microseconds of work a second, where known.
     pub(crate) connection_load: Option<f64>,
+    /// No answer is owed any more; only the outcome of the attempt in flight is awaited.
     pub(crate) finished: bool,
 }
 
-/// A held request: until when, and whose probe answers it waits for.
+/// Where and when an attempt was sent that may have run.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleRun {
+    pub(crate) zone: Option<ZoneId>,
+    pub(crate) cell: CellId,
+    pub(crate) sent_at: Micros,
+}
+
+/// Until when a request waits, and for which endpoints' health checks.
+#[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) until: Micros,
     pub(crate) health_checks: BTreeSet<EndpointId>,
 }
 
+/// The timer of a pending request.
+pub(crate) fn pending_token(id: RequestId) -> TimerToken {
+    TimerToken(FIRST_REQUEST_TOKEN + u64::from(id.0))
+}
+
+/// The request of a timer that [`pending_token`] has named.
+fn request_of_token(token: TimerToken) -> Option<RequestId> {
+    u32::try_from(token.0.saturating_sub(FIRST_REQUEST_TOKEN)).map(RequestId).ok()
+}
+
 impl Balancer {
-    pub(crate) fn new_request_state(&mut self, now: Micros, request: Request) -> RequestState {
-        if let Some(hint) = request.expected_load {
-            update_mean(&mut self.mean_connection_load, hint);
+    pub(crate) fn accept_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let state = self.new_request_state(now, request);
+        self.requests.insert(id, state);
+        self.route(now, id, actions);
+    }
+
+    pub(crate) fn adopt_connection(&mut self, now: Micros, request: Request, endpoint: EndpointId) {
+        let id = request.id;
+        let mut state = self.new_request_state(now, request);
+        state.attempts = 1;
+        state.attempt_endpoint = Some(endpoint.clone());
+        self.requests.insert(id, state);
+        self.connection_established(now, id, endpoint);
+    }
+
+    fn new_request_state(&mut self, now: Micros, request: Request) -> RequestState {
+        if let Some(expected_load) = request.expected_load {
+            self.connection_loads.record_expected(expected_load);
         }
         RequestState {
             deadline: now.saturating_add(request.time_remaining),
@@ -47,69 +86,67 @@
         }
     }
 
-    pub(crate) fn accept_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
-        let id = request.id;
-        let state = self.new_request_state(now, request);
-        self.requests.insert(id, state);
-        self.route(now, id, out);
-    }
-
-    pub(crate) fn adopt_connection(&mut self, now: Micros, request: Request, record: EndpointId) {
-        let id = request.id;
-        let state = RequestState {
-            attempts: 1,
-            attempt_endpoint: Some(record.clone()),
-            ..self.new_request_state(now, request)
-        };
-        self.requests.insert(id, state);
-        self.connection_established(now, id, record);
-    }
-
-    pub(crate) fn connection_established(&mut self, now: Micros, id: RequestId, at: EndpointId) {
-        self.record_success(now, &at);
+    pub(crate) fn connection_established(&mut self, now: Micros, id: RequestId, endpoint: EndpointId) {
+        self.record_success(now, &endpoint);
         let Some(state) = self.requests.get_mut(&id) else { return };
         if state.finished {
             return;
         }
-        state.connection_established = true;
+        state.established = true;
         self.connection_count += 1;
         if let Some(group) = &state.request.affinity_group {
             *self.group_connections.entry(group.clone()).or_insert(0) += 1;
         }
-        if let Some(key) = &state.request.session_key {
-            self.sticky_endpoints.insert(key.clone(), (at.clone(), now));
-        }
-        if let Some(record) = self.endpoints.get_mut(&at) {
+        let session_key = state.request.session_key.clone();
+        if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.connections.insert(id);
-            // It drained while the connection was being set up: the new one is flagged with the rest.
+            // It began to leave while the connection was being set up: this one migrates with the others.
             if record.leaving_since.is_some() {
                 let end = now + SHED_DURATION;
-                record
-                    .migration
-                    .get_or_insert(MigrationPlan { connections: Vec::new(), end })
-                    .connections
-                    .push(id);
+                let new_plan = || MigrationPlan { connections: Vec::new(), end };
+                record.migration.get_or_insert_with(new_plan).connections.push(id);
             }
         }
+        if let Some(key) = session_key {
+            self.set_sticky_endpoint(now, key, endpoint);
+        }
+    }
+
+    /// Makes a request wait, as its [`PendingRequest`] says.
+    pub(crate) fn enqueue_pending(&mut self, state: RequestState) {
+        self.pending_requests.insert(state.request.id);
+        self.requests.insert(state.request.id, state);
+    }
+
+    /// The timer of a pending request has fired; it may have been set for an earlier wait of the same
+    /// request.
+    pub(crate) fn pending_timer_fired(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
+        let Some(id) = request_of_token(token) else { return };
+        let pending = self.requests.get(&id).and_then(|state| state.pending.as_ref());
+        if pending.is_some_and(|pending| now >= pending.until) {
+            self.route(now, id, actions);
+        }
     }
 
-    /// Forgets what a request holds; it stays known only while an attempt is out.
+    /// Finishes a request and its connection. Its state is kept only while an attempt is in flight.
     pub(crate) fn release(&mut self, id: RequestId) {
         self.pending_requests.remove(&id);
         let Some(state) = self.requests.get_mut(&id) else { return };
         state.finished = true;
-        if std::mem::take(&mut state.connection_established) {
+        if std::mem::take(&mut state.established) {
             self.connection_count -= 1;
-            if let Some(count) =
-                state.request.affinity_group.as_ref().and_then(|g| self.group_connections.get_mut(g))
-            {
+            let group = state.request.affinity_group.as_ref();
+            if let Some(count) = group.and_then(|group| self.group_connections.get_mut(group)) {
                 *count -= 1;
             }
             self.group_connections.retain(|_, count| *count > 0);
         }
-        match state.attempt_endpoint.as_ref().map(|at| self.endpoints.get_mut(at)) {
-            None => drop(self.requests.remove(&id)),
-            Some(record) => drop(record.map(|s| s.connections.remove(&id))),
+        let Some(endpoint) = &state.attempt_endpoint else {
+            self.requests.remove(&id);
+            return;
+        };
+        if let Some(record) = self.endpoints.get_mut(endpoint) {
+            record.connections.remove(&id);
         }
     }
 }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,91 +1,125 @@
-//! Whether a request may be attempted again after an outcome.
+//! Outcomes of attempts, and whether a request may be attempted again or rejected.
 
 use crate::admission::FULL_LOAD;
 use crate::balancer::Balancer;
-use crate::request_state::RequestState;
-use crate::unreported_load::is_unreported;
+use crate::request_state::{PossibleRun, RequestState};
+use crate::unreported_load::{is_unreported, load_after_failure};
 use crate::{
     Action, CellId, DeduplicationScope, Endpoint, EndpointId, Idempotency, LoadReport, Micros, Outcome,
-    RequestId, unreported_load,
+    RequestId,
 };
 
+/// The one result of an attempt, see [`crate::Event::AttemptEnded`].
+#[derive(Debug)]
+pub(crate) struct EndedAttempt {
+    pub(crate) id: RequestId,
+    pub(crate) outcome: Outcome,
+    pub(crate) closed: bool,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) report: Option<LoadReport>,
+}
+
 impl Balancer {
-    /// The request's reach and the rules of repetition: whether it may be sent to this endpoint now.
-    pub(crate) fn may_send(&self, state: &RequestState, entry: &Endpoint, now: Micros) -> bool {
-        let reach = state.request.allowed_zones.contains(entry.zone);
-        let Some((zone, cell, since)) = state.possible_run.filter(|_| reach) else { return reach };
-        match self.class(state).map(|c| c.idempotency) {
+    /// Whether a request may be sent to an endpoint now, by its allowed zones and its class's idempotency.
+    pub(crate) fn may_send(&self, state: &RequestState, endpoint: &Endpoint, now: Micros) -> bool {
+        if !state.request.allowed_zones.contains(endpoint.zone) {
+            return false;
+        }
+        let Some(run) = state.possible_run else { return true };
+        match self.idempotency(state) {
             Some(Idempotency::Idempotent) => true,
             Some(Idempotency::IdempotencyKey { scope, window }) => {
-                let within = match scope {
+                let is_in_scope = match scope {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => entry.zone == zone,
-                    DeduplicationScope::Cell => entry.cell == cell && entry.zone == zone,
+                    DeduplicationScope::Zone => endpoint.zone == run.zone,
+                    DeduplicationScope::Cell => endpoint.cell == run.cell && endpoint.zone == run.zone,
                 };
-                within && now.saturating_sub(since) < window
+                is_in_scope && now.saturating_sub(run.sent_at) < window
             }
-            _ => false,
+            Some(Idempotency::AtMostOnce) | None => false,
         }
     }
 
-    /// Whether a refusal, which tells the client that a repeat is harmless, would be true.
+    /// Whether a request may be rejected, which tells the client that a repeat is harmless.
     pub(crate) fn may_reject(&self, state: &RequestState) -> bool {
-        let effect = self.class(state).map(|c| c.idempotency);
-        let harmless = matches!(
-            effect,
-            Some(
-                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
-            )
-        );
-        harmless || state.possible_run.is_none()
+        match self.idempotency(state) {
+            Some(Idempotency::Idempotent)
+            | Some(Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }) => true,
+            _ => state.possible_run.is_none(),
+        }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(crate) fn attempt_ended(
-        &mut self, now: Micros, id: RequestId, outcome: Outcome, closed: bool, at: EndpointId,
-        report: Option<LoadReport>, out: &mut Vec<Action>,
-    ) {
+    /// The time before which a request's next attempt must be sent, where endpoints know of an earlier
+    /// attempt only for a time.
+    pub(crate) fn send_before(&self, state: &RequestState) -> Option<Micros> {
+        match (state.possible_run, self.idempotency(state)) {
+            (Some(run), Some(Idempotency::IdempotencyKey { window, .. })) => Some(run.sent_at + window),
+            _ => None,
+        }
+    }
+
+    fn idempotency(&self, state: &RequestState) -> Option<Idempotency> {
+        self.class(state).map(|class| class.idempotency)
+    }
+
+    /// Takes the outcome of an attempt, and attempts the request again, rejects it or fails it if an answer
+    /// is still owed.
+    pub(crate) fn attempt_ended(&mut self, now: Micros, attempt: EndedAttempt, actions: &mut Vec<Action>) {
+        let EndedAttempt { id, outcome, closed, endpoint, report } = attempt;
         if let Some(report) = report {
-            self.record_report(now, &at, &report);
+            self.record_report(now, &endpoint, &report);
         }
         let Some(state) = self.requests.get(&id) else { return };
-        let (stood, over, mid_flow) = (state.connection_established, state.finished, state.request.mid_flow);
-        // One that turns away is up, and full. A jammed one drops connections: it is full until a report says
-        // otherwise. Guards against clients that bounce between jammed endpoints, each adding to the jam.
-        let dropped = outcome == Outcome::Reset && !mid_flow && !over;
-        let blind = is_unreported(&self.settings);
-        if let Some(record) = self.endpoints.get_mut(&at).filter(|_| dropped || outcome == Outcome::Rejected)
-        {
-            let least = if blind { unreported_load::load_after_failure(dropped) } else { FULL_LOAD };
-            if blind {
-                self.throttle.record_loss(now);
-            }
-            record.reported_load =
-                Some((record.reported_load.map_or(least, |(load, _)| load.max(least)), now));
+        let (was_established, was_finished) = (state.established, state.finished);
+        let was_dropped = outcome == Outcome::Reset && !state.request.mid_flow && !was_finished;
+        if was_dropped || outcome == Outcome::Rejected {
+            self.record_overload(now, &endpoint, was_dropped);
         }
         match outcome {
-            Outcome::Ok | Outcome::Error if !stood => self.record_success(now, &at),
-            Outcome::Timeout | Outcome::ConnectFailed => self.record_failure(now, &at, out),
-            Outcome::Reset if dropped => self.record_failure(now, &at, out),
+            Outcome::Ok | Outcome::Error if !was_established => self.record_success(now, &endpoint),
+            Outcome::Timeout | Outcome::ConnectFailed => self.record_failure(now, &endpoint, actions),
+            Outcome::Reset if was_dropped => self.record_failure(now, &endpoint, actions),
             _ => {}
         }
         self.release(id);
         let Some(mut state) = self.requests.remove(&id) else { return };
-        if closed || over {
+        if closed || was_finished {
             return;
         }
+        self.reset_after_attempt(&mut state, endpoint, outcome);
+        if outcome == Outcome::NotSent {
+            return self.reject_or_fail(state, actions);
+        }
+        self.requests.insert(id, state);
+        self.route(now, id, actions);
+    }
+
+    /// Takes an endpoint that has rejected an attempt or dropped a connection to be full until a report says
+    /// otherwise.
+    ///
+    /// Clients would otherwise bounce between overloaded endpoints and add to the overload of each.
+    fn record_overload(&mut self, now: Micros, endpoint: &EndpointId, was_dropped: bool) {
+        let Some(record) = self.endpoints.get_mut(endpoint) else { return };
+        if is_unreported(&self.settings) {
+            self.throttle.record_loss(now);
+            record.raise_load(now, load_after_failure(was_dropped));
+        } else {
+            record.raise_load(now, FULL_LOAD);
+        }
+    }
+
+    /// Prepares a request whose attempt has failed for the next one.
+    fn reset_after_attempt(&self, state: &mut RequestState, endpoint: EndpointId, outcome: Outcome) {
         state.finished = false;
         state.attempt_endpoint = None;
         if !outcome.proves_not_run() && state.possible_run.is_none() {
-            let entry = self.endpoints.get(&at).map(|s| &s.endpoint);
-            state.possible_run =
-                Some((entry.and_then(|e| e.zone), entry.map_or(CellId(0), |e| e.cell), state.sent_at));
+            let known = self.endpoints.get(&endpoint).map(|record| &record.endpoint);
+            state.possible_run = Some(PossibleRun {
+                zone: known.and_then(|known| known.zone),
+                cell: known.map_or(CellId(0), |known| known.cell),
+                sent_at: state.sent_at,
+            });
         }
-        state.failed_endpoints.insert(at);
-        if outcome == Outcome::NotSent {
-            return self.reject_or_fail(state, out);
-        }
-        self.requests.insert(id, state);
-        self.route(now, id, out);
+        state.failed_endpoints.insert(endpoint);
     }
 }
--- a/crates/balancer/src/unreported_load.rs
+++ b/crates/balancer/src/unreported_load.rs
@@ -1,27 +1,34 @@
-//! What a balancer may believe of an endpoint's load where the settings give no reports.
+//! Estimates of load where the settings say that endpoints report none, and adaptive throttling there.
 //!
-//! Its own connections are a sample of all: one in so many balancers sees one in so many connections. If
-//! endpoints' true loads differ by a factor that is gamma-distributed with shape k about the fleet's mean,
-//! and own connections are a Poisson sample, the best estimate of an endpoint's load is `mean * (k + own) /
-//! (k + expected)`, where `expected` is what its size would have of the own ones. Few own connections leave
-//! the mean, many give the sample's word. Failures tell more: an endpoint that turns newcomers away is full,
-//! one that drops open connections has more work than it can do. No I/O, no clock.
+//! A balancer's own connections are a sample of all: one of R balancers sees one in R connections. If the
+//! endpoints' loads differ by a factor that is gamma-distributed with shape `k` about the fleet's mean, and
+//! own connections are a Poisson sample, the best estimate of an endpoint's load is `mean * (k + own) / (k +
+//! expected)`, where `expected` is the number of own connections by its capacity. Few own connections leave
+//! the mean, many override it. Failures tell more: an endpoint that rejects connections is full, and one that
+//! drops open connections is overloaded. No I/O, no clock.
 
 use crate::{LoadReportSource, Micros, Settings};
 
-/// The shape k: loads that differ by 40% of their mean.
+/// The shape `k`: loads differ by 40% of their mean.
 const LOAD_SHAPE: f64 = 6.0;
-/// Load of an endpoint that drops open connections ...
+/// Load of an endpoint that has just dropped an open connection.
 const LOAD_AFTER_RESET: f64 = 1.0;
-/// ... and of one that turns newcomers away. Both fade with the trust in a report.
+/// Load of an endpoint that has just rejected a connection.
 const LOAD_AFTER_REJECTION: f64 = 0.85;
-
-/// Load of one connection on an endpoint of weight 1 until own connections tell. No setting tells it. Taken
-/// too high, cold endpoints idle while the warm ones jam, and nothing would correct it; taken too low, the
-/// margin below the rule on cold endpoints shrinks. At this one an endpoint of weight 1 holds fifty.
+/// Load of one connection on an endpoint of weight 1 until own connections tell; no setting says it.
+///
+/// If it is too high, endpoints in slow start stay idle while others are overloaded, and nothing corrects it.
+/// If it is too low, the margin below what they bear shrinks.
 const UNREPORTED_CONNECTION_LOAD: f64 = 0.02;
 
-/// Whether nothing ever tells the load of an endpoint.
+/// Requests and losses are forgotten by 1/e over this time, in microseconds.
+const LOSS_MEMORY: f64 = 6e6;
+/// Losses that do not count: endpoints end and restart one by one.
+const IGNORED_LOSSES: f64 = 1.0;
+/// Fraction of this balancer's recent requests whose loss shows an overloaded fleet.
+const PRESSURE_LOSS_RATIO: f64 = 0.1;
+
+/// Whether no endpoint ever reports its load.
 pub fn is_unreported(settings: &Settings) -> bool {
     settings.load_reports == LoadReportSource::Unavailable
 }
@@ -31,60 +38,57 @@
     if is_unreported(settings) { UNREPORTED_CONNECTION_LOAD } else { reported }
 }
 
-/// An endpoint's load, of which nothing is known but own connections: there, and as its size would have of
-/// all own ones.
+/// Estimates an endpoint's load from the fleet's mean, the number of own connections there, and the number
+/// expected by its capacity.
 pub fn estimate_load(mean: f64, own: usize, expected: f64) -> f64 {
     mean * (LOAD_SHAPE + own as f64) / (LOAD_SHAPE + expected.max(0.0))
 }
 
-/// Asks and losses are forgotten by 1/e over this.
-const LOSS_MEMORY: f64 = 6e6;
-/// So many losses say nothing: endpoints end and restart one by one.
-const IGNORED_LOSSES: f64 = 1.0;
-/// Part of the own asks of late whose loss shows a jam.
-const PRESSURE_LOSS_RATIO: f64 = 0.1;
+/// Least load of an endpoint that has just dropped an open connection, or else rejected a new one.
+pub fn load_after_failure(was_dropped: bool) -> f64 {
+    if was_dropped { LOAD_AFTER_RESET } else { LOAD_AFTER_REJECTION }
+}
 
-/// Adaptive throttling: how many of the own asks of late were lost, where no report tells that the fleet has
-/// no room.
+/// Adaptive throttling: rejects as large a fraction of the requests, unsent, as was lost of late.
 ///
-/// A jammed endpoint drops connections, which come again and jam the next one; that feeds itself. So as many
-/// asks are turned away unsent as were lost of late, by group: groups are kept or turned away whole, and the
-/// endpoints that hold one pay its cost for more of its connections.
+/// An overloaded endpoint drops connections, whose clients return and overload the next one. Affinity groups
+/// are kept or rejected as a whole, so that the endpoints that pay a group's cost have more connections of
+/// it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdaptiveThrottle {
+    /// Recent requests, those rejected here included.
     requests: f64,
+    /// Recent losses to overload.
     losses: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 impl AdaptiveThrottle {
-    fn fade(&mut self, now: Micros) {
-        let left = (-(now.saturating_sub(self.at) as f64) / LOSS_MEMORY).exp();
-        *self = AdaptiveThrottle { requests: self.requests * left, losses: self.losses * left, at: now };
+    fn decay(&mut self, now: Micros) {
+        let left = (-(now.saturating_sub(self.updated_at) as f64) / LOSS_MEMORY).exp();
+        self.requests *= left;
+        self.losses *= left;
+        self.updated_at = now;
     }
 
-    /// A connection was dropped, or an attempt turned away, for want of room.
+    /// Records that a connection was dropped or rejected for want of capacity.
     pub fn record_loss(&mut self, now: Micros) {
-        self.fade(now);
+        self.decay(now);
         self.losses += 1.0;
     }
 
-    /// Whether many of the own asks of late were lost: those that hold the connections are jammed, whatever
-    /// is believed of them.
+    /// Whether so many recent requests were lost that the endpoints in use are overloaded, whatever their
+    /// estimated load.
     pub fn is_under_pressure(&self) -> bool {
         self.losses - IGNORED_LOSSES > PRESSURE_LOSS_RATIO * self.requests
     }
 
-    /// Takes an ask; true if it is to be turned away. The draw is uniform on 0 to 1, the same for all asks of
-    /// a group.
+    /// Records a request and returns whether it should be rejected.
+    ///
+    /// `draw` is uniform on 0 to 1 and the same for all requests of an affinity group.
     pub fn should_reject(&mut self, now: Micros, draw: f64) -> bool {
-        self.fade(now);
+        self.decay(now);
         self.requests += 1.0;
         draw < (self.losses - IGNORED_LOSSES) / (self.requests + 1.0)
     }
 }
-
-/// The least load of an endpoint that has just dropped a connection, or else turned one away.
-pub fn load_after_failure(dropped: bool) -> f64 {
-    if dropped { LOAD_AFTER_RESET } else { LOAD_AFTER_REJECTION }
-}
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -33,15 +33,15 @@
 /// When each call of all balancers came, if every one of them uses every slot that is open from `from` on.
 fn calls(rules: &Rules, holds: f64, balancers: usize, from: Micros, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let rate = slow_start::rate(rules, holds, balancers as f64);
-    let mut slots: Vec<SlowStartBudget> =
+    let rate = slow_start::budget_rate(rules, holds, balancers as f64);
+    let mut budgets: Vec<SlowStartBudget> =
         (0..balancers).map(|_| SlowStartBudget::new(rng.random())).collect();
     let mut calls = Vec::new();
     for step in from / (20 * MS)..rules.slow_start_duration / (20 * MS) {
         let now = START + step * 20 * MS;
-        for slots in &mut slots {
-            if slots.is_open(rules, START, now, rate) {
-                slots.consume(rules, START, now, rate);
+        for budget in &mut budgets {
+            if budget.allows(rules, START, now, rate) {
+                budget.consume(rules, START, now, rate);
                 calls.push(now);
             }
         }
@@ -53,7 +53,7 @@
 fn fullest(rules: &Rules, holds: f64, calls: &[Micros], k: f64) -> f64 {
     let part = |(i, from): (usize, &Micros)| {
         let there = calls[i..].iter().take_while(|at| **at < from + rules.overload_duration).count() as f64;
-        let capacity = slow_start::warmth(rules, START, from + rules.overload_duration) * holds
+        let capacity = slow_start::warm_up_fraction(rules, START, from + rules.overload_duration) * holds
             / rules.slow_start_duration as f64;
         let n = rules.overload_factor * capacity * rules.overload_duration as f64;
         there / (n + k * n.sqrt() + k)
