--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -18,19 +18,20 @@
     assert!(!breaker.is_half_open(START + 2 * HALF_OPEN_AFTER), "one was placed");
 }
 
-/// When requests that come every 0.3 s for ten seconds are placed, card servers reporting this load.
+/// When requests that come every 0.3 s for ten seconds are placed, endpoints reporting this load.
 fn placed_at(load: f64) -> Vec<Micros> {
-    let servers = [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))];
-    let mut bench = Bench::new(Settings { fleet_size: 100, ..settings() }, 5, &servers);
+    let endpoints = [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))];
+    let mut harness = Harness::new(Settings { fleet_size: 100, ..settings() }, 5, &endpoints);
     let mut placed = Vec::new();
     for id in 0..33 {
-        let (at, asked) = (bench.now - START, Request { affinity_group: group("g"), ..request(id) });
+        let (at, asked) =
+            (harness.now - START, Request { affinity_group: affinity_group("g"), ..request(id) });
         // Each has a little more time than one attempt takes, so that none waits for long.
-        bench.feed(Event::Request(Request { time_remaining: SECOND * 7 / 10, ..asked }));
-        bench.pass(SECOND * 3 / 10);
-        if bench.places(id) > 0 {
+        harness.handle(Event::Request(Request { time_remaining: SECOND * 7 / 10, ..asked }));
+        harness.advance(SECOND * 3 / 10);
+        if harness.attempt_count(id) > 0 {
             placed.push(at);
-            bench.end(id, 0, Outcome::Rejected, true);
+            harness.end_attempt(id, 0, Outcome::Rejected, true);
         }
     }
     placed
@@ -46,7 +47,7 @@
     assert!(placed.windows(2).all(|two| two[1] - two[0] >= HALF_OPEN_AFTER), "{placed:?}");
 }
 
-/// A card server that says it has more than it can do is no place to try.
+/// An endpoint that says it has more than it can do is no place to try.
 #[test]
 fn nobody_is_sent_to_servers_that_report_more_than_they_can_do() {
     assert_eq!(placed_at(1.05), []);
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -1,4 +1,4 @@
-//! Long random but legal sequences of events, checked against what must hold whatever the servers do.
+//! Long random but legal sequences of events, checked against what must hold whatever the endpoints do.
 
 mod support;
 
@@ -45,11 +45,11 @@
 
 impl World {
     fn entry(&self, i: u32) -> Endpoint {
-        Endpoint { zone: Some(ZoneId((i % 3) as usize)), ..ready(&format!("s{i}:1")) }
+        Endpoint { zone: Some(ZoneId((i % 3) as usize)), ..ready_endpoint(&format!("s{i}:1")) }
     }
 
     fn list(&self) -> Event {
-        full(self.entries.values().cloned().collect())
+        full_update(self.entries.values().cloned().collect())
     }
 
     /// Checks an action against the rules and takes note of what it starts.
@@ -60,10 +60,10 @@
                 self.serial += 1;
                 self.timers.insert((self.now + delay.max(1), self.serial, token.0));
             }
-            Action::CheckHealth(server) => self.probes.push(server),
-            Action::Forward { id, endpoint: server, timeout, .. } => {
-                let entry = self.entries.get(&server).expect("a server of the list").clone();
-                if let Some(told) = self.told.get(&server) {
+            Action::CheckHealth(endpoint) => self.probes.push(endpoint),
+            Action::Forward { id, endpoint, timeout, .. } => {
+                let entry = self.entries.get(&endpoint).expect("an endpoint of the list").clone();
+                if let Some(told) = self.told.get(&endpoint) {
                     assert!(self.now <= told + SECOND, "a drain is not kept");
                 }
                 let open = self.open.get_mut(&id.0).expect("a request that is open");
@@ -79,7 +79,7 @@
                         Idempotency::AtMostOnce => panic!("an effect twice"),
                     }
                 }
-                open.out = Some((open.sent, server, self.now + timeout));
+                open.out = Some((open.sent, endpoint, self.now + timeout));
                 open.sent += 1;
                 assert!(open.sent <= 4, "too many attempts");
             }
@@ -98,8 +98,8 @@
             Action::Migrate(id) => {
                 let open = self.open.remove(&id.0).expect("a move of an open connection");
                 assert!(open.stands, "only what stands is moved");
-                let (attempt, server, _) = open.out.expect("its attempt");
-                self.late.insert(id.0, (attempt, server));
+                let (attempt, endpoint, _) = open.out.expect("its attempt");
+                self.late.insert(id.0, (attempt, endpoint));
             }
             Action::Watch(_) | Action::Log(_) => {}
             other => panic!("not permitted here: {other:?}"),
@@ -116,11 +116,11 @@
 
     fn outcome(&mut self, balancer: &mut Balancer, id: u32, outcome: Outcome) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        let Some((attempt, server, _)) = open.out.take() else { return };
+        let Some((attempt, endpoint, _)) = open.out.take() else { return };
         let closed = open.stands || outcome == Outcome::Ok;
         if !closed && !outcome.proves_not_run() {
             open.may_have_run = true;
-            let zone = self.entries.get(&server).and_then(|e| e.zone);
+            let zone = self.entries.get(&endpoint).and_then(|e| e.zone);
             open.first_risk.get_or_insert((zone, self.now));
         }
         if closed {
@@ -131,7 +131,7 @@
             attempt: AttemptId(attempt),
             outcome,
             closed,
-            endpoint: server,
+            endpoint,
             elapsed: 1_000,
             report: None,
         };
@@ -164,7 +164,7 @@
 
 fn run(seed: u64) -> Vec<Action> {
     let mut settings = Settings { fleet_size: 3, discovery: DiscoveryMode::OnRequest, ..settings() };
-    settings.classes = effects().into_iter().map(class).collect();
+    settings.classes = effects().into_iter().map(request_class).collect();
     let mut balancer = Balancer::new(settings, seed, START).expect("sound settings");
     let mut w = World {
         rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
@@ -181,20 +181,20 @@
     w.entries = (0..8).map(|i| w.entry(i)).map(|e| (e.id.clone(), e)).collect();
     let list = w.list();
     w.handle(&mut balancer, list);
-    let adopted = Request { affinity_group: group("g0"), ..request(1_000_000) };
+    let adopted = Request { affinity_group: affinity_group("g0"), ..request(1_000_000) };
     w.open.insert(
         1_000_000,
         Open {
             class: 0,
             deadline: Micros::MAX - SECOND,
             sent: 1,
-            out: Some((0, sid("s0:1"), Micros::MAX)),
+            out: Some((0, endpoint_id("s0:1"), Micros::MAX)),
             stands: true,
             may_have_run: false,
             first_risk: None,
         },
     );
-    w.handle(&mut balancer, Event::ConnectionAdopted(adopted, sid("s0:1")));
+    w.handle(&mut balancer, Event::ConnectionAdopted(adopted, endpoint_id("s0:1")));
     for step in 0..6_000u32 {
         w.now += w.rng.random_range(0..6_000);
         w.settle(&mut balancer);
@@ -214,7 +214,7 @@
                 let request = Request {
                     class: ClassId(class),
                     session_key: Some(SessionKey(Arc::from(format!("k{}", w.rng.random_range(0..200))))),
-                    affinity_group: group(&format!("g{}", w.rng.random_range(0..5))),
+                    affinity_group: affinity_group(&format!("g{}", w.rng.random_range(0..5))),
                     time_remaining: left,
                     mid_flow: w.rng.random_range(0..10) == 0,
                     allowed_zones: ZoneSet::ALL,
@@ -238,11 +238,11 @@
                 if let Some(id) = pick(&mut w, false) {
                     let open = w.open.get_mut(&id).expect("picked");
                     open.stands = true;
-                    let (attempt, server, _) = open.out.clone().expect("out");
+                    let (attempt, endpoint, _) = open.out.clone().expect("out");
                     let event = Event::ConnectionEstablished {
                         id: RequestId(id),
                         attempt: AttemptId(attempt),
-                        endpoint: server,
+                        endpoint,
                         elapsed: 500,
                     };
                     w.handle(&mut balancer, event);
@@ -264,15 +264,15 @@
                 }
             }
             65..=84 => {
-                for server in std::mem::take(&mut w.probes) {
+                for endpoint in std::mem::take(&mut w.probes) {
                     let outcome =
                         [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected]
                             [w.rng.random_range(0..5)];
                     let at = w.rng.random_range(0.0..1.3);
-                    let report = (outcome == Outcome::Ok).then(|| load(at)).flatten();
+                    let report = (outcome == Outcome::Ok).then(|| load_report(at)).flatten();
                     w.handle(
                         &mut balancer,
-                        Event::HealthCheckEnded { endpoint: server, outcome, elapsed: 900, report },
+                        Event::HealthCheckEnded { endpoint, outcome, elapsed: 900, report },
                     );
                 }
             }
@@ -297,7 +297,7 @@
                     w.told.entry(entry.id.clone()).or_insert(w.now);
                 }
                 w.entries.insert(entry.id.clone(), entry.clone());
-                w.handle(&mut balancer, delta(vec![entry]));
+                w.handle(&mut balancer, delta_update(vec![entry]));
             }
             88..=90 => w.handle(
                 &mut balancer,
@@ -305,13 +305,13 @@
             ),
             91..=93 => {
                 let late = std::mem::take(&mut w.late);
-                for (id, (attempt, server)) in late {
+                for (id, (attempt, endpoint)) in late {
                     let event = Event::AttemptEnded {
                         id: RequestId(id),
                         attempt: AttemptId(attempt),
                         outcome: Outcome::Cancelled,
                         closed: true,
-                        endpoint: server,
+                        endpoint,
                         elapsed: 1,
                         report: None,
                     };
@@ -320,7 +320,7 @@
             }
             94..=96 => {
                 if let Some(id) = pick(&mut w, true) {
-                    let (attempt, server, _) = w.open[&id].out.clone().expect("out");
+                    let (attempt, endpoint, _) = w.open[&id].out.clone().expect("out");
                     let note = if w.rng.random_range(0..2) == 0 {
                         ConnectionUpdate::Load(9_000.0)
                     } else {
@@ -329,7 +329,7 @@
                     let event = Event::ConnectionUpdated {
                         id: RequestId(id),
                         attempt: AttemptId(attempt),
-                        endpoint: server,
+                        endpoint,
                         update: note,
                     };
                     w.handle(&mut balancer, event);
@@ -338,9 +338,9 @@
             _ => {
                 if let Some(id) = pick(&mut w, false) {
                     let open = w.open.remove(&id).expect("picked");
-                    let (attempt, server, _) = open.out.expect("out");
+                    let (attempt, endpoint, _) = open.out.expect("out");
                     w.handle(&mut balancer, Event::ClientLeft(RequestId(id)));
-                    w.late.insert(id, (attempt, server));
+                    w.late.insert(id, (attempt, endpoint));
                 }
             }
         }
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What all balancers together send to a cold server: sums over instances that know nothing of each other.
+//! What all balancers together send to a cold endpoint: sums over instances that know nothing of each other.
 
 use honeyknot_balancer::slow_start::{self, SlowStartBudget};
 use honeyknot_balancer::{Micros, Rules};
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -10,7 +10,7 @@
 pub const SECOND: Micros = 1_000_000;
 pub const START: Micros = 1_000 * SECOND;
 
-pub fn class(effect: Idempotency) -> RequestClass {
+pub fn request_class(effect: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: SECOND / 2,
         latency_objective_stretch: 0.0,
@@ -28,7 +28,7 @@
         fleet_size: 1,
         fleet_index: 0,
         zone: None,
-        classes: vec![class(Idempotency::Idempotent)],
+        classes: vec![request_class(Idempotency::Idempotent)],
         tenants: Vec::new(),
         over_quota_weight: 0.1,
         weight_by_work: false,
@@ -72,13 +72,13 @@
     }
 }
 
-pub fn sid(name: &str) -> EndpointId {
+pub fn endpoint_id(name: &str) -> EndpointId {
     EndpointId(Arc::from(name))
 }
 
-pub fn ready(name: &str) -> Endpoint {
+pub fn ready_endpoint(name: &str) -> Endpoint {
     Endpoint {
-        id: sid(name),
+        id: endpoint_id(name),
         kind: None,
         weight: 1.0,
         started_at: 0,
@@ -88,15 +88,15 @@
     }
 }
 
-pub fn draining(name: &str) -> Endpoint {
-    Endpoint { state: EndpointState::Draining, ..ready(name) }
+pub fn draining_endpoint(name: &str) -> Endpoint {
+    Endpoint { state: EndpointState::Draining, ..ready_endpoint(name) }
 }
 
-pub fn delta(entries: Vec<Endpoint>) -> Event {
+pub fn delta_update(entries: Vec<Endpoint>) -> Event {
     Event::EndpointsUpdated { version: 1, update: EndpointUpdate::Delta(Arc::new(entries)) }
 }
 
-pub fn full(entries: Vec<Endpoint>) -> Event {
+pub fn full_update(entries: Vec<Endpoint>) -> Event {
     Event::EndpointsUpdated { version: 1, update: EndpointUpdate::Full(Arc::new(entries)) }
 }
 
@@ -116,54 +116,54 @@
     }
 }
 
-pub fn group(name: &str) -> Option<AffinityGroup> {
+pub fn affinity_group(name: &str) -> Option<AffinityGroup> {
     Some(AffinityGroup(Arc::from(name)))
 }
 
-pub fn load(load: f64) -> Option<LoadReport> {
+pub fn load_report(load: f64) -> Option<LoadReport> {
     Some(LoadReport { load: Some(load), inflight: Some(load * 50.0), ..LoadReport::default() })
 }
 
-/// A balancer, the time, its timers and the loads that its servers report to probes.
-pub struct Bench {
+/// A balancer, the time, its timers and the loads that its endpoints report to probes.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
-    pub loads: BTreeMap<EndpointId, Option<f64>>,
+    pub reported_loads: BTreeMap<EndpointId, Option<f64>>,
     /// Every action with its time, probes and timers left out.
-    pub done: Vec<(Micros, Action)>,
-    pub probes: usize,
-    /// This server answers probes with errors.
-    pub errs: Option<EndpointId>,
+    pub actions: Vec<(Micros, Action)>,
+    pub health_check_count: usize,
+    /// This endpoint answers probes with errors.
+    pub endpoint_with_errors: Option<EndpointId>,
     /// Reports leave out how many connections are held.
-    pub terse: bool,
+    pub omits_inflight: bool,
     timers: BTreeMap<(Micros, u64), TimerToken>,
     serial: u64,
 }
 
-impl Bench {
-    /// A bench whose servers all report the given load; `None` leaves probes to time out.
-    pub fn new(settings: Settings, seed: u64, servers: &[(&str, Option<f64>)]) -> Bench {
+impl Harness {
+    /// A harness whose endpoints all report the given load; `None` leaves probes to time out.
+    pub fn new(settings: Settings, seed: u64, endpoints: &[(&str, Option<f64>)]) -> Harness {
         let balancer = Balancer::new(settings, seed, START).expect("sound settings");
-        let mut bench = Bench {
+        let mut harness = Harness {
             balancer,
             now: START,
-            loads: BTreeMap::new(),
-            done: Vec::new(),
-            probes: 0,
-            errs: None,
-            terse: false,
+            reported_loads: BTreeMap::new(),
+            actions: Vec::new(),
+            health_check_count: 0,
+            endpoint_with_errors: None,
+            omits_inflight: false,
             timers: BTreeMap::new(),
             serial: 0,
         };
-        for (name, load) in servers {
-            bench.loads.insert(sid(name), *load);
+        for (name, load) in endpoints {
+            harness.reported_loads.insert(endpoint_id(name), *load);
         }
-        bench.feed(full(servers.iter().map(|(name, _)| ready(name)).collect()));
-        bench
+        harness.handle(full_update(endpoints.iter().map(|(name, _)| ready_endpoint(name)).collect()));
+        harness
     }
 
     /// Feeds an event; probes are answered at once, or time out, in the same instant.
-    pub fn feed(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         for action in out {
@@ -172,26 +172,32 @@
                     self.serial += 1;
                     self.timers.insert((self.now + delay.max(1), self.serial), token);
                 }
-                Action::CheckHealth(server) => {
-                    self.probes += 1;
-                    let errs = self.errs.as_ref() == Some(&server);
-                    let report = self.loads.get(&server).copied().flatten().filter(|_| !errs).and_then(load);
-                    let report =
-                        report.map(|r| LoadReport { inflight: r.inflight.filter(|_| !self.terse), ..r });
+                Action::CheckHealth(endpoint) => {
+                    self.health_check_count += 1;
+                    let errs = self.endpoint_with_errors.as_ref() == Some(&endpoint);
+                    let report = self
+                        .reported_loads
+                        .get(&endpoint)
+                        .copied()
+                        .flatten()
+                        .filter(|_| !errs)
+                        .and_then(load_report);
+                    let report = report
+                        .map(|r| LoadReport { inflight: r.inflight.filter(|_| !self.omits_inflight), ..r });
                     let outcome = match report {
                         _ if errs => Outcome::Error,
                         Some(_) => Outcome::Ok,
                         None => Outcome::Timeout,
                     };
-                    self.feed(Event::HealthCheckEnded { endpoint: server, outcome, elapsed: 1_000, report });
+                    self.handle(Event::HealthCheckEnded { endpoint, outcome, elapsed: 1_000, report });
                 }
-                action => self.done.push((self.now, action)),
+                action => self.actions.push((self.now, action)),
             }
         }
     }
 
     /// Lets time pass, timers going off on the way.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some((&(at, serial), &token)) = self.timers.first_key_value() {
             if at > end {
@@ -199,15 +205,15 @@
             }
             self.timers.remove(&(at, serial));
             self.now = at;
-            self.feed(Event::TimerFired(token));
+            self.handle(Event::TimerFired(token));
         }
         self.now = end;
     }
 
     /// Where the request's last attempt went.
-    pub fn placed(&self, id: u32) -> Option<EndpointId> {
-        self.done.iter().rev().find_map(|(_, action)| match action {
-            Action::Forward { id: of, endpoint: server, .. } if of.0 == id => Some(server.clone()),
+    pub fn last_endpoint(&self, id: u32) -> Option<EndpointId> {
+        self.actions.iter().rev().find_map(|(_, action)| match action {
+            Action::Forward { id: of, endpoint, .. } if of.0 == id => Some(endpoint.clone()),
             _ => None,
         })
     }
@@ -215,46 +221,46 @@
     /// Asks for a connection; the one that comes out of it stands.
     pub fn connect(&mut self, request: Request) -> EndpointId {
         let id = request.id;
-        self.feed(Event::Request(request));
-        self.pass(50_000);
-        let server = self.placed(id.0).expect("a placement");
-        self.feed(Event::ConnectionEstablished {
+        self.handle(Event::Request(request));
+        self.advance(50_000);
+        let endpoint = self.last_endpoint(id.0).expect("a placement");
+        self.handle(Event::ConnectionEstablished {
             id,
             attempt: AttemptId(0),
-            endpoint: server.clone(),
+            endpoint: endpoint.clone(),
             elapsed: 5_000,
         });
-        server
+        endpoint
     }
 
     /// Ends the latest attempt of a request; `attempt` is its number.
-    pub fn end(&mut self, id: u32, attempt: u32, outcome: Outcome, closed: bool) {
-        let server = self.placed(id).expect("an attempt");
-        self.feed(Event::AttemptEnded {
+    pub fn end_attempt(&mut self, id: u32, attempt: u32, outcome: Outcome, closed: bool) {
+        let endpoint = self.last_endpoint(id).expect("an attempt");
+        self.handle(Event::AttemptEnded {
             id: RequestId(id),
             attempt: AttemptId(attempt),
             outcome,
             closed,
-            endpoint: server,
+            endpoint,
             elapsed: 10_000,
             report: None,
         });
     }
 
-    pub fn places(&self, id: u32) -> usize {
-        self.done.iter().filter(|(_, a)| matches!(a, Action::Forward { id: of, .. } if of.0 == id)).count()
+    pub fn attempt_count(&self, id: u32) -> usize {
+        self.actions.iter().filter(|(_, a)| matches!(a, Action::Forward { id: of, .. } if of.0 == id)).count()
     }
 
-    pub fn refused(&self, id: u32) -> bool {
-        self.done.iter().any(|(_, a)| matches!(a, Action::Reject { id: of, .. } if of.0 == id))
+    pub fn is_rejected(&self, id: u32) -> bool {
+        self.actions.iter().any(|(_, a)| matches!(a, Action::Reject { id: of, .. } if of.0 == id))
     }
 
-    pub fn failed(&self, id: u32) -> bool {
-        self.done.iter().any(|(_, a)| *a == Action::Fail(RequestId(id)))
+    pub fn is_failed(&self, id: u32) -> bool {
+        self.actions.iter().any(|(_, a)| *a == Action::Fail(RequestId(id)))
     }
 
-    pub fn moved(&self) -> Vec<(Micros, RequestId)> {
-        self.done
+    pub fn migrations(&self) -> Vec<(Micros, RequestId)> {
+        self.actions
             .iter()
             .filter_map(|(at, a)| if let Action::Migrate(id) = a { Some((*at, *id)) } else { None })
             .collect()
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,4 +1,4 @@
-//! Groups and zones: together on few servers where nothing is reported, in their clients' zones where loads
+//! Groups and zones: together on few endpoints where nothing is reported, in their clients' zones where loads
 //! are.
 
 mod support;
@@ -13,9 +13,9 @@
 const SERVERS: [&str; 12] =
     ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1", "h:1", "i:1", "j:1", "k:1", "l:1"];
 
-/// A server's place in the list tells its zone.
-fn zone_of(server: &EndpointId) -> usize {
-    SERVERS.iter().position(|name| sid(name) == *server).expect("a server of the fleet") % ZONES
+/// An endpoint's place in the list tells its zone.
+fn zone_of(endpoint: &EndpointId) -> usize {
+    SERVERS.iter().position(|name| endpoint_id(name) == *endpoint).expect("an endpoint of the fleet") % ZONES
 }
 
 fn settings_in(zone: usize, fleet_size: u32, price: f64) -> Settings {
@@ -24,49 +24,49 @@
     settings
 }
 
-fn bench(settings: Settings, seed: u64, load: f64) -> Bench {
-    let mut bench = Bench::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
-    bench.terse = true;
-    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready(SERVERS[i]) };
-    bench.feed(delta((0..SERVERS.len()).map(at).collect()));
-    bench
+fn harness(settings: Settings, seed: u64, load: f64) -> Harness {
+    let mut harness = Harness::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
+    harness.omits_inflight = true;
+    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready_endpoint(SERVERS[i]) };
+    harness.handle(delta_update((0..SERVERS.len()).map(at).collect()));
+    harness
 }
 
 /// Where a request goes, which may be held for a while; one that stands is left to the caller, others end.
-fn asks(bench: &mut Bench, request: Request) -> Option<EndpointId> {
+fn asks(harness: &mut Harness, request: Request) -> Option<EndpointId> {
     let (id, keeps) = (request.id.0, request.affinity_group.is_some());
-    bench.feed(Event::Request(request));
-    bench.pass(2 * SECOND);
-    let server = bench.placed(id);
-    if server.is_some() && !keeps {
-        bench.end(id, 0, Outcome::Ok, true);
+    harness.handle(Event::Request(request));
+    harness.advance(2 * SECOND);
+    let endpoint = harness.last_endpoint(id);
+    if endpoint.is_some() && !keeps {
+        harness.end_attempt(id, 0, Outcome::Ok, true);
     }
-    server
+    endpoint
 }
 
 /// Eighty balancers, twenty in each zone, that each see five connections of ten groups: pairs of a group and
-/// a server that holds any of it, and how many of the connections cross zones.
+/// an endpoint that holds any of it, and how many of the connections cross zones.
 fn pairs_and_crossings(load: f64, change: impl Fn(&mut Settings)) -> (usize, usize) {
     let (mut pairs, mut crossings, mut placed) = (BTreeSet::new(), 0, 0);
     for number in 0..80 {
         let mut settings = settings_in(number % ZONES, 80, 0.1);
         change(&mut settings);
-        let mut bench = bench(settings, number as u64, load);
+        let mut harness = harness(settings, number as u64, load);
         // Probes have told of the fleet, and its mean is known, before the first of them.
-        (100..110).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
+        (100..110).for_each(|id| drop(asks(&mut harness, Request { session_key: None, ..request(id) })));
         for i in 0..5 {
             let of = (number / ZONES + i) % 10;
-            let asked = Request { affinity_group: group(&format!("g{of}")), ..request(i as u32) };
-            let Some(server) = asks(&mut bench, asked) else { continue };
-            bench.feed(Event::ConnectionEstablished {
+            let asked = Request { affinity_group: affinity_group(&format!("g{of}")), ..request(i as u32) };
+            let Some(endpoint) = asks(&mut harness, asked) else { continue };
+            harness.handle(Event::ConnectionEstablished {
                 id: RequestId(i as u32),
                 attempt: AttemptId(0),
-                endpoint: server.clone(),
+                endpoint: endpoint.clone(),
                 elapsed: 5_000,
             });
-            crossings += usize::from(zone_of(&server) != number % ZONES);
+            crossings += usize::from(zone_of(&endpoint) != number % ZONES);
             placed += 1;
-            pairs.insert((of, server));
+            pairs.insert((of, endpoint));
         }
     }
     assert!(placed > 300, "{placed} of 400 are placed");
@@ -113,17 +113,20 @@
     assert_eq!(slowdown(0.0, 0.0), 1.0, "crossing costs nothing");
 }
 
-/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one server
+/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one endpoint
 /// of the own zone.
 fn stands_away(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
     // Nothing is reported but to probes, which are allowed.
     let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
-    let mut bench = bench(settings, 3, elsewhere);
-    bench.loads.insert(sid("a:1"), Some(0.5));
-    bench.feed(Event::ConnectionAdopted(Request { affinity_group: group_of, ..request(1) }, sid("b:1")));
-    (100..140).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
-    bench.pass(60 * SECOND);
-    bench.moved().len()
+    let mut harness = harness(settings, 3, elsewhere);
+    harness.reported_loads.insert(endpoint_id("a:1"), Some(0.5));
+    harness.handle(Event::ConnectionAdopted(
+        Request { affinity_group: group_of, ..request(1) },
+        endpoint_id("b:1"),
+    ));
+    (100..140).for_each(|id| drop(asks(&mut harness, Request { session_key: None, ..request(id) })));
+    harness.advance(60 * SECOND);
+    harness.migrations().len()
 }
 
 /// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone
@@ -131,25 +134,27 @@
 #[test]
 fn what_stands_with_its_group_is_not_brought_home_from_another_zone() {
     let there = |name: &String| {
-        let mut bench = bench(settings_in(0, 4, 0.0), 3, 0.2);
-        bench.connect(Request { affinity_group: group(name), ..request(1) }) == sid("b:1")
+        let mut harness = harness(settings_in(0, 4, 0.0), 3, 0.2);
+        harness.connect(Request { affinity_group: affinity_group(name), ..request(1) }) == endpoint_id("b:1")
     };
-    let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first server is b:1");
-    assert_eq!(stands_away(0.66, group(&of_b)), 0, "its group is together there");
+    let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first endpoint is b:1");
+    assert_eq!(stands_away(0.66, affinity_group(&of_b)), 0, "its group is together there");
     assert_eq!(stands_away(0.66, None), 1, "without a group it is brought home");
 }
 
-/// Guards against probes, and so connections, at card servers whose settings allow none.
+/// Guards against probes, and so connections, at endpoints whose settings allow none.
 #[test]
 fn nothing_is_probed_where_probes_are_not_allowed() {
     for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
         let mut settings = settings_in(0, 1, 0.1);
         (settings.load_reports, settings.permissions.health_checks) = (reports, false);
-        let mut bench = bench(settings, 3, 0.2);
-        bench
-            .feed(Event::ConnectionAdopted(Request { affinity_group: group("g"), ..request(1) }, sid("b:1")));
-        (2..20).for_each(|id| drop(bench.connect(request(id))));
-        bench.pass(10 * SECOND);
-        assert_eq!(bench.probes, 0, "{reports:?}");
+        let mut harness = harness(settings, 3, 0.2);
+        harness.handle(Event::ConnectionAdopted(
+            Request { affinity_group: affinity_group("g"), ..request(1) },
+            endpoint_id("b:1"),
+        ));
+        (2..20).for_each(|id| drop(harness.connect(request(id))));
+        harness.advance(10 * SECOND);
+        assert_eq!(harness.health_check_count, 0, "{reports:?}");
     }
 }
