--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -7,7 +7,7 @@
 use support::*;
 
 #[test]
-fn it_is_half_open_after_its_time_and_closed_by_a_placement() {
+fn breaker_is_half_open_after_its_time_and_closes_with_a_placement() {
     let mut breaker = CircuitBreaker::default();
     assert!(!breaker.is_half_open(START + HALF_OPEN_AFTER), "nothing was turned away");
     breaker.record_no_capacity(START);
@@ -40,7 +40,7 @@
 /// Guards against a relay that turned away all of its clients for thirteen seconds on what it believed of
 /// loads.
 #[test]
-fn a_balancer_that_refuses_all_lets_one_try_every_few_seconds() {
+fn balancer_that_rejects_all_tries_an_endpoint_every_few_seconds() {
     let placed = placed_at(0.85);
     assert!((2..=4).contains(&placed.len()), "{placed:?}");
     assert!(placed[0] >= HALF_OPEN_AFTER && placed[0] < HALF_OPEN_AFTER + SECOND, "{placed:?}");
@@ -49,6 +49,6 @@
 
 /// An endpoint that says it has more than it can do is no place to try.
 #[test]
-fn nobody_is_sent_to_servers_that_report_more_than_they_can_do() {
+fn overloaded_endpoints_get_no_connection_while_the_breaker_is_half_open() {
     assert_eq!(placed_at(1.05), []);
 }
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_long_random_runs() {
+fn rules_hold_over_long_random_runs() {
     for seed in 0..12 {
         let actions = run(seed);
         let placed = actions.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
@@ -358,6 +358,6 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     assert_eq!(run(99), run(99));
 }
--- /dev/null
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -0,0 +1,104 @@
+//! Unresponsive, slow and overloaded endpoints.
+
+mod support;
+
+use honeyknot_balancer::*;
+use support::*;
+
+#[test]
+fn connections_of_an_unresponsive_endpoint_migrate() {
+    let mut harness = Harness::new(settings(), 17, &three_endpoints(0.2));
+    let mut held = 0;
+    for id in 0..30 {
+        held += usize::from(harness.connect(request(id)) == endpoint_id("a:1"));
+        harness.advance(300_000);
+    }
+    assert!(held > 3);
+    harness.reported_loads.insert(endpoint_id("a:1"), None);
+    for id in 100..130 {
+        harness.handle(Event::Request(request(id)));
+        harness.advance(300_000);
+    }
+    assert_eq!(harness.migrations().len(), held);
+    let late = (110..130).filter(|id| harness.last_endpoint(*id) == Some(endpoint_id("a:1"))).count();
+    assert_eq!(late, 0, "a suspect gets nothing new");
+}
+
+#[test]
+fn unresponsive_fleet_keeps_its_connections_and_still_gets_requests() {
+    let mut harness = Harness::new(settings(), 17, &three_endpoints(0.2));
+    for id in 0..30 {
+        harness.connect(request(id));
+        harness.advance(300_000);
+    }
+    for load in harness.reported_loads.values_mut() {
+        *load = None;
+    }
+    for id in 100..130 {
+        harness.handle(Event::Request(request(id)));
+        harness.advance(300_000);
+    }
+    let moves = harness.migrations().len();
+    assert!(moves <= 15, "{moves} of 30 moved: at most one endpoint's");
+    assert!((120..130).all(|id| harness.attempt_count(id) == 1), "requests are still placed");
+}
+
+/// Endpoints whose load has fallen again but whose piled-up work keeps messages late once drew new connections.
+#[test]
+fn endpoint_with_slow_messages_gets_no_new_connection() {
+    let mut harness = Harness::new(settings(), 19, &three_endpoints(0.4));
+    let mut id = 0;
+    while harness.connect(request(id)) != endpoint_id("a:1") {
+        id += 1;
+    }
+    let noted = Event::ConnectionUpdated {
+        id: RequestId(id),
+        attempt: AttemptId(0),
+        endpoint: endpoint_id("a:1"),
+        update: ConnectionUpdate::MessageLatency(500.0),
+    };
+    harness.handle(noted);
+    let away: Vec<_> = (1_000..1_020).map(|id| harness.connect(request(id))).collect();
+    assert!(away.iter().all(|s| *s != endpoint_id("a:1")));
+}
+
+#[test]
+fn overloaded_endpoint_sheds_a_fraction_from_the_low_priority_class() {
+    let mut settings = settings();
+    settings.classes = vec![
+        request_class(Idempotency::Idempotent),
+        RequestClass { priority_weight: 10.0, ..request_class(Idempotency::Idempotent) },
+    ];
+    let mut harness = Harness::new(settings, 23, &[("a:1", Some(0.2))]);
+    for id in 0..40 {
+        harness.connect(Request { class: ClassId(id as usize % 2), ..request(id) });
+        harness.advance(200_000);
+    }
+    harness.handle(Event::HealthCheckEnded {
+        endpoint: endpoint_id("a:1"),
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        report: load_report(1.1),
+    });
+    harness.advance(3 * SECOND);
+    let moves = harness.migrations();
+    assert!((6..=20).contains(&moves.len()), "{} of 40", moves.len());
+    assert!(moves.iter().all(|(_, id)| id.0 % 2 == 0), "only the cheap class");
+}
+
+#[test]
+fn overloaded_endpoint_sheds_most_of_its_load_while_others_are_idle() {
+    let mut harness =
+        Harness::new(settings(), 3, &[("a:1", Some(1.0)), ("b:1", Some(0.1)), ("c:1", Some(0.1))]);
+    (1..=40).for_each(|id| harness.handle(Event::ConnectionAdopted(request(id), endpoint_id("a:1"))));
+    harness.handle(Event::Request(request(50)));
+    let probe = Event::HealthCheckEnded {
+        endpoint: endpoint_id("a:1"),
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        report: load_report(1.0),
+    };
+    harness.handle(probe);
+    harness.advance(2 * SECOND);
+    assert!(harness.migrations().len() > 16, "{} of 40", harness.migrations().len());
+}
--- /dev/null
+++ b/crates/balancer/tests/routing.rs
@@ -0,0 +1,37 @@
+//! Which endpoint a request goes to, and for how long.
+
+mod support;
+
+use std::collections::BTreeMap;
+
+use honeyknot_balancer::*;
+use support::*;
+
+#[test]
+fn attempt_timeout_ends_by_the_deadline() {
+    let mut harness = Harness::new(settings(), 1, &three_endpoints(0.2));
+    harness.handle(Event::Request(Request { time_remaining: 100_000, ..request(1) }));
+    harness.advance(SECOND);
+    let (at, timeout) = harness
+        .actions
+        .iter()
+        .find_map(
+            |(at, a)| if let Action::Forward { timeout, .. } = a { Some((*at, *timeout)) } else { None },
+        )
+        .expect("a placement");
+    assert!(at + timeout <= START + 100_000);
+}
+
+#[test]
+fn endpoint_with_more_spare_capacity_gets_more_connections() {
+    let mut counts = BTreeMap::new();
+    for seed in 0..400 {
+        let mut harness = Harness::new(settings(), seed, &[("a:1", Some(0.1)), ("b:1", Some(0.55))]);
+        harness.handle(Event::Request(Request { session_key: None, ..request(1) }));
+        harness.advance(100_000);
+        *counts.entry(harness.last_endpoint(1).expect("placed")).or_insert(0) += 1;
+    }
+    // Spare capacity squared: 0.81 to 0.2, so about four in five.
+    let a = counts[&endpoint_id("a:1")];
+    assert!((280..=360).contains(&a), "{a} of 400");
+}
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,9 +1,12 @@
 //! What all balancers together send to a cold endpoint: sums over instances that know nothing of each other.
 
+mod support;
+
 use honeyknot_balancer::slow_start::{self, SlowStartBudget};
-use honeyknot_balancer::{Micros, Rules};
+use honeyknot_balancer::{Endpoint, Event, Micros, Rules, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use support::{Harness, SECOND, delta_update, endpoint_id, ready_endpoint, request, settings};
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000_000_000;
@@ -63,7 +66,7 @@
 
 /// Under steady demand the sum keeps the stricter limit in every draw.
 #[test]
-fn all_balancers_together_stay_under_the_limit_however_many_they_are() {
+fn budgets_of_any_number_of_balancers_stay_under_the_limit() {
     for (rules, holds) in kinds() {
         for balancers in [4, 20, 30, 300] {
             let mut worst: f64 = 0.0;
@@ -81,7 +84,7 @@
 /// After a lull everything that waits comes at once. The page's limit holds in all but one of a hundred
 /// draws, whatever the moment; the stricter one in nine of ten.
 #[test]
-fn what_was_saved_up_in_a_lull_is_bounded() {
+fn burst_after_a_lull_is_bounded() {
     for (rules, holds) in kinds() {
         for balancers in [4, 30, 300] {
             let (mut strict, mut page, draws) = (0, 0, 200);
@@ -99,3 +102,29 @@
         }
     }
 }
+
+/// One balancer of many sends no more to a cold endpoint than its share of what that can bear.
+#[test]
+fn endpoint_in_slow_start_gets_no_more_than_its_budget() {
+    let mut sent = 0;
+    let balancers = 20;
+    for seed in 0..balancers {
+        let settings = Settings { fleet_size: balancers as u32, ..settings() };
+        let mut harness = Harness::new(settings, seed, &[("a:1", Some(0.3)), ("b:1", Some(0.3))]);
+        for id in 0..3 {
+            harness.connect(request(id));
+            harness.advance(SECOND);
+        }
+        harness.reported_loads.insert(endpoint_id("cold:1"), Some(0.0));
+        harness.handle(delta_update(vec![Endpoint { started_at: harness.now, ..ready_endpoint("cold:1") }]));
+        for id in 100..140 {
+            harness.handle(Event::Request(request(id)));
+            harness.advance(50_000);
+        }
+        harness.advance(SECOND);
+        sent += (100..140).filter(|id| harness.last_endpoint(*id) == Some(endpoint_id("cold:1"))).count();
+    }
+    // Three seconds: about 50 connections fill it over 20 s; twice that pace, times its warmth, is some four.
+    assert!(sent <= 20, "{sent} sent");
+    assert!(sent >= 2, "it must fill");
+}
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -266,3 +266,28 @@
             .collect()
     }
 }
+
+/// Three endpoints that report the same load.
+pub fn three_endpoints(load: f64) -> [(&'static str, Option<f64>); 3] {
+    [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
+}
+
+/// All balancers of a fleet, each with the same twelve endpoints in four zones that report the same load.
+///
+/// Where there are many balancers, each sees one or two connections. Each once took two endpoints for a group,
+/// rebalanced a connection every tick, and took what it had just placed for a thirtieth of a surge.
+pub fn large_fleet(size: u32, load: f64) -> Vec<Harness> {
+    let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
+    settings.prices.cross_zone = 0.2;
+    let names: Vec<String> = (0..12).map(|i| format!("s{i}:1")).collect();
+    let entries =
+        || names.iter().enumerate().map(|(i, n)| Endpoint { zone: Some(ZoneId(i % 4)), ..ready_endpoint(n) });
+    let endpoints: Vec<(&str, Option<f64>)> = names.iter().map(|s| (s.as_str(), Some(load))).collect();
+    let harness = |seed| {
+        let mut harness = Harness::new(settings.clone(), seed, &endpoints);
+        harness.omits_inflight = true;
+        harness.handle(delta_update(entries().collect()));
+        harness
+    };
+    (0..u64::from(size)).map(harness).collect()
+}
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -25,7 +25,7 @@
 
 /// Guards against a cut of some seconds that ends an endpoint for good.
 #[test]
-fn a_suspect_that_may_not_be_probed_gets_its_turn_again() {
+fn ejected_endpoint_gets_a_trial_if_health_checks_are_not_permitted() {
     let mut harness = harness(5, 3);
     // All attempts time out for some seconds: the network is cut.
     for id in 0..40 {
@@ -53,7 +53,7 @@
 
 /// An endpoint that stays silent costs no more than an attempt a turn, and turns become rare.
 #[test]
-fn turns_of_a_silent_server_are_few() {
+fn trials_of_an_unresponsive_endpoint_are_rare() {
     let mut harness = harness(5, 4);
     let mut wasted = 0;
     for id in 0..600 {
@@ -74,7 +74,7 @@
 /// Guards against a fleet that is taken for full, or jammed by a wave, because one endpoint once turned
 /// somebody away.
 #[test]
-fn one_full_server_says_nothing_of_the_others() {
+fn rejection_by_one_endpoint_says_nothing_of_the_others() {
     let mut harness = harness(5, 5);
     harness.handle(Event::Request(request(0)));
     let full = harness.last_endpoint(0).expect("an attempt");
@@ -103,7 +103,7 @@
 /// Guards against own placements that add up for ever, as no report ever takes them off: after some minutes
 /// every endpoint would look full, and groups would be scattered by who had least of all time.
 #[test]
-fn a_long_day_keeps_groups_together() {
+fn group_stays_together_over_many_placements() {
     let mut harness = harness(100, 6);
     let mut at: Vec<EndpointId> = Vec::new();
     for id in 0..2_000 {
@@ -118,7 +118,7 @@
 
 /// An endpoint that drops its connections is left alone by those that come again.
 #[test]
-fn a_server_that_drops_is_not_gone_back_to_at_once() {
+fn endpoint_that_dropped_a_connection_is_avoided_at_first() {
     let mut harness = harness(5, 7);
     let at = harness.connect(request(1));
     harness.end_attempt(1, 0, Outcome::Reset, true);
@@ -133,7 +133,7 @@
 /// Guards against cold endpoints that idle while the warm ones jam, as nothing tells how little a session
 /// weighs.
 #[test]
-fn a_cold_server_is_filled_at_a_pace_that_nothing_has_to_correct() {
+fn endpoint_in_slow_start_is_filled_at_the_expected_pace_without_reports() {
     let mut sent = 0;
     for seed in 0..20 {
         let mut harness = harness(1, seed);
@@ -187,7 +187,7 @@
 
 /// Guards against a jam that feeds itself: what is dropped comes again and jams the next endpoint.
 #[test]
-fn as_much_is_turned_away_as_was_lost_and_no_more_once_nothing_is() {
+fn throttle_rejects_as_much_as_was_lost_and_stops_when_nothing_is() {
     let mut harness = large_fleet(told_nothing(100), 8);
     let away = jam(&mut harness, 0..200, |_| ClassId(0));
     assert!(away.len() > 60, "{} of 200 turned away while all else is lost", away.len());
@@ -216,7 +216,7 @@
 /// Guards against a connection that is cut off in a jam: its endpoint has it still, and only this balancer has
 /// lost sight of it.
 #[test]
-fn a_connection_in_mid_flow_goes_back_to_its_server_however_much_is_turned_away() {
+fn mid_flow_request_goes_to_its_endpoint_however_much_is_throttled() {
     let mut harness = large_fleet(told_nothing(100), 8);
     // Their endpoint is seen by one request each, before the jam.
     let at: Vec<EndpointId> = (2_000..2_040).map(|id| harness.connect(request(id))).collect();
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn the_class_that_is_cheapest_for_its_load_is_turned_away_first() {
+fn class_of_lowest_priority_is_throttled_first() {
     let mut settings = told_nothing(100);
     let mut dear = settings.classes[0].clone();
     dear.priority_weight = settings.classes[0].priority_weight * 4.0;
@@ -243,7 +243,7 @@
 
 /// Guards against cold endpoints that idle beside jammed ones, as no group has need of them.
 #[test]
-fn cold_servers_are_filled_first_in_a_jam() {
+fn endpoints_in_slow_start_are_used_first_under_pressure() {
     let sent = |jammed: bool| {
         let mut sent = 0;
         for seed in 0..10 {
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn few_own_connections_leave_the_mean_and_many_tell() {
+fn few_own_connections_leave_the_mean_and_many_override_it() {
     assert_eq!(estimate_load(0.5, 0, 0.0), 0.5);
     let one_of_few = estimate_load(0.5, 1, 0.05);
     assert!(one_of_few < 0.6, "one connection of a thousand: {one_of_few}");
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -81,21 +81,21 @@
 /// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and
 /// no report told how full it was.
 #[test]
-fn a_group_is_not_copied_into_every_zone_where_nothing_is_reported() {
+fn group_is_not_copied_into_every_zone_without_load_reports() {
     let (pairs, _) = pairs_and_crossings(0.4, told_nothing);
     assert!(pairs <= 20, "{pairs} pairs of ten groups where nothing is reported");
 }
 
 /// Guards against crossings that buy nothing: where loads are reported, room is seen.
 #[test]
-fn clients_stay_in_their_zone_where_loads_are_reported() {
+fn clients_stay_in_their_zone_with_load_reports() {
     let (pairs, crossings) = pairs_and_crossings(0.4, |_| ());
     assert!(crossings < 100 && pairs >= 40, "{crossings} of 400 cross zones, {pairs} pairs");
 }
 
 /// The same where crossing costs more than any copy.
 #[test]
-fn clients_stay_in_their_zone_where_crossing_is_dear() {
+fn clients_stay_in_their_zone_if_crossing_costs_more_than_a_copy() {
     let (_, crossings) = pairs_and_crossings(0.4, |settings| {
         told_nothing(settings);
         settings.prices.cross_zone = 2.0 * GROUP_COST;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_copy_is_shared_by_its_members() {
+fn copy_cost_is_shared_by_the_groups_members() {
     assert_eq!(copy_cost(30.0), GROUP_COST / 30.0);
     assert_eq!(copy_cost(0.1), GROUP_COST, "nobody shares with a part of a connection");
     let price = GROUP_COST / 30.0;
@@ -132,7 +132,7 @@
 /// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone
 /// once more, for ever.
 #[test]
-fn what_stands_with_its_group_is_not_brought_home_from_another_zone() {
+fn connection_with_its_group_in_another_zone_is_not_rebalanced() {
     let there = |name: &String| {
         let mut harness = harness(settings_in(0, 4, 0.0), 3, 0.2);
         harness.connect(Request { affinity_group: affinity_group(name), ..request(1) }) == endpoint_id("b:1")
@@ -144,7 +144,7 @@
 
 /// Guards against probes, and so connections, at endpoints whose settings allow none.
 #[test]
-fn nothing_is_probed_where_probes_are_not_allowed() {
+fn no_health_check_is_sent_if_not_permitted() {
     for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
         let mut settings = settings_in(0, 1, 0.1);
         (settings.load_reports, settings.permissions.health_checks) = (reports, false);
