--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -30,10 +30,10 @@
     let mut harness = Harness::new(settings(), 3, &[]);
     harness.handle(Event::Request(request(1)));
     harness.advance(3 * SECOND);
-    let refused = harness.actions.iter().find(|(_, a)| matches!(a, Action::Reject { id, .. } if id.0 == 1));
-    let (at, _) = refused.expect("a refusal");
+    let rejection = harness.actions.iter().find(|(_, a)| matches!(a, Action::Reject { id, .. } if id.0 == 1));
+    let (at, _) = rejection.expect("a rejection");
     let (deadline, attempt) = (START + 2 * SECOND, SECOND / 2);
-    assert!(*at + attempt <= deadline, "held until {} us before the deadline", deadline - at);
+    assert!(*at + attempt <= deadline, "rejected only {} us before the deadline", deadline - at);
 }
 
 #[test]
@@ -44,15 +44,15 @@
         harness.advance(3 * SECOND);
         assert_eq!(harness.attempt_count(id), 0);
     }
-    let waits: Vec<Micros> = harness
+    let delays: Vec<Micros> = harness
         .actions
         .iter()
         .filter_map(
             |(_, a)| if let Action::Reject { retry_after, .. } = a { Some(*retry_after) } else { None },
         )
         .collect();
-    assert_eq!(waits.len(), 5);
-    assert!(waits.iter().all(|w| (SECOND / 2..=SECOND).contains(w)));
+    assert_eq!(delays.len(), 5);
+    assert!(delays.iter().all(|delay| (SECOND / 2..=SECOND).contains(delay)));
 }
 
 #[test]
--- a/crates/balancer/tests/affinity.rs
+++ b/crates/balancer/tests/affinity.rs
@@ -13,31 +13,31 @@
     let endpoints: Vec<(&str, Option<f64>)> = endpoints.iter().map(|s| (s.as_str(), Some(0.3))).collect();
     let key = request(1).session_key;
     let mut harness = Harness::new(settings(), 7, &endpoints);
-    let home = harness.connect(request(1));
+    let sticky = harness.connect(request(1));
     harness.end_attempt(1, 0, Outcome::Cancelled, true);
-    // Its race would favour another by now, but home still has room.
-    harness.reported_loads.insert(home.clone(), Some(0.6));
+    // Rendezvous hashing would prefer another by now, but the sticky endpoint still has capacity.
+    harness.reported_loads.insert(sticky.clone(), Some(0.6));
     harness.advance(2 * SECOND);
     let back = harness.connect(Request { session_key: key.clone(), reconnecting: true, ..request(2) });
-    assert_eq!(back, home);
+    assert_eq!(back, sticky);
     harness.end_attempt(2, 0, Outcome::Cancelled, true);
-    harness.reported_loads.insert(home.clone(), Some(0.93));
+    harness.reported_loads.insert(sticky.clone(), Some(0.93));
     harness.advance(2 * SECOND);
     let away = harness.connect(Request { session_key: key, reconnecting: true, ..request(3) });
-    assert_ne!(away, home);
+    assert_ne!(away, sticky);
 }
 
 #[test]
 fn mid_flow_request_goes_to_its_draining_endpoint_only_within_the_grace() {
-    for (wait, expect_home) in [(100_000, true), (2 * SECOND, false)] {
+    for (wait, expects_sticky) in [(100_000, true), (2 * SECOND, false)] {
         let mut harness = Harness::new(settings(), 7, &three_endpoints(0.3));
-        let home = harness.connect(request(1));
+        let sticky = harness.connect(request(1));
         harness.end_attempt(1, 0, Outcome::Cancelled, true);
-        harness.handle(delta_update(vec![draining_endpoint(&home.0)]));
+        harness.handle(delta_update(vec![draining_endpoint(&sticky.0)]));
         harness.advance(wait);
         let again = Request { session_key: request(1).session_key, mid_flow: true, ..request(2) };
         let endpoint = harness.connect(again);
-        assert_eq!(endpoint == home, expect_home, "after {wait}");
+        assert_eq!(endpoint == sticky, expects_sticky, "after {wait}");
     }
 }
 
@@ -55,7 +55,7 @@
     assert!(used.len() <= 3, "{used:?}");
 }
 
-/// A full fleet once spread each group over ever more endpoints, each of which paid for it.
+/// Regression: a full fleet spread each group over ever more endpoints, each of which bore its cost.
 #[test]
 fn group_does_not_spread_over_a_full_fleet() {
     let names: Vec<String> = (0..30).map(|i| format!("s{i}:1")).collect();
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -10,18 +10,18 @@
 #[test]
 fn drain_during_a_pending_request_is_respected() {
     let mut harness = Harness::new(settings(), 11, &[("a:1", Some(0.1))]);
-    // The probe is answered only by the hold's end, so the request waits meanwhile.
+    // The result of the health check comes late, so the request is pending meanwhile.
     let mut out = Vec::new();
     harness.balancer.handle(harness.now, Event::Request(request(1)), &mut out);
     assert!(out.iter().any(|a| matches!(a, Action::CheckHealth(_))), "{out:?}");
     harness.handle(delta_update(vec![draining_endpoint("a:1")]));
-    let probed = Event::HealthCheckEnded {
+    let health_check_ended = Event::HealthCheckEnded {
         endpoint: endpoint_id("a:1"),
         outcome: Outcome::Ok,
         elapsed: 1_000,
         report: load_report(0.1),
     };
-    harness.handle(probed);
+    harness.handle(health_check_ended);
     harness.advance(3 * SECOND);
     assert_eq!(harness.attempt_count(1), 0);
     assert!(harness.is_rejected(1));
@@ -31,19 +31,20 @@
 fn failed_discovery_polls_are_retried_with_backoff() {
     let settings = Settings { discovery: DiscoveryMode::OnRequest, ..settings() };
     let mut harness = Harness::new(settings, 31, &three_endpoints(0.2));
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..4 {
-        let asked = harness.now;
-        let calls = |b: &Harness| b.actions.iter().filter(|(_, a)| *a == Action::Watch(true)).count();
-        let before = calls(&harness);
-        while calls(&harness) == before {
+        let failed_at = harness.now;
+        let polls =
+            |harness: &Harness| harness.actions.iter().filter(|(_, a)| *a == Action::Watch(true)).count();
+        let before = polls(&harness);
+        while polls(&harness) == before {
             harness.advance(50_000);
-            assert!(harness.now < asked + 10 * SECOND, "it asks within the time that counts as told");
+            assert!(harness.now < failed_at + 10 * SECOND, "discovery is polled within 10 s");
         }
-        waits.push(harness.now - asked);
+        delays.push(harness.now - failed_at);
         harness.handle(Event::EndpointsUpdated { version: 0, update: EndpointUpdate::Failed });
     }
-    assert!(waits[3] > waits[1], "{waits:?}");
+    assert!(delays[3] > delays[1], "{delays:?}");
     harness.connect(request(1)); // the last list is kept
 }
 
--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn health_checks_do_not_grow_with_the_number_of_endpoints() {
-    let probes = |n: usize| {
-        let names: Vec<String> = (0..n).map(|i| format!("s{i}:1")).collect();
+    let health_checks = |count: usize| {
+        let names: Vec<String> = (0..count).map(|i| format!("s{i}:1")).collect();
         let endpoints: Vec<(&str, Option<f64>)> = names.iter().map(|s| (s.as_str(), Some(0.3))).collect();
         let mut harness = Harness::new(settings(), 43, &endpoints);
         for id in 0..50 {
@@ -17,7 +17,7 @@
         }
         harness.health_check_count
     };
-    let (small, large) = (probes(20), probes(200));
+    let (small, large) = (health_checks(20), health_checks(200));
     assert!(large <= small + small / 4, "{small} against {large}");
 }
 
@@ -33,17 +33,17 @@
         report: None,
     });
     (31..=35).for_each(|id| {
-        assert_ne!(harness.connect(request(id)), endpoint_id("a:1"), "nothing new goes there")
+        assert_ne!(harness.connect(request(id)), endpoint_id("a:1"), "it gets no new connection")
     });
     harness.advance(3 * SECOND);
     assert!(harness.migrations().is_empty());
-    assert!(harness.health_check_count < 30, "{} probes", harness.health_check_count);
+    assert!(harness.health_check_count < 30, "{} health checks", harness.health_check_count);
 }
 
 #[test]
 fn all_balancers_together_check_an_ejected_endpoint_at_a_bounded_rate() {
     for size in [4, 100, 400] {
-        let mut probes = 0;
+        let mut health_checks = 0;
         for harness in &mut large_fleet(size, 0.3) {
             harness.endpoint_with_errors = Some(endpoint_id("s1:1"));
             let error = || Event::HealthCheckEnded {
@@ -56,8 +56,8 @@
             harness.advance(SECOND);
             let before = harness.health_check_count;
             harness.advance(20 * SECOND);
-            probes += harness.health_check_count - before;
+            health_checks += harness.health_check_count - before;
         }
-        assert!((1..=600).contains(&probes), "{size}: {probes} probes in 20 s");
+        assert!((1..=600).contains(&health_checks), "{size}: {health_checks} health checks in 20 s");
     }
 }
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -1,41 +1,74 @@
-//! Long random but legal sequences of events, checked against what must hold whatever the endpoints do.
+//! Long random but legal sequences of events, checked against the rules that hold whatever endpoints do.
 
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use honeyknot_balancer::Balancer;
 use honeyknot_balancer::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use support::*;
 
-/// A request as the rules see it.
-struct Open {
+const STEPS: u32 = 6_000;
+const ENDPOINTS: u32 = 8;
+const MAX_ATTEMPTS: u32 = 4;
+/// A final answer may come this long after the deadline.
+const ANSWER_GRACE: Micros = 8_000;
+/// Sends to an endpoint that drains must stop within this time.
+const DRAIN_GRACE: Micros = SECOND;
+/// The connection that is adopted at the start; requests have their step's number.
+const ADOPTED: u32 = 1_000_000;
+
+/// An attempt in flight, or an established connection.
+#[derive(Clone)]
+struct Attempt {
+    number: u32,
+    endpoint: EndpointId,
+    times_out_at: Micros,
+}
+
+/// Where and when an attempt was first known to have possibly run.
+#[derive(Clone, Copy)]
+struct PossibleRun {
+    zone: Option<ZoneId>,
+    since: Micros,
+}
+
+/// A request that is owed an answer, or an established connection.
+struct OpenRequest {
     class: usize,
     deadline: Micros,
-    sent: u32,
-    out: Option<(u32, EndpointId, Micros)>,
-    stands: bool,
-    may_have_run: bool,
-    first_risk: Option<(Option<ZoneId>, Micros)>,
+    attempts: u32,
+    attempt: Option<Attempt>,
+    is_established: bool,
+    possible_run: Option<PossibleRun>,
 }
 
-struct World {
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due_at: Micros,
+    serial: u64,
+    token: u64,
+}
+
+/// Clients, endpoints, discovery and timers round one balancer.
+struct Simulation {
+    balancer: Balancer,
     rng: Pcg64Mcg,
     now: Micros,
-    entries: BTreeMap<EndpointId, Endpoint>,
-    told: BTreeMap<EndpointId, Micros>,
-    open: BTreeMap<u32, Open>,
-    late: BTreeMap<u32, (u32, EndpointId)>,
-    timers: BTreeSet<(Micros, u64, u64)>,
-    probes: Vec<EndpointId>,
-    serial: u64,
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+    draining_since: BTreeMap<EndpointId, Micros>,
+    requests: BTreeMap<u32, OpenRequest>,
+    /// Attempts of finished requests whose outcome is still to come.
+    late_attempts: BTreeMap<u32, Attempt>,
+    timers: BTreeSet<Timer>,
+    health_checks: Vec<EndpointId>,
+    timer_serial: u64,
     actions: Vec<Action>,
 }
 
-fn effects() -> [Idempotency; 3] {
+fn idempotencies() -> [Idempotency; 3] {
     [
         Idempotency::Idempotent,
         Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: SECOND },
@@ -43,317 +76,318 @@
     ]
 }
 
-impl World {
-    fn entry(&self, i: u32) -> Endpoint {
-        Endpoint { zone: Some(ZoneId((i % 3) as usize)), ..ready_endpoint(&format!("s{i}:1")) }
+fn endpoint(index: u32) -> Endpoint {
+    Endpoint { zone: Some(ZoneId((index % 3) as usize)), ..ready_endpoint(&format!("s{index}:1")) }
+}
+
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut settings = Settings { fleet_size: 3, discovery: DiscoveryMode::OnRequest, ..settings() };
+        settings.classes = idempotencies().into_iter().map(request_class).collect();
+        let mut simulation = Simulation {
+            balancer: Balancer::new(settings, seed, START).expect("valid settings"),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
+            now: START,
+            endpoints: (0..ENDPOINTS).map(endpoint).map(|e| (e.id.clone(), e)).collect(),
+            draining_since: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            late_attempts: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            health_checks: Vec::new(),
+            timer_serial: 0,
+            actions: Vec::new(),
+        };
+        let list = full_update(simulation.endpoints.values().cloned().collect());
+        simulation.handle(list);
+        simulation.adopt_connection();
+        simulation
+    }
+
+    fn adopt_connection(&mut self) {
+        let endpoint = endpoint_id("s0:1");
+        let attempt = Attempt { number: 0, endpoint: endpoint.clone(), times_out_at: Micros::MAX };
+        let connection = OpenRequest {
+            class: 0,
+            deadline: Micros::MAX - SECOND,
+            attempts: 1,
+            attempt: Some(attempt),
+            is_established: true,
+            possible_run: None,
+        };
+        self.requests.insert(ADOPTED, connection);
+        let adopted = Request { affinity_group: affinity_group("g0"), ..request(ADOPTED) };
+        self.handle(Event::ConnectionAdopted(adopted, endpoint));
     }
 
-    fn list(&self) -> Event {
-        full_update(self.entries.values().cloned().collect())
+    /// Hands an event to the balancer, and checks and carries out its actions.
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.actions.push(action.clone());
+            self.carry_out(action);
+        }
     }
 
-    /// Checks an action against the rules and takes note of what it starts.
-    fn take(&mut self, action: Action) {
-        self.actions.push(action.clone());
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::SetTimer { delay, token } => {
-                self.serial += 1;
-                self.timers.insert((self.now + delay.max(1), self.serial, token.0));
-            }
-            Action::CheckHealth(endpoint) => self.probes.push(endpoint),
-            Action::Forward { id, endpoint, timeout, .. } => {
-                let entry = self.entries.get(&endpoint).expect("an endpoint of the list").clone();
-                if let Some(told) = self.told.get(&endpoint) {
-                    assert!(self.now <= told + SECOND, "a drain is not kept");
-                }
-                let open = self.open.get_mut(&id.0).expect("a request that is open");
-                assert!(open.out.is_none() && !open.stands, "two attempts at once");
-                assert!(self.now + timeout <= open.deadline, "an attempt outlasts its deadline");
-                if open.may_have_run {
-                    match effects()[open.class] {
-                        Idempotency::Idempotent => {}
-                        Idempotency::IdempotencyKey { window, .. } => {
-                            let (zone, since) = open.first_risk.expect("what may have run");
-                            assert!(entry.zone == zone && self.now <= since + window, "a repeat astray");
-                        }
-                        Idempotency::AtMostOnce => panic!("an effect twice"),
-                    }
-                }
-                open.out = Some((open.sent, endpoint, self.now + timeout));
-                open.sent += 1;
-                assert!(open.sent <= 4, "too many attempts");
+                self.timer_serial += 1;
+                let due_at = self.now + delay.max(1);
+                self.timers.insert(Timer { due_at, serial: self.timer_serial, token: token.0 });
             }
+            Action::CheckHealth(endpoint) => self.health_checks.push(endpoint),
+            Action::Forward { id, endpoint, timeout, .. } => self.forward(id, endpoint, timeout),
             Action::Reject { id, .. } => {
-                let open = self.open.remove(&id.0).expect("a refusal of an open request");
-                assert!(open.out.is_none() && self.now <= open.deadline + 8_000);
-                assert!(
-                    !open.may_have_run || effects()[open.class] == Idempotency::Idempotent,
-                    "a false refusal"
-                );
-            }
-            Action::Fail(id) => {
-                let open = self.open.remove(&id.0).expect("a failure of an open request");
-                assert!(open.out.is_none() && self.now <= open.deadline + 8_000);
+                let request = self.finish(id);
+                let is_harmless = request.possible_run.is_none()
+                    || idempotencies()[request.class] == Idempotency::Idempotent;
+                assert!(is_harmless, "a rejected request may have run");
             }
+            Action::Fail(id) => drop(self.finish(id)),
             Action::Migrate(id) => {
-                let open = self.open.remove(&id.0).expect("a move of an open connection");
-                assert!(open.stands, "only what stands is moved");
-                let (attempt, endpoint, _) = open.out.expect("its attempt");
-                self.late.insert(id.0, (attempt, endpoint));
+                let connection = self.requests.remove(&id.0).expect("an open connection is migrated");
+                assert!(connection.is_established, "only an established connection is migrated");
+                self.late_attempts.insert(id.0, connection.attempt.expect("its attempt"));
             }
             Action::Watch(_) | Action::Log(_) => {}
-            other => panic!("not permitted here: {other:?}"),
+            other => panic!("not permitted by the settings: {other:?}"),
         }
     }
 
-    fn handle(&mut self, balancer: &mut Balancer, event: Event) {
-        let mut out = Vec::new();
-        balancer.handle(self.now, event, &mut out);
-        for action in out {
-            self.take(action);
+    /// Starts an attempt, after checks of the rules for attempts.
+    fn forward(&mut self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
+        let listed = self.endpoints.get(&endpoint).expect("an endpoint of the list");
+        if let Some(since) = self.draining_since.get(&endpoint) {
+            assert!(self.now <= since + DRAIN_GRACE, "a request is sent to a draining endpoint");
+        }
+        let request = self.requests.get_mut(&id.0).expect("an open request");
+        assert!(request.attempt.is_none() && !request.is_established, "two attempts at once");
+        assert!(self.now + timeout <= request.deadline, "an attempt outlasts its deadline");
+        if let Some(run) = request.possible_run {
+            match idempotencies()[request.class] {
+                Idempotency::Idempotent => {}
+                Idempotency::IdempotencyKey { window, .. } => {
+                    let is_deduplicated = listed.zone == run.zone && self.now <= run.since + window;
+                    assert!(is_deduplicated, "a retry is sent where it is not deduplicated");
+                }
+                Idempotency::AtMostOnce => panic!("a request may run twice"),
+            }
         }
+        let times_out_at = self.now + timeout;
+        request.attempt = Some(Attempt { number: request.attempts, endpoint, times_out_at });
+        request.attempts += 1;
+        assert!(request.attempts <= MAX_ATTEMPTS, "too many attempts");
+    }
+
+    /// Closes a request that gets its final answer.
+    fn finish(&mut self, id: RequestId) -> OpenRequest {
+        let request = self.requests.remove(&id.0).expect("an answer to an open request");
+        assert!(request.attempt.is_none() && self.now <= request.deadline + ANSWER_GRACE);
+        request
     }
 
-    fn outcome(&mut self, balancer: &mut Balancer, id: u32, outcome: Outcome) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some((attempt, endpoint, _)) = open.out.take() else { return };
-        let closed = open.stands || outcome == Outcome::Ok;
+    /// Ends the attempt or the connection of a request, if it has one.
+    fn end_attempt(&mut self, id: u32, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempt.take() else { return };
+        let closed = request.is_established || outcome == Outcome::Ok;
         if !closed && !outcome.proves_not_run() {
-            open.may_have_run = true;
-            let zone = self.entries.get(&endpoint).and_then(|e| e.zone);
-            open.first_risk.get_or_insert((zone, self.now));
+            let zone = self.endpoints.get(&attempt.endpoint).and_then(|endpoint| endpoint.zone);
+            request.possible_run.get_or_insert(PossibleRun { zone, since: self.now });
         }
         if closed {
-            self.open.remove(&id);
+            self.requests.remove(&id);
         }
-        let event = Event::AttemptEnded {
-            id: RequestId(id),
-            attempt: AttemptId(attempt),
-            outcome,
-            closed,
-            endpoint,
-            elapsed: 1_000,
-            report: None,
-        };
-        self.handle(balancer, event);
+        self.handle(attempt_ended(id, attempt, outcome, closed, 1_000));
     }
 
-    /// Everything due by now: time-outs at their time, timers, and no request left past its deadline.
-    fn settle(&mut self, balancer: &mut Balancer) {
-        let due: Vec<u32> = self
-            .open
-            .iter()
-            .filter(|(_, o)| !o.stands && o.out.as_ref().is_some_and(|(_, _, end)| *end <= self.now))
-            .map(|(id, _)| *id)
-            .collect();
-        for id in due {
-            self.outcome(balancer, id, Outcome::Timeout);
+    /// Lets everything happen that is due: timeouts, timers. No request may be past its deadline then.
+    fn settle(&mut self) {
+        let is_timed_out = |request: &OpenRequest| {
+            let attempt = request.attempt.as_ref();
+            !request.is_established && attempt.is_some_and(|attempt| attempt.times_out_at <= self.now)
+        };
+        let timed_out: Vec<u32> =
+            self.requests.iter().filter(|(_, request)| is_timed_out(request)).map(|(id, _)| *id).collect();
+        for id in timed_out {
+            self.end_attempt(id, Outcome::Timeout);
+        }
+        while let Some(timer) = self.timers.first().copied().filter(|timer| timer.due_at <= self.now) {
+            self.timers.remove(&timer);
+            self.handle(Event::TimerFired(TimerToken(timer.token)));
+        }
+        for request in self.requests.values() {
+            assert!(request.is_established || self.now <= request.deadline + ANSWER_GRACE, "a lost request");
         }
-        while let Some(&(at, serial, token)) = self.timers.first() {
-            if at > self.now {
-                break;
+    }
+
+    /// Draws an established connection, or a request with an attempt in flight.
+    fn draw_request(&mut self, is_established: bool) -> Option<u32> {
+        let is_wanted =
+            |request: &OpenRequest| request.is_established == is_established && request.attempt.is_some();
+        let ids: Vec<u32> =
+            self.requests.iter().filter(|(_, request)| is_wanted(request)).map(|(id, _)| *id).collect();
+        (!ids.is_empty()).then(|| ids[self.rng.random_range(0..ids.len())])
+    }
+
+    fn step(&mut self, step: u32) {
+        self.now += self.rng.random_range(0..6_000);
+        self.settle();
+        match self.rng.random_range(0..100) {
+            0..=24 => self.send_request(step),
+            25..=49 => self.establish_connection(),
+            50..=64 => self.end_random_attempt(),
+            65..=84 => self.answer_health_checks(),
+            85..=87 => self.change_endpoint(),
+            88..=90 => {
+                self.handle(Event::EndpointsUpdated { version: 0, update: EndpointUpdate::Failed });
             }
-            self.timers.remove(&(at, serial, token));
-            self.handle(balancer, Event::TimerFired(TimerToken(token)));
+            91..=93 => self.end_late_attempts(),
+            94..=96 => self.update_connection(),
+            _ => self.leave(),
+        }
+    }
+
+    fn send_request(&mut self, id: u32) {
+        let class = self.rng.random_range(0..3);
+        let time_remaining = self.rng.random_range(1..2_000_000);
+        let request = Request {
+            class: ClassId(class),
+            session_key: Some(SessionKey(Arc::from(format!("k{}", self.rng.random_range(0..200))))),
+            affinity_group: affinity_group(&format!("g{}", self.rng.random_range(0..5))),
+            time_remaining,
+            mid_flow: self.rng.random_range(0..10) == 0,
+            allowed_zones: ZoneSet::ALL,
+            reconnecting: self.rng.random_range(0..5) == 0,
+            ..request(id)
+        };
+        let open = OpenRequest {
+            class,
+            deadline: self.now + time_remaining,
+            attempts: 0,
+            attempt: None,
+            is_established: false,
+            possible_run: None,
+        };
+        self.requests.insert(id, open);
+        self.handle(Event::Request(request));
+    }
+
+    fn establish_connection(&mut self) {
+        let Some(id) = self.draw_request(false) else { return };
+        let request = self.requests.get_mut(&id).expect("a drawn request");
+        request.is_established = true;
+        let attempt = request.attempt.clone().expect("an attempt in flight");
+        self.handle(Event::ConnectionEstablished {
+            id: RequestId(id),
+            attempt: AttemptId(attempt.number),
+            endpoint: attempt.endpoint,
+            elapsed: 500,
+        });
+    }
+
+    fn end_random_attempt(&mut self) {
+        let outcomes = [
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+        ];
+        let outcome = outcomes[self.rng.random_range(0..outcomes.len())];
+        let is_established = self.rng.random_range(0..2) == 0;
+        if let Some(id) = self.draw_request(is_established) {
+            self.end_attempt(id, outcome);
         }
-        for open in self.open.values() {
-            assert!(open.stands || self.now <= open.deadline + 8_000, "a request lost");
+    }
+
+    fn answer_health_checks(&mut self) {
+        let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected];
+        for endpoint in std::mem::take(&mut self.health_checks) {
+            let outcome = outcomes[self.rng.random_range(0..outcomes.len())];
+            let load = self.rng.random_range(0.0..1.3);
+            let report = load_report(load).filter(|_| outcome == Outcome::Ok);
+            self.handle(Event::HealthCheckEnded { endpoint, outcome, elapsed: 900, report });
         }
     }
+
+    fn change_endpoint(&mut self) {
+        let states =
+            [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+        let mut changed = endpoint(self.rng.random_range(0..ENDPOINTS));
+        changed.state = states[self.rng.random_range(0..states.len())];
+        let is_leaving = self.draining_since.contains_key(&changed.id);
+        if changed.state == EndpointState::Draining && is_leaving {
+            changed.state = EndpointState::Removed;
+        }
+        if changed.state == EndpointState::Ready {
+            self.draining_since.remove(&changed.id);
+            changed.started_at = self.now - self.rng.random_range(0..30 * SECOND);
+        } else {
+            self.draining_since.entry(changed.id.clone()).or_insert(self.now);
+        }
+        self.endpoints.insert(changed.id.clone(), changed.clone());
+        self.handle(delta_update(vec![changed]));
+    }
+
+    fn end_late_attempts(&mut self) {
+        for (id, attempt) in std::mem::take(&mut self.late_attempts) {
+            self.handle(attempt_ended(id, attempt, Outcome::Cancelled, true, 1));
+        }
+    }
+
+    fn update_connection(&mut self) {
+        let Some(id) = self.draw_request(true) else { return };
+        let attempt = self.requests[&id].attempt.clone().expect("the connection's attempt");
+        let update = match self.rng.random_range(0..2) {
+            0 => ConnectionUpdate::Load(9_000.0),
+            _ => ConnectionUpdate::MessageLatency(300.0),
+        };
+        self.handle(Event::ConnectionUpdated {
+            id: RequestId(id),
+            attempt: AttemptId(attempt.number),
+            endpoint: attempt.endpoint,
+            update,
+        });
+    }
+
+    /// A client leaves while its attempt is in flight.
+    fn leave(&mut self) {
+        let Some(id) = self.draw_request(false) else { return };
+        let request = self.requests.remove(&id).expect("a drawn request");
+        self.handle(Event::ClientLeft(RequestId(id)));
+        self.late_attempts.insert(id, request.attempt.expect("an attempt in flight"));
+    }
+}
+
+fn attempt_ended(id: u32, attempt: Attempt, outcome: Outcome, closed: bool, elapsed: Micros) -> Event {
+    Event::AttemptEnded {
+        id: RequestId(id),
+        attempt: AttemptId(attempt.number),
+        outcome,
+        closed,
+        endpoint: attempt.endpoint,
+        elapsed,
+        report: None,
+    }
 }
 
 fn run(seed: u64) -> Vec<Action> {
-    let mut settings = Settings { fleet_size: 3, discovery: DiscoveryMode::OnRequest, ..settings() };
-    settings.classes = effects().into_iter().map(request_class).collect();
-    let mut balancer = Balancer::new(settings, seed, START).expect("sound settings");
-    let mut w = World {
-        rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
-        now: START,
-        entries: BTreeMap::new(),
-        told: BTreeMap::new(),
-        open: BTreeMap::new(),
-        late: BTreeMap::new(),
-        timers: BTreeSet::new(),
-        probes: Vec::new(),
-        serial: 0,
-        actions: Vec::new(),
-    };
-    w.entries = (0..8).map(|i| w.entry(i)).map(|e| (e.id.clone(), e)).collect();
-    let list = w.list();
-    w.handle(&mut balancer, list);
-    let adopted = Request { affinity_group: affinity_group("g0"), ..request(1_000_000) };
-    w.open.insert(
-        1_000_000,
-        Open {
-            class: 0,
-            deadline: Micros::MAX - SECOND,
-            sent: 1,
-            out: Some((0, endpoint_id("s0:1"), Micros::MAX)),
-            stands: true,
-            may_have_run: false,
-            first_risk: None,
-        },
-    );
-    w.handle(&mut balancer, Event::ConnectionAdopted(adopted, endpoint_id("s0:1")));
-    for step in 0..6_000u32 {
-        w.now += w.rng.random_range(0..6_000);
-        w.settle(&mut balancer);
-        let pick = |w: &mut World, stands: bool| -> Option<u32> {
-            let ids: Vec<u32> = w
-                .open
-                .iter()
-                .filter(|(_, o)| o.stands == stands && o.out.is_some())
-                .map(|(id, _)| *id)
-                .collect();
-            (!ids.is_empty()).then(|| ids[w.rng.random_range(0..ids.len())])
-        };
-        match w.rng.random_range(0..100) {
-            0..=24 => {
-                let class = w.rng.random_range(0..3);
-                let left = w.rng.random_range(1..2_000_000);
-                let request = Request {
-                    class: ClassId(class),
-                    session_key: Some(SessionKey(Arc::from(format!("k{}", w.rng.random_range(0..200))))),
-                    affinity_group: affinity_group(&format!("g{}", w.rng.random_range(0..5))),
-                    time_remaining: left,
-                    mid_flow: w.rng.random_range(0..10) == 0,
-                    allowed_zones: ZoneSet::ALL,
-                    reconnecting: w.rng.random_range(0..5) == 0,
-                    ..request(step)
-                };
-                let deadline = w.now + left;
-                let fresh = Open {
-                    class,
-                    deadline,
-                    sent: 0,
-                    out: None,
-                    stands: false,
-                    may_have_run: false,
-                    first_risk: None,
-                };
-                w.open.insert(step, fresh);
-                w.handle(&mut balancer, Event::Request(request));
-            }
-            25..=49 => {
-                if let Some(id) = pick(&mut w, false) {
-                    let open = w.open.get_mut(&id).expect("picked");
-                    open.stands = true;
-                    let (attempt, endpoint, _) = open.out.clone().expect("out");
-                    let event = Event::ConnectionEstablished {
-                        id: RequestId(id),
-                        attempt: AttemptId(attempt),
-                        endpoint,
-                        elapsed: 500,
-                    };
-                    w.handle(&mut balancer, event);
-                }
-            }
-            50..=64 => {
-                let outcomes = [
-                    Outcome::Ok,
-                    Outcome::Error,
-                    Outcome::Rejected,
-                    Outcome::ConnectFailed,
-                    Outcome::Reset,
-                    Outcome::Cancelled,
-                ];
-                let outcome = outcomes[w.rng.random_range(0..outcomes.len())];
-                let stands = w.rng.random_range(0..2) == 0;
-                if let Some(id) = pick(&mut w, stands) {
-                    w.outcome(&mut balancer, id, outcome);
-                }
-            }
-            65..=84 => {
-                for endpoint in std::mem::take(&mut w.probes) {
-                    let outcome =
-                        [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Timeout, Outcome::Rejected]
-                            [w.rng.random_range(0..5)];
-                    let at = w.rng.random_range(0.0..1.3);
-                    let report = (outcome == Outcome::Ok).then(|| load_report(at)).flatten();
-                    w.handle(
-                        &mut balancer,
-                        Event::HealthCheckEnded { endpoint, outcome, elapsed: 900, report },
-                    );
-                }
-            }
-            85..=87 => {
-                let i = w.rng.random_range(0..8);
-                let mut entry = w.entry(i);
-                let state = [
-                    EndpointState::Ready,
-                    EndpointState::Ready,
-                    EndpointState::Draining,
-                    EndpointState::Removed,
-                ];
-                entry.state = state[w.rng.random_range(0..4)];
-                // What is gone does not drain any more.
-                if entry.state == EndpointState::Draining && w.told.contains_key(&entry.id) {
-                    entry.state = EndpointState::Removed;
-                }
-                if entry.state == EndpointState::Ready {
-                    w.told.remove(&entry.id);
-                    entry.started_at = w.now - w.rng.random_range(0..30 * SECOND);
-                } else {
-                    w.told.entry(entry.id.clone()).or_insert(w.now);
-                }
-                w.entries.insert(entry.id.clone(), entry.clone());
-                w.handle(&mut balancer, delta_update(vec![entry]));
-            }
-            88..=90 => w.handle(
-                &mut balancer,
-                Event::EndpointsUpdated { version: 0, update: EndpointUpdate::Failed },
-            ),
-            91..=93 => {
-                let late = std::mem::take(&mut w.late);
-                for (id, (attempt, endpoint)) in late {
-                    let event = Event::AttemptEnded {
-                        id: RequestId(id),
-                        attempt: AttemptId(attempt),
-                        outcome: Outcome::Cancelled,
-                        closed: true,
-                        endpoint,
-                        elapsed: 1,
-                        report: None,
-                    };
-                    w.handle(&mut balancer, event);
-                }
-            }
-            94..=96 => {
-                if let Some(id) = pick(&mut w, true) {
-                    let (attempt, endpoint, _) = w.open[&id].out.clone().expect("out");
-                    let note = if w.rng.random_range(0..2) == 0 {
-                        ConnectionUpdate::Load(9_000.0)
-                    } else {
-                        ConnectionUpdate::MessageLatency(300.0)
-                    };
-                    let event = Event::ConnectionUpdated {
-                        id: RequestId(id),
-                        attempt: AttemptId(attempt),
-                        endpoint,
-                        update: note,
-                    };
-                    w.handle(&mut balancer, event);
-                }
-            }
-            _ => {
-                if let Some(id) = pick(&mut w, false) {
-                    let open = w.open.remove(&id).expect("picked");
-                    let (attempt, endpoint, _) = open.out.expect("out");
-                    w.handle(&mut balancer, Event::ClientLeft(RequestId(id)));
-                    w.late.insert(id, (attempt, endpoint));
-                }
-            }
-        }
+    let mut simulation = Simulation::new(seed);
+    for step in 0..STEPS {
+        simulation.step(step);
     }
-    w.actions
+    simulation.actions
 }
 
 #[test]
 fn rules_hold_over_long_random_runs() {
     for seed in 0..12 {
         let actions = run(seed);
-        let placed = actions.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
-        assert!(placed > 150, "seed {seed}: {placed} placed");
+        let forwarded = actions.iter().filter(|action| matches!(action, Action::Forward { .. })).count();
+        assert!(forwarded > 150, "seed {seed}: {forwarded} forwarded");
     }
 }
 
--- a/crates/balancer/tests/migration.rs
+++ b/crates/balancer/tests/migration.rs
@@ -13,16 +13,16 @@
         on_a += usize::from(harness.connect(request(id)) == endpoint_id("a:1"));
         harness.advance(300_000);
     }
-    assert!(on_a >= 8, "{on_a} connections to move");
-    let told = harness.now;
+    assert!(on_a >= 8, "{on_a} connections to migrate");
+    let drain_start = harness.now;
     harness.handle(delta_update(vec![draining_endpoint("a:1")]));
     harness.advance(10 * SECOND);
-    let moves = harness.migrations();
-    assert_eq!(moves.len(), on_a);
-    assert!(moves.iter().all(|(at, _)| *at <= told + 4 * SECOND));
-    let at_once = moves.iter().filter(|(at, _)| *at < told + SECOND / 2).count();
-    assert!(at_once < on_a / 2, "{at_once} of {on_a} moved at once");
-    for (i, (_, id)) in moves.iter().enumerate() {
+    let migrations = harness.migrations();
+    assert_eq!(migrations.len(), on_a);
+    assert!(migrations.iter().all(|(at, _)| *at <= drain_start + 4 * SECOND));
+    let at_once = migrations.iter().filter(|(at, _)| *at < drain_start + SECOND / 2).count();
+    assert!(at_once < on_a / 2, "{at_once} of {on_a} migrated at once");
+    for (i, (_, id)) in migrations.iter().enumerate() {
         let back = Request {
             session_key: request(id.0).session_key,
             reconnecting: true,
@@ -42,14 +42,14 @@
         harness.connect(request(id));
         harness.advance(300_000);
     }
-    let told = harness.now;
+    let drain_start = harness.now;
     harness.handle(delta_update(vec![draining_endpoint("b:1")]));
     harness.advance(10 * SECOND);
-    let moves = harness.migrations();
-    assert!(moves.len() >= 8);
+    let migrations = harness.migrations();
+    assert!(migrations.len() >= 8);
     assert!(
-        moves.iter().all(|(at, _)| *at <= told + SECOND),
-        "all within the second a drain was seen to last"
+        migrations.iter().all(|(at, _)| *at <= drain_start + SECOND),
+        "all within the one second of the earlier drain"
     );
 }
 
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -5,8 +5,8 @@
 use honeyknot_balancer::*;
 use support::*;
 
-/// What may follow an attempt, by the class's effect and the attempt's outcome: another attempt elsewhere is
-/// allowed if it proves not to have run or repeats are harmless.
+/// An attempt may be followed by another one elsewhere if it proves not to have run or if repeats are
+/// harmless.
 #[test]
 fn retry_depends_on_idempotency_and_outcome() {
     let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 5 * SECOND };
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What all balancers together send to a cold endpoint: sums over instances that know nothing of each other.
+//! What all balancers together send to an endpoint in slow start, without knowing of each other.
 
 mod support;
 
@@ -11,20 +11,23 @@
 const MS: Micros = 1_000;
 const START: Micros = 1_000_000_000;
 
-fn rules(overload_factor: f64, fall: Micros, cold: Micros, start_capacity: f64) -> Rules {
+fn rules(
+    overload_factor: f64, overload_duration: Micros, slow_start_duration: Micros, initial_capacity: f64,
+) -> Rules {
     Rules {
         answer_grace: 0,
         max_list_age: 0,
-        initial_capacity: start_capacity,
-        slow_start_duration: cold,
+        initial_capacity,
+        slow_start_duration,
         drain_grace: 500 * MS,
         overload_factor,
-        overload_duration: fall,
+        overload_duration,
     }
 }
 
-/// The settings of three deployments, and of one that bears little for long.
-fn kinds() -> [(Rules, f64); 4] {
+/// Rules of three deployments, and of one where endpoints bear little for long; with the connections that an
+/// endpoint holds.
+fn deployments() -> [(Rules, f64); 4] {
     [
         (rules(3.0, 2_000 * MS, 9_000 * MS, 0.32), 33.0),
         (rules(3.0, 2_000 * MS, 24_000 * MS, 0.13), 90.0),
@@ -33,10 +36,10 @@
     ]
 }
 
-/// When each call of all balancers came, if every one of them uses every slot that is open from `from` on.
-fn calls(rules: &Rules, holds: f64, balancers: usize, from: Micros, seed: u64) -> Vec<Micros> {
+/// When connections are sent if every balancer uses all of its budget from `from` on.
+fn calls(rules: &Rules, max_connections: f64, balancers: usize, from: Micros, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let rate = slow_start::budget_rate(rules, holds, balancers as f64);
+    let rate = slow_start::budget_rate(rules, max_connections, balancers as f64);
     let mut budgets: Vec<SlowStartBudget> =
         (0..balancers).map(|_| SlowStartBudget::new(rng.random())).collect();
     let mut calls = Vec::new();
@@ -52,11 +55,13 @@
     calls
 }
 
-/// The fullest time of `fall`, as a part of N + k x root of N + k, N by the capacity at its end.
-fn fullest(rules: &Rules, holds: f64, calls: &[Micros], k: f64) -> f64 {
+/// The most connections in any `overload_duration`, as a fraction of `N + k * sqrt(N) + k`, where N is what
+/// the endpoint bears by its capacity at the end of that time.
+fn highest_fraction(rules: &Rules, max_connections: f64, calls: &[Micros], k: f64) -> f64 {
     let part = |(i, from): (usize, &Micros)| {
         let there = calls[i..].iter().take_while(|at| **at < from + rules.overload_duration).count() as f64;
-        let capacity = slow_start::warm_up_fraction(rules, START, from + rules.overload_duration) * holds
+        let capacity = slow_start::warm_up_fraction(rules, START, from + rules.overload_duration)
+            * max_connections
             / rules.slow_start_duration as f64;
         let n = rules.overload_factor * capacity * rules.overload_duration as f64;
         there / (n + k * n.sqrt() + k)
@@ -64,15 +69,15 @@
     calls.iter().enumerate().map(part).fold(0.0, f64::max)
 }
 
-/// Under steady demand the sum keeps the stricter limit in every draw.
+/// Under steady demand the sum stays under the stricter limit for every seed.
 #[test]
 fn budgets_of_any_number_of_balancers_stay_under_the_limit() {
-    for (rules, holds) in kinds() {
+    for (rules, max_connections) in deployments() {
         for balancers in [4, 20, 30, 300] {
             let mut worst: f64 = 0.0;
             for seed in 0..60 {
-                let calls = calls(&rules, holds, balancers, 0, seed);
-                worst = worst.max(fullest(&rules, holds, &calls, 2.0));
+                let calls = calls(&rules, max_connections, balancers, 0, seed);
+                worst = worst.max(highest_fraction(&rules, max_connections, &calls, 2.0));
             }
             assert!(worst < 1.0, "{balancers} balancers, {rules:?}: {worst:.2} of the limit");
             // Parts below one are not rounded down either.
@@ -81,20 +86,20 @@
     }
 }
 
-/// After a lull everything that waits comes at once. The page's limit holds in all but one of a hundred
-/// draws, whatever the moment; the stricter one in nine of ten.
+/// After a lull all pending requests come at once. The rule's limit holds for all but one of a hundred seeds,
+/// whatever the time; the stricter one for nine of ten.
 #[test]
 fn burst_after_a_lull_is_bounded() {
-    for (rules, holds) in kinds() {
+    for (rules, max_connections) in deployments() {
         for balancers in [4, 30, 300] {
-            let (mut strict, mut page, draws) = (0, 0, 200);
+            let (mut strict, mut rule, draws) = (0, 0, 200);
             for seed in 0..draws {
                 let from = rules.slow_start_duration / 10 * (seed % 8);
-                let calls = calls(&rules, holds, balancers, from, seed);
-                strict += u32::from(fullest(&rules, holds, &calls, 2.0) >= 1.0);
-                page += u32::from(fullest(&rules, holds, &calls, 3.0) >= 1.0);
+                let calls = calls(&rules, max_connections, balancers, from, seed);
+                strict += u32::from(highest_fraction(&rules, max_connections, &calls, 2.0) >= 1.0);
+                rule += u32::from(highest_fraction(&rules, max_connections, &calls, 3.0) >= 1.0);
             }
-            assert!(page <= 2, "{balancers} balancers, {rules:?}: {page} of {draws} over the page's limit");
+            assert!(rule <= 2, "{balancers} balancers, {rules:?}: {rule} of {draws} over the rule's limit");
             assert!(
                 strict <= 20,
                 "{balancers} balancers, {rules:?}: {strict} of {draws} over the stricter one"
@@ -103,7 +108,7 @@
     }
 }
 
-/// One balancer of many sends no more to a cold endpoint than its share of what that can bear.
+/// One balancer of many sends no more to an endpoint in slow start than its share of what that bears.
 #[test]
 fn endpoint_in_slow_start_gets_no_more_than_its_budget() {
     let mut sent = 0;
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer under test with its timers, and settings and messages to feed it.
+//! A test harness: a balancer with its timers, and the settings and events that tests need.
 #![allow(dead_code)] // each test file uses a part
 
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 pub const SECOND: Micros = 1_000_000;
 pub const START: Micros = 1_000 * SECOND;
 
-pub fn request_class(effect: Idempotency) -> RequestClass {
+pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: SECOND / 2,
         latency_objective_stretch: 0.0,
         deadline: 2 * SECOND,
-        idempotency: effect,
+        idempotency,
         late_value_fraction: 0.0,
         stream: true,
         priority_weight: 1.0,
@@ -124,26 +124,26 @@
     Some(LoadReport { load: Some(load), inflight: Some(load * 50.0), ..LoadReport::default() })
 }
 
-/// A balancer, the time, its timers and the loads that its endpoints report to probes.
+/// A balancer with a virtual clock, its timers and the loads that its endpoints report to health checks.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
     pub reported_loads: BTreeMap<EndpointId, Option<f64>>,
-    /// Every action with its time, probes and timers left out.
+    /// Every action with its time, except health checks and timers.
     pub actions: Vec<(Micros, Action)>,
     pub health_check_count: usize,
-    /// This endpoint answers probes with errors.
+    /// This endpoint answers health checks with errors.
     pub endpoint_with_errors: Option<EndpointId>,
-    /// Reports leave out how many connections are held.
+    /// Load reports leave out the number of connections in flight.
     pub omits_inflight: bool,
     timers: BTreeMap<(Micros, u64), TimerToken>,
     serial: u64,
 }
 
 impl Harness {
-    /// A harness whose endpoints all report the given load; `None` leaves probes to time out.
+    /// Creates a balancer with endpoints that report these loads; health checks of one with `None` time out.
     pub fn new(settings: Settings, seed: u64, endpoints: &[(&str, Option<f64>)]) -> Harness {
-        let balancer = Balancer::new(settings, seed, START).expect("sound settings");
+        let balancer = Balancer::new(settings, seed, START).expect("valid settings");
         let mut harness = Harness {
             balancer,
             now: START,
@@ -162,7 +162,7 @@
         harness
     }
 
-    /// Feeds an event; probes are answered at once, or time out, in the same instant.
+    /// Handles an event. Health checks are answered, or time out, in the same instant.
     pub fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Lets time pass, timers going off on the way.
+    /// Lets time pass and fires the timers that are due.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some((&(at, serial), &token)) = self.timers.first_key_value() {
@@ -210,7 +210,7 @@
         self.now = end;
     }
 
-    /// Where the request's last attempt went.
+    /// The endpoint of the request's last attempt.
     pub fn last_endpoint(&self, id: u32) -> Option<EndpointId> {
         self.actions.iter().rev().find_map(|(_, action)| match action {
             Action::Forward { id: of, endpoint, .. } if of.0 == id => Some(endpoint.clone()),
@@ -218,7 +218,7 @@
         })
     }
 
-    /// Asks for a connection; the one that comes out of it stands.
+    /// Requests a connection and establishes it where it is placed.
     pub fn connect(&mut self, request: Request) -> EndpointId {
         let id = request.id;
         self.handle(Event::Request(request));
@@ -274,8 +274,8 @@
 
 /// All balancers of a fleet, each with the same twelve endpoints in four zones that report the same load.
 ///
-/// Where there are many balancers, each sees one or two connections. Each once took two endpoints for a group,
-/// rebalanced a connection every tick, and took what it had just placed for a thirtieth of a surge.
+/// Where there are many balancers, each sees one or two connections. Each once took two endpoints for a
+/// group, rebalanced a connection every tick, and took what it had just placed for a thirtieth of a surge.
 pub fn large_fleet(size: u32, load: f64) -> Vec<Harness> {
     let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.2;
--- a/crates/balancer/tests/unreported_load.rs
+++ b/crates/balancer/tests/unreported_load.rs
@@ -1,5 +1,4 @@
-//! A balancer where endpoints report nothing and may not be probed: what it knows, it knows from its own
-//! attempts.
+//! A balancer without load reports and health checks, which knows only the outcomes of its own attempts.
 
 mod support;
 
@@ -7,8 +6,8 @@
 use honeyknot_balancer::*;
 use support::*;
 
-/// Settings of a deployment with no reports and no probes; times and costs are another's than the usual ones.
-fn told_nothing(fleet_size: u32) -> Settings {
+/// Settings of a deployment without load reports and health checks.
+fn settings_without_reports(fleet_size: u32) -> Settings {
     let mut settings = settings();
     settings.load_reports = LoadReportSource::Unavailable;
     settings.permissions.health_checks = false;
@@ -20,10 +19,10 @@
 const NAMES: [&str; 6] = ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1"];
 
 fn harness(fleet_size: u32, seed: u64) -> Harness {
-    Harness::new(told_nothing(fleet_size), seed, &NAMES.map(|name| (name, None)))
+    Harness::new(settings_without_reports(fleet_size), seed, &NAMES.map(|name| (name, None)))
 }
 
-/// Guards against a cut of some seconds that ends an endpoint for good.
+/// Regression: a network fault of some seconds ejected endpoints for good.
 #[test]
 fn ejected_endpoint_gets_a_trial_if_health_checks_are_not_permitted() {
     let mut harness = harness(5, 3);
@@ -37,7 +36,7 @@
         }
         harness.advance(100_000);
     }
-    assert!(harness.balancer.ejected_endpoints().count() >= 4, "the cut is seen");
+    assert!(harness.balancer.ejected_endpoints().count() >= 4, "the endpoints are ejected");
     harness.advance(20 * SECOND);
     let mut served: Vec<EndpointId> = (100..200)
         .map(|id| {
@@ -51,7 +50,7 @@
     assert_eq!(harness.balancer.ejected_endpoints().count(), 0);
 }
 
-/// An endpoint that stays silent costs no more than an attempt a turn, and turns become rare.
+/// An unresponsive endpoint costs no more than one attempt for each trial, and trials become rare.
 #[test]
 fn trials_of_an_unresponsive_endpoint_are_rare() {
     let mut harness = harness(5, 4);
@@ -67,12 +66,11 @@
         }
         harness.advance(100_000);
     }
-    // A minute: two strikes, and turns after 0.5 s, later up to 16 s apart.
-    assert!((3..=20).contains(&wasted), "{wasted} attempts at a silent endpoint in a minute");
+    // In a minute: two failures, then trials 0.5 s and later up to 16 s apart.
+    assert!((3..=20).contains(&wasted), "{wasted} attempts at an unresponsive endpoint in a minute");
 }
 
-/// Guards against a fleet that is taken for full, or jammed by a wave, because one endpoint once turned
-/// somebody away.
+/// Regression: one rejection made the whole fleet look full.
 #[test]
 fn rejection_by_one_endpoint_says_nothing_of_the_others() {
     let mut harness = harness(5, 5);
@@ -100,8 +98,8 @@
     }
 }
 
-/// Guards against own placements that add up for ever, as no report ever takes them off: after some minutes
-/// every endpoint would look full, and groups would be scattered by who had least of all time.
+/// Placements must not add up for ever where no report takes them off: after some minutes every endpoint
+/// would look full.
 #[test]
 fn group_stays_together_over_many_placements() {
     let mut harness = harness(100, 6);
@@ -116,7 +114,7 @@
     assert!(at.len() <= 2, "a group of one member at a time on {at:?}");
 }
 
-/// An endpoint that drops its connections is left alone by those that come again.
+/// Returning clients avoid an endpoint that has just dropped a connection.
 #[test]
 fn endpoint_that_dropped_a_connection_is_avoided_at_first() {
     let mut harness = harness(5, 7);
@@ -130,8 +128,8 @@
     harness.connect(later);
 }
 
-/// Guards against cold endpoints that idle while the warm ones jam, as nothing tells how little a session
-/// weighs.
+/// Regression: endpoints in slow start stayed idle while others were overloaded, as no report corrects the
+/// load of a connection.
 #[test]
 fn endpoint_in_slow_start_is_filled_at_the_expected_pace_without_reports() {
     let mut sent = 0;
@@ -149,16 +147,16 @@
     assert!((60..=260).contains(&sent), "{sent} in 20 days, 120 wanted");
 }
 
-/// A fleet of so many endpoints that one balancer's losses tell it of a few of them only.
+/// A fleet with so many endpoints that one balancer's losses tell of a few of them only.
 fn large_fleet(settings: Settings, seed: u64) -> Harness {
     let names: Vec<String> = (0..200).map(|n| format!("s{n}:1")).collect();
     let listed: Vec<_> = names.iter().map(|name| (&**name, None)).collect();
     Harness::new(settings, seed, &listed)
 }
 
-/// Requests of many groups, each of which stands for a moment and is dropped; how many were turned away
-/// unsent.
-fn jam(harness: &mut Harness, ids: std::ops::Range<u32>, class: impl Fn(u32) -> ClassId) -> Vec<u32> {
+/// Sends requests of many groups, drops each connection soon after it is established, and returns the
+/// rejected ones.
+fn overload(harness: &mut Harness, ids: std::ops::Range<u32>, class: impl Fn(u32) -> ClassId) -> Vec<u32> {
     let mut turned_away = Vec::new();
     for id in ids {
         let name = format!("g{}", id % 40);
@@ -185,14 +183,14 @@
     turned_away
 }
 
-/// Guards against a jam that feeds itself: what is dropped comes again and jams the next endpoint.
+/// Regression: clients of dropped connections returned and overloaded the next endpoint.
 #[test]
 fn throttle_rejects_as_much_as_was_lost_and_stops_when_nothing_is() {
-    let mut harness = large_fleet(told_nothing(100), 8);
-    let away = jam(&mut harness, 0..200, |_| ClassId(0));
-    assert!(away.len() > 60, "{} of 200 turned away while all else is lost", away.len());
-    assert!(away.len() < 180, "some are let through to see if it is over");
-    // Whole groups: what one member is told, the next is told too.
+    let mut harness = large_fleet(settings_without_reports(100), 8);
+    let rejected = overload(&mut harness, 0..200, |_| ClassId(0));
+    assert!(rejected.len() > 60, "{} of 200 rejected while all else is lost", rejected.len());
+    assert!(rejected.len() < 180, "some are let through to see if it is over");
+    // Whole groups: all members get the same answer.
     let same = (0..40).filter(|n| {
         let mut placed = |id: u32| {
             harness.handle(Event::Request(Request {
@@ -204,24 +202,23 @@
         placed(500 + 2 * n) == placed(501 + 2 * n)
     });
     let same = same.count();
-    assert!(same >= 36, "{same} of 40 groups are told alike");
+    assert!(same >= 36, "{same} of 40 groups get the same answer");
     harness.advance(30 * SECOND);
     for id in 1_000..1_040 {
         harness.handle(Event::Request(request(id)));
-        assert!(harness.last_endpoint(id).is_some(), "it is over: request {id} is placed");
+        assert!(harness.last_endpoint(id).is_some(), "after the overload: request {id} is placed");
         harness.advance(50_000);
     }
 }
 
-/// Guards against a connection that is cut off in a jam: its endpoint has it still, and only this balancer has
-/// lost sight of it.
+/// The endpoint of a request in mid flow still has its connection.
 #[test]
 fn mid_flow_request_goes_to_its_endpoint_however_much_is_throttled() {
-    let mut harness = large_fleet(told_nothing(100), 8);
-    // Their endpoint is seen by one request each, before the jam.
+    let mut harness = large_fleet(settings_without_reports(100), 8);
+    // Each client has a sticky endpoint from before the overload.
     let at: Vec<EndpointId> = (2_000..2_040).map(|id| harness.connect(request(id))).collect();
-    let away = jam(&mut harness, 0..200, |_| ClassId(0));
-    assert!(away.len() > 60, "{} of 200 turned away while all else is lost", away.len());
+    let rejected = overload(&mut harness, 0..200, |_| ClassId(0));
+    assert!(rejected.len() > 60, "{} of 200 rejected while all else is lost", rejected.len());
     for (id, endpoint) in (2_000..2_040).zip(at) {
         let again = Request { id: RequestId(id + 1_000), mid_flow: true, reconnecting: true, ..request(id) };
         harness.handle(Event::Request(again));
@@ -231,43 +228,50 @@
 
 #[test]
 fn class_of_lowest_priority_is_throttled_first() {
-    let mut settings = told_nothing(100);
-    let mut dear = settings.classes[0].clone();
-    dear.priority_weight = settings.classes[0].priority_weight * 4.0;
-    settings.classes.push(dear);
+    let mut settings = settings_without_reports(100);
+    let mut high_priority = settings.classes[0].clone();
+    high_priority.priority_weight = settings.classes[0].priority_weight * 4.0;
+    settings.classes.push(high_priority);
     let mut harness = large_fleet(settings, 9);
-    let away = jam(&mut harness, 0..400, |id| ClassId((id / 40 % 2) as usize));
-    let dear = away.iter().filter(|id| *id / 40 % 2 == 1).count();
-    assert!(dear * 3 < away.len() * 2 - dear, "{dear} of {} turned away are of the dear class", away.len());
+    let rejected = overload(&mut harness, 0..400, |id| ClassId((id / 40 % 2) as usize));
+    let high_priority = rejected.iter().filter(|id| *id / 40 % 2 == 1).count();
+    assert!(
+        high_priority * 3 < rejected.len() * 2 - high_priority,
+        "{high_priority} of {} rejected are of the class of high priority",
+        rejected.len()
+    );
 }
 
-/// Guards against cold endpoints that idle beside jammed ones, as no group has need of them.
+/// Regression: endpoints in slow start stayed idle beside overloaded ones, as no group needed them.
 #[test]
 fn endpoints_in_slow_start_are_used_first_under_pressure() {
-    let sent = |jammed: bool| {
+    let sent = |is_overloaded: bool| {
         let mut sent = 0;
         for seed in 0..10 {
-            let mut harness = large_fleet(told_nothing(2), seed);
-            if jammed {
-                jam(&mut harness, 0..40, |_| ClassId(0));
+            let mut harness = large_fleet(settings_without_reports(2), seed);
+            if is_overloaded {
+                overload(&mut harness, 0..40, |_| ClassId(0));
             }
-            let cold = ["u:1", "v:1", "w:1"];
+            let warming_up = ["u:1", "v:1", "w:1"];
             harness.handle(delta_update(
-                cold.map(|id| Endpoint { started_at: harness.now, ..ready_endpoint(id) }).into(),
+                warming_up.map(|id| Endpoint { started_at: harness.now, ..ready_endpoint(id) }).into(),
             ));
             for id in 1_000..1_060 {
-                let asked = Request { affinity_group: affinity_group(&format!("h{id}")), ..request(id) };
-                harness.handle(Event::Request(asked));
+                let request_in_group =
+                    Request { affinity_group: affinity_group(&format!("h{id}")), ..request(id) };
+                harness.handle(Event::Request(request_in_group));
                 sent += u32::from(
-                    harness.last_endpoint(id).is_some_and(|at| cold.iter().any(|c| at == endpoint_id(c))),
+                    harness
+                        .last_endpoint(id)
+                        .is_some_and(|at| warming_up.iter().any(|id| at == endpoint_id(id))),
                 );
                 harness.advance(50_000);
             }
         }
         sent
     };
-    let (calm, jammed) = (sent(false), sent(true));
-    assert!(jammed > calm * 2, "{jammed} in a jam, {calm} else");
+    let (normal, overloaded) = (sent(false), sent(true));
+    assert!(overloaded > normal * 2, "{overloaded} while overloaded, {normal} otherwise");
 }
 
 #[test]
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,5 +1,5 @@
-//! Groups and zones: together on few endpoints where nothing is reported, in their clients' zones where loads
-//! are.
+//! Affinity groups and zones: together on few endpoints without load reports, in their clients' zones with
+//! them.
 
 mod support;
 
@@ -32,8 +32,8 @@
     harness
 }
 
-/// Where a request goes, which may be held for a while; one that stands is left to the caller, others end.
-fn asks(harness: &mut Harness, request: Request) -> Option<EndpointId> {
+/// Where a request goes, which may be pending for a while. One of a group stays open, others end.
+fn send_request(harness: &mut Harness, request: Request) -> Option<EndpointId> {
     let (id, keeps) = (request.id.0, request.affinity_group.is_some());
     harness.handle(Event::Request(request));
     harness.advance(2 * SECOND);
@@ -44,20 +44,22 @@
     endpoint
 }
 
-/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: pairs of a group and
-/// an endpoint that holds any of it, and how many of the connections cross zones.
+/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: the pairs of a group
+/// and an endpoint that holds any of it, and the number of connections that cross zones.
 fn pairs_and_crossings(load: f64, change: impl Fn(&mut Settings)) -> (usize, usize) {
     let (mut pairs, mut crossings, mut placed) = (BTreeSet::new(), 0, 0);
     for number in 0..80 {
         let mut settings = settings_in(number % ZONES, 80, 0.1);
         change(&mut settings);
         let mut harness = harness(settings, number as u64, load);
-        // Probes have told of the fleet, and its mean is known, before the first of them.
-        (100..110).for_each(|id| drop(asks(&mut harness, Request { session_key: None, ..request(id) })));
+        // Before the first of them, the mean load of the fleet is known from health checks.
+        (100..110)
+            .for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
         for i in 0..5 {
             let of = (number / ZONES + i) % 10;
-            let asked = Request { affinity_group: affinity_group(&format!("g{of}")), ..request(i as u32) };
-            let Some(endpoint) = asks(&mut harness, asked) else { continue };
+            let request_in_group =
+                Request { affinity_group: affinity_group(&format!("g{of}")), ..request(i as u32) };
+            let Some(endpoint) = send_request(&mut harness, request_in_group) else { continue };
             harness.handle(Event::ConnectionEstablished {
                 id: RequestId(i as u32),
                 attempt: AttemptId(0),
@@ -73,31 +75,29 @@
     (pairs.len(), crossings)
 }
 
-fn told_nothing(settings: &mut Settings) {
+fn disable_reports(settings: &mut Settings) {
     settings.load_reports = LoadReportSource::Unavailable;
     settings.permissions.health_checks = false;
 }
 
-/// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and
-/// no report told how full it was.
+/// Regression: each zone held every group anew; the copies took two fifths of an overloaded fleet.
 #[test]
 fn group_is_not_copied_into_every_zone_without_load_reports() {
-    let (pairs, _) = pairs_and_crossings(0.4, told_nothing);
+    let (pairs, _) = pairs_and_crossings(0.4, disable_reports);
     assert!(pairs <= 20, "{pairs} pairs of ten groups where nothing is reported");
 }
 
-/// Guards against crossings that buy nothing: where loads are reported, room is seen.
+/// Where loads are reported, a full zone is seen, and crossing zones otherwise gains nothing.
 #[test]
 fn clients_stay_in_their_zone_with_load_reports() {
     let (pairs, crossings) = pairs_and_crossings(0.4, |_| ());
     assert!(crossings < 100 && pairs >= 40, "{crossings} of 400 cross zones, {pairs} pairs");
 }
 
-/// The same where crossing costs more than any copy.
 #[test]
 fn clients_stay_in_their_zone_if_crossing_costs_more_than_a_copy() {
     let (_, crossings) = pairs_and_crossings(0.4, |settings| {
-        told_nothing(settings);
+        disable_reports(settings);
         settings.prices.cross_zone = 2.0 * GROUP_COST;
     });
     assert!(crossings <= 20, "{crossings} of 400 cross zones");
@@ -113,10 +113,10 @@
     assert_eq!(slowdown(0.0, 0.0), 1.0, "crossing costs nothing");
 }
 
-/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one endpoint
-/// of the own zone.
-fn stands_away(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
-    // Nothing is reported but to probes, which are allowed.
+/// Number of migrations of one connection in zone 1, with spare capacity at one local endpoint, at one of
+/// four balancers.
+fn migrations_of_connection_in_another_zone(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
+    // Loads are reported only to health checks, which are permitted.
     let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
     let mut harness = harness(settings, 3, elsewhere);
     harness.reported_loads.insert(endpoint_id("a:1"), Some(0.5));
@@ -124,13 +124,12 @@
         Request { affinity_group: group_of, ..request(1) },
         endpoint_id("b:1"),
     ));
-    (100..140).for_each(|id| drop(asks(&mut harness, Request { session_key: None, ..request(id) })));
+    (100..140).for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
     harness.advance(60 * SECOND);
     harness.migrations().len()
 }
 
-/// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone
-/// once more, for ever.
+/// Regression: a connection was rebalanced, placed by its group in the other zone once more, and so on.
 #[test]
 fn connection_with_its_group_in_another_zone_is_not_rebalanced() {
     let there = |name: &String| {
@@ -138,11 +137,15 @@
         harness.connect(Request { affinity_group: affinity_group(name), ..request(1) }) == endpoint_id("b:1")
     };
     let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first endpoint is b:1");
-    assert_eq!(stands_away(0.66, affinity_group(&of_b)), 0, "its group is together there");
-    assert_eq!(stands_away(0.66, None), 1, "without a group it is brought home");
+    assert_eq!(
+        migrations_of_connection_in_another_zone(0.66, affinity_group(&of_b)),
+        0,
+        "its group is together there"
+    );
+    assert_eq!(migrations_of_connection_in_another_zone(0.66, None), 1, "without a group it is rebalanced");
 }
 
-/// Guards against probes, and so connections, at endpoints whose settings allow none.
+/// Regression: health checks were sent although the settings did not permit them.
 #[test]
 fn no_health_check_is_sent_if_not_permitted() {
     for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
