--- a/crates/lease-consensus/src/lib.rs
+++ b/crates/lease-consensus/src/lib.rs
@@ -1,23 +1,29 @@
 #![forbid(unsafe_code)]
-//! One keeper of leases, without I/O: the consensus engine round the lease book and its watchman.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+//! One replica of the lease service, without I/O: raft with the lease table as its state machine.
 //!
-//! Ticks, letters of other keepers and asks go into a [`Replica`] with the time. What has to be on disk comes out as a
-//! [`ReplicaWrite`]; once that is there, letters and answers come out as [`ReplicaAction`]s. It opens no file or socket and reads no clock, and the
-//! same events give the same actions: there is no chance in it. Why this engine, and what is promised, stands in
-//! `docs/design/leases.md`.
+//! Ticks, [`PeerMessage`]s and [`ClientRequest`]s go into a [`Replica`] with the time. What has to be persisted comes out as a
+//! [`ReplicaWrite`]; once that is on disk, messages and responses come out as [`ReplicaAction`]s. A replica opens no file or
+//! socket, reads no clock and draws no random numbers: the same events give the same actions. The choice of the engine and the
+//! guarantees are in `docs/design/leases.md`.
 
+mod client;
+mod error;
 mod log;
 mod peer_message;
+mod persisted_state;
+mod raft_types;
 mod replica;
+mod settings;
 
-pub use log::{PersistedState, ReplicaWrite};
-pub use peer_message::{Entry, HardState, PeerMessage, Snapshot};
-pub use replica::{
-    ClientRequest, LeaseView, Replica, ReplicaAction, ReplicaError, ReplicaSettings, Response,
-};
+pub use client::{ClientRequest, LeaseView, Response};
+pub use error::{ReplicaError, StateError, StoredItem};
+pub use honeyknot_lease::Micros;
+pub use peer_message::PeerMessage;
+pub use persisted_state::{PersistedState, ReplicaWrite};
+pub use raft_types::{Entry, HardState, Snapshot};
+pub use replica::{Replica, ReplicaAction};
+pub use settings::ReplicaSettings;
 
-/// Microseconds.
-pub type Micros = honeyknot_lease::Micros;
-
-/// The number of a keeper, from 1.
+/// Number of a replica, from 1.
 pub type ReplicaId = u64;
--- a/crates/lease-consensus/src/log.rs
+++ b/crates/lease-consensus/src/log.rs
@@ -1,203 +1,142 @@
-//! The log as the engine reads it: in memory, a mirror of what is on disk, with some entries more behind the last snapshot for
-//! keepers that lag a little.
+//! The engine's view of the log: a copy in memory of what is persisted, with some entries before the last snapshot for followers
+//! that lag a little.
 
 use raft::eraftpb::{self, ConfState};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-use crate::peer_message::{Entry, HardState, Snapshot};
-use crate::{Micros, ReplicaId};
-
-/// What a keeper found on its disk.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PersistedState {
-    /// Its state.
-    pub state: HardState,
-    /// The book so far, if it was ever put together.
-    pub snapshot: Option<Snapshot>,
-    /// All entries after that, in order and without a gap.
-    pub entries: Vec<Entry>,
-}
-
-/// What has to be on disk before anything that follows from it is told to anybody. All of it or nothing.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReplicaWrite {
-    /// The new state.
-    pub state: Option<HardState>,
-    /// Takes the place of all entries up to its index.
-    pub snapshot: Option<Snapshot>,
-    /// All entries from this one on are dropped ...
-    pub drop_from: Option<u64>,
-    /// ... before these are added.
-    pub entries: Vec<Entry>,
-}
-
-impl ReplicaWrite {
-    /// Whether there is anything in it.
-    pub fn is_empty(&self) -> bool {
-        *self == ReplicaWrite::default()
-    }
-}
+use crate::{Entry, HardState, PersistedState, ReplicaId, Snapshot};
 
-impl PersistedState {
-    /// What is on disk after a write, for stores that hold it all in memory.
-    pub fn write(&mut self, write: ReplicaWrite) {
-        if let Some(state) = write.state {
-            self.state = state;
-        }
-        if let Some(snapshot) = write.snapshot {
-            self.entries.retain(|entry| entry.index > snapshot.index);
-            self.snapshot = Some(snapshot);
-        }
-        if let Some(from) = write.drop_from {
-            self.entries.retain(|entry| entry.index < from);
-        }
-        self.entries.extend(write.entries);
-    }
+/// Number of entries before the last snapshot that stay in memory.
+const ENTRIES_BEFORE_SNAPSHOT: u64 = 512;
+/// Estimated overhead of an entry in a message, in bytes.
+const ENTRY_OVERHEAD_BYTES: u64 = 24;
 
-    /// What is wrong with it, if anything: a gap, a state that names entries which are not there.
-    pub fn check(&self) -> Result<(), String> {
-        let mut next = self.snapshot.as_ref().map_or(0, |s| s.index) + 1;
-        for entry in &self.entries {
-            if entry.index != next {
-                return Err(format!(
-                    "entry {next} of the log is missing: the next one there is {}",
-                    entry.index
-                ));
-            }
-            next += 1;
-        }
-        if self.state.commit >= next {
-            return Err(format!(
-                "entry {} was agreed on, but the log ends before entry {next}",
-                self.state.commit
-            ));
-        }
-        Ok(())
-    }
+/// Index and term of an entry.
+#[derive(Clone, Copy, Debug, Default)]
+struct Position {
+    index: u64,
+    term: u64,
 }
 
+#[derive(Debug)]
 pub(crate) struct Log {
     voters: Vec<ReplicaId>,
-    state: HardState,
+    hard_state: HardState,
     snapshot: Option<Snapshot>,
-    /// The entry before the first of `entries`: its index and term.
-    before: (u64, u64),
+    /// The entry before the first of `entries`.
+    before_first: Position,
     entries: Vec<Entry>,
 }
 
-/// Entries kept in memory behind a snapshot.
-const BEHIND: u64 = 512;
-
 impl Log {
-    pub(crate) fn new(voters: &[ReplicaId], kept: PersistedState) -> Log {
-        let before = kept.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-        let mut state = kept.state;
-        state.commit = state.commit.max(before.0);
-        Log { voters: voters.to_vec(), state, snapshot: kept.snapshot, before, entries: kept.entries }
+    pub(crate) fn new(voters: &[ReplicaId], state: PersistedState) -> Log {
+        let PersistedState { mut hard_state, snapshot, entries } = state;
+        let before_first = snapshot.as_ref().map_or_else(Position::default, position_of);
+        hard_state.commit = hard_state.commit.max(before_first.index);
+        Log { voters: voters.to_vec(), hard_state, snapshot, before_first, entries }
     }
 
     pub(crate) fn snapshot_index(&self) -> u64 {
-        self.snapshot.as_ref().map_or(0, |s| s.index)
+        self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
 
-    /// The entries in memory from this one on.
-    pub(crate) fn from(&self, index: u64) -> Vec<Entry> {
+    /// The entries in memory from an index on.
+    pub(crate) fn entries_from(&self, index: u64) -> Vec<Entry> {
         self.entries.iter().filter(|entry| entry.index >= index).cloned().collect()
     }
 
-    pub(crate) fn last(&self) -> u64 {
-        self.before.0 + self.entries.len() as u64
-    }
-
-    fn place(&self, index: u64) -> Option<usize> {
-        index.checked_sub(self.before.0 + 1).map(|place| place as usize)
-    }
-
-    /// Another keeper's snapshot takes the place of everything.
+    /// Replaces everything by another replica's snapshot.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
-        self.before = (snapshot.index, snapshot.term);
+        self.before_first = position_of(&snapshot);
         self.entries.clear();
-        self.state.commit = self.state.commit.max(snapshot.index);
+        self.commit(snapshot.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// The book was put together up to an entry; what lies far behind goes.
+    /// Takes over an own snapshot and drops entries that are far behind it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
-        let keep = snapshot.index.saturating_sub(BEHIND);
-        if let Some(place) = self.place(keep).filter(|place| *place < self.entries.len()) {
-            self.before = (keep, self.entries[place].term);
-            self.entries.drain(..=place);
+        let last_dropped = snapshot.index.saturating_sub(ENTRIES_BEFORE_SNAPSHOT);
+        let offset = self.offset(last_dropped).filter(|offset| *offset < self.entries.len());
+        if let Some(offset) = offset {
+            self.before_first = Position { index: last_dropped, term: self.entries[offset].term };
+            self.entries.drain(..=offset);
         }
         self.snapshot = Some(snapshot);
     }
 
+    /// Adds entries; those that stand in their place, and all after, are removed.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first() else { return };
-        if let Some(place) = self.place(first.index) {
-            self.entries.truncate(place);
+        if let Some(offset) = self.offset(first.index) {
+            self.entries.truncate(offset);
         }
         self.entries.extend(entries);
     }
 
-    pub(crate) fn set_state(&mut self, state: HardState) {
-        self.state = state;
+    pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
     }
 
     pub(crate) fn commit(&mut self, index: u64) {
-        self.state.commit = self.state.commit.max(index);
+        self.hard_state.commit = self.hard_state.commit.max(index);
     }
+
+    /// Offset of an index in `entries`, which may be beyond their end.
+    fn offset(&self, index: u64) -> Option<usize> {
+        index.checked_sub(self.before_first.index + 1).map(|offset| offset as usize)
+    }
+}
+
+fn position_of(snapshot: &Snapshot) -> Position {
+    Position { index: snapshot.index, term: snapshot.term }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let mut voters = ConfState::default();
         voters.voters = self.voters.clone();
-        Ok(RaftState::new(self.state.into(), voters))
+        Ok(RaftState::new(self.hard_state.into(), voters))
     }
 
     fn entries(
         &self, low: u64, high: u64, max_size: impl Into<Option<u64>>, _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        let Some(place) = self.place(low) else { return Err(Error::Store(StorageError::Compacted)) };
-        let end = self.place(high).unwrap_or(0).min(self.entries.len());
-        let some = self.entries.get(place..end).ok_or(Error::Store(StorageError::Unavailable))?;
-        let (most, mut sum) = (max_size.into().unwrap_or(u64::MAX), 0);
-        let fits = some.iter().enumerate().take_while(|(nth, entry)| {
-            sum += entry.data.len() as u64 + 24;
-            *nth == 0 || sum <= most
+        let Some(start) = self.offset(low) else { return Err(Error::Store(StorageError::Compacted)) };
+        let end = self.offset(high).unwrap_or(0).min(self.entries.len());
+        let entries = self.entries.get(start..end).ok_or(Error::Store(StorageError::Unavailable))?;
+        let max_bytes = max_size.into().unwrap_or(u64::MAX);
+        let mut bytes = 0;
+        // At least one entry, whatever its size.
+        let fitting = entries.iter().enumerate().take_while(|(position, entry)| {
+            bytes += entry.data.len() as u64 + ENTRY_OVERHEAD_BYTES;
+            *position == 0 || bytes <= max_bytes
         });
-        Ok(fits.map(|(_, entry)| entry.clone().into()).collect())
+        Ok(fitting.map(|(_, entry)| entry.clone().into()).collect())
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.before.0 {
-            return Ok(self.before.1);
+        if index == self.before_first.index {
+            return Ok(self.before_first.term);
         }
-        // Behind the entries in memory only the snapshot's own is known.
-        if let Some(snapshot) = self.snapshot.as_ref().filter(|s| s.index == index) {
+        if let Some(snapshot) = self.snapshot.as_ref().filter(|snapshot| snapshot.index == index) {
             return Ok(snapshot.term);
         }
-        let place = self.place(index).ok_or(Error::Store(StorageError::Compacted))?;
-        self.entries.get(place).map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
+        let offset = self.offset(index).ok_or(Error::Store(StorageError::Compacted))?;
+        self.entries.get(offset).map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.before.0 + 1)
+        Ok(self.before_first.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.before_first.index + self.entries.len() as u64)
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
         match &self.snapshot {
-            Some(snapshot) if snapshot.index >= request_index => Ok(snapshot.clone().engine(&self.voters)),
+            Some(snapshot) if snapshot.index >= request_index => Ok(snapshot.clone().into_raft(&self.voters)),
             _ => Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable)),
         }
     }
 }
-
-/// How long ticks are: the engine counts in them, keepers' clocks do not need to agree.
-pub(crate) fn ticks(span: Micros, tick: Micros) -> usize {
-    usize::try_from(span.div_ceil(tick.max(1))).unwrap_or(usize::MAX).max(1)
-}
--- a/crates/lease-consensus/tests/days.rs
+++ b/crates/lease-consensus/tests/days.rs
@@ -119,10 +119,10 @@
     let keepers = if seed % 4 == 3 { 5 } else { 3 };
     let settings = ReplicaSettings {
         parameters,
-        me: 0,
-        keepers,
-        tick: TICK,
-        election: LEASE / 2,
+        id: 0,
+        replica_count: keepers,
+        tick_interval: TICK,
+        election_timeout: LEASE / 2,
         compact_after: 40,
         tokens_from: 1_000 * seed,
     };
@@ -241,7 +241,7 @@
             Event::Fault => self.fault(),
             Event::Starts(k) => {
                 let mut settings = self.settings.clone();
-                settings.me = k as u64 + 1;
+                settings.id = k as u64 + 1;
                 match Replica::new(settings, self.seats[k].kept.clone()) {
                     Ok(keeper) => self.seats[k].keeper = Some(keeper),
                     Err(why) => self.breaks(format!("keeper {} does not start: {why}", k + 1)),
@@ -291,7 +291,7 @@
     fn compare(&mut self, k: usize) {
         let Some(keeper) = &self.seats[k].keeper else { return };
         let known = self.agreed.last_key_value().map_or(0, |(index, _)| *index);
-        let commit = self.seats[k].kept.state.commit;
+        let commit = self.seats[k].kept.hard_state.commit;
         let from = known.min(commit).saturating_sub(2).max(1);
         let mut broken = None;
         for entry in keeper.log_entries_from(from).into_iter().take_while(|entry| entry.index <= commit) {
@@ -318,7 +318,7 @@
                     self.after(wait, Event::PeerMessage(letter.clone()));
                 }
             }
-            ReplicaAction::Respond { to, id, told } => {
+            ReplicaAction::Respond { client: to, request_id: id, response: told } => {
                 if self.rng.random_range(0..12) > 0 {
                     let wait = self.delay();
                     self.after(wait, Event::Response { relay: to as usize, id, told });
@@ -362,7 +362,7 @@
             }
         }
         let Some(request) = self.relays[r].client.next_request(now) else { return };
-        let ask = ClientRequest { from: r as u64, id: request.id, commands: request.commands };
+        let ask = ClientRequest { client: r as u64, id: request.id, commands: request.commands };
         for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)] {
             let wait = self.delay();
             self.after(wait, Event::ClientRequest { keeper: request.server as usize - 1, ask: ask.clone() });
--- a/src/lease_client/admin_commands.rs
+++ b/src/lease_client/admin_commands.rs
@@ -96,7 +96,7 @@
             view.holder,
             view.token.0,
             seconds(view.age),
-            seconds(view.left),
+            seconds(view.remaining),
             view.renewals,
         );
     }
--- a/src/lease_server/mod.rs
+++ b/src/lease_server/mod.rs
@@ -97,15 +97,15 @@
     let tick = (plan.election_timeout / 20).clamp(5_000, 200_000);
     let settings = ReplicaSettings {
         parameters: plan.parameters,
-        me,
-        keepers: plan.servers.len() as u64,
-        tick,
-        election: plan.election_timeout,
+        id: me,
+        replica_count: plan.servers.len() as u64,
+        tick_interval: tick,
+        election_timeout: plan.election_timeout,
         compact_after: COMPACT_AFTER,
         tokens_from: found.tokens_from,
     };
     let keeper =
-        Replica::new(settings, found.kept).map_err(|why| format!("{}: {why}", seat.folder.display()))?;
+        Replica::new(settings, found.state).map_err(|why| format!("{}: {why}", seat.folder.display()))?;
     let listener = TcpListener::bind(at).await.map_err(|why| format!("{at}: {why}"))?;
     info!(target: "keeper", number = me, at = %at, folder = %seat.folder.display(), term = keeper.term(), "keeps leases");
     let (send, heard) = mpsc::channel(MOST_HEARD);
@@ -199,7 +199,7 @@
                 self.keeper.step(letter).map_err(|why| why.to_string())?;
             }
             Heard::Request { from, id, commands } => {
-                self.keeper.request((self.clock)(), ClientRequest { from, id, commands })
+                self.keeper.request((self.clock)(), ClientRequest { client: from, id, commands })
             }
             Heard::Came { from, frames } => {
                 self.clients.insert(from, frames);
@@ -263,7 +263,7 @@
                     (true, false) => {}
                 }
             }
-            ReplicaAction::Respond { to, id, told } => {
+            ReplicaAction::Respond { client: to, request_id: id, response: told } => {
                 let full = self
                     .clients
                     .get(&to)
--- a/src/lease_server/storage.rs
+++ b/src/lease_server/storage.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct DatabaseContent {
     /// What the engine must not have forgotten.
-    pub kept: PersistedState,
+    pub state: PersistedState,
     /// Tokens rise from here.
     pub tokens_from: u64,
     /// Drawn when the folder was founded.
@@ -107,9 +107,12 @@
             marks.insert(keeper.value(), mark.value());
         }
         let state: Option<HardState> = read(&kept, "state")?;
-        let kept =
-            PersistedState { state: state.unwrap_or_default(), snapshot: read(&kept, "snapshot")?, entries };
-        Ok(DatabaseContent { kept, tokens_from: founded.tokens_from, mark: founded.mark, marks })
+        let kept = PersistedState {
+            hard_state: state.unwrap_or_default(),
+            snapshot: read(&kept, "snapshot")?,
+            entries,
+        };
+        Ok(DatabaseContent { state: kept, tokens_from: founded.tokens_from, mark: founded.mark, marks })
     }
 
     /// Puts a write on disk, whole, and waits until it is there.
@@ -118,14 +121,14 @@
             return Ok(());
         }
         self.change(|tables| {
-            if let Some(state) = &write.state {
+            if let Some(state) = &write.hard_state {
                 tables.keep("state", state)?;
             }
             if let Some(snapshot) = &write.snapshot {
                 tables.keep("snapshot", snapshot)?;
                 tables.log.retain_in(..=snapshot.index, |_, _| false)?;
             }
-            if let Some(from) = write.drop_from {
+            if let Some(from) = write.truncate_from {
                 tables.log.retain_in(from.., |_, _| false)?;
             }
             for entry in &write.entries {
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -32,17 +32,17 @@
 /// The writes that lead to the recorded database, in order.
 pub fn recorded_writes(lease_table: Vec<u8>) -> [ReplicaWrite; 3] {
     let before = ReplicaWrite {
-        state: Some(hard_state(6, 1, 39)),
+        hard_state: Some(hard_state(6, 1, 39)),
         snapshot: None,
-        drop_from: Some(39),
+        truncate_from: Some(39),
         entries: vec![log_entry(39, 6, &[]), log_entry(40, 6, &recorded_commands())],
     };
     let compaction =
         ReplicaWrite { snapshot: Some(replica_snapshot(40, 6, lease_table)), ..ReplicaWrite::default() };
     let after = ReplicaWrite {
-        state: Some(hard_state(8, 3, 41)),
+        hard_state: Some(hard_state(8, 3, 41)),
         snapshot: None,
-        drop_from: Some(41),
+        truncate_from: Some(41),
         entries: vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])],
     };
     [before, compaction, after]
@@ -128,10 +128,10 @@
 fn a_database_of_the_previous_version_opens_with_its_recorded_content() {
     let folder = TemporaryFolder::with_recorded_database("content");
     let (_database, content) = open_recorded(&folder);
-    assert_eq!(content.kept.state, hard_state(8, 3, 41));
-    assert_eq!(content.kept.snapshot, Some(replica_snapshot(40, 6, one("lease_table.txt", "table"))));
+    assert_eq!(content.state.hard_state, hard_state(8, 3, 41));
+    assert_eq!(content.state.snapshot, Some(replica_snapshot(40, 6, one("lease_table.txt", "table"))));
     let entries = vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])];
-    assert_eq!(content.kept.entries, entries);
+    assert_eq!(content.state.entries, entries);
     assert_eq!(content.tokens_from, TOKENS_FROM);
     assert_eq!(content.marks.into_iter().collect::<Vec<_>>(), PEER_MARKS);
 }
@@ -148,9 +148,9 @@
     let (_database, content) = open_recorded(&folder);
     let mark = owner_mark(&content);
     assert_eq!(encode(&(owner(), TOKENS_FROM, mark)), one(VALUES, "kept/founded"));
-    assert_eq!(encode(&content.kept.state), one(VALUES, "kept/state"));
-    assert_eq!(encode(&content.kept.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
-    for entry in &content.kept.entries {
+    assert_eq!(encode(&content.state.hard_state), one(VALUES, "kept/state"));
+    assert_eq!(encode(&content.state.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
+    for entry in &content.state.entries {
         assert_eq!(encode(entry), one(VALUES, &format!("log/{}", entry.index)));
     }
 }
@@ -187,14 +187,14 @@
     let (_database, content) = open_recorded(&folder);
     let settings = ReplicaSettings {
         parameters: lease_parameters(),
-        me: 2,
-        keepers: 3,
-        tick: 50_000,
-        election: 1_000_000,
+        id: 2,
+        replica_count: 3,
+        tick_interval: 50_000,
+        election_timeout: 1_000_000,
         compact_after: 4_096,
         tokens_from: content.tokens_from,
     };
-    let replica = Replica::new(settings, content.kept).expect("the content is sound");
+    let replica = Replica::new(settings, content.state).expect("the content is sound");
     assert_eq!(replica.term(), 8);
     let indices: Vec<u64> = replica.log_entries_from(0).iter().map(|entry| entry.index).collect();
     assert_eq!(indices, [41, 42]);
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -42,7 +42,7 @@
         token: fencing_token(70_001),
         renewals: 12,
         age: 3_000_000,
-        left: 8_500_000,
+        remaining: 8_500_000,
         revoked: true,
     }
 }
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -53,8 +53,10 @@
     HardState { term, vote, commit }
 }
 
-pub fn persisted_state(state: HardState, snapshot: Option<Snapshot>, entries: Vec<Entry>) -> PersistedState {
-    PersistedState { state, snapshot, entries }
+pub fn persisted_state(
+    hard_state: HardState, snapshot: Option<Snapshot>, entries: Vec<Entry>,
+) -> PersistedState {
+    PersistedState { hard_state, snapshot, entries }
 }
 
 /// Each variant, with a different value in each field.
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -43,17 +43,17 @@
 fn replica_settings(id: u64) -> ReplicaSettings {
     ReplicaSettings {
         parameters: lease_parameters(),
-        me: id,
-        keepers: REPLICAS,
-        tick: TICK_MICROS,
-        election: 1_000_000,
+        id,
+        replica_count: REPLICAS,
+        tick_interval: TICK_MICROS,
+        election_timeout: 1_000_000,
         compact_after: 4_096,
         tokens_from: TOKENS_FROM,
     }
 }
 
 fn client_request(id: u64, commands: Vec<Command>) -> ClientRequest {
-    ClientRequest { from: 1, id, commands }
+    ClientRequest { client: 1, id, commands }
 }
 
 fn sent_messages(actions: Vec<ReplicaAction>) -> impl Iterator<Item = PeerMessage> {
