--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use honeyknot_lease_consensus::Response;
-use honeyknot_relay::lease_client::admin_commands;
-use honeyknot_relay::lease_client::codec::{Greeting, GreetingSender};
 use honeyknot_relay::lease_client::config;
+use honeyknot_relay::lease_client::greeting::{Greeting, GreetingSender};
+use honeyknot_relay::lease_client::leader_request;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -203,7 +203,7 @@
 
     /// A holder of some task, as the keepers' list names it, if they answer in time.
     async fn a_holder(&mut self) -> usize {
-        let asked = timeout(self.leases(1.0), admin_commands::request(&self.direct, Vec::new())).await;
+        let asked = timeout(self.leases(1.0), leader_request::request(&self.direct, Vec::new())).await;
         let mut holders: Vec<usize> = Vec::new();
         if let Ok(Ok(Response::Leases(views))) = asked {
             let number = |name: &str| name.strip_prefix('h')?.split('.').next()?.parse::<usize>().ok();
@@ -220,7 +220,7 @@
         let hello = Greeting::new(GreetingSender::Client("harness".into()), &self.direct);
         for (number, at) in &self.direct.servers {
             let asked =
-                timeout(Duration::from_millis(300), admin_commands::request_once(*at, &hello, &[])).await;
+                timeout(Duration::from_millis(300), leader_request::request_once(*at, &hello, &[])).await;
             match asked {
                 Ok(Ok(Response::Leases(_))) => return *number as usize,
                 Ok(Ok(Response::NotLeader(Some(leader)))) => return leader as usize,
@@ -439,7 +439,9 @@
             report.broken.retain(|what| !what.contains("overlapped"));
             let told = |number: usize| {
                 let log = std::fs::read_to_string(self.plan.folder.join(format!("k{number}.log")));
-                log.is_ok_and(|log| log.contains("beyond the bound") && log.contains("keeper=1"))
+                let is_drift_of_first =
+                    |line: &str| line.contains("clock drift beyond the bound") && line.contains("replica=1");
+                log.is_ok_and(|log| log.lines().any(is_drift_of_first))
             };
             // The one part of a verdict that is not the far side's: whether staff are told.
             if !(2..=self.plan.leases.keepers).all(told) {
--- a/src/lease_client/admin_commands.rs
+++ b/src/lease_client/admin_commands.rs
@@ -1,162 +1,159 @@
-//! The calls of staff: `honeyknot-relay lease list|show|release|watch`.
+//! The admin commands `honeyknot-relay lease list|show|release|watch`.
 
 use std::io;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use clap::Subcommand;
-use honeyknot_lease::{Answer, Command, FencingToken};
-use honeyknot_lease_consensus::{LeaseView, ReplicaId, Response};
-use tokio::time::timeout;
+use honeyknot_lease::{Answer, Command, FencingToken, Rejection};
+use honeyknot_lease_consensus::{LeaseView, Response};
+use thiserror::Error;
 
-use super::codec::{self, Frame, Greeting, GreetingSender};
 use super::config::LeaseConfig;
+use super::leader_request::{NoLeaderError, request};
+use honeyknot_balancer::Micros;
 
-/// What staff want.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+
+/// An admin command.
 #[derive(Clone, Debug, Subcommand)]
 pub enum AdminCommand {
-    /// All leases: task, holder, token, how long known to the keeper that leads, how long yet, renewals.
+    /// All leases: task, holder, token, how long known to the leader, how long yet, renewals.
     List,
     /// The leases of one task.
     Show {
         /// The task.
         task: String,
     },
-    /// Take a lease away: it is renewed no more, and free once it has run out, as its holder may act until then.
+    /// Revoke a lease: it is renewed no more, and free once it has run out, as its holder may act until then.
     Release {
         /// The task.
         task: String,
         /// The token that `list` shows.
         token: u64,
     },
-    /// Tell each change of holder until interrupted.
+    /// Print each change of holder until interrupted.
     Watch,
 }
 
-/// One keeper's answer is waited for this long.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// A leader that is being elected is waited for so many rounds of all keepers.
-const ROUNDS: u32 = 5;
+/// Why an admin command failed.
+#[derive(Debug, Error)]
+pub enum AdminError {
+    /// The runtime did not start.
+    #[error(transparent)]
+    Runtime(io::Error),
+    /// No leader has answered.
+    #[error(transparent)]
+    NoLeader(#[from] NoLeaderError),
+    /// Nobody holds the task.
+    #[error("nobody holds `{0}`")]
+    NotHeld(String),
+    /// The servers rejected the command.
+    #[error("`{task}`: {rejection}")]
+    Rejected {
+        /// The task.
+        task: String,
+        /// The reason.
+        rejection: Rejection,
+    },
+    /// The response does not match the request.
+    #[error("an answer that was not asked for: {0:?}")]
+    UnexpectedResponse(Response),
+}
 
-/// Makes a call, and prints the answer. An error names what every keeper said.
-pub fn call(plan: &LeaseConfig, call: &AdminCommand) -> Result<(), String> {
+/// Runs an admin command and prints its result.
+///
+/// # Errors
+/// No leader answers, or the command has no result.
+pub fn run(config: &LeaseConfig, command: &AdminCommand) -> Result<(), AdminError> {
     let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|why| why.to_string())?;
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(AdminError::Runtime)?;
     runtime.block_on(async {
-        match call {
-            AdminCommand::List => show(&leases(plan).await?),
-            AdminCommand::Show { task } => {
-                let mut views = leases(plan).await?;
-                views.retain(|view| view.task == *task);
-                if views.is_empty() {
-                    return Err(format!("nobody holds `{task}`"));
-                }
-                show(&views);
-            }
-            AdminCommand::Release { task, token } => release(plan, task, FencingToken(*token)).await?,
-            AdminCommand::Watch => watch(plan).await?,
+        match command {
+            AdminCommand::List => print_leases(&leases(config).await?),
+            AdminCommand::Show { task } => show(config, task).await?,
+            AdminCommand::Release { task, token } => revoke(config, task, FencingToken(*token)).await?,
+            AdminCommand::Watch => watch(config).await?,
         }
         Ok(())
     })
 }
 
-async fn release(plan: &LeaseConfig, task: &str, token: FencingToken) -> Result<(), String> {
-    let command = Command::Revoke { task: task.to_owned(), token };
-    match request(plan, vec![command]).await? {
-        Response::Results(said) => match said.first().map(|said| said.answer) {
-            Some(Answer::Rejected(why)) => Err(format!("`{task}`: {why}")),
-            _ => {
-                let most = plan.parameters.lease_duration as f64 / 1e6;
-                println!("`{task}` is renewed no more for token {}; it is free within {most} s", token.0);
-                Ok(())
-            }
-        },
-        other => Err(format!("an answer that was not asked for: {other:?}")),
+async fn leases(config: &LeaseConfig) -> Result<Vec<LeaseView>, AdminError> {
+    match request(config, Vec::new()).await? {
+        Response::Leases(leases) => Ok(leases),
+        other => Err(AdminError::UnexpectedResponse(other)),
     }
 }
 
-async fn leases(plan: &LeaseConfig) -> Result<Vec<LeaseView>, String> {
-    match request(plan, Vec::new()).await? {
-        Response::Leases(views) => Ok(views),
-        other => Err(format!("an answer that was not asked for: {other:?}")),
+async fn show(config: &LeaseConfig, task: &str) -> Result<(), AdminError> {
+    let mut leases = leases(config).await?;
+    leases.retain(|lease| lease.task == task);
+    if leases.is_empty() {
+        return Err(AdminError::NotHeld(task.to_owned()));
     }
+    print_leases(&leases);
+    Ok(())
 }
 
-fn show(views: &[LeaseView]) {
+async fn revoke(config: &LeaseConfig, task: &str, token: FencingToken) -> Result<(), AdminError> {
+    let command = Command::Revoke { task: task.to_owned(), token };
+    let results = match request(config, vec![command]).await? {
+        Response::Results(results) => results,
+        other => return Err(AdminError::UnexpectedResponse(other)),
+    };
+    if let Some(Answer::Rejected(rejection)) = results.first().map(|result| result.answer) {
+        return Err(AdminError::Rejected { task: task.to_owned(), rejection });
+    }
+    let max_wait = seconds(config.parameters.lease_duration);
+    println!("`{task}` is renewed no more for token {}; it is free within {max_wait} s", token.0);
+    Ok(())
+}
+
+fn print_leases(leases: &[LeaseView]) {
     println!(
         "{:<24} {:<28} {:>12} {:>9} {:>9} {:>9}",
         "task", "holder", "token", "known", "left", "renewals"
     );
-    for view in views {
-        let seconds = |span: u64| format!("{:.1}s", span as f64 / 1e6);
-        let note = if view.revoked { "  released by staff" } else { "" };
+    for lease in leases {
+        let note = if lease.revoked { "  released by staff" } else { "" };
         println!(
             "{:<24} {:<28} {:>12} {:>9} {:>9} {:>9}{note}",
-            view.task,
-            view.holder,
-            view.token.0,
-            seconds(view.age),
-            seconds(view.remaining),
-            view.renewals,
+            lease.task,
+            lease.holder,
+            lease.token.0,
+            format!("{:.1}s", seconds(lease.age)),
+            format!("{:.1}s", seconds(lease.remaining)),
+            lease.renewals,
         );
     }
 }
 
-/// Every second all leases are asked for; what has changed is told.
-async fn watch(plan: &LeaseConfig) -> Result<(), String> {
-    let mut before: Vec<(String, FencingToken, String)> = Vec::new();
+fn seconds(span: Micros) -> f64 {
+    span as f64 / 1e6
+}
+
+/// What identifies a lease to `watch`.
+#[derive(Debug, PartialEq, Eq)]
+struct WatchedLease {
+    task: String,
+    token: FencingToken,
+    holder: String,
+}
+
+async fn watch(config: &LeaseConfig) -> Result<(), AdminError> {
+    let mut previous: Vec<WatchedLease> = Vec::new();
     loop {
-        let views = leases(plan).await?;
-        let now: Vec<_> = views.into_iter().map(|view| (view.task, view.token, view.holder)).collect();
-        for (task, token, holder) in before.iter().filter(|lease| !now.contains(lease)) {
+        let leases = leases(config).await?.into_iter();
+        let current: Vec<WatchedLease> = leases
+            .map(|lease| WatchedLease { task: lease.task, token: lease.token, holder: lease.holder })
+            .collect();
+        for WatchedLease { task, token, holder } in previous.iter().filter(|lease| !current.contains(lease)) {
             println!("- {task} token {} {holder}", token.0);
         }
-        for (task, token, holder) in now.iter().filter(|lease| !before.contains(lease)) {
+        for WatchedLease { task, token, holder } in current.iter().filter(|lease| !previous.contains(lease)) {
             println!("+ {task} token {} {holder}", token.0);
         }
-        before = now;
-        tokio::time::sleep(Duration::from_secs(1)).await;
-    }
-}
-
-/// Asks the keepers in turn, and whom they name, until one that leads answers.
-pub async fn request(plan: &LeaseConfig, commands: Vec<Command>) -> Result<Response, String> {
-    let hello = Greeting::new(GreetingSender::Client("staff".into()), plan);
-    let mut troubles = Vec::new();
-    for _ in 0..ROUNDS {
-        troubles.clear();
-        let mut order: Vec<ReplicaId> = plan.servers.keys().copied().collect();
-        let mut asked = 0;
-        while asked < order.len() && asked < 2 * plan.servers.len() {
-            let keeper = order[asked];
-            asked += 1;
-            let Some(at) = plan.servers.get(&keeper) else { continue };
-            let answer = timeout(PATIENCE, request_once(*at, &hello, &commands)).await;
-            match answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-                Ok(Response::NotLeader(Some(leader))) => {
-                    order.insert(asked, leader);
-                    troubles.push(format!("keeper {keeper}: keeper {leader} leads"));
-                }
-                Ok(Response::NotLeader(None)) => {
-                    troubles.push(format!("keeper {keeper}: it knows no leader"))
-                }
-                Ok(Response::Overloaded) => troubles.push(format!("keeper {keeper}: it has too much to do")),
-                Ok(told) => return Ok(told),
-                Err(why) => troubles.push(format!("keeper {keeper} at {at}: {why}")),
-            }
-        }
-        tokio::time::sleep(Duration::from_millis(300)).await;
-    }
-    Err(format!("no keeper that leads has answered; {}", troubles.join("; ")))
-}
-
-/// Asks one keeper once.
-pub async fn request_once(at: SocketAddr, hello: &Greeting, commands: &[Command]) -> io::Result<Response> {
-    let (mut reader, mut to) = codec::dial(at, hello, PATIENCE).await?;
-    codec::send(&mut to, &Frame::Request { id: 1, commands: commands.to_vec() }, PATIENCE).await?;
-    match reader.next().await? {
-        Some(Frame::Response { told, .. }) => Ok(told),
-        Some(_) => Err(io::Error::other("a frame that only keepers are sent")),
-        None => Err(io::ErrorKind::ConnectionReset.into()),
+        previous = current;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
--- a/src/lease_client/codec.rs
+++ b/src/lease_client/codec.rs
@@ -1,213 +1,162 @@
-//! The wire of keepers: frames under a length of four bytes. The first of each side says what it is and which version it speaks, in
-//! a form that every version reads; the rest are `postcard`.
+//! Frames on a byte stream: a length of four bytes, big-endian, and a `postcard` payload. The first frame of each side begins with
+//! [`PREAMBLE`] and the protocol version, which every version can read.
 
 use std::io::{self, ErrorKind};
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use honeyknot_lease::Command;
-use honeyknot_lease_consensus::{PeerMessage, ReplicaId, Response};
+use serde::Serialize;
 use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use tokio::net::TcpStream;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-use super::config::LeaseConfig;
-use honeyknot_balancer::Micros;
+use super::frame::Frame;
 
-/// The version that this build speaks. Others are told so and turned away.
+/// Protocol version of this build; sides of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Before the version, in each side's first frame.
-const MARK: &[u8] = b"honeyknot leases";
-/// The largest frame: a snapshot of a full book has room in it.
-const LARGEST: usize = 8 << 20;
-/// The largest first frame: nobody has said yet who they are.
-const LARGEST_FIRST: usize = 4 << 10;
-/// Within this both sides have said their first frame.
-const GREETING: Duration = Duration::from_secs(2);
-
-/// What a side says first.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Greeting {
-    /// Who.
-    pub who: GreetingSender,
-    /// The fleet's name.
-    pub fleet: String,
-    /// How many keepers it has.
-    pub keepers: u64,
-    /// Lease, drift in parts of a million, margin: both sides must reckon alike.
-    pub parameters: (Micros, u64, Micros),
-}
-
-/// Who speaks.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GreetingSender {
-    /// A keeper: its number, and its folder's mark, drawn when that was founded.
-    LeaseServer(ReplicaId, u64),
-    /// A relay or staff, by name.
-    Client(String),
+/// Begins the first frame of each side.
+const PREAMBLE: &[u8] = b"honeyknot leases";
+/// Maximum length of a frame, enough for a snapshot of a full lease table.
+const MAX_FRAME_BYTES: usize = 8 << 20;
+/// Maximum length of a greeting, whose sender is not yet known.
+const MAX_GREETING_BYTES: usize = 4 << 10;
+/// Within this time the greeting of each side must be complete.
+const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A violation of the protocol.
+#[derive(Debug, Error)]
+pub enum ProtocolError {
+    /// The greeting did not arrive in time.
+    #[error("no greeting in 2 s")]
+    GreetingTimeout,
+    /// The connection was closed before the greeting.
+    #[error("closed before its greeting")]
+    ClosedBeforeGreeting,
+    /// The first frame does not begin with the preamble.
+    #[error("what came is not of the leases' protocol")]
+    NoPreamble,
+    /// The other side speaks another protocol version.
+    #[error("it speaks version {0} of the leases' protocol, this build {VERSION}")]
+    Version(u32),
+    /// A payload cannot be decoded.
+    #[error("a frame that cannot be read: {0}")]
+    Decode(#[source] postcard::Error),
+    /// A payload cannot be encoded.
+    #[error(transparent)]
+    Encode(postcard::Error),
+    /// The greeting was rejected by this side.
+    #[error("{0}")]
+    GreetingRejected(String),
+    /// A server sent a frame that only servers receive.
+    #[error("a frame that only keepers are sent")]
+    NotAResponse,
+    /// A client sent a frame other than a request.
+    #[error("a frame that no client sends")]
+    NotARequest,
+    /// A server sent a frame other than a peer message of its own.
+    #[error("a frame that no keeper sends")]
+    NotAPeerMessage,
 }
 
-/// What follows.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Frame {
-    /// Keeper to keeper: the writer's clock when it was sent, and the letter.
-    PeerMessage(Micros, PeerMessage),
-    /// Client to keeper.
-    Request {
-        /// Given back with the answer.
-        id: u64,
-        /// Commands; none asks for all leases.
-        commands: Vec<Command>,
-    },
-    /// Keeper to client.
-    Response {
-        /// The ask's.
-        id: u64,
-        /// The answer.
-        told: Response,
-    },
-}
-
-impl Greeting {
-    /// What a side with this plan says.
-    pub fn new(who: GreetingSender, plan: &LeaseConfig) -> Greeting {
-        let parameters = (plan.parameters.lease_duration, plan.parameters.drift_ppm, plan.parameters.margin);
-        Greeting { who, fleet: plan.fleet.clone(), keepers: plan.servers.len() as u64, parameters }
-    }
-
-    /// Why the other side is not to be talked to, if so.
-    pub fn differs(&self, other: &Greeting) -> Option<String> {
-        if self.fleet != other.fleet {
-            return Some(format!("fleet `{}`, here `{}`", other.fleet, self.fleet));
-        }
-        if self.keepers != other.keepers {
-            return Some(format!("{} keepers, here {}", other.keepers, self.keepers));
-        }
-        let told = |(lease, drift, margin): (Micros, u64, Micros)| {
-            format!("lease {} ms, drift {drift} ppm, margin {} ms", lease / 1_000, margin / 1_000)
+impl From<ProtocolError> for io::Error {
+    fn from(error: ProtocolError) -> io::Error {
+        let kind = match error {
+            ProtocolError::NotAResponse | ProtocolError::NotARequest | ProtocolError::NotAPeerMessage => {
+                ErrorKind::Other
+            }
+            _ => ErrorKind::InvalidData,
         };
-        (self.parameters != other.parameters)
-            .then(|| format!("{}, here {}", told(other.parameters), told(self.parameters)))
+        io::Error::new(kind, error)
     }
 }
 
-/// Frames out of a socket's reading half.
+/// Reads frames from a byte stream.
+#[derive(Debug)]
 pub struct FrameReader<R> {
-    from: R,
+    stream: R,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Nothing read yet.
-    pub fn new(from: R) -> FrameReader<R> {
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LARGEST_FIRST).new_codec();
-        FrameReader { from, codec, buffer: BytesMut::new() }
+    /// A reader at the start of a connection.
+    pub fn new(stream: R) -> FrameReader<R> {
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_GREETING_BYTES).new_codec();
+        FrameReader { stream, codec, buffer: BytesMut::new() }
     }
 
-    /// The next frame's bytes; nothing at the end of the stream. Nothing is lost if it is cancelled.
-    async fn bytes(&mut self) -> io::Result<Option<Bytes>> {
+    /// The next frame, or `None` at the end of the stream. Cancel safe.
+    ///
+    /// # Errors
+    /// The stream fails, ends within a frame, or carries a frame that cannot be decoded.
+    pub async fn next(&mut self) -> io::Result<Option<Frame>> {
+        let Some(payload) = self.next_payload().await? else { return Ok(None) };
+        Ok(Some(decode(&payload)?))
+    }
+
+    async fn next_payload(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(frame) = self.codec.decode(&mut self.buffer)? {
-                return Ok(Some(frame.freeze()));
+            if let Some(payload) = self.codec.decode(&mut self.buffer)? {
+                return Ok(Some(payload.freeze()));
             }
-            if self.from.read_buf(&mut self.buffer).await? == 0 {
+            if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
             }
         }
     }
 
-    /// The next frame.
-    pub async fn next(&mut self) -> io::Result<Option<Frame>> {
-        let Some(bytes) = self.bytes().await? else { return Ok(None) };
-        read(&bytes).map(Some)
-    }
-
-    async fn first<T: DeserializeOwned>(&mut self) -> io::Result<T> {
-        let frame = timeout(GREETING, self.bytes()).await.map_err(|_| told("no greeting in 2 s"))??;
-        let mut frame = frame.ok_or_else(|| told("closed before its greeting"))?;
-        if !frame.starts_with(MARK) || frame.len() < MARK.len() + 4 {
-            return Err(told("what came is not of the leases' protocol"));
+    /// The greeting of the other side; frames of full length are accepted after it.
+    pub(super) async fn greeting<T: DeserializeOwned>(&mut self) -> io::Result<T> {
+        let payload = timeout(GREETING_TIMEOUT, self.next_payload())
+            .await
+            .map_err(|_| ProtocolError::GreetingTimeout)??;
+        let mut payload = payload.ok_or(ProtocolError::ClosedBeforeGreeting)?;
+        if !payload.starts_with(PREAMBLE) || payload.len() < PREAMBLE.len() + 4 {
+            return Err(ProtocolError::NoPreamble.into());
         }
-        frame.advance(MARK.len());
-        let version = frame.get_u32();
+        payload.advance(PREAMBLE.len());
+        let version = payload.get_u32();
         if version != VERSION {
-            return Err(told(&format!(
-                "it speaks version {version} of the leases' protocol, this build {VERSION}"
-            )));
+            return Err(ProtocolError::Version(version).into());
         }
-        self.codec.set_max_frame_length(LARGEST);
-        read(&frame)
+        self.codec.set_max_frame_length(MAX_FRAME_BYTES);
+        Ok(decode(&payload)?)
     }
 }
 
-fn told(what: &str) -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, what)
-}
-
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
-    postcard::from_bytes(bytes).map_err(|why| told(&format!("a frame that cannot be read: {why}")))
+/// Sends a frame.
+///
+/// # Errors
+/// The stream fails or does not take the whole frame within `send_timeout`.
+pub async fn send(
+    stream: &mut (impl AsyncWrite + Unpin), frame: &Frame, send_timeout: Duration,
+) -> io::Result<()> {
+    let payload = postcard::to_stdvec(frame).map_err(ProtocolError::Encode)?;
+    write_frame(stream, &payload, send_timeout).await
 }
 
-fn framed(bytes: &[u8]) -> io::Result<BytesMut> {
-    let mut out = BytesMut::with_capacity(bytes.len() + 4);
-    let mut codec = LengthDelimitedCodec::builder().max_frame_length(LARGEST).new_codec();
-    codec.encode(Bytes::copy_from_slice(bytes), &mut out)?;
-    Ok(out)
+pub(super) async fn send_greeting<T: Serialize>(
+    stream: &mut (impl AsyncWrite + Unpin), greeting: &T,
+) -> io::Result<()> {
+    let mut payload = PREAMBLE.to_vec();
+    payload.extend(VERSION.to_be_bytes());
+    payload.extend(postcard::to_stdvec(greeting).map_err(ProtocolError::Encode)?);
+    write_frame(stream, &payload, GREETING_TIMEOUT).await
 }
 
-/// Sends a frame, unless the other side takes none for this long.
-pub async fn send(to: &mut (impl AsyncWrite + Unpin), frame: &Frame, patience: Duration) -> io::Result<()> {
-    let bytes = framed(&postcard::to_stdvec(frame).map_err(|why| told(&why.to_string()))?)?;
-    timeout(patience, to.write_all(&bytes)).await.map_err(|_| io::Error::from(ErrorKind::TimedOut))?
-}
-
-async fn say_first<T: Serialize>(to: &mut (impl AsyncWrite + Unpin), what: &T) -> io::Result<()> {
-    let mut bytes = MARK.to_vec();
-    bytes.extend(VERSION.to_be_bytes());
-    bytes.extend(postcard::to_stdvec(what).map_err(|why| told(&why.to_string()))?);
-    timeout(GREETING, to.write_all(&framed(&bytes)?))
+async fn write_frame(
+    stream: &mut (impl AsyncWrite + Unpin), payload: &[u8], write_timeout: Duration,
+) -> io::Result<()> {
+    let mut frame = BytesMut::with_capacity(payload.len() + 4);
+    let mut codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+    codec.encode(Bytes::copy_from_slice(payload), &mut frame)?;
+    timeout(write_timeout, stream.write_all(&frame))
         .await
         .map_err(|_| io::Error::from(ErrorKind::TimedOut))?
 }
 
-/// Dials a keeper, says who this is, and hears whether it is welcome. The connection itself has `patience` to come about.
-pub async fn dial(
-    at: SocketAddr, hello: &Greeting, patience: Duration,
-) -> io::Result<(FrameReader<OwnedReadHalf>, OwnedWriteHalf)> {
-    let late = |_| io::Error::from(ErrorKind::TimedOut);
-    let stream = timeout(patience, TcpStream::connect(at)).await.map_err(late)??;
-    stream.set_nodelay(true)?;
-    let (from, mut to) = stream.into_split();
-    let mut reader = FrameReader::new(from);
-    say_first(&mut to, hello).await?;
-    let welcome: Result<(), String> = reader.first().await?;
-    welcome.map_err(|why| io::Error::new(ErrorKind::PermissionDenied, format!("turned away: {why}")))?;
-    Ok((reader, to))
-}
-
-/// The listening side's greeting: hears who comes, and says whether they are welcome.
-pub async fn welcome<R, W>(
-    reader: &mut FrameReader<R>, writer: &mut W, check: impl FnOnce(&Greeting) -> Result<(), String>,
-) -> io::Result<Greeting>
-where
-    R: AsyncRead + Unpin,
-    W: AsyncWrite + Unpin,
-{
-    let hello = match reader.first::<Greeting>().await {
-        Ok(hello) => hello,
-        Err(why) => {
-            // Who speaks another version learns why it is not answered.
-            let _ = say_first(writer, &Err::<(), String>(why.to_string())).await;
-            return Err(why);
-        }
-    };
-    let checked = check(&hello);
-    say_first(writer, &checked).await?;
-    checked.map(|()| hello).map_err(|why| told(&why))
+fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, ProtocolError> {
+    postcard::from_bytes(payload).map_err(ProtocolError::Decode)
 }
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -1,110 +1,159 @@
-//! What the operators say about leases: the file `leases.conf`, and its checks.
+//! The configuration of lease servers and clients: the file `leases.conf` and its checks.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
 use honeyknot_lease::LeaseParameters;
+use honeyknot_lease_consensus::ReplicaId;
 use honeyknot_operator_config::{Faults, Section, parse, units};
+use thiserror::Error;
 
 use honeyknot_balancer::Micros;
 
-/// The operators' settings for keepers and their clients.
+const DEFAULT_LEASE_DURATION: Micros = 10_000_000;
+const DEFAULT_ELECTION_TIMEOUT: Micros = 1_000_000;
+/// Numbers of servers that a fleet may have.
+const ALLOWED_SERVER_COUNTS: [usize; 4] = [1, 3, 5, 7];
+const SERVER_IDS: RangeInclusive<u64> = 1..=7;
+
+/// The configuration of a fleet's lease servers and their clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// The fleet's name: keepers of one do not talk to those of another.
+    /// Name of the fleet; sides of different fleets reject each other.
     pub fleet: String,
-    /// Where each keeper listens, from number 1 on without a gap.
-    pub servers: BTreeMap<u64, SocketAddr>,
-    /// The terms of all leases.
+    /// Address of each server, by number from 1 without a gap.
+    pub servers: BTreeMap<ReplicaId, SocketAddr>,
+    /// Parameters of all leases.
     pub parameters: LeaseParameters,
-    /// How long keepers that hear no leader wait before they elect another.
+    /// How long servers that hear no leader wait before an election, in microseconds.
     pub election_timeout: Micros,
 }
 
-/// What a keeper may be one of.
-const NUMBERS: [usize; 4] = [1, 3, 5, 7];
+/// Why a configuration file cannot be used.
+#[derive(Debug, Error)]
+pub enum LeaseConfigError {
+    /// The file cannot be read.
+    #[error("{path}: {source}")]
+    Read {
+        /// Path of the file.
+        path: String,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The file has faults.
+    #[error(transparent)]
+    Invalid(#[from] Faults),
+}
 
 impl LeaseConfig {
-    /// Reads the file of this name.
-    pub fn load(path: &str) -> Result<LeaseConfig, String> {
-        let text = std::fs::read_to_string(path).map_err(|why| format!("{path}: {why}"))?;
-        LeaseConfig::read(path, &text).map_err(|faults| faults.to_string())
+    /// Reads a configuration file.
+    ///
+    /// # Errors
+    /// The file cannot be read or has faults, all of which are named.
+    pub fn load(path: &str) -> Result<LeaseConfig, LeaseConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| LeaseConfigError::Read { path: path.to_owned(), source })?;
+        Ok(LeaseConfig::read(path, &text)?)
     }
 
-    /// Reads a file's text; `file` is only named in faults. All faults come at once.
+    /// Parses the text of a configuration file; `file` is its name in faults.
+    ///
+    /// # Errors
+    /// All faults of the text.
     pub fn read(file: &str, text: &str) -> Result<LeaseConfig, Faults> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
-        let plan = LeaseConfig::from_section(Section::file(file, &tree, &faults));
-        Section::faults(faults).map(|()| plan)
+        let config = LeaseConfig::from_section(Section::file(file, &tree, &faults));
+        Section::faults(faults).map(|()| config)
     }
 
-    fn from_section(mut top: Section) -> LeaseConfig {
-        let span =
-            |least_ms, most_s| units::micros(Duration::from_millis(least_ms)..=Duration::from_secs(most_s));
-        let fleet = top.required("fleet", units::text()).unwrap_or_default();
-        let lease = top.value("lease", span(500, 3_600)).unwrap_or(10_000_000);
-        let mut parameters = LeaseParameters::new(lease);
-        if let Some(drift) = top.value("clock-drift", units::share(0.0..=0.1)) {
-            parameters.drift_ppm = (drift * 1e6).round() as u64;
-        }
-        if let Some(margin) = top.value("margin", span(0, 3_600)) {
-            parameters.margin = margin;
-        }
-        let election = top.value("election", span(100, 60)).unwrap_or(1_000_000);
-        let plain = top.bare("plain-network");
-        let mut keepers = BTreeMap::new();
-        let directives = top.each("keeper");
-        for directive in &directives {
-            top.no_block(directive);
-            let [number, address] = &directive.words[..] else {
-                top.fault(&directive.name, "`keeper` takes a number and an address".into());
-                continue;
-            };
-            let number = top.word("keeper", number, units::number(1..=7));
-            let address = top.word("keeper", address, units::address()).filter(|at: &SocketAddr| {
-                let allowed = at.ip().is_loopback() || plain;
-                if !allowed {
-                    let what = "is not a loopback address: what keepers say is neither secret nor signed; \
-                        `plain-network` allows it on a network that is trusted";
-                    top.fault(&directive.words[1], format!("`{at}` {what}"));
-                }
-                allowed
-            });
-            if let (Some(number), Some(address)) = (number, address)
-                && keepers.insert(number, address).is_some()
-            {
-                top.fault(&directive.words[0], format!("`keeper {number}` is given again"));
+    /// Number of servers.
+    pub fn server_count(&self) -> u64 {
+        self.servers.len() as u64
+    }
+
+    fn from_section(mut section: Section) -> LeaseConfig {
+        let fleet = section.required("fleet", units::text()).unwrap_or_default();
+        let parameters = read_parameters(&mut section);
+        let election_timeout =
+            section.value("election", duration_units(100, 60)).unwrap_or(DEFAULT_ELECTION_TIMEOUT);
+        let plain_network = section.bare("plain-network");
+        let servers = read_servers(&mut section, plain_network);
+        check_durations(&mut section, &parameters, election_timeout);
+        section.finish();
+        LeaseConfig { fleet, servers, parameters, election_timeout }
+    }
+}
+
+fn duration_units(min_ms: u64, max_s: u64) -> impl Fn(&str) -> Result<Micros, String> {
+    units::micros(Duration::from_millis(min_ms)..=Duration::from_secs(max_s))
+}
+
+fn read_parameters(section: &mut Section) -> LeaseParameters {
+    let lease_duration = section.value("lease", duration_units(500, 3_600)).unwrap_or(DEFAULT_LEASE_DURATION);
+    let mut parameters = LeaseParameters::new(lease_duration);
+    if let Some(drift) = section.value("clock-drift", units::share(0.0..=0.1)) {
+        parameters.drift_ppm = (drift * 1e6).round() as u64;
+    }
+    if let Some(margin) = section.value("margin", duration_units(0, 3_600)) {
+        parameters.margin = margin;
+    }
+    parameters
+}
+
+fn read_servers(section: &mut Section, plain_network: bool) -> BTreeMap<ReplicaId, SocketAddr> {
+    let mut servers = BTreeMap::new();
+    let directives = section.each("keeper");
+    for directive in &directives {
+        section.no_block(directive);
+        let [number, address] = &directive.words[..] else {
+            section.fault(&directive.name, "`keeper` takes a number and an address".into());
+            continue;
+        };
+        let number = section.word("keeper", number, units::number(SERVER_IDS));
+        let address = section.word("keeper", address, units::address()).filter(|address: &SocketAddr| {
+            let allowed = address.ip().is_loopback() || plain_network;
+            if !allowed {
+                let what = "is not a loopback address: what keepers say is neither secret nor signed; \
+                    `plain-network` allows it on a network that is trusted";
+                section.fault(&directive.words[1], format!("`{address}` {what}"));
             }
-        }
-        let gap = (1..=keepers.len() as u64).find(|number| !keepers.contains_key(number));
-        if let (Some(directive), true) =
-            (directives.first(), !NUMBERS.contains(&directives.len()) || gap.is_some())
-        {
-            let what = format!("there are 1, 3, 5 or 7 keepers, numbered from 1, not {}", directives.len());
-            top.fault(&directive.name, what);
-        }
-        if directives.is_empty() {
-            top.required("keeper", units::text());
-        }
-        // What a holder may use of a lease, and what an election takes of it.
-        let used = parameters.usable();
-        if used < lease / 2
-            && let Some(directive) = top.only("margin").or_else(|| top.only("clock-drift"))
-        {
-            top.fault(&directive.name, "margin and drift leave less than half of the lease".into());
-        }
-        if election > lease / 3
-            && let Some(directive) = top.only("election").or_else(|| top.only("lease"))
+            allowed
+        });
+        if let (Some(number), Some(address)) = (number, address)
+            && servers.insert(number, address).is_some()
         {
-            top.fault(
-                &directive.name,
-                "`election` is longer than a third of `lease`: a change of leader loses leases".into(),
-            );
+            section.fault(&directive.words[0], format!("`keeper {number}` is given again"));
         }
-        top.finish();
-        LeaseConfig { fleet, servers: keepers, parameters, election_timeout: election }
+    }
+    let has_gap = (1..=servers.len() as u64).any(|number| !servers.contains_key(&number));
+    if let Some(directive) = directives.first()
+        && (!ALLOWED_SERVER_COUNTS.contains(&directives.len()) || has_gap)
+    {
+        let what = format!("there are 1, 3, 5 or 7 keepers, numbered from 1, not {}", directives.len());
+        section.fault(&directive.name, what);
+    }
+    if directives.is_empty() {
+        section.required("keeper", units::text());
+    }
+    servers
+}
+
+/// Checks that holders can use at least half of a lease, and that an election does not outlast a lease.
+fn check_durations(section: &mut Section, parameters: &LeaseParameters, election_timeout: Micros) {
+    let lease_duration = parameters.lease_duration;
+    if parameters.usable() < lease_duration / 2
+        && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
+    {
+        section.fault(&directive.name, "margin and drift leave less than half of the lease".into());
+    }
+    if election_timeout > lease_duration / 3
+        && let Some(directive) = section.only("election").or_else(|| section.only("lease"))
+    {
+        let what = "`election` is longer than a third of `lease`: a change of leader loses leases";
+        section.fault(&directive.name, what.into());
     }
 }
--- a/src/lease_server/storage.rs
+++ b/src/lease_server/storage.rs
@@ -1,131 +1,122 @@
-//! A keeper's folder: one `redb` file, written in whole transactions. One folder is one keeper's, and one process's.
+//! The storage of a lease server: one `redb` file in its folder, written in atomic and durable transactions. A folder belongs to
+//! one server and is open in one process at a time.
+
+mod bootstrap;
+mod error;
+mod format;
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 use honeyknot_lease_consensus::{HardState, PersistedState, ReplicaId, ReplicaWrite};
-use rand::TryRngCore;
-use rand::rngs::OsRng;
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
-use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
-
-/// The file in the folder.
-const FILE: &str = "keeper.redb";
-/// Entries by index.
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// `state`, `snapshot` and `founded`.
-const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
-/// The marks of the other keepers' folders.
-const MARKS: TableDefinition<u64, u64> = TableDefinition::new("marks");
-
-/// Whose folder it is.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DatabaseOwner {
-    /// Of which fleet.
-    pub fleet: String,
-    /// Of how many keepers.
-    pub keepers: u64,
-    /// Of which.
-    pub me: ReplicaId,
-}
+use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable};
 
-#[derive(Serialize, Deserialize)]
-struct DatabaseHeader {
-    founding: DatabaseOwner,
-    tokens_from: u64,
-    mark: u64,
-}
+use format::{
+    DatabaseHeader, FILE_NAME, HARD_STATE_KEY, HEADER_KEY, LOG, PEERS, SNAPSHOT_KEY, STATE, Tables, read,
+};
 
-/// What a folder held.
+pub use error::StorageError;
+pub use format::DatabaseOwner;
+
+type BoxedError = Box<dyn std::error::Error + Send + Sync>;
+
+/// What a database holds when it is opened.
 #[derive(Debug)]
 pub struct DatabaseContent {
-    /// What the engine must not have forgotten.
+    /// State of the replica.
     pub state: PersistedState,
-    /// Tokens rise from here.
+    /// Fencing tokens of the fleet are greater than this.
     pub tokens_from: u64,
-    /// Drawn when the folder was founded.
-    pub mark: u64,
-    /// The marks that the other keepers came with.
-    pub marks: BTreeMap<ReplicaId, u64>,
+    /// Random id of this database.
+    pub database_id: u64,
+    /// Database ids with which the other servers have connected.
+    pub peer_database_ids: BTreeMap<ReplicaId, u64>,
 }
 
-/// An open folder.
+/// An open database.
+#[derive(Debug)]
 pub struct LeaseDatabase {
-    base: Database,
+    database: Database,
     path: String,
 }
 
 impl LeaseDatabase {
-    /// Opens a folder, or founds it if told to. An empty folder is not opened without that word: its keeper would vote as if it had
-    /// never voted, and what it once agreed to could be unsaid.
+    /// Opens the database in a folder, after creating it if `bootstrap` gives where fencing tokens start. A missing database is
+    /// never created otherwise: an empty replica would vote as if it had never voted.
+    ///
+    /// # Errors
+    /// The database is missing, exists already, belongs to another server, is in use, or cannot be read.
     pub fn open(
-        folder: &Path, founding: DatabaseOwner, found: Option<u64>,
-    ) -> Result<(LeaseDatabase, DatabaseContent), String> {
-        let file = folder.join(FILE);
+        folder: &Path, owner: DatabaseOwner, bootstrap: Option<u64>,
+    ) -> Result<(LeaseDatabase, DatabaseContent), StorageError> {
+        let file = folder.join(FILE_NAME);
         let path = file.display().to_string();
-        let there = file.try_exists().map_err(|why| format!("{path}: {why}"))?;
-        match (there, found) {
-            (false, None) => {
-                return Err(format!(
-                    "{path} is not there. If this keeper has never run, found its folder with --found TOKENS_FROM; if it has lost \
-                     its disk, it must not vote as if it had not: docs/operate/leases.md says what to do"
-                ));
-            }
-            (true, Some(_)) => return Err(format!("{path} is there already: start without --found")),
-            _ => {}
-        }
-        if let Some(tokens_from) = found {
-            create(folder, &file, &founding, tokens_from)?;
+        let exists = file.try_exists().map_err(|source| StorageError::io(&path, source))?;
+        match bootstrap {
+            None if !exists => return Err(StorageError::Missing { path }),
+            Some(_) if exists => return Err(StorageError::AlreadyExists { path }),
+            Some(tokens_from) => bootstrap::create(folder, &file, &owner, tokens_from)?,
+            None => {}
         }
-        let disk = LeaseDatabase { base: Database::open(&file).map_err(|why| unopened(&path, why))?, path };
-        let found = disk.read(&founding).map_err(|why| disk.wrong(why))?;
-        Ok((disk, found))
+        let database = Database::open(&file).map_err(|source| open_error(&path, source))?;
+        let database = LeaseDatabase { database, path };
+        let content = database.load(&owner)?;
+        Ok((database, content))
     }
 
-    fn read(&self, founding: &DatabaseOwner) -> Result<DatabaseContent, BoxedError> {
-        let txn = self.base.begin_read()?;
-        let kept = txn.open_table(KEPT)?;
-        let founded: Option<DatabaseHeader> = read(&kept, "founded")?;
-        let founded =
-            founded.ok_or("the folder was never founded to its end; remove it and found it anew")?;
-        if founded.founding != *founding {
-            let DatabaseOwner { fleet, keepers, me } = &founded.founding;
-            return Err(format!(
-                "the folder is keeper {me}'s of {keepers} of the fleet `{fleet}`, not keeper {}'s of {} of `{}`",
-                founding.me, founding.keepers, founding.fleet
-            )
-            .into());
+    fn load(&self, owner: &DatabaseOwner) -> Result<DatabaseContent, StorageError> {
+        let header = self.read_header().map_err(|source| self.access_error(source))?;
+        let header = header.ok_or_else(|| StorageError::IncompleteBootstrap { path: self.path.clone() })?;
+        if header.owner != *owner {
+            return Err(StorageError::WrongOwner {
+                path: self.path.clone(),
+                found: header.owner,
+                expected: owner.clone(),
+            });
         }
+        self.read_content(&header).map_err(|source| self.access_error(source))
+    }
+
+    fn read_header(&self) -> Result<Option<DatabaseHeader>, BoxedError> {
+        read(&self.database.begin_read()?.open_table(STATE)?, HEADER_KEY)
+    }
+
+    fn read_content(&self, header: &DatabaseHeader) -> Result<DatabaseContent, BoxedError> {
+        let transaction = self.database.begin_read()?;
         let mut entries = Vec::new();
-        for item in txn.open_table(LOG)?.iter()? {
-            entries.push(postcard::from_bytes(item?.1.value())?);
+        for row in transaction.open_table(LOG)?.iter()? {
+            entries.push(postcard::from_bytes(row?.1.value())?);
         }
-        let mut marks = BTreeMap::new();
-        for item in txn.open_table(MARKS)?.iter()? {
-            let (keeper, mark) = item?;
-            marks.insert(keeper.value(), mark.value());
+        let mut peer_database_ids = BTreeMap::new();
+        for row in transaction.open_table(PEERS)?.iter()? {
+            let (replica, database_id) = row?;
+            peer_database_ids.insert(replica.value(), database_id.value());
         }
-        let state: Option<HardState> = read(&kept, "state")?;
-        let kept = PersistedState {
-            hard_state: state.unwrap_or_default(),
-            snapshot: read(&kept, "snapshot")?,
+        let state_table = transaction.open_table(STATE)?;
+        let hard_state: Option<HardState> = read(&state_table, HARD_STATE_KEY)?;
+        let state = PersistedState {
+            hard_state: hard_state.unwrap_or_default(),
+            snapshot: read(&state_table, SNAPSHOT_KEY)?,
             entries,
         };
-        Ok(DatabaseContent { state: kept, tokens_from: founded.tokens_from, mark: founded.mark, marks })
+        let (tokens_from, database_id) = (header.tokens_from, header.database_id);
+        Ok(DatabaseContent { state, tokens_from, database_id, peer_database_ids })
     }
 
-    /// Puts a write on disk, whole, and waits until it is there.
-    pub fn write(&self, write: &ReplicaWrite) -> Result<(), String> {
+    /// Makes a replica's write durable, in one transaction.
+    ///
+    /// # Errors
+    /// The transaction fails, for example on a full disk; nothing of it is stored then.
+    pub fn write(&self, write: &ReplicaWrite) -> Result<(), StorageError> {
         if write.is_empty() {
             return Ok(());
         }
-        self.change(|tables| {
-            if let Some(state) = &write.hard_state {
-                tables.keep("state", state)?;
+        self.update(|tables| {
+            if let Some(hard_state) = &write.hard_state {
+                tables.put(HARD_STATE_KEY, hard_state)?;
             }
             if let Some(snapshot) = &write.snapshot {
-                tables.keep("snapshot", snapshot)?;
+                tables.put(SNAPSHOT_KEY, snapshot)?;
                 tables.log.retain_in(..=snapshot.index, |_, _| false)?;
             }
             if let Some(from) = write.truncate_from {
@@ -139,93 +130,56 @@
         })
     }
 
-    /// Remembers the mark of another keeper's folder. One that is known costs no write: keepers greet again and again.
-    pub fn remember(&self, keeper: ReplicaId, mark: u64) -> Result<(), String> {
-        if self.known(keeper).map_err(|why| self.wrong(why))? == Some(mark) {
+    /// Stores the database id of another server. A known one costs no write, as servers reconnect often.
+    ///
+    /// # Errors
+    /// The database cannot be read or written.
+    pub fn remember_peer(&self, replica: ReplicaId, database_id: u64) -> Result<(), StorageError> {
+        let known = self.peer_database_id(replica).map_err(|source| self.access_error(source))?;
+        if known == Some(database_id) {
             return Ok(());
         }
-        self.change(|tables| {
-            tables.marks.insert(keeper, mark)?;
+        self.update(|tables| {
+            tables.peers.insert(replica, database_id)?;
             Ok(())
         })
     }
 
-    fn known(&self, keeper: ReplicaId) -> Result<Option<u64>, BoxedError> {
-        let mark = self.base.begin_read()?.open_table(MARKS)?.get(keeper)?;
-        Ok(mark.map(|mark| mark.value()))
+    fn peer_database_id(&self, replica: ReplicaId) -> Result<Option<u64>, BoxedError> {
+        let database_id = self.database.begin_read()?.open_table(PEERS)?.get(replica)?;
+        Ok(database_id.map(|database_id| database_id.value()))
     }
 
-    fn wrong(&self, why: BoxedError) -> String {
-        format!("{}: {why}", self.path)
+    /// Changes tables in one transaction, which is durable when this returns.
+    fn update(&self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>) -> Result<(), StorageError> {
+        self.try_update(change).map_err(|source| self.access_error(source))
     }
 
-    fn change(&self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>) -> Result<(), String> {
-        self.changed(change).map_err(|why| self.wrong(why))
-    }
-
-    fn changed(&self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>) -> Result<(), BoxedError> {
-        // Durable when `commit` returns: the store's own default.
-        let txn = self.base.begin_write()?;
+    fn try_update(
+        &self, change: impl FnOnce(&mut Tables) -> Result<(), BoxedError>,
+    ) -> Result<(), BoxedError> {
+        let transaction = self.database.begin_write()?;
         {
             let mut tables = Tables {
-                log: txn.open_table(LOG)?,
-                kept: txn.open_table(KEPT)?,
-                marks: txn.open_table(MARKS)?,
+                log: transaction.open_table(LOG)?,
+                state: transaction.open_table(STATE)?,
+                peers: transaction.open_table(PEERS)?,
             };
             change(&mut tables)?;
         }
-        txn.commit()?;
+        transaction.commit()?;
         Ok(())
     }
-}
-
-fn unopened(path: &str, why: DatabaseError) -> String {
-    match why {
-        DatabaseError::DatabaseAlreadyOpen => format!("{path} is in use by another process"),
-        why => format!("{path}: {why}"),
-    }
-}
 
-/// Makes a folder's file under another name until it is whole: what a full disk or a kill leaves half founded is neither opened
-/// nor in the way of the next try.
-fn create(folder: &Path, file: &Path, founding: &DatabaseOwner, tokens_from: u64) -> Result<(), String> {
-    std::fs::create_dir_all(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-    let half = file.with_extension("founding");
-    let path = half.display().to_string();
-    let told = |why: std::io::Error| format!("{path}: {why}");
-    if half.try_exists().map_err(told)? {
-        std::fs::remove_file(&half).map_err(told)?;
+    fn access_error(&self, source: BoxedError) -> StorageError {
+        StorageError::Access { path: self.path.clone(), source }
     }
-    let mark = OsRng.try_next_u64().map_err(|why| format!("the system gives no chance: {why}"))?;
-    let base = Database::create(&half).map_err(|why| unopened(&path, why))?;
-    let disk = LeaseDatabase { base, path: path.clone() };
-    let founded = DatabaseHeader { founding: founding.clone(), tokens_from, mark };
-    disk.change(|tables| tables.keep("founded", &founded))?;
-    drop(disk);
-    std::fs::rename(&half, file).map_err(told)?;
-    // The new name has to last as well.
-    std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(told)
 }
 
-type BoxedError = Box<dyn std::error::Error>;
-
-struct Tables<'t> {
-    log: redb::Table<'t, u64, &'static [u8]>,
-    kept: redb::Table<'t, &'static str, &'static [u8]>,
-    marks: redb::Table<'t, u64, u64>,
-}
-
-impl Tables<'_> {
-    fn keep(&mut self, name: &str, what: &impl Serialize) -> Result<(), BoxedError> {
-        let bytes = postcard::to_stdvec(what)?;
-        self.kept.insert(name, &bytes[..])?;
-        Ok(())
+fn open_error(path: &str, source: DatabaseError) -> StorageError {
+    let path = path.to_owned();
+    match source {
+        DatabaseError::DatabaseAlreadyOpen => StorageError::InUse { path },
+        source => StorageError::Access { path, source: source.into() },
     }
 }
-
-fn read<T: DeserializeOwned>(
-    table: &impl ReadableTable<&'static str, &'static [u8]>, name: &str,
-) -> Result<Option<T>, BoxedError> {
-    let Some(bytes) = table.get(name)? else { return Ok(None) };
-    Ok(Some(postcard::from_bytes(bytes.value())?))
-}
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,8 @@
 use clap::{Parser, Subcommand};
 use honeyknot_relay::admin::ask;
 use honeyknot_relay::inspect::{self, Show};
-use honeyknot_relay::lease_client::{admin_commands, config::LeaseConfig};
+use honeyknot_relay::lease_client::admin_commands::{self, AdminCommand};
+use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_relay::lease_server::{self, LeaseServerOptions};
 use honeyknot_relay::logger::{self, Form};
 use honeyknot_relay::relay::{
@@ -76,7 +77,7 @@
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
-        call: admin_commands::AdminCommand,
+        call: AdminCommand,
     },
     /// Print name and version.
     Version,
@@ -99,11 +100,9 @@
         },
         Command::LeaseServer { leases, seat, log, log_form } => {
             logger::start(log, log_form);
-            LeaseConfig::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
-        }
-        Command::Lease { leases, call } => {
-            LeaseConfig::load(&leases).and_then(|plan| admin_commands::call(&plan, &call))
+            serve_leases(&leases, &seat)
         }
+        Command::Lease { leases, call } => administer_leases(&leases, &call),
         Command::Version => {
             println!("honeyknot {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -118,6 +117,16 @@
     }
 }
 
+fn serve_leases(file: &str, options: &LeaseServerOptions) -> Result<(), String> {
+    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
+    lease_server::serve(&config, options).map_err(|error| error.to_string())
+}
+
+fn administer_leases(file: &str, command: &AdminCommand) -> Result<(), String> {
+    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
+    admin_commands::run(&config, command).map_err(|error| error.to_string())
+}
+
 fn describe(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
     let known = config.known.as_ref().map_or(0, |k| k.entries.len());
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -19,14 +19,10 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
 const MARKS: TableDefinition<u64, u64> = TableDefinition::new("marks");
-const PEER_MARKS: [(u64, u64); 2] = [(1, 0x1111_2222_3333_4444), (3, 0x5555_6666_7777_8888)];
+const PEER_DATABASE_IDS: [(u64, u64); 2] = [(1, 0x1111_2222_3333_4444), (3, 0x5555_6666_7777_8888)];
 
 pub fn owner() -> DatabaseOwner {
-    DatabaseOwner { fleet: "alpha".into(), keepers: 3, me: 2 }
-}
-
-fn owner_mark(content: &DatabaseContent) -> u64 {
-    content.mark
+    DatabaseOwner { fleet: "alpha".into(), server_count: 3, server: 2 }
 }
 
 /// The writes that lead to the recorded database, in order.
@@ -114,8 +110,8 @@
     for write in recorded_writes(one("lease_table.txt", "table")) {
         database.write(&write).expect("the database takes the write");
     }
-    for (replica, mark) in PEER_MARKS {
-        database.remember(replica, mark).expect("the database takes the mark");
+    for (replica, database_id) in PEER_DATABASE_IDS {
+        database.remember_peer(replica, database_id).expect("the database takes the id");
     }
     content
 }
@@ -133,7 +129,7 @@
     let entries = vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])];
     assert_eq!(content.state.entries, entries);
     assert_eq!(content.tokens_from, TOKENS_FROM);
-    assert_eq!(content.marks.into_iter().collect::<Vec<_>>(), PEER_MARKS);
+    assert_eq!(content.peer_database_ids.into_iter().collect::<Vec<_>>(), PEER_DATABASE_IDS);
 }
 
 #[test]
@@ -146,8 +142,8 @@
 fn each_value_read_from_a_database_of_the_previous_version_is_encoded_unchanged() {
     let folder = TemporaryFolder::with_recorded_database("encoded");
     let (_database, content) = open_recorded(&folder);
-    let mark = owner_mark(&content);
-    assert_eq!(encode(&(owner(), TOKENS_FROM, mark)), one(VALUES, "kept/founded"));
+    let database_id = content.database_id;
+    assert_eq!(encode(&(owner(), TOKENS_FROM, database_id)), one(VALUES, "kept/founded"));
     assert_eq!(encode(&content.state.hard_state), one(VALUES, "kept/state"));
     assert_eq!(encode(&content.state.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
     for entry in &content.state.entries {
@@ -162,8 +158,8 @@
     let mut expected = all(VALUES);
     let (_, owner_value) =
         expected.iter_mut().find(|(label, _)| label == "kept/founded").expect("the owner is recorded");
-    // The mark is drawn anew for each database.
-    *owner_value = encode(&(owner(), TOKENS_FROM, owner_mark(&content)));
+    // The id is drawn anew for each database.
+    *owner_value = encode(&(owner(), TOKENS_FROM, content.database_id));
     assert_eq!(raw_values(&folder.0), expected);
 }
 
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -4,9 +4,10 @@
 
 use honeyknot_lease::{Answer, Command, CommandResult, Rejection};
 use honeyknot_lease_consensus::{LeaseView, Response};
-use honeyknot_relay::lease_client::codec::{
-    Frame, FrameReader, Greeting, GreetingSender, dial, send, welcome,
-};
+use honeyknot_relay::lease_client::codec::{FrameReader, send};
+use honeyknot_relay::lease_client::frame::Frame;
+use honeyknot_relay::lease_client::greeting::{Greeting, GreetingParameters, GreetingSender};
+use honeyknot_relay::lease_client::handshake::{accept, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -23,7 +24,7 @@
 }
 
 fn response(id: u64, response: Response) -> Frame {
-    Frame::Response { id, told: response }
+    Frame::Response { id, response }
 }
 
 fn results(answers: Vec<(Answer, u64)>) -> Response {
@@ -70,8 +71,9 @@
     ]
 }
 
-fn greeting(from: GreetingSender) -> Greeting {
-    Greeting { who: from, fleet: "alpha".into(), keepers: 3, parameters: (10_000_000, 1_000, 500_000) }
+fn greeting(sender: GreetingSender) -> Greeting {
+    let parameters = GreetingParameters { lease_duration: 10_000_000, drift_ppm: 1_000, margin: 500_000 };
+    Greeting { sender, fleet: "alpha".into(), server_count: 3, parameters }
 }
 
 /// The first frame of each kind of dialing side.
@@ -123,9 +125,9 @@
                 seen = Some(greeting.clone());
                 result.clone()
             };
-            let welcomed = welcome(&mut FrameReader::new(&bytes[..]), &mut answer, check).await;
+            let accepted = accept(&mut FrameReader::new(&bytes[..]), &mut answer, check).await;
             assert_eq!(seen.as_ref(), Some(&expected), "{label} is read");
-            assert_eq!(welcomed.is_ok(), result.is_ok(), "{label} is {result_label}");
+            assert_eq!(accepted.is_ok(), result.is_ok(), "{label} is {result_label}");
             assert_eq!(answer, one(GREETINGS, result_label), "{result_label} is written");
         }
     }
@@ -150,7 +152,7 @@
             match result {
                 Ok(()) => assert!(dialed.is_ok(), "{result_label} is read"),
                 Err(reason) => {
-                    let error = dialed.err().expect("a rejection is an error");
+                    let error = dialed.expect_err("a rejection is an error");
                     assert_eq!(error.kind(), std::io::ErrorKind::PermissionDenied);
                     assert!(error.to_string().contains(&reason), "{result_label} gives its reason");
                 }
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -6,7 +6,7 @@
 use honeyknot_lease_consensus::{
     ClientRequest, Entry, PeerMessage, Replica, ReplicaAction, ReplicaSettings, Snapshot,
 };
-use honeyknot_relay::lease_client::codec::Frame;
+use honeyknot_relay::lease_client::frame::Frame;
 use serde::{Deserialize, Serialize};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
--- a/tests/lease_servers.rs
+++ b/tests/lease_servers.rs
@@ -9,8 +9,8 @@
 
 use honeyknot_lease::{Answer, Command as Lease, FencingToken, Rejection};
 use honeyknot_lease_consensus::Response;
-use honeyknot_relay::lease_client::admin_commands;
 use honeyknot_relay::lease_client::config::LeaseConfig;
+use honeyknot_relay::lease_client::leader_request;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_honeyknot-relay");
 
@@ -79,7 +79,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let until = Instant::now() + Duration::from_secs(20);
         loop {
-            match runtime.block_on(admin_commands::request(&self.config, commands.clone())) {
+            match runtime.block_on(leader_request::request(&self.config, commands.clone())) {
                 Ok(told) => return told,
                 Err(why) if Instant::now() > until => panic!("{why}"),
                 Err(_) => std::thread::sleep(Duration::from_millis(50)),
@@ -165,7 +165,7 @@
     keepers.start(2, None);
     keepers.start(3, Some(0));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let asked = runtime.block_on(admin_commands::request(&keepers.config, Vec::new()));
+    let asked = runtime.block_on(leader_request::request(&keepers.config, Vec::new()));
     assert!(asked.is_err(), "{asked:?}");
     // With the one that was dead there are two again that know.
     keepers.start(1, None);
@@ -183,7 +183,7 @@
     }
     keepers.start(1, None);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let asked = runtime.block_on(admin_commands::request(&keepers.config, Vec::new()));
+    let asked = runtime.block_on(leader_request::request(&keepers.config, Vec::new()));
     assert!(asked.is_err(), "{asked:?}");
     keepers.kill(1);
     std::fs::remove_dir_all(keepers.folder.join("k1")).unwrap();
@@ -276,7 +276,7 @@
     let mut other = keepers.config.clone();
     other.parameters.lease_duration *= 2;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let why = runtime.block_on(admin_commands::request(&other, Vec::new())).unwrap_err();
+    let why = runtime.block_on(leader_request::request(&other, Vec::new())).unwrap_err().to_string();
     assert!(why.contains("lease 3000 ms") && why.contains("here lease 1500 ms"), "{why}");
     assert!(Path::new(&keepers.folder).exists());
 }
