--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -14,7 +14,7 @@
 use honeyknot_testbed::scenario::Scenario;
 use honeyknot_testbed::simulated::{Simulation, simulate};
 use honeyknot_testbed::world::{Size, World};
-use honeyknot_zone_failover::Plan;
+use honeyknot_zone_failover::ZoneFailoverConfig;
 use tokio::signal::unix::{SignalKind, signal};
 
 /// honeyknot's laboratory: a world of its own on loopback, and experiments on it.
@@ -225,7 +225,8 @@
             (path, PLAN.to_owned())
         }
     };
-    let plan = Plan::read(&file.display().to_string(), &text, &sites).map_err(|faults| faults.to_string())?;
+    let plan = ZoneFailoverConfig::read(&file.display().to_string(), &text, &sites)
+        .map_err(|faults| faults.to_string())?;
     Ok(Day {
         size: Size {
             sites,
@@ -278,7 +279,12 @@
         Some(path) => {
             return Err(format!("--plan {}: a simulated world has sites of its own", path.display()));
         }
-        None => Plan { session_load: 0.03, deck_cost: 3.0, leave_limit: 0.8, ..Plan::default() },
+        None => ZoneFailoverConfig {
+            connection_load: 0.03,
+            affinity_group_cost: 3.0,
+            leave_limit: 0.8,
+            ..ZoneFailoverConfig::default()
+        },
     };
     if !(load > 0.0 && load <= 2.0) {
         return Err(format!("--load {load}: allowed is above 0 and up to 2"));
@@ -287,7 +293,7 @@
     if servers < sites || relays < sites {
         return Err(format!("{sites} sites need as many card servers and relays at least"));
     }
-    let (limit, moves, news) = (plan.spill_limit, plan.moves_per_s, Duration::from_millis(2_500));
+    let (limit, moves, news) = (plan.spill_limit, plan.migrations_per_second, Duration::from_millis(2_500));
     let day = Simulation { sites, servers, relays, load, scenario, plan, seed: world.seed, news };
     let o = simulate(&day)?;
     // Relays move out of step: a second may see more than the mean by chance.
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -13,7 +13,9 @@
     AffinityGroup, CellId, Endpoint, EndpointId, EndpointState, EndpointUpdate, Micros, RequestId, ZoneId,
     ZoneSet,
 };
-use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
+use honeyknot_zone_failover::{
+    EndpointSignal, ZoneAction, ZoneDecision, ZoneFailover, ZoneFailoverConfig, ZoneFailoverSetup,
+};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal, Poisson, Zipf};
 use rand_pcg::Pcg64Mcg;
@@ -46,7 +48,7 @@
     /// What goes wrong.
     pub scenario: Scenario,
     /// The operators' plan; names of sites in it are not used.
-    pub plan: Plan,
+    pub plan: ZoneFailoverConfig,
     /// The seed.
     pub seed: u64,
     /// The longest that news of the roll takes to a relay.
@@ -127,7 +129,7 @@
     servers: Vec<Server>,
     by_id: BTreeMap<EndpointId, usize>,
     by_site: Vec<Vec<usize>>,
-    relays: Vec<Sites>,
+    relays: Vec<ZoneFailover>,
     /// News on its way to a relay.
     news: BinaryHeap<Reverse<(Micros, usize, u64)>>,
     told: Vec<Arc<Vec<Endpoint>>>,
@@ -175,18 +177,18 @@
     let mut by_site = vec![Vec::new(); day.sites];
     servers.iter().enumerate().for_each(|(n, s)| by_site[s.site].push(n));
     let relays = (0..day.relays).map(|number| {
-        let setup = Setup {
-            plan: day.plan.clone(),
-            names: names.clone(),
-            home: ZoneId(number % day.sites),
-            relays: day.relays as u32,
-            cold: COLD,
-            start_capacity: 0.32,
+        let setup = ZoneFailoverSetup {
+            config: day.plan.clone(),
+            zone_names: names.clone(),
+            home_zone: ZoneId(number % day.sites),
+            fleet_size: day.relays as u32,
+            slow_start_duration: COLD,
+            initial_capacity: 0.32,
             seed: day.seed ^ (number as u64) << 20,
         };
-        Sites::new(setup, START)
+        ZoneFailover::new(setup, START)
     });
-    let relays = relays.collect::<Result<Vec<Sites>, String>>()?;
+    let relays = relays.collect::<Result<Vec<ZoneFailover>, _>>().map_err(|error| error.to_string())?;
     let mut run = Run {
         now: START,
         by_id: servers.iter().enumerate().map(|(n, s)| (s.id.clone(), n)).collect(),
@@ -264,7 +266,7 @@
         let whole = Arc::new(self.entries(&all, EndpointState::Ready));
         for relay in 0..self.relays.len() {
             let mut out = Vec::new();
-            self.relays[relay].take_list(self.now, &EndpointUpdate::Full(whole.clone()), &mut out);
+            self.relays[relay].endpoints_updated(self.now, &EndpointUpdate::Full(whole.clone()), &mut out);
         }
         let (mut steps, length) = day.scenario.steps();
         steps.reverse();
@@ -348,7 +350,7 @@
             self.news.pop();
             let update = EndpointUpdate::Delta(self.told[number as usize].clone());
             let mut out = Vec::new();
-            self.relays[relay].take_list(self.now, &update, &mut out);
+            self.relays[relay].endpoints_updated(self.now, &update, &mut out);
             self.act(relay, out);
         }
     }
@@ -367,7 +369,7 @@
     fn remove(&mut self, relay: usize, id: RequestId) -> Option<Client> {
         let standing = self.standing.remove(&(relay, id))?;
         self.servers[standing.server].model.close(u64::from(id.0) << 16 | relay as u64);
-        self.relays[relay].ended(id);
+        self.relays[relay].connection_ended(id);
         Some(standing.client)
     }
 
@@ -375,11 +377,11 @@
         self.outcome.clients_asked += 1;
         let deck = AffinityGroup(format!("{:x}", client.deck).into());
         let began = Instant::now();
-        let verdict = self.relays[client.relay].ask(self.now, Some(&deck));
+        let verdict = self.relays[client.relay].admit(self.now, Some(&deck));
         self.asks.saturating_record(began.elapsed().as_nanos() as u64);
         let reach = match verdict {
-            Verdict::Within(reach) => reach,
-            Verdict::Refuse(away) => return self.refuse(client, away),
+            ZoneDecision::Allow(reach) => reach,
+            ZoneDecision::Reject { retry_after: away } => return self.refuse(client, away),
         };
         let Some(server) = self.draw(client.relay, reach, client.deck) else {
             return self.refuse(client, 300_000);
@@ -387,12 +389,12 @@
         self.serial += 1;
         let (id, relay) = (RequestId(self.serial as u32), client.relay);
         let name = self.servers[server].id.clone();
-        self.relays[relay].placed(self.now, id, &name, Some(&deck));
+        self.relays[relay].attempt_started(self.now, id, &name, Some(&deck));
         let home = relay % self.by_site.len();
         if !self.servers[server].up {
             let mut out = Vec::new();
-            self.relays[relay].ended(id);
-            self.relays[relay].sign(self.now, &name, false, &mut out);
+            self.relays[relay].connection_ended(id);
+            self.relays[relay].endpoint_signal(self.now, &name, EndpointSignal::Silent, &mut out);
             self.act(relay, out);
             return self.come_back(client);
         }
@@ -404,12 +406,12 @@
         };
         let number = u64::from(id.0) << 16 | relay as u64;
         if self.servers[server].model.open(self.now, number, held) == Opened::Busy {
-            self.relays[relay].ended(id);
+            self.relays[relay].connection_ended(id);
             return self.refuse(client, 300_000);
         }
         self.outcome.served += 1;
-        self.relays[relay].stands(self.now, id);
-        self.relays[relay].load_told(id, client.load * 1e3);
+        self.relays[relay].connection_established(self.now, id);
+        self.relays[relay].connection_load_reported(id, client.load * 1e3);
         self.ends.push(Reverse((client.until, relay, id)));
         self.standing.insert((relay, id), Standing { client, server });
     }
@@ -452,24 +454,26 @@
         first.or_else(|| drawn.max_by(|a, b| room(a).total_cmp(&room(b))))
     }
 
-    fn act(&mut self, relay: usize, out: Vec<Do>) {
+    fn act(&mut self, relay: usize, out: Vec<ZoneAction>) {
         for action in out {
             match action {
-                Do::Log(_) => {}
-                Do::Move(id) => {
+                ZoneAction::Log(_) => {}
+                ZoneAction::MigrateConnection(id) => {
                     if let Some(client) = self.remove(relay, id) {
                         self.outcome.moves += 1;
                         *self.moved.entry(self.now / 1_000_000).or_default() += 1;
                         self.come_back(client);
                     }
                 }
-                Do::Ask(id) => {
+                ZoneAction::CheckHealth(id) => {
                     let Some(server) = self.by_id.get(&id).copied() else { continue };
-                    let (alive, mut out) = (self.servers[server].up, Vec::new());
-                    self.relays[relay].sign(self.now, &id, alive, &mut out);
+                    let alive = self.servers[server].up;
+                    let signal = if alive { EndpointSignal::Alive } else { EndpointSignal::Silent };
+                    let mut out = Vec::new();
+                    self.relays[relay].endpoint_signal(self.now, &id, signal, &mut out);
                     if alive {
                         let report = self.servers[server].model.report(self.now);
-                        self.relays[relay].reported(self.now, &id, report.x0);
+                        self.relays[relay].load_reported(self.now, &id, report.x0);
                     }
                     self.act(relay, out);
                 }
@@ -486,7 +490,7 @@
                     if self.servers[server].up {
                         let report = self.servers[server].model.report(self.now);
                         let id = self.servers[server].id.clone();
-                        self.relays[relay].reported(self.now, &id, report.x0);
+                        self.relays[relay].load_reported(self.now, &id, report.x0);
                     }
                 }
             }
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -6,7 +6,7 @@
 use honeyknot_testbed::scenario::Scenario;
 use honeyknot_testbed::simulated::{Outcome, Simulation, simulate};
 use honeyknot_testbed::world::Size;
-use honeyknot_zone_failover::Plan;
+use honeyknot_zone_failover::ZoneFailoverConfig;
 
 fn size() -> Size {
     Size {
@@ -53,7 +53,11 @@
         relays: 8,
         load: 0.45,
         scenario,
-        plan: Plan { session_load: 0.03, deck_cost: 3.0, ..Plan::default() },
+        plan: ZoneFailoverConfig {
+            connection_load: 0.03,
+            affinity_group_cost: 3.0,
+            ..ZoneFailoverConfig::default()
+        },
         seed,
         news: Duration::from_millis(2_500),
     }
@@ -75,12 +79,12 @@
 /// Without a ramp the returning site's cold card servers are sent more than they bear: the model notices.
 #[test]
 fn without_the_limits_the_same_days_break_them() {
-    let plan = Plan {
+    let plan = ZoneFailoverConfig {
         spill_limit: 1.0,
-        overflow: 0.0,
-        yield_at: 1.0,
-        give_back_at: 1.0,
-        news_skew: 0,
+        overflow_share: 0.0,
+        receive_threshold: 1.0,
+        give_back_threshold: 1.0,
+        max_update_skew: 0,
         ..simulation(Scenario::Two, 0).plan
     };
     let spills = (0..4).filter(|seed| {
--- /dev/null
+++ b/crates/zone-failover/src/config_file.rs
@@ -0,0 +1,205 @@
+//! Reads the operator file `sites.conf`.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use honeyknot_balancer::Micros;
+use honeyknot_operator_config::{Directive, Faults, Section, Word, parse, units};
+
+use crate::config::{RetryAfterRange, ZoneFailoverConfig};
+
+const HOUR: Duration = Duration::from_secs(3600);
+/// Longest value of durations on the scale of a ramp.
+const MAX_SHORT_DURATION: Duration = Duration::from_secs(300);
+/// Longest value of durations over which observations are forgotten.
+const MAX_LONG_DURATION: Duration = Duration::from_secs(24 * 3600);
+
+/// Sets a field where the file has a value for it.
+fn set<T>(field: &mut T, value: Option<T>) {
+    if let Some(value) = value {
+        *field = value;
+    }
+}
+
+fn micros(min_ms: u64, max: Duration) -> impl Fn(&str) -> units::Read<Micros> {
+    units::micros(Duration::from_millis(min_ms)..=max)
+}
+
+impl ZoneFailoverConfig {
+    /// Reads the text of `sites.conf` against the names of the zones that exist; `file` is only named in errors.
+    ///
+    /// # Errors
+    ///
+    /// Returns all errors of the file at once, each with file, line, word and what is allowed.
+    pub fn read(file: &str, text: &str, zone_names: &[String]) -> Result<ZoneFailoverConfig, Faults> {
+        let tree = parse(file, text)?;
+        let faults = RefCell::default();
+        let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &faults), zone_names);
+        Section::faults(faults).map(|()| config)
+    }
+
+    fn from_section(mut top: Section, zone_names: &[String]) -> ZoneFailoverConfig {
+        let mut config = ZoneFailoverConfig::default();
+        config.read_limits(&mut top);
+        config.read_recovery(&mut top);
+        config.read_rebalancing(&mut top);
+        config.read_retry_after(&mut top);
+        for directive in top.each("prefer") {
+            config.read_tiers(&top, directive, zone_names);
+        }
+        for directive in top.each("receive") {
+            let found =
+                read_zone_value(&top, directive, zone_names, &config.receive_limits, units::share(0.0..=1.0));
+            config.receive_limits.extend(found);
+        }
+        for directive in top.each("relays") {
+            let found = read_zone_value(
+                &top,
+                directive,
+                zone_names,
+                &config.relays_per_zone,
+                units::number(0..=100_000),
+            );
+            config.relays_per_zone.extend(found);
+        }
+        config.check(&mut top);
+        top.finish();
+        config
+    }
+
+    /// Reads limits and load thresholds.
+    fn read_limits(&mut self, top: &mut Section) {
+        let share = units::share(0.0..=1.0);
+        let load = units::share(0.05..=1.0);
+        set(&mut self.spill_limit, top.value("spill-limit", &share));
+        set(&mut self.leave_limit, top.value("leave-limit", &share));
+        set(&mut self.overflow_share, top.value("overflow", &share));
+        set(&mut self.relay_skew, top.value("skew", units::number(1.0..=16.0)));
+        set(&mut self.connection_load, top.value("session-load", units::share(0.0001..=1.0)));
+        set(&mut self.affinity_group_cost, top.value("deck-cost", units::number(0.0..=100.0)));
+        set(&mut self.spill_threshold, top.value("spill-at", &load));
+        set(&mut self.receive_threshold, top.value("yield-at", &load));
+        set(&mut self.give_back_threshold, top.value("give-back-at", units::share(0.05..=2.0)));
+    }
+
+    /// Reads when a zone is lost and how it recovers.
+    fn read_recovery(&mut self, top: &mut Section) {
+        let share = units::share(0.0..=1.0);
+        set(&mut self.lost_threshold, top.value("lost-below", &share));
+        set(&mut self.recovered_threshold, top.value("back-above", &share));
+        set(&mut self.partial_recovery_delay, top.value("small-after", micros(0, MAX_SHORT_DURATION)));
+        set(&mut self.min_silent_endpoints, top.value("silent-servers", units::number(1..=1000)));
+        set(&mut self.ramp_duration, top.value("ramp", micros(0, MAX_SHORT_DURATION)));
+        set(&mut self.ramp_spread, top.value("spread", micros(0, MAX_SHORT_DURATION)));
+        set(&mut self.settle_time, top.value("settle", micros(0, HOUR)));
+        set(&mut self.hold_down, top.value("hold-down", micros(0, HOUR)));
+        set(&mut self.max_hold_down, top.value("hold-down-most", micros(0, HOUR)));
+        set(&mut self.flap_half_life, top.value("forget-flap", micros(1_000, MAX_LONG_DURATION)));
+    }
+
+    /// Reads the pace of rebalancing and the assumptions behind shared limits.
+    fn read_rebalancing(&mut self, top: &mut Section) {
+        let load = units::share(0.05..=1.0);
+        set(&mut self.migrations_per_second, top.value("moves", units::rate(0.0..=10_000.0)));
+        set(&mut self.rebalance_threshold, top.value("home-below", &load));
+        set(&mut self.max_update_skew, top.value("news-skew", micros(0, MAX_SHORT_DURATION)));
+        set(&mut self.claim_ramp_duration, top.value("claim", micros(0, HOUR)));
+        set(&mut self.usual_capacity_half_life, top.value("usual-half", micros(1_000, MAX_LONG_DURATION)));
+    }
+
+    fn read_retry_after(&mut self, top: &mut Section) {
+        let Some(directive) = top.only("come-back") else { return };
+        let [least, most] = &directive.words[..] else {
+            return top.fault(&directive.name, "`come-back` takes the least and the longest time".into());
+        };
+        let read = |word| top.word("come-back", word, micros(1, HOUR));
+        if let (Some(from), Some(to)) = (read(least), read(most)) {
+            if from > to {
+                top.fault(least, "`come-back`: the least time is longer than the longest".into());
+            }
+            self.retry_after = RetryAfterRange { min: from, max: to };
+        }
+    }
+
+    /// Reads `prefer HOME {` and a line `tier SITE ...` for each tier.
+    fn read_tiers(&mut self, top: &Section, directive: &Directive, zone_names: &[String]) {
+        let mut block = top.block(directive);
+        let mut named: Vec<String> = Vec::new();
+        let mut zone = |section: &Section, word: &Word| {
+            let name = section.word("site", word, |text| known_zone(text, zone_names))?;
+            if named.contains(&name) {
+                section.fault(word, format!("the site `{name}` is named again"));
+            }
+            named.push(name.clone());
+            Some(name)
+        };
+        let home = match &directive.words[..] {
+            [home] => zone(top, home),
+            _ => {
+                top.fault(&directive.name, "`prefer` takes one site, the home".into());
+                None
+            }
+        };
+        let mut tiers = Vec::new();
+        for tier in block.each("tier") {
+            block.no_block(tier);
+            if tier.words.is_empty() {
+                block.fault(&tier.name, "`tier` takes one site or more".into());
+            }
+            tiers.push(tier.words.iter().filter_map(|word| zone(&block, word)).collect());
+        }
+        block.finish();
+        let Some(home) = home else { return };
+        if self.tiers.insert(home.clone(), tiers).is_some() {
+            top.fault(&directive.name, format!("`prefer {home}` is given again"));
+        }
+    }
+
+    /// Checks values that are valid alone but contradict each other.
+    fn check(&self, top: &mut Section) {
+        let mut order = |low: (&'static str, f64), high: (&'static str, f64)| {
+            if low.1 > high.1 {
+                let at = top.only(low.0).or_else(|| top.only(high.0));
+                let what = format!(
+                    "`{}` ({:.0}%) must not be above `{}` ({:.0}%)",
+                    low.0,
+                    low.1 * 100.0,
+                    high.0,
+                    high.1 * 100.0
+                );
+                if let Some(directive) = at {
+                    top.fault(&directive.name, what);
+                }
+            }
+        };
+        order(("lost-below", self.lost_threshold), ("back-above", self.recovered_threshold));
+        order(("yield-at", self.receive_threshold), ("give-back-at", self.give_back_threshold));
+    }
+}
+
+fn known_zone(text: &str, zone_names: &[String]) -> units::Read<String> {
+    match zone_names.iter().any(|name| name == text) {
+        true => Ok(text.to_owned()),
+        false => Err(format!("no such site; the settings name {}", zone_names.join(", "))),
+    }
+}
+
+/// Reads a directive of a zone and a value.
+fn read_zone_value<T>(
+    top: &Section, directive: &Directive, zone_names: &[String], earlier: &BTreeMap<String, T>,
+    read: impl Fn(&str) -> units::Read<T>,
+) -> Option<(String, T)> {
+    top.no_block(directive);
+    let name = &directive.name;
+    let [zone, value] = &directive.words[..] else {
+        top.fault(name, format!("`{}` takes a site and a value", name.text));
+        return None;
+    };
+    let found = top.word(&name.text, zone, |text| known_zone(text, zone_names));
+    let value = top.word(&name.text, value, read);
+    if found.as_ref().is_some_and(|found| earlier.contains_key(found)) {
+        top.fault(zone, format!("`{} {}` is given again", name.text, zone.text));
+    }
+    found.zip(value)
+}
--- /dev/null
+++ b/crates/zone-failover/src/spilled_connections.rs
@@ -0,0 +1,145 @@
+//! This relay's connections to other zones, and the capacity that they hold there.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use honeyknot_balancer::{AffinityGroup, EndpointId, Micros, RequestId, ZoneId};
+
+/// A connection, or an attempt at one, to another zone.
+#[derive(Debug)]
+pub(crate) struct SpilledConnection {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) zone: ZoneId,
+    pub(crate) group: Option<AffinityGroup>,
+    /// Its load in usual connections.
+    pub(crate) units: f64,
+    /// When it was established, or when its attempt began.
+    pub(crate) since: Micros,
+}
+
+/// What connections hold at a zone.
+#[derive(Clone, Copy, Debug, Default)]
+struct HeldCapacity {
+    /// In usual connections.
+    units: f64,
+    /// Pairs of an endpoint and an affinity group.
+    groups: u32,
+}
+
+/// An established connection in the order of migration: one affinity group after another.
+type GroupedConnection = (Option<AffinityGroup>, RequestId);
+
+/// All connections that this relay has sent to other zones.
+///
+/// A receiving zone is charged from the start of an attempt on, so that a burst of attempts cannot exceed a limit.
+#[derive(Debug, Default)]
+pub(crate) struct SpilledConnections {
+    connections: BTreeMap<RequestId, SpilledConnection>,
+    /// Connections of each affinity group to each endpoint.
+    group_connections: BTreeMap<(EndpointId, AffinityGroup), u32>,
+    /// Number of endpoints of each zone to which a group has connections.
+    group_endpoints: BTreeMap<(ZoneId, AffinityGroup), u32>,
+    held: BTreeMap<ZoneId, HeldCapacity>,
+    established: BTreeMap<ZoneId, BTreeSet<GroupedConnection>>,
+}
+
+impl SpilledConnections {
+    /// Adds an attempt in place of what the connection held before.
+    pub(crate) fn insert(&mut self, id: RequestId, connection: SpilledConnection) {
+        self.remove(id);
+        let held = self.held.entry(connection.zone).or_default();
+        held.units += connection.units;
+        if let Some(group) = &connection.group {
+            let key = (connection.endpoint.clone(), group.clone());
+            let count = self.group_connections.entry(key).or_default();
+            *count += 1;
+            if *count == 1 {
+                held.groups += 1;
+                *self.group_endpoints.entry((connection.zone, group.clone())).or_default() += 1;
+            }
+        }
+        self.connections.insert(id, connection);
+    }
+
+    /// Records that a connection is established.
+    pub(crate) fn establish(&mut self, id: RequestId, now: Micros) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.since = now;
+        let established = self.established.entry(connection.zone).or_default();
+        established.insert((connection.group.clone(), id));
+    }
+
+    /// Changes a connection's load, in usual connections.
+    pub(crate) fn set_load(&mut self, id: RequestId, units: f64) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if let Some(held) = self.held.get_mut(&connection.zone) {
+            held.units = (held.units + units - connection.units).max(0.0);
+        }
+        connection.units = units;
+    }
+
+    /// Removes a connection or an attempt that has ended.
+    pub(crate) fn remove(&mut self, id: RequestId) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        let held = self.held.entry(connection.zone).or_default();
+        held.units = (held.units - connection.units).max(0.0);
+        if let Some(group) = &connection.group {
+            let key = (connection.endpoint.clone(), group.clone());
+            if decrement(&mut self.group_connections, &key) {
+                held.groups -= 1;
+                decrement(&mut self.group_endpoints, &(connection.zone, group.clone()));
+            }
+        }
+        if let Some(established) = self.established.get_mut(&connection.zone) {
+            established.remove(&(connection.group.clone(), id));
+        }
+    }
+
+    /// Returns what connections hold at a zone, in usual connections, where each group on an endpoint costs `group_cost` more.
+    pub(crate) fn held(&self, zone: ZoneId, group_cost: f64) -> f64 {
+        self.held.get(&zone).map_or(0.0, |held| held.units + f64::from(held.groups) * group_cost)
+    }
+
+    /// Whether an affinity group has a connection of this relay to a zone.
+    pub(crate) fn has_group(&self, zone: ZoneId, group: &AffinityGroup) -> bool {
+        self.group_endpoints.contains_key(&(zone, group.clone()))
+    }
+
+    /// Returns the number of established connections to other zones.
+    pub(crate) fn established_count(&self) -> usize {
+        self.established.values().map(BTreeSet::len).sum()
+    }
+
+    /// Returns the number of established connections to one zone.
+    pub(crate) fn established_at(&self, zone: ZoneId) -> usize {
+        self.established.get(&zone).map_or(0, BTreeSet::len)
+    }
+
+    /// Returns the next connection to migrate, of one zone or any, among those established for at least `min_age`.
+    ///
+    /// It is of `group`, or else of the first group after it, so that connections of a group follow each other.
+    pub(crate) fn next_to_migrate(
+        &self, zone: Option<ZoneId>, group: &Option<AffinityGroup>, now: Micros, min_age: Micros,
+    ) -> Option<GroupedConnection> {
+        let is_old_enough = |(_, id): &&GroupedConnection| {
+            self.connections.get(id).is_some_and(|connection| now >= connection.since + min_age)
+        };
+        let candidates = || {
+            let matching = self.established.iter().filter(|(at, _)| zone.is_none_or(|zone| zone == **at));
+            matching.map(|(_, connections)| connections)
+        };
+        let from = (group.clone(), RequestId(0));
+        let following = candidates().filter_map(|set| set.range(from.clone()..).find(is_old_enough)).min();
+        following.or_else(|| candidates().filter_map(|set| set.iter().find(is_old_enough)).min()).cloned()
+    }
+}
+
+/// Decrements a count and removes it at 0; true if it was removed.
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) -> bool {
+    let Some(count) = counts.get_mut(key) else { return false };
+    *count -= 1;
+    let is_zero = *count == 0;
+    if is_zero {
+        counts.remove(key);
+    }
+    is_zero
+}
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -1,142 +1,222 @@
-//! Between the relay and [`Sites`]: tells it what happens on the sockets and carries out what it wants.
+//! Connects the relay to [`ZoneFailover`]: events from the sockets go in, its actions are carried out.
 
+use honeyknot_balancer::{
+    EndpointId, EndpointUpdate, Micros, Outcome, Request, RequestId, Settings, ZoneId, ZoneSet,
+};
 use honeyknot_metrics::Family;
-use honeyknot_zone_failover::{Do, Plan, Setup, Sites, Verdict};
+use honeyknot_zone_failover::{
+    EndpointSignal, ZoneAction, ZoneDecision, ZoneEvent, ZoneFailover, ZoneFailoverConfig, ZoneFailoverError,
+    ZoneFailoverSetup,
+};
+use thiserror::Error;
 use tracing::info;
 
 use super::health_check::HealthCheckCommand;
 use crate::relay::lifecycle::config::Config;
 use crate::relay::{ConnectionCommand, Relay};
 use crate::settings::NameTable;
-use honeyknot_balancer::*;
 
-/// The least price of crossing sites that the decisions reckon with when tiers hold: they then prefer the own site
-/// wherever it has room.
-const CROSSING: f64 = 0.2;
+/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it has capacity.
+const MIN_CROSS_ZONE_PRICE: f64 = 0.2;
 
-/// Starts the relay's part where the operators have a plan, and has the decisions leave to it what it decides.
+/// Why zone failover could not be started.
+#[derive(Debug, Error)]
+pub enum ZoneFailoverStartError {
+    /// The settings name no zone of this relay.
+    #[error("sites: the settings name no site of this relay")]
+    NoHomeZone,
+    /// Settings and operator file do not fit together.
+    #[error("sites: {0}")]
+    Setup(#[from] ZoneFailoverError),
+}
+
+/// Starts zone failover where the operators have configured it, and switches off what the balancer leaves to it.
+///
+/// # Errors
+///
+/// Returns an error if the settings do not fit the operators' configuration.
 pub fn start(
-    plan: Option<Plan>, settings: &mut Settings, names: &NameTable, seed: u64, now: Micros,
-) -> Result<Option<Sites>, String> {
-    let Some(plan) = plan else { return Ok(None) };
-    let home = settings.zone.ok_or("sites: the settings name no site of this relay")?;
-    let setup = Setup {
-        plan,
-        names: names.zones().to_vec(),
-        home,
-        relays: settings.fleet_size,
-        cold: settings.rules.slow_start_duration,
-        start_capacity: settings.rules.initial_capacity,
+    config: Option<ZoneFailoverConfig>, settings: &mut Settings, names: &NameTable, seed: u64, now: Micros,
+) -> Result<Option<ZoneFailover>, ZoneFailoverStartError> {
+    let Some(config) = config else { return Ok(None) };
+    let setup = ZoneFailoverSetup {
+        config,
+        zone_names: names.zones().to_vec(),
+        home_zone: settings.zone.ok_or(ZoneFailoverStartError::NoHomeZone)?,
+        fleet_size: settings.fleet_size,
+        slow_start_duration: settings.rules.slow_start_duration,
+        initial_capacity: settings.rules.initial_capacity,
         seed,
     };
-    let sites = Sites::new(setup, now).map_err(|why| format!("sites: {why}"))?;
+    let zone_failover = ZoneFailover::new(setup, now)?;
     settings.rebalancing = false;
-    settings.prices.cross_zone = settings.prices.cross_zone.max(CROSSING);
-    Ok(Some(sites))
+    settings.prices.cross_zone = settings.prices.cross_zone.max(MIN_CROSS_ZONE_PRICE);
+    Ok(Some(zone_failover))
 }
 
-/// Whether an outcome proves that a card server lives, or speaks for its silence; none where it says neither.
-fn sign_of_life(outcome: Outcome) -> Option<bool> {
+/// Returns what an outcome shows about its endpoint; nothing where it shows neither life nor silence.
+fn endpoint_signal(outcome: Outcome) -> Option<EndpointSignal> {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(true),
-        Outcome::Timeout | Outcome::ConnectFailed => Some(false),
+        Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(EndpointSignal::Alive),
+        Outcome::Timeout | Outcome::ConnectFailed => Some(EndpointSignal::Silent),
         Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
 
+/// Returns a share as a rounded percentage.
+fn percent(share: f64) -> f64 {
+    (share * 100.0).round()
+}
+
+fn log_event(zone_failover: &ZoneFailover, event: ZoneEvent) {
+    let name = |zone: ZoneId| zone_failover.zone_name(zone);
+    match event {
+        ZoneEvent::Lost { zone, capacity_share } => {
+            let capacity_percent = percent(capacity_share);
+            info!(target: "zone_failover", zone = name(zone), capacity_percent, "zone lost");
+        }
+        ZoneEvent::HeldDown { zone, capacity_share, hold_down, flaps } => {
+            let capacity_percent = percent(capacity_share);
+            let hold_down_ms = hold_down / 1_000;
+            info!(
+                target: "zone_failover",
+                zone = name(zone),
+                capacity_percent,
+                hold_down_ms,
+                flaps,
+                "zone held down after flaps"
+            );
+        }
+        ZoneEvent::Recovering { zone, capacity_share } => {
+            let capacity_percent = percent(capacity_share);
+            info!(target: "zone_failover", zone = name(zone), capacity_percent, "zone recovering");
+        }
+        ZoneEvent::Up { zone } => info!(target: "zone_failover", zone = name(zone), "zone up"),
+        ZoneEvent::LocalFaultSuspected => {
+            info!(target: "zone_failover", "nearly all endpoints silent, local fault suspected");
+        }
+        ZoneEvent::LocalFaultCleared => info!(target: "zone_failover", "local fault cleared"),
+    }
+}
+
 impl Relay {
-    /// Tells the sites' part something, if there is one, and does what it wants.
-    fn tell_sites(&mut self, tell: impl FnOnce(&mut Sites, Micros, &mut Vec<Do>)) {
-        let Some(sites) = &mut self.zone_failover else { return };
-        let mut wants = Vec::new();
-        tell(sites, self.timers.clock.now(), &mut wants);
-        for want in wants {
-            match want {
-                Do::Move(id) => {
-                    self.update_metrics(|book| book.count(Family::Moves, "site"));
-                    self.send_command(id, ConnectionCommand::Migrate);
+    /// Passes an event to zone failover, if it is on, and carries out its actions.
+    fn with_zone_failover(&mut self, event: impl FnOnce(&mut ZoneFailover, Micros, &mut Vec<ZoneAction>)) {
+        let Some(zone_failover) = &mut self.zone_failover else { return };
+        let mut actions = Vec::new();
+        event(zone_failover, self.timers.clock.now(), &mut actions);
+        for action in actions {
+            self.carry_out_zone_action(action);
+        }
+    }
+
+    fn carry_out_zone_action(&mut self, action: ZoneAction) {
+        match action {
+            ZoneAction::MigrateConnection(id) => {
+                self.update_metrics(|metrics| metrics.count(Family::Moves, "site"));
+                self.send_command(id, ConnectionCommand::Migrate);
+            }
+            ZoneAction::CheckHealth(endpoint) => {
+                self.send_health_check_command(endpoint, HealthCheckCommand::Look);
+            }
+            ZoneAction::Log(event) => {
+                if let Some(zone_failover) = &self.zone_failover {
+                    log_event(zone_failover, event);
                 }
-                Do::Ask(server) => self.send_health_check_command(server, HealthCheckCommand::Look),
-                Do::Log(text) => info!(target: "site", "{text}"),
             }
         }
     }
 
     pub(in crate::relay) fn update_zones(&mut self, update: &EndpointUpdate) {
-        self.tell_sites(|sites, now, wants| sites.take_list(now, update, wants));
+        self.with_zone_failover(|zone_failover, now, actions| {
+            zone_failover.endpoints_updated(now, update, actions);
+        });
     }
 
-    /// Where a newcomer may be placed, or that it may not.
-    pub(in crate::relay) fn zone_verdict(&mut self, request: &Request) -> Verdict {
-        let (now, most) = (self.timers.clock.now(), self.max_retry_after());
-        match self.zone_failover.as_mut().map(|sites| sites.ask(now, request.affinity_group.as_ref())) {
-            None => Verdict::Within(ZoneSet::ALL),
-            Some(Verdict::Refuse(away)) => Verdict::Refuse(away.min(most)),
-            Some(within) => within,
+    /// Decides within which zones a request may be placed; within all zones where zone failover is off.
+    pub(in crate::relay) fn zone_decision(&mut self, request: &Request) -> ZoneDecision {
+        let (now, max_retry_after) = (self.timers.clock.now(), self.max_retry_after());
+        let Some(zone_failover) = &mut self.zone_failover else {
+            return ZoneDecision::Allow(ZoneSet::ALL);
+        };
+        match zone_failover.admit(now, request.affinity_group.as_ref()) {
+            ZoneDecision::Reject { retry_after } => {
+                ZoneDecision::Reject { retry_after: retry_after.min(max_retry_after) }
+            }
+            allow => allow,
         }
     }
 
-    pub(in crate::relay) fn zone_attempt_started(&mut self, id: RequestId, server: &EndpointId) {
+    pub(in crate::relay) fn zone_attempt_started(&mut self, id: RequestId, endpoint: &EndpointId) {
         if self.zone_failover.is_none() {
             return;
         }
-        let deck = self.connections.get(id).and_then(|entry| entry.affinity_group.clone());
-        self.tell_sites(|sites, now, _| sites.placed(now, id, server, deck.as_ref()));
+        let group = self.connections.get(id).and_then(|connection| connection.affinity_group.clone());
+        self.with_zone_failover(|zone_failover, now, _| {
+            zone_failover.attempt_started(now, id, endpoint, group.as_ref());
+        });
     }
 
-    pub(in crate::relay) fn zone_connection_adopted(&mut self, request: &Request, server: &EndpointId) {
-        self.tell_sites(|sites, now, _| {
-            sites.adopted(now, request.id, server, request.affinity_group.as_ref())
+    pub(in crate::relay) fn zone_connection_adopted(&mut self, request: &Request, endpoint: &EndpointId) {
+        self.with_zone_failover(|zone_failover, now, _| {
+            zone_failover.connection_adopted(now, request.id, endpoint, request.affinity_group.as_ref());
         });
     }
 
-    pub(in crate::relay) fn zone_connection_established(&mut self, id: RequestId, server: &EndpointId) {
-        self.tell_sites(|sites, now, wants| {
-            sites.stands(now, id);
-            sites.sign(now, server, true, wants);
+    pub(in crate::relay) fn zone_connection_established(&mut self, id: RequestId, endpoint: &EndpointId) {
+        self.with_zone_failover(|zone_failover, now, actions| {
+            zone_failover.connection_established(now, id);
+            zone_failover.endpoint_signal(now, endpoint, EndpointSignal::Alive, actions);
         });
     }
 
-    /// An attempt, or a session that stood, has ended. One that stood says nothing of its card server's silence: a
-    /// jammed one resets sessions and still answers.
+    /// Records the end of an attempt or of an established connection.
+    ///
+    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets connections and still
+    /// responds.
     pub(in crate::relay) fn zone_attempt_ended(
-        &mut self, id: RequestId, server: &EndpointId, outcome: Outcome,
+        &mut self, id: RequestId, endpoint: &EndpointId, outcome: Outcome,
     ) {
-        let stood = self.connections.is_established(id);
-        let alive = sign_of_life(outcome);
-        self.tell_sites(|sites, now, wants| {
-            sites.ended(id);
-            if let Some(alive) = alive.filter(|_| !stood) {
-                sites.sign(now, server, alive, wants);
+        let was_established = self.connections.is_established(id);
+        let signal = endpoint_signal(outcome).filter(|_| !was_established);
+        self.with_zone_failover(|zone_failover, now, actions| {
+            zone_failover.connection_ended(id);
+            if let Some(signal) = signal {
+                zone_failover.endpoint_signal(now, endpoint, signal, actions);
             }
         });
     }
 
+    /// Records the end of a health check, perhaps with the endpoint's load.
     pub(in crate::relay) fn zone_health_check_ended(
-        &mut self, server: &EndpointId, outcome: Outcome, load: Option<f64>,
+        &mut self, endpoint: &EndpointId, outcome: Outcome, load: Option<f64>,
     ) {
-        // A probe costs next to nothing: one that is reset is no shed session.
-        let alive = if outcome == Outcome::Reset { Some(false) } else { sign_of_life(outcome) };
-        self.tell_sites(|sites, now, wants| {
-            if let Some(alive) = alive {
-                sites.sign(now, server, alive, wants);
+        // A health check costs next to nothing, so a reset is not load shedding.
+        let signal = match outcome {
+            Outcome::Reset => Some(EndpointSignal::Silent),
+            _ => endpoint_signal(outcome),
+        };
+        self.with_zone_failover(|zone_failover, now, actions| {
+            if let Some(signal) = signal {
+                zone_failover.endpoint_signal(now, endpoint, signal, actions);
             }
             if let Some(load) = load {
-                sites.reported(now, server, load);
+                zone_failover.load_reported(now, endpoint, load);
             }
         });
     }
 
+    /// Does the periodic work of zone failover.
     pub(in crate::relay) fn run_zone_failover(&mut self) {
         if !self.shutting_down {
-            self.tell_sites(Sites::tick);
+            self.with_zone_failover(ZoneFailover::tick);
         }
     }
 
-    /// Takes the operators' plan from a configuration that was read again.
+    /// Takes the zone failover settings of a configuration that was read again.
     pub(in crate::relay) fn reconfigure_zone_failover(&mut self, config: &Config) {
-        if let (Some(sites), Some(plan)) = (&mut self.zone_failover, &config.sites) {
-            sites.replan(plan.clone());
+        if let (Some(zone_failover), Some(config)) = (&mut self.zone_failover, &config.sites) {
+            zone_failover.reconfigure(config.clone());
         }
     }
 }
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -5,7 +5,7 @@
 
 use honeyknot_gossip as neighbors;
 use honeyknot_metrics as gauges;
-use honeyknot_zone_failover::Plan;
+use honeyknot_zone_failover::ZoneFailoverConfig;
 use serde_json::Value;
 
 use crate::relay::connections::protocol::socket_address;
@@ -78,7 +78,7 @@
     /// The settings' names.
     pub names: NameTable,
     /// The operators' plan for losing and regaining sites; none where it is not switched on.
-    pub sites: Option<Plan>,
+    pub sites: Option<ZoneFailoverConfig>,
     /// The operators' sinks of metrics; none where they are not switched on.
     pub metrics: Option<gauges::Plan>,
     /// The operators' plan for relays that know of each other; none where it is not switched on.
@@ -104,7 +104,7 @@
         let mut config = Config::read(&text, var).map_err(|e| format!("{path}: {e}"))?;
         if let Some(file) = &files.sites {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let plan = Plan::read(&file.display().to_string(), &text, config.names.zones());
+            let plan = ZoneFailoverConfig::read(&file.display().to_string(), &text, config.names.zones());
             config.sites = Some(plan.map_err(|faults| faults.to_string())?);
         }
         if let Some(file) = &files.metrics {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -21,7 +21,7 @@
 use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
 use honeyknot_gossip::Plan as NeighborPlan;
 use honeyknot_metrics::{Book, Family};
-use honeyknot_zone_failover::{Sites, Verdict};
+use honeyknot_zone_failover::{ZoneDecision, ZoneFailover};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
@@ -109,7 +109,7 @@
     /// What messages take at the card servers.
     message_latencies: MessageLatencies,
     /// Losing and regaining sites, where the operators have switched it on.
-    zone_failover: Option<Sites>,
+    zone_failover: Option<ZoneFailover>,
     /// The relays nearby, where the operators have switched that on.
     gossip: Option<GossipHandle>,
     /// What is counted.
@@ -148,7 +148,9 @@
         let born = timers.clock.now();
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
-        let sites = zone_failover::start(config.sites, &mut settings, &config.names, config.seed, born)?;
+        let zone_failover =
+            zone_failover::start(config.sites, &mut settings, &config.names, config.seed, born)
+                .map_err(|error| error.to_string())?;
         let enter = |plan: &NeighborPlan| {
             GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed)
                 .map_err(|e| e.to_string())
@@ -176,7 +178,7 @@
                 connections: ConnectionTable::default(),
                 message_latencies: MessageLatencies::new(&settings),
                 settings,
-                zone_failover: sites,
+                zone_failover,
                 gossip: neighbors,
                 persistent_counters: None,
                 exporters: BTreeMap::new(),
@@ -236,13 +238,13 @@
         let mut request = self.build_request(head)?;
         let seat = self.register_connection(&request);
         self.update_metrics(|book| book.add(Family::Requests, 0, 1));
-        match self.zone_verdict(&request) {
-            Verdict::Within(reach) => {
+        match self.zone_decision(&request) {
+            ZoneDecision::Allow(reach) => {
                 request.allowed_zones = reach;
                 self.handle_event(Event::Request(request));
             }
             // The decisions never hear of it: there is nothing to choose.
-            Verdict::Refuse(away) => {
+            ZoneDecision::Reject { retry_after: away } => {
                 self.record_rejected("site_limit", Some(0));
                 self.send_command(request.id, ConnectionCommand::Reject(away));
             }
@@ -376,8 +378,8 @@
 
     /// The card server told the session's load.
     pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
-        if let Some(sites) = &mut self.zone_failover {
-            sites.load_told(id, load);
+        if let Some(zone_failover) = &mut self.zone_failover {
+            zone_failover.connection_load_reported(id, load);
         }
         self.connection_updated(id, ConnectionUpdate::Load(load));
     }
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -8,7 +8,7 @@
 use honeyknot_metrics::graphite::Paths;
 use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
 use honeyknot_relay::lease_client::plan::Plan as LeasesPlan;
-use honeyknot_zone_failover::Plan as SitesPlan;
+use honeyknot_zone_failover::{RetryAfterRange, ZoneFailoverConfig};
 
 use super::{address, fixture_text};
 
@@ -16,9 +16,9 @@
 const SITES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
 
 /// Reads a sites file; all faults as text.
-pub fn read_sites(file: &str) -> Result<SitesPlan, String> {
+pub fn read_sites(file: &str) -> Result<ZoneFailoverConfig, String> {
     let sites = SITES.map(str::to_owned);
-    SitesPlan::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
+    ZoneFailoverConfig::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
 }
 
 fn read_neighbors(file: &str) -> Result<NeighborsPlan, String> {
@@ -46,70 +46,70 @@
         ("tema", vec![names(&["accra-east", "accra-north"]), names(&["kasoa"])]),
         ("kasoa", vec![names(&["accra-east"]), names(&["accra-north", "tema"])]),
     ];
-    let meant = SitesPlan {
+    let meant = ZoneFailoverConfig {
         tiers: tiers.into_iter().map(|(home, tiers)| (home.to_owned(), tiers)).collect(),
         spill_limit: 0.25,
-        receive: BTreeMap::new(),
+        receive_limits: BTreeMap::new(),
         leave_limit: 0.8,
-        overflow: 0.25,
-        relays: BTreeMap::new(),
-        skew: 1.0,
-        session_load: 0.03,
-        deck_cost: 3.0,
-        spill_at: 0.6,
-        yield_at: 0.7,
-        give_back_at: 0.85,
-        lost_below: 0.1,
-        back_above: 0.4,
-        small_after: 5_000_000,
-        silent_servers: 2,
-        ramp: 9_000_000,
-        spread: 1_500_000,
-        settle: 5_000_000,
-        hold: 4_000_000,
-        hold_most: 120_000_000,
-        forget: 120_000_000,
-        moves_per_s: 4.0,
-        home_below: 0.55,
-        news_skew: 3_000_000,
-        claim: 10_000_000,
-        usual_half: 600_000_000,
-        come_back: (150_000, 600_000),
+        overflow_share: 0.25,
+        relays_per_zone: BTreeMap::new(),
+        relay_skew: 1.0,
+        connection_load: 0.03,
+        affinity_group_cost: 3.0,
+        spill_threshold: 0.6,
+        receive_threshold: 0.7,
+        give_back_threshold: 0.85,
+        lost_threshold: 0.1,
+        recovered_threshold: 0.4,
+        partial_recovery_delay: 5_000_000,
+        min_silent_endpoints: 2,
+        ramp_duration: 9_000_000,
+        ramp_spread: 1_500_000,
+        settle_time: 5_000_000,
+        hold_down: 4_000_000,
+        max_hold_down: 120_000_000,
+        flap_half_life: 120_000_000,
+        migrations_per_second: 4.0,
+        rebalance_threshold: 0.55,
+        max_update_skew: 3_000_000,
+        claim_ramp_duration: 10_000_000,
+        usual_capacity_half_life: 600_000_000,
+        retry_after: RetryAfterRange { min: 150_000, max: 600_000 },
     };
     assert_eq!(read_sites("sites.conf"), Ok(meant));
 }
 
 #[test]
 fn a_sites_file_with_every_directive_changed_means_what_it_meant() {
-    let meant = SitesPlan {
+    let meant = ZoneFailoverConfig {
         tiers: BTreeMap::from([("tema".to_owned(), vec![names(&["kasoa"])])]),
         spill_limit: 0.31,
-        receive: BTreeMap::from([("kasoa".to_owned(), 0.15)]),
+        receive_limits: BTreeMap::from([("kasoa".to_owned(), 0.15)]),
         leave_limit: 0.32,
-        overflow: 0.33,
-        relays: BTreeMap::from([("tema".to_owned(), 12)]),
-        skew: 2.5,
-        session_load: 0.04,
-        deck_cost: 5.0,
-        spill_at: 0.51,
-        yield_at: 0.72,
-        give_back_at: 0.93,
-        lost_below: 0.14,
-        back_above: 0.45,
-        small_after: 6_000_000,
-        silent_servers: 7,
-        ramp: 8_000_000,
-        spread: 1_100_000,
-        settle: 12_000_000,
-        hold: 13_000_000,
-        hold_most: 180_000_000,
-        forget: 240_000_000,
-        moves_per_s: 9.0,
-        home_below: 0.5,
-        news_skew: 1_900_000,
-        claim: 21_000_000,
-        usual_half: 720_000_000,
-        come_back: (160_000, 700_000),
+        overflow_share: 0.33,
+        relays_per_zone: BTreeMap::from([("tema".to_owned(), 12)]),
+        relay_skew: 2.5,
+        connection_load: 0.04,
+        affinity_group_cost: 5.0,
+        spill_threshold: 0.51,
+        receive_threshold: 0.72,
+        give_back_threshold: 0.93,
+        lost_threshold: 0.14,
+        recovered_threshold: 0.45,
+        partial_recovery_delay: 6_000_000,
+        min_silent_endpoints: 7,
+        ramp_duration: 8_000_000,
+        ramp_spread: 1_100_000,
+        settle_time: 12_000_000,
+        hold_down: 13_000_000,
+        max_hold_down: 180_000_000,
+        flap_half_life: 240_000_000,
+        migrations_per_second: 9.0,
+        rebalance_threshold: 0.5,
+        max_update_skew: 1_900_000,
+        claim_ramp_duration: 21_000_000,
+        usual_capacity_half_life: 720_000_000,
+        retry_after: RetryAfterRange { min: 160_000, max: 700_000 },
     };
     assert_eq!(read_sites("sites-all.conf"), Ok(meant));
 }
