--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -5,7 +5,7 @@
     RequestId, SessionKey, ZoneSet,
 };
 use honeyknot_metrics::Family;
-use honeyknot_zone_failover::Verdict;
+use honeyknot_zone_failover::ZoneDecision;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 use super::connection_table::{ConnectionEntry, CurrentAttempt};
@@ -24,13 +24,13 @@
         let mut request = self.build_request(open)?;
         let registered = self.register_connection(&request);
         self.update_metrics(|book| book.add(Family::Requests, 0, 1));
-        match self.zone_verdict(&request) {
-            Verdict::Within(zones) => {
+        match self.zone_decision(&request) {
+            ZoneDecision::Allow(zones) => {
                 request.allowed_zones = zones;
                 self.handle_event(Event::Request(request));
             }
             // Without an allowed zone there is nothing to route, so the balancer does not hear of the request.
-            Verdict::Refuse(retry_after) => {
+            ZoneDecision::Reject { retry_after } => {
                 self.record_rejected("site_limit", Some(0));
                 self.send_command(request.id, ConnectionCommand::Reject(retry_after));
             }
@@ -157,7 +157,7 @@
     /// The endpoint has reported the connection's load.
     pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
         if let Some(zone_failover) = &mut self.zone_failover {
-            zone_failover.load_told(id, load);
+            zone_failover.connection_load_reported(id, load);
         }
         self.connection_updated(id, ConnectionUpdate::Load(load));
     }
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -9,7 +9,7 @@
 use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
 use honeyknot_gossip::Plan as GossipConfig;
 use honeyknot_metrics::Book;
-use honeyknot_zone_failover::Sites;
+use honeyknot_zone_failover::ZoneFailover;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tracing::trace;
 
@@ -53,7 +53,7 @@
     /// How long messages take at the endpoints.
     pub(in crate::relay) message_latencies: MessageLatencies,
     /// Zone failover, where operators have switched it on.
-    pub(in crate::relay) zone_failover: Option<Sites>,
+    pub(in crate::relay) zone_failover: Option<ZoneFailover>,
     /// Gossip with other relays, where operators have switched it on.
     pub(in crate::relay) gossip: Option<GossipHandle>,
     pub(in crate::relay) metrics: Book,
