--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -8,7 +8,7 @@
 use honeyknot_metrics::state::State;
 use honeyknot_metrics::{Value, graphite};
 
-use crate::relay::lifecycle::config::secret;
+use crate::relay::lifecycle::config::read_key_file;
 
 /// What to show.
 #[derive(clap::Subcommand)]
@@ -56,7 +56,7 @@
     if let Some(points) = graphite::read_pickle(&bytes) {
         return Ok(points.iter().map(|(path, (at, value))| format!("{path} {value} {at}\n")).collect());
     }
-    let key = key.map(|path| secret(path).map_err(|why| format!("{path}: {why}"))).transpose()?;
+    let key = key.map(|path| read_key_file(path).map_err(|why| format!("{path}: {why}"))).transpose()?;
     let password = |user: &str| key.as_ref().filter(|(u, _)| u == user).map(|(_, password)| password.clone());
     let passwords: Option<collectd::Passwords> = if key.is_some() { Some(&password) } else { None };
     let values = collectd::read(&bytes, passwords).map_err(|e| told(e.to_string()))?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -118,16 +118,16 @@
 
 fn describe(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
-    let known = config.known.as_ref().map_or(0, |k| k.entries.len());
-    println!("{} descriptors, {known} card servers known", config.sockets);
+    let known = config.known_endpoints.as_ref().map_or(0, |k| k.entries.len());
+    println!("{} descriptors, {known} card servers known", config.max_descriptors);
     if let Some(admin) = config.admin {
         println!("operators call at {admin}");
     }
-    if let Some(plan) = &config.sites {
+    if let Some(plan) = &config.zone_failover {
         let (limit, leave) = (plan.spill_limit * 100.0, plan.leave_limit * 100.0);
         println!("sites: spill up to {limit}% of a site, {leave}% of newcomers may leave theirs");
     }
-    if let Some(plan) = &config.neighbors {
+    if let Some(plan) = &config.gossip {
         let (port, seeds, witnesses) = (plan.port, plan.seeds.len(), plan.witnesses);
         println!(
             "neighbors: fleet {}, port {port}, {seeds} seeds, {witnesses} witnesses a card server",
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -135,7 +135,7 @@
 
     /// Takes the operators' plan from a configuration that was read again.
     pub(in crate::relay) fn reconfigure_zone_failover(&mut self, config: &Config) {
-        if let (Some(sites), Some(plan)) = (&mut self.zone_failover, &config.sites) {
+        if let (Some(sites), Some(plan)) = (&mut self.zone_failover, &config.zone_failover) {
             sites.replan(plan.clone());
         }
     }
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -25,7 +25,7 @@
 const KEY_FILE: u64 = 4096;
 
 /// Reads a key file: one line, `USER: PASSWORD`, that nobody but its owner may read.
-pub fn secret(path: &str) -> Result<(String, String), String> {
+pub fn read_key_file(path: &str) -> Result<(String, String), String> {
     use std::os::unix::fs::PermissionsExt;
     let about = std::fs::metadata(path).map_err(|e| e.to_string())?;
     if about.permissions().mode() & 0o077 != 0 {
@@ -70,19 +70,19 @@
     /// Seeds the decisions' random numbers.
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The server roll as last held.
-    pub known: Option<EndpointListUpdate>,
+    pub known_endpoints: Option<EndpointListUpdate>,
     /// What the decisions are told.
     pub settings: Settings,
     /// The settings' names.
     pub names: NameTable,
     /// The operators' plan for losing and regaining sites; none where it is not switched on.
-    pub sites: Option<Plan>,
+    pub zone_failover: Option<Plan>,
     /// The operators' sinks of metrics; none where they are not switched on.
     pub metrics: Option<gauges::Plan>,
     /// The operators' plan for relays that know of each other; none where it is not switched on.
-    pub neighbors: Option<neighbors::Plan>,
+    pub gossip: Option<neighbors::Plan>,
 }
 
 impl Config {
@@ -94,7 +94,7 @@
 
     /// Reads the files again. Where discovery is, the file alone says now: the variable still holds what was told
     /// at the start. Guards against a reload that changes nothing.
-    pub fn again(files: &OperatorFiles) -> Result<Config, String> {
+    pub fn reread(files: &OperatorFiles) -> Result<Config, String> {
         Config::from_file(files, |name| variable(name).filter(|_| name != "EDGE_DISCOVERY"))
     }
 
@@ -105,11 +105,11 @@
         if let Some(file) = &files.sites {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             let plan = Plan::read(&file.display().to_string(), &text, config.names.zones());
-            config.sites = Some(plan.map_err(|faults| faults.to_string())?);
+            config.zone_failover = Some(plan.map_err(|faults| faults.to_string())?);
         }
         if let Some(file) = &files.metrics {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let plan = gauges::Plan::read(&file.display().to_string(), &text, secret);
+            let plan = gauges::Plan::read(&file.display().to_string(), &text, read_key_file);
             config.metrics = Some(plan.map_err(|faults| faults.to_string())?);
         }
         if let Some(file) = &files.neighbors {
@@ -117,7 +117,7 @@
             let plan = neighbors::Plan::read(&file.display().to_string(), &text);
             let plan = plan.map_err(|faults| faults.to_string())?;
             plan.check_listen(config.listen).map_err(|e| format!("{}: {e}", file.display()))?;
-            config.neighbors = Some(plan);
+            config.gossip = Some(plan);
         }
         Ok(config)
     }
@@ -162,13 +162,13 @@
             discovery: dialled("discovery", "EDGE_DISCOVERY")?,
             admin,
             seed,
-            sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
-            known,
+            max_descriptors: usize::try_from(sockets).unwrap_or(usize::MAX),
+            known_endpoints: known,
             settings,
             names,
-            sites: None,
+            zone_failover: None,
             metrics: None,
-            neighbors: None,
+            gossip: None,
         })
     }
 }
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -29,7 +29,7 @@
     while let Some(read) = reloads.recv().await {
         match read {
             Ok(config) => {
-                info!(target: "reload", discovery = %config.discovery, descriptors = config.sockets, "applied");
+                info!(target: "reload", discovery = %config.discovery, descriptors = config.max_descriptors, "applied");
                 relay.borrow_mut().reconfigure(&config);
                 if let Some(plan) = &config.metrics {
                     exporter::run(&relay, plan, &config.name);
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -26,9 +26,9 @@
     /// The listener for operators, if they can call.
     pub admin: Option<TcpListener>,
     /// The folder in which processes of this relay meet, if they do.
-    pub folder: Option<Rc<StateDirectory>>,
+    pub state_directory: Option<Rc<StateDirectory>>,
     /// The process that has served here so far, if one lives.
-    pub from: Option<Predecessor>,
+    pub predecessor: Option<Predecessor>,
 }
 
 /// Serves until the process is asked to stop; SIGHUP has the files read again.
@@ -45,14 +45,15 @@
 
 async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), String> {
     let stop = graceful_shutdown::signal()?;
-    let reloads = reload::signal(move || Config::again(&files))?;
-    let folder = config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
-    let predecessor = match &folder {
-        Some(folder) => hot_restart::connect_to_predecessor(folder).await?,
+    let reloads = reload::signal(move || Config::reread(&files))?;
+    let state_directory =
+        config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
+    let found = match &state_directory {
+        Some(directory) => hot_restart::connect_to_predecessor(directory).await?,
         None => None,
     };
-    let (clients, from) = match predecessor {
-        Some((listener, from)) => (listener, Some(from)),
+    let (clients, predecessor) = match found {
+        Some((listener, predecessor)) => (listener, Some(predecessor)),
         None => {
             let address = config.listen;
             let listener = listener::bind(address);
@@ -62,7 +63,8 @@
     let open_admin =
         |address| listener::bind(address).map_err(|error| format!("`admin_addr` {address}: {error}"));
     let admin = config.admin.map(open_admin).transpose()?;
-    serve_with_listeners(Listeners { clients, admin, folder, from }, config, stop, reloads).await
+    serve_with_listeners(Listeners { clients, admin, state_directory, predecessor }, config, stop, reloads)
+        .await
 }
 
 /// Serves the connections of its listeners until `stop` resolves, and then drains the relay.
@@ -79,7 +81,7 @@
     let metrics = config.metrics.clone();
     let (relay, discovery_state, discovery_commands) =
         Relay::new(config).map_err(|error| error.to_string())?;
-    if listeners.from.is_some() {
+    if listeners.predecessor.is_some() {
         // The successor is bound by what its predecessor was told: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
     }
@@ -90,10 +92,13 @@
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
     let clients = Rc::new(listeners.clients);
-    let ownership = match listeners.folder {
-        Some(folder) => {
-            tokio::task::spawn_local(hot_restart::run(relay.clone(), folder, clients, listeners.from))
-        }
+    let ownership = match listeners.state_directory {
+        Some(directory) => tokio::task::spawn_local(hot_restart::run(
+            relay.clone(),
+            directory,
+            clients,
+            listeners.predecessor,
+        )),
         None => {
             listener::start_accepting(&relay, &clients);
             tokio::task::spawn_local(std::future::pending())
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -91,15 +91,15 @@
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
         let zone_failover =
-            zone_failover::start(config.sites, &mut settings, &config.names, config.seed, started_at)
+            zone_failover::start(config.zone_failover, &mut settings, &config.names, config.seed, started_at)
                 .map_err(|error| StartError::ZoneFailover(error.into()))?;
-        let gossip = config.neighbors.as_ref();
+        let gossip = config.gossip.as_ref();
         let gossip =
             gossip.map(|plan| join_gossip(plan, config.listen, &settings, config.seed)).transpose()?;
         let balancer = Balancer::new(settings.clone(), config.seed, started_at)
             .map_err(|error| StartError::Settings(error.into()))?;
         let (discovery_commands, command_queue) = unbounded_channel();
-        let known_endpoints = config.known.unwrap_or(EndpointListUpdate {
+        let known_endpoints = config.known_endpoints.unwrap_or(EndpointListUpdate {
             version: 0,
             whole: true,
             entries: Vec::new(),
@@ -130,7 +130,7 @@
                 discovery_failing: false,
                 list_state: State::Starting,
                 descriptors_in_use: DescriptorCounter::default(),
-                max_descriptors: connection_descriptors(config.sockets, config.admin.is_some()),
+                max_descriptors: connection_descriptors(config.max_descriptors, config.admin.is_some()),
                 admin_enabled: config.admin.is_some(),
                 shutting_down: false,
                 listener_ownership: ListenerOwnership::default(),
@@ -166,7 +166,7 @@
     ///
     /// The endpoint list stays in use until discovery at the new address sends its own.
     pub fn reconfigure(&mut self, config: &Config) {
-        self.max_descriptors = connection_descriptors(config.sockets, self.admin_enabled);
+        self.max_descriptors = connection_descriptors(config.max_descriptors, self.admin_enabled);
         self.reconfigure_zone_failover(config);
         self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
     }
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -56,7 +56,12 @@
     let stopped = async move {
         let _ = stopped.await;
     };
-    let listeners = Listeners { clients, admin: Some(operators), folder: folder.map(Rc::new), from: None };
+    let listeners = Listeners {
+        clients,
+        admin: Some(operators),
+        state_directory: folder.map(Rc::new),
+        predecessor: None,
+    };
     let ended = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
     loopback::Relay { at, admin, reloads, stop, ended }
 }
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -478,11 +478,11 @@
         self.add("discovery address", config.discovery);
         self.add("admin_addr", config.admin.map_or("none".into(), |at: SocketAddr| at.to_string()));
         self.add("seed", config.seed);
-        self.add("limits.sockets", config.sockets);
+        self.add("limits.sockets", config.max_descriptors);
         self.add("files of sites, metrics, neighbors", {
-            config.sites.is_some() || config.metrics.is_some() || config.neighbors.is_some()
+            config.zone_failover.is_some() || config.metrics.is_some() || config.gossip.is_some()
         });
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_endpoints {
             self.add_known(known);
         }
     }
--- a/tests/support/loopback.rs
+++ b/tests/support/loopback.rs
@@ -110,7 +110,7 @@
             let _ = stopped.await;
         };
         let ended = spawn_local(serve_with_listeners(
-            Listeners { clients, admin: Some(operators), folder: None, from: None },
+            Listeners { clients, admin: Some(operators), state_directory: None, predecessor: None },
             config,
             stopped,
             reloaded,
