--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -56,7 +56,7 @@
     if let Some(points) = graphite::read_pickle(&bytes) {
         return Ok(points.iter().map(|(path, (at, value))| format!("{path} {value} {at}\n")).collect());
     }
-    let key = key.map(|path| read_key_file(path).map_err(|why| format!("{path}: {why}"))).transpose()?;
+    let key = key.map(|path| read_key_file(path).map_err(|error| format!("{path}: {error}"))).transpose()?;
     let password = |user: &str| key.as_ref().filter(|(u, _)| u == user).map(|(_, password)| password.clone());
     let passwords: Option<collectd::Passwords> = if key.is_some() { Some(&password) } else { None };
     let values = collectd::read(&bytes, passwords).map_err(|e| told(e.to_string()))?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -86,9 +86,12 @@
     let done = match Cli::parse().command {
         Command::Serve { log, log_form, files } => {
             logger::start(log, log_form);
-            relay::serve(files)
+            relay::serve(files).map_err(|error| error.to_string())
+        }
+        Command::CheckConfig { files } => {
+            let config = Config::from_environment(&files).map_err(|error| error.to_string());
+            config.map(|config| describe(&config))
         }
-        Command::CheckConfig { files } => Config::from_environment(&files).map(|config| describe(&config)),
         Command::Metrics { show } => inspect::show(&show),
         Command::Admin { address, words } => match ask::ask(address, &words) {
             Ok(answer) => {
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -1,6 +1,11 @@
-//! Why a relay does not start, or is not ready.
+//! Why a relay does not start, ends early, or is not ready.
 
 use std::error::Error;
+use std::io;
+use std::net::SocketAddr;
+
+use super::lifecycle::config::LoadConfigError;
+use super::lifecycle::signals::SignalError;
 
 /// Why a relay cannot be made of its configuration.
 #[derive(Debug, thiserror::Error)]
@@ -16,6 +21,42 @@
     Settings(#[source] Box<dyn Error + Send + Sync>),
 }
 
+/// Why a relay ends without being asked to.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] LoadConfigError),
+    /// The runtime does not start.
+    #[error("the runtime does not start: {0}")]
+    Runtime(#[source] io::Error),
+    /// Signals cannot be received.
+    #[error(transparent)]
+    Signal(#[from] SignalError),
+    /// The address for clients cannot be listened on.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The address for operators cannot be listened on.
+    #[error("`admin_addr` {address}: {source}")]
+    ListenAdmin {
+        /// The address.
+        address: SocketAddr,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The relay cannot be made.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The process that serves so far cannot be replaced.
+    #[error("{0}")]
+    HotRestart(String),
+}
+
 /// Why a relay does not accept clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotReady {
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -1,88 +1,102 @@
-//! A planned restart: newcomers are refused, open requests settled, and every study session moved at a pace.
+//! Graceful shutdown: requests are settled, and established connections migrate at an even pace or are transferred.
 
 use std::future::Future;
 
+use honeyknot_balancer::{Micros, RequestId};
 use honeyknot_metrics::Family;
-use tokio::signal::unix::{SignalKind, signal as listen_for};
+use tokio::signal::unix::SignalKind;
 use tracing::info;
 
+use super::signals::{self, SignalError};
 use crate::relay::{ConnectionCommand, SharedRelay};
-use honeyknot_balancer::Micros;
 
-/// The front layer still sends newcomers for this long: a client moved earlier could come back here.
-const FRONT_NOTICES: Micros = 400_000;
-/// The longest deadline that is waited for before the kill.
-const LONGEST_WAIT: Micros = 3_000_000;
-/// The kill comes this long after the longest deadline.
-const KILL_AFTER: Micros = 700_000;
-/// What is left before the kill when the last session is moved, and when the relay exits.
-const MOVED_BEFORE: Micros = 670_000;
-const GONE_BEFORE: Micros = 350_000;
+/// The front proxy still sends new clients for this long; a client migrated earlier could come back here.
+const FRONT_PROXY_DELAY: Micros = 400_000;
+/// The longest deadline that is waited for.
+const MAX_DEADLINE_WAIT: Micros = 3_000_000;
+/// The process is killed this long after the longest deadline.
+const KILL_GRACE: Micros = 700_000;
+/// Time before the kill at which every connection has migrated, and pending requests fail.
+const MIGRATED_BEFORE_KILL: Micros = 670_000;
+/// Time before the kill at which the process exits.
+const EXIT_BEFORE_KILL: Micros = 350_000;
 /// Time for the last lines to arrive.
 const LINGER: Micros = 250_000;
-/// Step in which sessions are moved.
-const STEP: Micros = 20_000;
+/// Interval at which connections migrate.
+const MIGRATION_INTERVAL: Micros = 20_000;
 
-/// Resolves when the relay is asked to stop.
-pub fn signal() -> Result<impl Future<Output = ()>, String> {
-    let told = |kind| listen_for(kind).map_err(|e| format!("cannot listen for signals: {e}"));
-    let (mut term, mut interrupt) = (told(SignalKind::terminate())?, told(SignalKind::interrupt())?);
+/// Returns a future that resolves when the process is asked to stop, by SIGTERM or SIGINT.
+///
+/// # Errors
+/// If the signals cannot be received.
+pub fn signal() -> Result<impl Future<Output = ()>, SignalError> {
+    let mut terminate = signals::receive(SignalKind::terminate())?;
+    let mut interrupt = signals::receive(SignalKind::interrupt())?;
     Ok(async move {
         tokio::select! {
-            _ = term.recv() => {}
+            _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
     })
 }
 
-/// How many of the sessions that stand are to be moved in this step so that all are by the end.
-pub fn due_now(standing: usize, left: Micros) -> usize {
-    let steps = (left / STEP).max(1) as usize;
-    standing.div_ceil(steps)
+/// Returns how many of the established connections migrate now so that all have within `time_left`.
+pub fn migrations_due(established: usize, time_left: Micros) -> usize {
+    let intervals_left = (time_left / MIGRATION_INTERVAL).max(1) as usize;
+    established.div_ceil(intervals_left)
 }
 
-/// Empties the relay. Returns well before the kill.
+/// Drains the relay. Returns well before the process is killed.
 pub async fn drain(relay: SharedRelay) {
     relay.borrow_mut().shutting_down = true;
     let timers = relay.borrow().timers.clone();
-    let began = timers.clock.now();
-    let kill = began + relay.borrow().max_deadline().min(LONGEST_WAIT) + KILL_AFTER;
-    info!(target: "shutdown", sessions = relay.borrow().open_connections().0.len(), "begins");
-    // Where a new process lets clients in, none that is moved can come back here.
+    let started_at = timers.clock.now();
+    let kill_at = started_at + relay.borrow().max_deadline().min(MAX_DEADLINE_WAIT) + KILL_GRACE;
+    info!(target: "shutdown", connections = relay.borrow().open_connections().0.len(), "started");
+    // A client that migrates cannot come back here once another process accepts clients.
     let replaced = relay.borrow().listener_ownership.handed_over();
-    timers.sleep_until(if replaced { began } else { (began + FRONT_NOTICES).min(kill - KILL_AFTER) }).await;
+    let migrate_from =
+        if replaced { started_at } else { (started_at + FRONT_PROXY_DELAY).min(kill_at - KILL_GRACE) };
+    timers.sleep_until(migrate_from).await;
     loop {
         let now = timers.clock.now();
-        let (standing, asking) = relay.borrow().open_connections();
-        let crowd = replaced && !relay.borrow().idle_connections.is_empty();
-        if standing.is_empty() && asking == 0 && !crowd || now >= kill - GONE_BEFORE - LINGER {
+        let (established, pending) = relay.borrow().open_connections();
+        let idle = replaced && !relay.borrow().idle_connections.is_empty();
+        let drained = established.is_empty() && pending == 0 && !idle;
+        if drained || now >= kill_at - EXIT_BEFORE_KILL - LINGER {
             break;
         }
-        if relay.borrow().listener_ownership.handed_over() {
-            // The process that lets clients in goes on with them.
-            standing.iter().for_each(|id| relay.borrow_mut().send_command(*id, ConnectionCommand::Transfer));
-        } else {
-            let due = due_now(standing.len(), (kill - MOVED_BEFORE).saturating_sub(now));
-            for id in standing.into_iter().take(due) {
-                relay.borrow_mut().update_metrics(|book| book.count(Family::Moves, "restart"));
-                relay.borrow_mut().send_command(id, ConnectionCommand::Migrate);
-            }
+        release_connections(&relay, &established, (kill_at - MIGRATED_BEFORE_KILL).saturating_sub(now));
+        if now >= kill_at - MIGRATED_BEFORE_KILL {
+            fail_pending(&relay);
         }
-        if now >= kill - MOVED_BEFORE {
-            fail_the_rest(&relay);
-        }
-        timers.sleep(STEP).await;
+        timers.sleep(MIGRATION_INTERVAL).await;
     }
-    let (standing, asking) = relay.borrow().open_connections();
-    info!(target: "shutdown", sessions = standing.len(), requests = asking, "left over");
+    let (established, pending) = relay.borrow().open_connections();
+    info!(target: "shutdown", connections = established.len(), requests = pending, "drained");
     relay.borrow().idle_connections.notify_shutdown();
-    // The last lines are on their way: exiting now could reset the connections that carry them.
-    let last = timers.clock.now() + LINGER;
-    timers.sleep_until(last.min(kill - GONE_BEFORE)).await;
+    // The last lines are in flight: exiting now could reset the connections that carry them.
+    let linger_until = timers.clock.now() + LINGER;
+    timers.sleep_until(linger_until.min(kill_at - EXIT_BEFORE_KILL)).await;
+}
+
+/// Transfers all connections to the process that accepts clients, or has those migrate that are due.
+fn release_connections(relay: &SharedRelay, established: &[RequestId], time_left: Micros) {
+    let mut relay = relay.borrow_mut();
+    if relay.listener_ownership.handed_over() {
+        for id in established {
+            relay.send_command(*id, ConnectionCommand::Transfer);
+        }
+        return;
+    }
+    for id in established.iter().take(migrations_due(established.len(), time_left)) {
+        relay.update_metrics(|book| book.count(Family::Moves, "restart"));
+        relay.send_command(*id, ConnectionCommand::Migrate);
+    }
 }
 
-/// Requests that are still open get their answer while there is time to send it.
-fn fail_the_rest(relay: &SharedRelay) {
+/// Fails the requests that are still open while there is time to answer them.
+fn fail_pending(relay: &SharedRelay) {
     let mut relay = relay.borrow_mut();
     for id in relay.connections.pending() {
         relay.send_command(id, ConnectionCommand::Fail);
--- a/src/relay/lifecycle/mod.rs
+++ b/src/relay/lifecycle/mod.rs
@@ -7,3 +7,4 @@
 pub mod graceful_shutdown;
 pub mod hot_restart;
 pub mod reload;
+pub mod signals;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -31,6 +31,6 @@
 pub use command::{AttemptRequest, ConnectionCommand};
 pub use connection_table::ConnectionIdGuard;
 pub use descriptors::DescriptorPermit;
-pub use error::{NotReady, StartError};
+pub use error::{NotReady, ServeError, StartError};
 pub use serve::{Listeners, serve, serve_with_listeners};
 pub use state::{Relay, SharedRelay};
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -16,7 +16,7 @@
 use super::lifecycle::{graceful_shutdown, reload};
 use super::metrics::exporter;
 use super::timer_wheel::TimerEvent;
-use super::{Relay, SharedRelay};
+use super::{Relay, ServeError, SharedRelay};
 use crate::admin;
 
 /// What a relay is reached by.
@@ -36,20 +36,22 @@
 /// # Errors
 /// If the configuration cannot be used, an address cannot be listened on, or a running process of this relay cannot
 /// be replaced.
-pub fn serve(files: OperatorFiles) -> Result<(), String> {
+pub fn serve(files: OperatorFiles) -> Result<(), ServeError> {
     let config = Config::from_environment(&files)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| format!("the runtime does not start: {error}"))?;
+    let runtime = runtime.map_err(ServeError::Runtime)?;
     LocalSet::new().block_on(&runtime, open_and_serve(config, files))
 }
 
-async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), String> {
+async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), ServeError> {
     let stop = graceful_shutdown::signal()?;
     let reloads = reload::signal(move || Config::reread(&files))?;
     let state_directory =
         config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
     let found = match &state_directory {
-        Some(directory) => hot_restart::connect_to_predecessor(directory).await?,
+        Some(directory) => {
+            hot_restart::connect_to_predecessor(directory).await.map_err(ServeError::HotRestart)?
+        }
         None => None,
     };
     let (clients, predecessor) = match found {
@@ -57,11 +59,11 @@
         None => {
             let address = config.listen;
             let listener = listener::bind(address);
-            (listener.map_err(|error| format!("{address}: {error}"))?, None)
+            (listener.map_err(|source| ServeError::Listen { address, source })?, None)
         }
     };
     let open_admin =
-        |address| listener::bind(address).map_err(|error| format!("`admin_addr` {address}: {error}"));
+        |address| listener::bind(address).map_err(|source| ServeError::ListenAdmin { address, source });
     let admin = config.admin.map(open_admin).transpose()?;
     serve_with_listeners(Listeners { clients, admin, state_directory, predecessor }, config, stop, reloads)
         .await
@@ -76,11 +78,10 @@
 /// If the relay cannot be made of its configuration, or cannot take over from its predecessor.
 pub async fn serve_with_listeners(
     listeners: Listeners, config: Config, stop: impl Future<Output = ()>, reloads: reload::Reloads,
-) -> Result<(), String> {
+) -> Result<(), ServeError> {
     let (name, listen, discovery) = (config.name.clone(), config.listen, config.discovery);
     let metrics = config.metrics.clone();
-    let (relay, discovery_state, discovery_commands) =
-        Relay::new(config).map_err(|error| error.to_string())?;
+    let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
         // The successor is bound by what its predecessor was told: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
@@ -109,7 +110,7 @@
     tokio::select! {
         () = stop => {}
         ended = ownership => if let Ok(Err(error)) = ended {
-            return Err(error);
+            return Err(ServeError::HotRestart(error));
         },
     }
     graceful_shutdown::drain(relay).await;
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -179,7 +179,8 @@
     let read = |file: &str, variable: Option<&str>| {
         let text = config_text(&[], 64, discovery).replacen('{', &format!("{{{file}"), 1);
         let var = |name: &str| variable.filter(|_| name == "EDGE_ADMIN_ADDR").map(str::to_owned);
-        Config::read(text.as_bytes(), var).map(|config| config.admin.map(|at| at.port()))
+        let config = Config::read(text.as_bytes(), var).map_err(|error| error.to_string())?;
+        Ok::<_, String>(config.admin.map(|at| at.port()))
     };
     assert_eq!(read("", None), Ok(None));
     assert_eq!(read("\"admin_addr\":null,", None), Ok(None));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -50,10 +50,10 @@
     folder.write("sites.conf", "spill-limit 20%\nspill-limits 5%\n");
     relay.hang_up();
     relay.logged("unknown directive `spill-limits`; is `spill-limit` meant?");
-    relay.logged("the configuration held stays in use");
+    relay.logged("configuration rejected; the current one stays");
     folder.write("sites.conf", "spill-limit 30%\n");
     relay.hang_up();
-    relay.logged("\"message\":\"applied\"");
+    relay.logged("\"message\":\"configuration applied\"");
     let first = fs::read_to_string(&relay.log).expect("a log").lines().next().map(str::to_owned);
     let record: serde_json::Value = serde_json::from_str(&first.expect("a record")).expect("JSON");
     assert_eq!(
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -659,6 +659,6 @@
         *broken.pointer_mut(path).expect("a place") = value;
         let text = broken.to_string();
         let error = Config::read(text.as_bytes(), |_| None).err().expect("an error");
-        assert_eq!(error, expected, "{path}");
+        assert_eq!(error.to_string(), expected, "{path}");
     }
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -209,7 +209,7 @@
     std::thread::sleep(Duration::from_millis(1_200));
     folder.write("metrics.conf", &text(sink.local_addr().expect("an address")));
     relay.hang_up();
-    relay.logged("\"message\":\"applied\"");
+    relay.logged("\"message\":\"configuration applied\"");
     assert!(answer(listen, HEAD).starts_with("BUSY"));
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     store.reaches(REFUSED, 4.0);
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -178,7 +178,7 @@
         relay.stop.send(()).expect("a relay that runs");
         assert_eq!(timeout(SOON, rest(client)).await.expect("a move"), "card 1\r\nMOVE\r\n");
         drop(held);
-        assert_eq!(relay.ended.await.expect("no panic"), Ok(()));
+        relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
@@ -214,7 +214,7 @@
         let ended = timeout(SOON, async { (rest(rests).await, rest(slow).await, rest(silent).await) });
         let ended = ended.await.expect("all have ended");
         assert_eq!(ended, ("BUSY\r\n".into(), "BUSY\r\n".into(), "BUSY\r\n".into()));
-        assert_eq!(relay.ended.await.expect("no panic"), Ok(()));
+        relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -8,10 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::{
-    OPEN, Relay, answer, call, case, config, config_text, line, list, listen, open, rest, say, session,
-    standing,
+    OPEN, Relay, answer, call, case, config, config_text, line, list, listen, open, read_config, rest, say,
+    session, standing,
 };
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -219,7 +218,7 @@
         say(&mut held, " of 9\r\n").await;
         assert_eq!(rest(client).await, "card 1 of 9\r\nMOVE\r\n");
         assert_eq!(rest(held).await, "");
-        assert_eq!(relay.ended.await.expect("no panic"), Ok(()));
+        relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
@@ -340,7 +339,7 @@
         let (mut client, mut held) = standing(&relay, &server).await;
         let watch = call(&old, WATCH).await;
         // Half written: the configuration held stays in use, and so does the watch.
-        relay.reloads.send(Config::read(b"{\"name\":", |_| None)).expect("a relay that runs");
+        relay.reloads.send(read_config(b"{\"name\":")).expect("a relay that runs");
         for _ in 0..2 {
             relay.reloads.send(config(&[], 256, new_at)).expect("a relay that runs");
         }
@@ -354,7 +353,7 @@
         call(&new, "GET /registry/instances?index=2&wait=").await;
         relay.stop.send(()).expect("a relay that runs");
         relay.reloads.send(config(&[], 256, old_at)).expect("a relay on its way out");
-        assert_eq!(relay.ended.await.expect("no panic"), Ok(()));
+        relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -273,7 +273,8 @@
                 set(&mut broken, &place, value.clone());
                 let what = format!("{kind}: {place} is {value:?}");
                 let run = || {
-                    let config = Config::read(broken.to_string().as_bytes(), |_| None)?;
+                    let config = Config::read(broken.to_string().as_bytes(), |_| None);
+                    let config = config.map_err(|error| error.to_string())?;
                     play(&config)
                 };
                 let run = catch_unwind(AssertUnwindSafe(run));
--- a/tests/support/loopback.rs
+++ b/tests/support/loopback.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::relay::{Listeners, serve_with_listeners};
+use honeyknot_relay::relay::lifecycle::config::{Config, LoadConfigError};
+use honeyknot_relay::relay::{Listeners, ServeError, serve_with_listeners};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -77,17 +77,23 @@
                 "fallUs": 2000000, "stopSendingWithinUs": 500000, "mustAskInUs": 10000000}}})
 }
 
-pub fn config(servers: Servers, sockets: u64, discovery: SocketAddr) -> Result<Config, String> {
-    Config::read(config_text(servers, sockets, discovery).as_bytes(), |_| None)
+pub fn config(servers: Servers, sockets: u64, discovery: SocketAddr) -> Result<Config, LoadConfigError> {
+    read_config(config_text(servers, sockets, discovery).as_bytes())
+}
+
+/// Reads a configuration's text as a reload does.
+pub fn read_config(text: &[u8]) -> Result<Config, LoadConfigError> {
+    let invalid = |source| LoadConfigError::Invalid { path: "config.json".into(), source };
+    Config::read(text, |_| None).map_err(invalid)
 }
 
 pub struct Relay {
     pub at: SocketAddr,
     /// Where operators call.
     pub admin: SocketAddr,
-    pub reloads: UnboundedSender<Result<Config, String>>,
+    pub reloads: UnboundedSender<Result<Config, LoadConfigError>>,
     pub stop: oneshot::Sender<()>,
-    pub ended: tokio::task::JoinHandle<Result<(), String>>,
+    pub ended: tokio::task::JoinHandle<Result<(), ServeError>>,
 }
 
 impl Relay {
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use honeyknot_relay::relay::lifecycle::graceful_shutdown::due_now;
+use honeyknot_relay::relay::lifecycle::graceful_shutdown::migrations_due;
 use honeyknot_relay::relay::timer_wheel::{TICK, TimerWheel};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -74,9 +74,9 @@
 fn a_restart_moves_everybody_in_time_and_not_at_once() {
     let (mut standing, mut left, mut most) = (400, 800_000, 0);
     while left > 0 && standing > 0 {
-        let due = due_now(standing, left);
+        let due = migrations_due(standing, left);
         (standing, left, most) = (standing - due, left - 20_000, most.max(due));
     }
     assert_eq!((standing, most), (0, 10));
-    assert_eq!(due_now(5, 0), 5);
+    assert_eq!(migrations_due(5, 0), 5);
 }
