--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddr;
 
 use super::lifecycle::config::LoadConfigError;
+use super::lifecycle::hot_restart::HotRestartError;
 use super::lifecycle::signals::SignalError;
 
 /// Why a relay cannot be made of its configuration.
@@ -53,8 +54,8 @@
     #[error(transparent)]
     Start(#[from] StartError),
     /// The process that serves so far cannot be replaced.
-    #[error("{0}")]
-    HotRestart(String),
+    #[error(transparent)]
+    HotRestart(#[from] HotRestartError),
 }
 
 /// Why a relay does not accept clients.
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -1,9 +1,9 @@
-//! What operators can ask of the relay.
+//! The operators' commands, carried out by the relay.
 
 use std::future::Future;
 use std::rc::Rc;
 
-use super::hot_restart;
+use super::hot_restart::{self, MaintenanceChange};
 use crate::admin::Desk;
 use crate::relay::SharedRelay;
 use crate::relay::timer_wheel::Timers;
@@ -23,6 +23,9 @@
 
     fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
         let relay = self.clone();
-        async move { hot_restart::set_maintenance(&relay, &id, out).await }
+        async move {
+            let changed = hot_restart::set_maintenance(&relay, &id, MaintenanceChange::of(out)).await;
+            changed.map_err(|error| error.to_string())
+        }
     }
 }
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -3,9 +3,9 @@
 mod error;
 mod key_file;
 
-use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::{fmt, fs};
 
 use honeyknot_balancer::Settings;
 use honeyknot_gossip::Plan as GossipConfig;
@@ -69,6 +69,15 @@
     pub gossip: Option<GossipConfig>,
 }
 
+impl fmt::Debug for Config {
+    /// Leaves the operators' files out, which hold passwords.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut fields = formatter.debug_struct("Config");
+        fields.field("name", &self.name).field("listen", &self.listen).field("discovery", &self.discovery);
+        fields.finish_non_exhaustive()
+    }
+}
+
 impl Config {
     /// Reads the file that `EDGE_CONFIG` names, and the operators' files; other variables override the file.
     ///
--- /dev/null
+++ b/src/relay/lifecycle/hot_restart/link.rs
@@ -0,0 +1,191 @@
+//! The link between two processes of a relay while both run.
+
+use std::os::fd::AsFd;
+use std::rc::Rc;
+
+use honeyknot_balancer::{EndpointId, Micros};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::sync::oneshot;
+use tracing::{info, warn};
+
+use super::maintenance::MaintenanceChange;
+use super::ownership::{LinkCommand, RestartStage};
+use super::{HotRestartMessage, StateDirectory, TakeoverChannel, successor};
+use crate::relay::SharedRelay;
+use crate::relay::connections::{self, ConnectionSnapshot, ConnectionTransfer, listener};
+use crate::relay::timer_wheel::Timers;
+
+/// Interval at which the predecessor reports its descriptors.
+const DESCRIPTOR_REPORT_INTERVAL: Micros = 500_000;
+/// Descriptors of an established connection.
+const DESCRIPTORS_PER_CONNECTION: usize = 2;
+
+/// Whether the other process can still be reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum LinkState {
+    Open,
+    Closed,
+}
+
+impl LinkState {
+    /// The state after an attempt to send.
+    fn after_send(result: std::io::Result<()>) -> LinkState {
+        if result.is_ok() { LinkState::Open } else { LinkState::Closed }
+    }
+}
+
+/// Runs the link until either process ends.
+///
+/// The predecessor, which has a `listener` here, accepts clients again if its successor ends.
+pub(super) async fn run(
+    relay: SharedRelay, directory: Rc<StateDirectory>, listener: Option<Rc<TcpListener>>,
+    channel: TakeoverChannel, mut commands: UnboundedReceiver<LinkCommand>,
+) {
+    let timers = relay.borrow().timers.clone();
+    let mut link = LinkTask { relay: relay.clone(), listener, channel, unconfirmed: Vec::new() };
+    link.exchange(&mut commands, &timers).await;
+    let stage = relay.borrow_mut().listener_ownership.link.take().map(|link| link.stage);
+    commands.close();
+    while let Some(command) = commands.recv().await {
+        if let LinkCommand::Transfer(transfer) = command {
+            transfer.migrate(&timers);
+        }
+    }
+    info!(target: "hot_restart", "the other process has ended");
+    let Some(listener) = link.listener.filter(|_| stage == Some(RestartStage::HandedOver)) else { return };
+    if !relay.borrow().is_shutting_down() {
+        warn!(target: "hot_restart", "the successor has ended; accepting clients again");
+        listener::start_accepting(&relay, &listener);
+        successor::offer_again(relay, directory, listener);
+    }
+}
+
+/// One process's task for the link.
+struct LinkTask {
+    relay: SharedRelay,
+    /// The listener, in the predecessor.
+    listener: Option<Rc<TcpListener>>,
+    channel: TakeoverChannel,
+    /// Maintenance changes that the other process has not confirmed: their numbers, and who waits.
+    unconfirmed: Vec<(u64, oneshot::Sender<()>)>,
+}
+
+impl LinkTask {
+    async fn exchange(&mut self, commands: &mut UnboundedReceiver<LinkCommand>, timers: &Rc<Timers>) {
+        let mut state = LinkState::Open;
+        while state == LinkState::Open {
+            state = tokio::select! {
+                message = self.channel.next() => match message {
+                    Some(message) => self.handle_message(message).await,
+                    None => LinkState::Closed,
+                },
+                command = commands.recv() => match command {
+                    Some(command) => self.execute(command, timers).await,
+                    None => LinkState::Closed,
+                },
+                () = timers.sleep(DESCRIPTOR_REPORT_INTERVAL), if self.listener.is_some() => {
+                    self.report_descriptors().await
+                }
+            };
+        }
+    }
+
+    async fn send(&self, message: &HotRestartMessage) -> LinkState {
+        LinkState::after_send(self.channel.send(message, &[]).await)
+    }
+
+    async fn execute(&mut self, command: LinkCommand, timers: &Rc<Timers>) -> LinkState {
+        match command {
+            LinkCommand::SetMaintenance(message, confirmed) => {
+                if let HotRestartMessage::SetMaintenance { number, .. } = &message {
+                    self.unconfirmed.push((*number, confirmed));
+                }
+                self.send(&message).await
+            }
+            LinkCommand::Transfer(transfer) => self.send_connection(*transfer, timers).await,
+        }
+    }
+
+    /// Sends a connection; its client migrates if that fails.
+    async fn send_connection(&self, transfer: ConnectionTransfer, timers: &Rc<Timers>) -> LinkState {
+        let sockets = [transfer.downstream.as_fd(), transfer.upstream.as_fd()];
+        let message = HotRestartMessage::Connection(transfer.snapshot.clone());
+        let state = LinkState::after_send(self.channel.send(&message, &sockets).await);
+        if state == LinkState::Closed {
+            transfer.migrate(timers);
+        }
+        state
+    }
+
+    async fn report_descriptors(&self) -> LinkState {
+        let descriptors = self.relay.borrow().descriptors_in_use.get();
+        self.send(&HotRestartMessage::DescriptorsInUse { descriptors }).await
+    }
+
+    async fn handle_message(&mut self, message: HotRestartMessage) -> LinkState {
+        match message {
+            HotRestartMessage::TakeOver if self.listener.is_some() => self.hand_over().await,
+            HotRestartMessage::SetMaintenance { id, in_maintenance, number } => {
+                let now = self.relay.borrow().timers.clock.now();
+                let (id, change) = (EndpointId(id.as_str().into()), MaintenanceChange::of(in_maintenance));
+                self.relay.borrow_mut().apply_maintenance_command(now, &id, change);
+                self.send(&HotRestartMessage::Confirmed { number }).await
+            }
+            HotRestartMessage::Confirmed { number } => {
+                self.confirm(number);
+                LinkState::Open
+            }
+            HotRestartMessage::Connection(snapshot) => {
+                self.receive_connection(snapshot);
+                LinkState::Open
+            }
+            HotRestartMessage::DescriptorsInUse { descriptors } => {
+                self.set_peer_descriptors(|_| descriptors);
+                LinkState::Open
+            }
+            _ => LinkState::Open,
+        }
+    }
+
+    /// Stops accepting clients for the successor.
+    async fn hand_over(&self) -> LinkState {
+        let relay = &self.relay;
+        listener::stop_accepting(relay);
+        if let Some(link) = &mut relay.borrow_mut().listener_ownership.link {
+            link.stage = RestartStage::HandedOver;
+        }
+        let maintenance = relay.borrow().maintenance_state();
+        let descriptors = relay.borrow().descriptors_in_use.get();
+        info!(target: "hot_restart", "handed over to the successor");
+        if self.send(&HotRestartMessage::HandedOver { maintenance }).await == LinkState::Closed {
+            return LinkState::Closed;
+        }
+        self.send(&HotRestartMessage::DescriptorsInUse { descriptors }).await
+    }
+
+    /// Wakes who waits for the confirmation of a maintenance change.
+    fn confirm(&mut self, number: u64) {
+        if let Some(index) = self.unconfirmed.iter().position(|(waiting, _)| *waiting == number) {
+            let (_, confirmed) = self.unconfirmed.swap_remove(index);
+            let _ = confirmed.send(());
+        }
+    }
+
+    /// Goes on with a connection of the predecessor.
+    fn receive_connection(&mut self, snapshot: ConnectionSnapshot) {
+        let sockets = (self.channel.take_descriptor(), self.channel.take_descriptor());
+        self.set_peer_descriptors(|descriptors| descriptors.saturating_sub(DESCRIPTORS_PER_CONNECTION));
+        if let (Some(downstream), Some(upstream)) = sockets
+            && let Err(error) = connections::restore_connection(&self.relay, snapshot, downstream, upstream)
+        {
+            warn!(target: "hot_restart", %error, "transferred connection not restored");
+        }
+    }
+
+    fn set_peer_descriptors(&self, update: impl FnOnce(usize) -> usize) {
+        if let Some(link) = &mut self.relay.borrow_mut().listener_ownership.link {
+            link.peer_descriptors = update(link.peer_descriptors);
+        }
+    }
+}
--- /dev/null
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -0,0 +1,143 @@
+//! Maintenance of endpoints by operators, in both processes of a relay while two run.
+
+use std::collections::BTreeMap;
+
+use honeyknot_balancer::maintenance::MaintenanceWindow;
+use honeyknot_balancer::{EndpointId, Micros};
+use tokio::sync::oneshot;
+
+use super::maintenance_state::{EndedMaintenance, OngoingMaintenance};
+use super::ownership::{LinkCommand, RestartStage};
+use super::{HotRestartMessage, MaintenanceState, SetMaintenanceError};
+use crate::relay::{Relay, SharedRelay};
+
+/// How long the other process's confirmation is waited for.
+const CONFIRMATION_TIMEOUT: Micros = 600_000;
+
+/// What an operator does with an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceChange {
+    /// Takes it into maintenance.
+    Start,
+    /// Takes it out of maintenance.
+    End,
+}
+
+impl MaintenanceChange {
+    /// Returns the change by which an endpoint is in maintenance or not.
+    pub fn of(in_maintenance: bool) -> MaintenanceChange {
+        if in_maintenance { MaintenanceChange::Start } else { MaintenanceChange::End }
+    }
+}
+
+/// Starts or ends an endpoint's maintenance here and in the other process; returns when it holds.
+///
+/// # Errors
+/// If the endpoint is unknown, the change cannot be saved, or the other process does not confirm it in time.
+pub async fn set_maintenance(
+    relay: &SharedRelay, id: &str, change: MaintenanceChange,
+) -> Result<(), SetMaintenanceError> {
+    let endpoint = EndpointId(id.into());
+    let changed = match change {
+        MaintenanceChange::Start => relay.borrow_mut().start_maintenance(&endpoint),
+        MaintenanceChange::End => relay.borrow_mut().end_maintenance(&endpoint),
+    };
+    changed.map_err(|_| SetMaintenanceError::UnknownEndpoint(id.to_owned()))?;
+    let confirmed = relay.borrow_mut().send_maintenance_change(id, change);
+    let directory = relay.borrow().listener_ownership.directory.clone();
+    if let Some(directory) = directory {
+        // The change holds while a process runs; guards against a file that says otherwise later.
+        directory.save(relay).await.map_err(SetMaintenanceError::NotSaved)?;
+    }
+    match confirmed {
+        Some(confirmed) => wait_for_confirmation(relay, confirmed).await,
+        None => Ok(()),
+    }
+}
+
+async fn wait_for_confirmation(
+    relay: &SharedRelay, confirmed: oneshot::Receiver<()>,
+) -> Result<(), SetMaintenanceError> {
+    let timers = relay.borrow().timers.clone();
+    let linked = || relay.borrow().listener_ownership.link.is_some();
+    tokio::select! {
+        // A process that ends meanwhile confirms nothing, and the change need not hold there.
+        confirmed = confirmed => match confirmed {
+            Err(_) if linked() => Err(SetMaintenanceError::NotConfirmed),
+            _ => Ok(()),
+        },
+        () = timers.sleep(CONFIRMATION_TIMEOUT) => Err(SetMaintenanceError::NotConfirmed),
+    }
+}
+
+impl Relay {
+    /// Sends a maintenance change to the other process, if there is one; the receiver waits for its confirmation.
+    fn send_maintenance_change(
+        &mut self, id: &str, change: MaintenanceChange,
+    ) -> Option<oneshot::Receiver<()>> {
+        let ownership = &mut self.listener_ownership;
+        ownership.changes_sent += 1;
+        let message = HotRestartMessage::SetMaintenance {
+            id: id.to_owned(),
+            in_maintenance: change == MaintenanceChange::Start,
+            number: ownership.changes_sent,
+        };
+        // A successor that prepares receives all changes with the handover.
+        let link = ownership.link.as_ref().filter(|link| link.stage != RestartStage::Preparing)?;
+        let (confirm, confirmed) = oneshot::channel();
+        link.commands.send(LinkCommand::SetMaintenance(message, confirm)).ok().map(|()| confirmed)
+    }
+
+    /// Returns the endpoints in maintenance, in the form that is sent and kept.
+    pub(in crate::relay) fn maintenance_state(&self) -> MaintenanceState {
+        let name = |id: &EndpointId| id.0.as_ref().to_owned();
+        let ongoing = self.maintenance.out();
+        let ended = self.maintenance.back();
+        MaintenanceState {
+            ongoing: ongoing.map(|(id, since)| OngoingMaintenance { id: name(id), since }).collect(),
+            ended: ended
+                .map(|(id, window)| EndedMaintenance { id: name(id), from: window.from, to: window.to })
+                .collect(),
+        }
+    }
+
+    /// Marks endpoints as draining that discovery has named so to another process.
+    pub(super) fn mark_draining(&mut self, draining: &[String]) {
+        let ids: Vec<EndpointId> = draining.iter().map(|id| EndpointId(id.as_str().into())).collect();
+        for endpoint in self.maintenance.leaving(&ids) {
+            self.apply_maintenance_change(Some(endpoint));
+        }
+    }
+
+    /// Restores the maintenance state of another process, or of an earlier one.
+    pub(super) fn restore_maintenance(&mut self, state: MaintenanceState) {
+        let endpoint = |id: &String| EndpointId(id.as_str().into());
+        for EndedMaintenance { id, from, to } in &state.ended {
+            let window = MaintenanceWindow { from: *from, to: *to };
+            let changed = self.maintenance.was_put_back(window, &endpoint(id));
+            self.apply_maintenance_change(changed);
+        }
+        let ongoing: BTreeMap<EndpointId, Micros> =
+            state.ongoing.iter().map(|ongoing| (endpoint(&ongoing.id), ongoing.since)).collect();
+        let current = self.maintenance.out().map(|(id, _)| id);
+        let ended: Vec<EndpointId> = current.filter(|id| !ongoing.contains_key(*id)).cloned().collect();
+        let now = self.timers.clock.now();
+        for id in &ended {
+            self.apply_maintenance_command(now, id, MaintenanceChange::End);
+        }
+        for (id, since) in &ongoing {
+            self.apply_maintenance_command(*since, id, MaintenanceChange::Start);
+        }
+    }
+
+    /// Applies a change that an operator has made at another process.
+    pub(super) fn apply_maintenance_command(
+        &mut self, at: Micros, id: &EndpointId, change: MaintenanceChange,
+    ) {
+        let changed = match change {
+            MaintenanceChange::Start => self.maintenance.withhold(at, id),
+            MaintenanceChange::End => self.maintenance.put_back(at, id).ok().flatten(),
+        };
+        self.apply_maintenance_change(changed);
+    }
+}
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -1,6 +1,6 @@
-//! The folder in which processes of one relay meet: the socket of the one that serves, and what is out by hand.
+//! The folder in which processes of one relay meet: the socket of the one that serves, and the maintenance file.
 //!
-//! The file is written beside and renamed, and holds the sum of what it says: a torn one is passed over.
+//! The file is written under another name and renamed, and has a checksum: a torn one is ignored.
 
 use std::fs::{self, DirBuilder, File};
 use std::io::{self, Write};
@@ -12,139 +12,150 @@
 use tokio::net::UnixListener;
 use tokio::sync::Mutex;
 use tracing::warn;
-use xxhash_rust::xxh3::xxh3_64;
 
-use super::MaintenanceState;
+use super::{MaintenanceFileError, MaintenanceState, StateDirectoryError};
 use crate::relay::SharedRelay;
 
-/// What the file begins with: its form and version.
-const MAGIC: &str = "honeyknot-by-hand 1";
-/// The largest file that is read.
-const LARGEST: u64 = 4 << 20;
-/// The longest path that a Unix socket can have, with some room.
-const LONGEST: usize = 100;
+/// The largest maintenance file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+/// The longest path that a Unix socket can have, with some margin, in bytes.
+const MAX_SOCKET_PATH_BYTES: usize = 100;
+/// Bytes of that path that are left for a file's name.
+const FILE_NAME_BYTES: usize = 16;
+/// The folder's mode: only its owner may enter it.
+const DIRECTORY_MODE: u32 = 0o700;
+/// The permission bits of group and others.
+const ACCESSIBLE_TO_OTHERS: u32 = 0o077;
+/// The name of the maintenance file.
+const MAINTENANCE_FILE: &str = "by-hand";
+/// The name of the socket.
+const SOCKET: &str = "serving";
 
-/// The folder.
+/// Why a saved maintenance state cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("it has {0} bytes")]
+    TooLarge(u64),
+    #[error(transparent)]
+    Invalid(#[from] MaintenanceFileError),
+}
+
+/// The folder in which processes of one relay meet.
+#[derive(Debug)]
 pub struct StateDirectory {
     path: PathBuf,
-    /// Kept open where its path is too long for a socket's: there it is reached by its descriptor.
-    open: Option<File>,
-    /// Whose turn it is to write.
-    turn: Mutex<()>,
+    /// Kept open where its path is too long for a socket's: it is then reached by its descriptor.
+    descriptor: Option<File>,
+    /// Held while the maintenance file is written.
+    writing: Mutex<()>,
+}
+
+/// Opens the folder of the relay that serves an address, below `$TMPDIR`; none if that is not set or cannot be used.
+pub fn open_state_directory(listen: SocketAddr) -> Option<StateDirectory> {
+    let parent = std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from)?;
+    match StateDirectory::open(&parent, listen) {
+        Ok(directory) => Some(directory),
+        Err(error) => {
+            warn!(target: "hot_restart", %error, "hot restart unavailable");
+            None
+        }
+    }
 }
 
 impl StateDirectory {
-    /// Makes or takes up the folder of the relay that serves an address.
-    pub fn open(place: &Path, listen: SocketAddr) -> Result<StateDirectory, String> {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '-' };
-        let name: String = listen.to_string().chars().map(plain).collect();
-        let path = place.join(format!("honeyknot-{name}"));
-        let told = |e: io::Error| format!("{}: {e}", path.display());
-        DirBuilder::new().recursive(true).mode(0o700).create(&path).map_err(told)?;
-        // Guards against a folder that somebody else has laid in a place that all may write to.
-        let about = fs::symlink_metadata(&path).map_err(told)?;
-        let own = fs::metadata("/proc/self").map_or(about.uid(), |me| me.uid());
-        if !about.is_dir() || about.permissions().mode() & 0o077 != 0 || about.uid() != own {
-            return Err(format!("{}: not a folder of this user alone", path.display()));
+    /// Opens the folder of the relay that serves an address, and creates it if needed.
+    ///
+    /// # Errors
+    /// If it cannot be created or opened, or others than this user may enter it.
+    pub fn open(parent: &Path, listen: SocketAddr) -> Result<StateDirectory, StateDirectoryError> {
+        let file_name_character = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '-' };
+        let address: String = listen.to_string().chars().map(file_name_character).collect();
+        let path = parent.join(format!("honeyknot-{address}"));
+        let failed = |source| io_error(&path, source);
+        DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(&path).map_err(failed)?;
+        // Guards against a folder that another user has created in a place that all may write to.
+        let metadata = fs::symlink_metadata(&path).map_err(failed)?;
+        let own_uid = fs::metadata("/proc/self").map_or(metadata.uid(), |process| process.uid());
+        let accessible_to_others = metadata.permissions().mode() & ACCESSIBLE_TO_OTHERS != 0;
+        if !metadata.is_dir() || accessible_to_others || metadata.uid() != own_uid {
+            return Err(StateDirectoryError::NotPrivate { path: path.display().to_string() });
         }
-        let open =
-            if path.as_os_str().len() > LONGEST - 16 { Some(File::open(&path).map_err(told)?) } else { None };
-        Ok(StateDirectory { path, open, turn: Mutex::new(()) })
+        let long_path = path.as_os_str().len() > MAX_SOCKET_PATH_BYTES - FILE_NAME_BYTES;
+        let descriptor = if long_path { Some(File::open(&path).map_err(failed)?) } else { None };
+        Ok(StateDirectory { path, descriptor, writing: Mutex::new(()) })
     }
 
     fn file(&self, name: &str) -> PathBuf {
-        match &self.open {
-            Some(open) => PathBuf::from(format!("/proc/self/fd/{}/{name}", open.as_raw_fd())),
+        match &self.descriptor {
+            Some(directory) => PathBuf::from(format!("/proc/self/fd/{}/{name}", directory.as_raw_fd())),
             None => self.path.join(name),
         }
     }
 
-    /// Where the process that serves offers itself.
+    /// Returns the path of the socket that the process that serves listens on.
     pub fn socket(&self) -> PathBuf {
-        self.file("serving")
+        self.file(SOCKET)
     }
 
-    /// Offers this process there, in the place of any before it. Nobody finds the place empty.
-    pub fn publish(&self) -> Result<UnixListener, String> {
-        let beside = self.file(&format!("new-{}", std::process::id()));
-        let told = |e: io::Error| format!("{}: {e}", self.path.display());
-        let _ = fs::remove_file(&beside);
-        let offered = UnixListener::bind(&beside).map_err(told)?;
-        fs::rename(&beside, self.socket()).map_err(told)?;
-        Ok(offered)
+    /// Listens on the socket in the place of any process before. The socket's path is never missing meanwhile.
+    ///
+    /// # Errors
+    /// If the socket cannot be bound or renamed.
+    pub fn publish(&self) -> Result<UnixListener, StateDirectoryError> {
+        let new_socket = self.file(&format!("new-{}", std::process::id()));
+        let failed = |source| io_error(&self.path, source);
+        let _ = fs::remove_file(&new_socket);
+        let listener = UnixListener::bind(&new_socket).map_err(failed)?;
+        fs::rename(&new_socket, self.socket()).map_err(failed)?;
+        Ok(listener)
     }
 
-    /// What an earlier process has kept. A file that is torn counts as none, and is told of.
+    /// Reads the maintenance state that an earlier process has saved; a file that cannot be used is ignored.
     pub fn read(&self) -> MaintenanceState {
-        let path = self.file("by-hand");
-        let size = fs::metadata(&path).map(|about| about.len());
-        let read = match size {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return MaintenanceState::default(),
-            Ok(size) if size <= LARGEST => fs::read(&path).map_err(|e| e.to_string()),
-            Ok(size) => Err(format!("it has {size} bytes")),
-            Err(e) => Err(e.to_string()),
-        };
-        match read.and_then(|bytes| decode(&bytes)) {
-            Ok(by_hand) => by_hand,
-            Err(why) => {
-                warn!(target: "handover", file = %path.display(), why, "what was out by hand is passed over");
+        let path = self.file(MAINTENANCE_FILE);
+        match read_file(&path) {
+            Ok(state) => state,
+            Err(error) => {
+                warn!(target: "hot_restart", file = %path.display(), %error, "maintenance file ignored");
                 MaintenanceState::default()
             }
         }
     }
 
-    /// Keeps what is out by hand as of now.
-    pub async fn keep(&self, relay: &SharedRelay) -> Result<(), String> {
-        // One write at a time, so that the last one to land holds the most.
-        let _turn = self.turn.lock().await;
-        let bytes = encode(&relay.borrow().maintenance_state());
-        let (beside, file) = (self.file(&format!("by-hand-{}", std::process::id())), self.file("by-hand"));
-        let written = tokio::task::spawn_blocking(move || {
-            let mut new = File::create(&beside)?;
+    /// Saves the maintenance state as of now.
+    ///
+    /// # Errors
+    /// If the file cannot be written.
+    pub async fn save(&self, relay: &SharedRelay) -> io::Result<()> {
+        // One write at a time, so that the last one has the latest state.
+        let _writing = self.writing.lock().await;
+        let bytes = relay.borrow().maintenance_state().to_file_bytes();
+        let new_file = self.file(&format!("{MAINTENANCE_FILE}-{}", std::process::id()));
+        let file = self.file(MAINTENANCE_FILE);
+        let write = move || {
+            let mut new = File::create(&new_file)?;
             new.write_all(&bytes)?;
             new.sync_data()?;
-            fs::rename(&beside, file)
-        });
-        written.await.map_err(|e| e.to_string())?.map_err(|e| e.to_string())
+            fs::rename(&new_file, file)
+        };
+        tokio::task::spawn_blocking(write).await.map_err(io::Error::other)?
     }
 }
 
-/// The file's bytes.
-fn encode(by_hand: &MaintenanceState) -> Vec<u8> {
-    // A record of plain strings and numbers always has a form.
-    let body = serde_json::to_string(by_hand).unwrap_or_default();
-    format!("{MAGIC} {:016x}\n{body}\n", xxh3_64(body.as_bytes())).into_bytes()
-}
-
-/// What a file's bytes say, if they are whole.
-fn decode(bytes: &[u8]) -> Result<MaintenanceState, String> {
-    let text = std::str::from_utf8(bytes).map_err(|_| "it is no text")?;
-    let (head, body) = text.split_once('\n').ok_or("it ends early")?;
-    let sum = head.strip_prefix(MAGIC).ok_or("it is of another form")?.trim();
-    let body = body.strip_suffix('\n').ok_or("it ends early")?;
-    if u64::from_str_radix(sum, 16) != Ok(xxh3_64(body.as_bytes())) {
-        return Err("its sum is wrong: it is torn or damaged".into());
-    }
-    serde_json::from_str(body).map_err(|e| e.to_string())
+fn io_error(path: &Path, source: io::Error) -> StateDirectoryError {
+    StateDirectoryError::Io { path: path.display().to_string(), source }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_kept_reads_back_whole_or_not_at_all() {
-        let by_hand = MaintenanceState {
-            out: vec![("s-1".into(), 5), ("s-2".into(), 7)],
-            back: vec![("s-3".into(), 9, 17)],
-        };
-        let bytes = encode(&by_hand);
-        assert_eq!(decode(&bytes), Ok(by_hand));
-        for cut in 0..bytes.len() {
-            assert!(decode(&bytes[..cut]).is_err(), "cut at {cut}");
-            let mut flipped = bytes.clone();
-            flipped[cut] ^= 1;
-            assert!(decode(&flipped).is_err(), "flipped at {cut}");
-        }
+/// Reads the maintenance file; a missing one is an empty state.
+fn read_file(path: &Path) -> Result<MaintenanceState, ReadError> {
+    let size = match fs::metadata(path) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(MaintenanceState::default()),
+        metadata => metadata?.len(),
+    };
+    if size > MAX_FILE_BYTES {
+        return Err(ReadError::TooLarge(size));
     }
+    Ok(MaintenanceState::from_file_bytes(&fs::read(path)?)?)
 }
--- /dev/null
+++ b/src/relay/lifecycle/hot_restart/successor.rs
@@ -0,0 +1,79 @@
+//! The predecessor's part: offers the relay to new processes, and sends the listener and its state.
+
+use std::os::fd::AsFd;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::{TcpListener, UnixListener, UnixStream};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tracing::{info, warn};
+
+use super::ownership::{LinkCommand, RestartStage};
+use super::{ANSWER_TIMEOUT, HotRestartMessage, StateDirectory, TakeoverChannel, link};
+use crate::relay::SharedRelay;
+
+/// Offers the relay to new processes, one at a time, as long as it runs.
+pub(super) async fn offer(relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>) {
+    match directory.publish() {
+        Ok(socket) => accept_successors(relay, directory, listener, socket).await,
+        Err(error) => {
+            warn!(target: "hot_restart", %error, "hot restart unavailable");
+            std::future::pending().await
+        }
+    }
+}
+
+/// Offers the relay again after a successor has ended.
+pub(super) fn offer_again(relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>) {
+    match directory.publish() {
+        Ok(socket) => {
+            // Boxed because accepting a successor runs a link, which in the end offers the relay again.
+            let accepting: Pin<Box<dyn Future<Output = ()>>> =
+                Box::pin(accept_successors(relay, directory, listener, socket));
+            drop(tokio::task::spawn_local(accepting));
+        }
+        Err(error) => warn!(target: "hot_restart", %error, "hot restart unavailable"),
+    }
+}
+
+async fn accept_successors(
+    relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>, socket: UnixListener,
+) {
+    let timers = relay.borrow().timers.clone();
+    loop {
+        let Ok((stream, _)) = socket.accept().await else {
+            timers.sleep(ANSWER_TIMEOUT).await;
+            continue;
+        };
+        let Some(channel) = greet(stream).await else { continue };
+        if relay.borrow().listener_ownership.link.is_some() {
+            let _ = channel.send(&HotRestartMessage::TakeoverInProgress, &[]).await;
+            continue;
+        }
+        let commands = relay.borrow_mut().open_link(RestartStage::Preparing);
+        let (directory, listener) = (directory.clone(), listener.clone());
+        tokio::task::spawn_local(hand_over(relay.clone(), directory, listener, channel, commands));
+    }
+}
+
+/// Returns the channel to a process that asks for the listener in time.
+async fn greet(stream: UnixStream) -> Option<TakeoverChannel> {
+    let mut channel = TakeoverChannel::new(stream);
+    let first = tokio::time::timeout(Duration::from_micros(ANSWER_TIMEOUT), channel.next()).await;
+    matches!(first, Ok(Some(HotRestartMessage::Hello))).then_some(channel)
+}
+
+async fn hand_over(
+    relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>, channel: TakeoverChannel,
+    commands: UnboundedReceiver<LinkCommand>,
+) {
+    info!(target: "hot_restart", "successor connected");
+    let (maintenance, draining) = (relay.borrow().maintenance_state(), relay.borrow().draining_endpoints());
+    let state = HotRestartMessage::State { maintenance, draining };
+    if channel.send(&state, &[listener.as_fd()]).await.is_ok() {
+        link::run(relay, directory, Some(listener), channel, commands).await;
+    } else {
+        relay.borrow_mut().listener_ownership.link = None;
+    }
+}
--- a/src/relay/lifecycle/mod.rs
+++ b/src/relay/lifecycle/mod.rs
@@ -1,6 +1,7 @@
-//! The process: its configuration, read once and again, its planned end, and one process that takes over from another.
+//! The process's life: its configuration and reloads, graceful shutdown, hot restart, and operators' commands.
 //!
-//! In come signals, files and the other process; out go calls to the hub.
+//! Signals, files and another process are the input; calls to the [`Relay`](crate::relay::Relay) are the output.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod admin_service;
 pub mod config;
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -49,9 +49,7 @@
     let state_directory =
         config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
     let found = match &state_directory {
-        Some(directory) => {
-            hot_restart::connect_to_predecessor(directory).await.map_err(ServeError::HotRestart)?
-        }
+        Some(directory) => hot_restart::connect_to_predecessor(directory).await?,
         None => None,
     };
     let (clients, predecessor) = match found {
@@ -110,7 +108,7 @@
     tokio::select! {
         () = stop => {}
         ended = ownership => if let Ok(Err(error)) = ended {
-            return Err(ServeError::HotRestart(error));
+            return Err(error.into());
         },
     }
     graceful_shutdown::drain(relay).await;
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -6,7 +6,8 @@
 
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::relay::lifecycle::hot_restart::{
-    HotRestartMessage, MaintenanceState, StateDirectory as HotRestartFolder,
+    EndedMaintenance, HotRestartMessage, MaintenanceState, OngoingMaintenance,
+    StateDirectory as HotRestartFolder,
 };
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -26,9 +27,14 @@
 
 /// What the fixtures say of endpoints in maintenance.
 fn maintenance_record() -> MaintenanceState {
+    let ongoing = |id: &str, since| OngoingMaintenance { id: id.into(), since };
     MaintenanceState {
-        out: vec![("s-1".into(), 1_700_000_000_000_001), ("s-2".into(), 1_700_000_000_000_002)],
-        back: vec![("s-3".into(), 1_700_000_000_000_003, 1_700_000_060_000_003)],
+        ongoing: vec![ongoing("s-1", 1_700_000_000_000_001), ongoing("s-2", 1_700_000_000_000_002)],
+        ended: vec![EndedMaintenance {
+            id: "s-3".into(),
+            from: 1_700_000_000_000_003,
+            to: 1_700_000_060_000_003,
+        }],
     }
 }
 
@@ -45,28 +51,32 @@
     match message {
         HotRestartMessage::Hello => "hello",
         HotRestartMessage::State { .. } => "state",
-        HotRestartMessage::Busy => "busy",
-        HotRestartMessage::Take => "take",
-        HotRestartMessage::Yours { .. } => "yours",
-        HotRestartMessage::Holding { .. } => "holding",
-        HotRestartMessage::Hand { .. } => "hand",
-        HotRestartMessage::Session(_) => "session",
-        HotRestartMessage::Done { .. } => "done",
+        HotRestartMessage::TakeoverInProgress => "busy",
+        HotRestartMessage::TakeOver => "take",
+        HotRestartMessage::HandedOver { .. } => "yours",
+        HotRestartMessage::DescriptorsInUse { .. } => "holding",
+        HotRestartMessage::SetMaintenance { .. } => "hand",
+        HotRestartMessage::Connection(_) => "session",
+        HotRestartMessage::Confirmed { .. } => "done",
     }
 }
 
 /// The messages of the fixture that carry no connection, in its order.
 fn plain_messages() -> Vec<HotRestartMessage> {
-    let by_hand = maintenance_record();
+    let maintenance = maintenance_record();
     vec![
         HotRestartMessage::Hello,
-        HotRestartMessage::State { by_hand: by_hand.clone(), leaving: vec!["s-4".into()] },
-        HotRestartMessage::Busy,
-        HotRestartMessage::Take,
-        HotRestartMessage::Yours { by_hand },
-        HotRestartMessage::Holding { descriptors: 77 },
-        HotRestartMessage::Hand { id: "s-1".into(), out: false, number: 18_446_744_073_709_551_615 },
-        HotRestartMessage::Done { number: 18_446_744_073_709_551_615 },
+        HotRestartMessage::State { maintenance: maintenance.clone(), draining: vec!["s-4".into()] },
+        HotRestartMessage::TakeoverInProgress,
+        HotRestartMessage::TakeOver,
+        HotRestartMessage::HandedOver { maintenance },
+        HotRestartMessage::DescriptorsInUse { descriptors: 77 },
+        HotRestartMessage::SetMaintenance {
+            id: "s-1".into(),
+            in_maintenance: false,
+            number: 18_446_744_073_709_551_615,
+        },
+        HotRestartMessage::Confirmed { number: 18_446_744_073_709_551_615 },
     ]
 }
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -658,7 +658,7 @@
         let mut broken = whole.clone();
         *broken.pointer_mut(path).expect("a place") = value;
         let text = broken.to_string();
-        let error = Config::read(text.as_bytes(), |_| None).err().expect("an error");
+        let error = Config::read(text.as_bytes(), |_| None).expect_err("an error");
         assert_eq!(error.to_string(), expected, "{path}");
     }
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -13,6 +13,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+use honeyknot_relay::relay::lifecycle::hot_restart::{
+    EndedMaintenance, MaintenanceState, OngoingMaintenance,
+};
 use process::{Folder, Relay, free, honeyknot};
 use serde_json::{Value, json};
 
@@ -316,7 +319,7 @@
     }
     let (fourth, admin) = world.start("fourth.log");
     assert_eq!(figure(admin, "ejected"), 0);
-    fourth.logged("what was out by hand is passed over");
+    fourth.logged("maintenance file ignored");
 }
 
 #[test]
@@ -350,3 +353,20 @@
     assert_eq!(world.command(admin, "again").output().expect("a run").status.code(), Some(2));
     assert!(open(world.clients).expect("it serves").0.starts_with("UP"));
 }
+
+#[test]
+fn a_maintenance_file_is_read_whole_or_not_at_all() {
+    let ongoing = |id: &str, since| OngoingMaintenance { id: id.into(), since };
+    let state = MaintenanceState {
+        ongoing: vec![ongoing("s-1", 5), ongoing("s-2", 7)],
+        ended: vec![EndedMaintenance { id: "s-3".into(), from: 9, to: 17 }],
+    };
+    let bytes = state.to_file_bytes();
+    assert_eq!(MaintenanceState::from_file_bytes(&bytes).expect("a whole file"), state);
+    for cut in 0..bytes.len() {
+        assert!(MaintenanceState::from_file_bytes(&bytes[..cut]).is_err(), "cut at {cut}");
+        let mut flipped = bytes.clone();
+        flipped[cut] ^= 1;
+        assert!(MaintenanceState::from_file_bytes(&flipped).is_err(), "flipped at {cut}");
+    }
+}
