--- a/crates/balancer/tests/balancer.rs
+++ b/crates/balancer/tests/balancer.rs
@@ -1,13 +1,13 @@
 //! The decision module alone: each rule, each effect and outcome, and each fault that was once found.
 
-mod common;
+mod support;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use common::*;
 use honeyknot_balancer::Balancer;
 use honeyknot_balancer::*;
+use support::*;
 
 fn three(load: f64) -> [(&'static str, Option<f64>); 3] {
     [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
@@ -703,8 +703,8 @@
     assert!(bench.moved().len() > 16, "{} of 40", bench.moved().len());
 }
 
-/// Where there are many balancers, each sees one or two connections. Each once took two servers a group, brought one
-/// home every tick, and took what it had just placed itself for a thirtieth of a wave.
+/// Where there are many balancers, each sees one or two connections. Each once took two servers a group,
+/// brought one home every tick, and took what it had just placed itself for a thirtieth of a wave.
 fn many(size: u32, load: f64) -> Vec<Bench> {
     let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.2;
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use honeyknot_balancer::maintenance::UnknownEndpoint;
-use honeyknot_discovery::Trouble;
+use honeyknot_discovery::DiscoveryErrorKind;
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
@@ -13,13 +13,13 @@
 use honeyknot_balancer::*;
 
 /// The tag's value of a failed call.
-fn trouble_word(trouble: Trouble) -> &'static str {
+fn trouble_word(trouble: DiscoveryErrorKind) -> &'static str {
     match trouble {
-        Trouble::Refused => "refused",
-        Trouble::Broken => "broken",
-        Trouble::Busy(_) => "busy",
-        Trouble::Silent => "silent",
-        Trouble::Senseless => "senseless",
+        DiscoveryErrorKind::ConnectionRefused => "refused",
+        DiscoveryErrorKind::ConnectionBroken => "broken",
+        DiscoveryErrorKind::Overloaded { .. } => "busy",
+        DiscoveryErrorKind::Timeout => "silent",
+        DiscoveryErrorKind::InvalidResponse => "senseless",
     }
 }
 
@@ -52,7 +52,7 @@
     fn record_endpoint_list(&mut self, news: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
         self.endpoint_list_version = news.version;
         self.endpoints.set_addresses(news.addresses);
-        let entries = self.maintenance.news(news.entries, news.whole);
+        let entries = self.maintenance.apply_update(news.entries, news.whole);
         self.record_endpoints(entries, news.whole)
     }
 
@@ -86,21 +86,21 @@
 
     /// Takes a card server out by hand. When this returns, nothing new goes there.
     pub fn start_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.take_out(self.timers.clock.now(), id)?;
+        let seen = self.maintenance.start_maintenance(self.timers.clock.now(), id)?;
         self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Puts a card server back that was taken out by hand.
     pub fn end_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.put_back(self.timers.clock.now(), id)?;
+        let seen = self.maintenance.end_maintenance(self.timers.clock.now(), id)?;
         self.apply_maintenance_change(seen);
         Ok(())
     }
 
     /// Whether a card server is out by hand.
     pub fn in_maintenance(&self, id: &EndpointId) -> bool {
-        self.maintenance.holds(id)
+        self.maintenance.contains(id)
     }
 
     /// Tells the decisions what operators have changed of a card server.
@@ -134,7 +134,7 @@
 
     /// Who leaves or is gone by what discovery says.
     pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
-        let by_roll = self.endpoints.draining().filter(|id| !self.maintenance.holds(id));
+        let by_roll = self.endpoints.draining().filter(|id| !self.maintenance.contains(id));
         by_roll.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -4,9 +4,12 @@
 use std::io;
 use std::net::SocketAddr;
 
+use honeyknot_balancer::SettingsError;
+
 use super::lifecycle::config::LoadConfigError;
 use super::lifecycle::hot_restart::HotRestartError;
 use super::lifecycle::signals::SignalError;
+use crate::gossip::Unreachable;
 
 /// Why a relay cannot be made of its configuration.
 #[derive(Debug, thiserror::Error)]
@@ -16,10 +19,10 @@
     ZoneFailover(Box<dyn Error + Send + Sync>),
     /// The relay cannot take part in gossip.
     #[error(transparent)]
-    Gossip(Box<dyn Error + Send + Sync>),
+    Gossip(#[from] Unreachable),
     /// The balancer does not accept the settings.
     #[error("settings: {0}")]
-    Settings(#[source] Box<dyn Error + Send + Sync>),
+    Settings(#[source] SettingsError),
 }
 
 /// Why a relay ends without being asked to.
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -91,8 +91,8 @@
     /// Returns the endpoints in maintenance, in the form that is sent and kept.
     pub(in crate::relay) fn maintenance_state(&self) -> MaintenanceState {
         let name = |id: &EndpointId| id.0.as_ref().to_owned();
-        let ongoing = self.maintenance.out();
-        let ended = self.maintenance.back();
+        let ongoing = self.maintenance.in_maintenance();
+        let ended = self.maintenance.last_windows();
         MaintenanceState {
             ongoing: ongoing.map(|(id, since)| OngoingMaintenance { id: name(id), since }).collect(),
             ended: ended
@@ -104,7 +104,7 @@
     /// Marks endpoints as draining that discovery has named so to another process.
     pub(super) fn mark_draining(&mut self, draining: &[String]) {
         let ids: Vec<EndpointId> = draining.iter().map(|id| EndpointId(id.as_str().into())).collect();
-        for endpoint in self.maintenance.leaving(&ids) {
+        for endpoint in self.maintenance.mark_draining(&ids) {
             self.apply_maintenance_change(Some(endpoint));
         }
     }
@@ -114,12 +114,12 @@
         let endpoint = |id: &String| EndpointId(id.as_str().into());
         for EndedMaintenance { id, from, to } in &state.ended {
             let window = MaintenanceWindow { from: *from, to: *to };
-            let changed = self.maintenance.was_put_back(window, &endpoint(id));
+            let changed = self.maintenance.record_window(window, &endpoint(id));
             self.apply_maintenance_change(changed);
         }
         let ongoing: BTreeMap<EndpointId, Micros> =
             state.ongoing.iter().map(|ongoing| (endpoint(&ongoing.id), ongoing.since)).collect();
-        let current = self.maintenance.out().map(|(id, _)| id);
+        let current = self.maintenance.in_maintenance().map(|(id, _)| id);
         let ended: Vec<EndpointId> = current.filter(|id| !ongoing.contains_key(*id)).cloned().collect();
         let now = self.timers.clock.now();
         for id in &ended {
@@ -135,8 +135,8 @@
         &mut self, at: Micros, id: &EndpointId, change: MaintenanceChange,
     ) {
         let changed = match change {
-            MaintenanceChange::Start => self.maintenance.withhold(at, id),
-            MaintenanceChange::End => self.maintenance.put_back(at, id).ok().flatten(),
+            MaintenanceChange::Start => self.maintenance.restore_maintenance(at, id),
+            MaintenanceChange::End => self.maintenance.end_maintenance(at, id).ok().flatten(),
         };
         self.apply_maintenance_change(changed);
     }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -75,7 +75,7 @@
         if self.shutting_down {
             return Err(NotReady::ShuttingDown);
         }
-        if self.maintenance.listed() == 0 {
+        if self.maintenance.endpoint_count() == 0 {
             return Err(NotReady::NoEndpointList);
         }
         if self.listener_ownership.accept_task.is_none() && !self.listener_ownership.handed_over() {
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -228,10 +228,10 @@
             "results": results,
             "forwards": classes.iter().map(|class| count(Family::Forwards, class)).sum::<u64>(),
             "outstanding": self.open_ids.count(),
-            "discovered": self.maintenance.listed(),
-            "ejected": self.maintenance.avoided(self.balancer.suspects()),
+            "discovered": self.maintenance.endpoint_count(),
+            "ejected": self.maintenance.count_excluded(self.balancer.ejected_endpoints()),
             "list": {
-                "state": self.list_state.word(),
+                "state": self.list_state.as_str(),
                 "version": self.endpoint_list_version,
                 "answered": self.has_discovery_answered(),
                 "heard_ms_ago": self.timers.clock.now().saturating_sub(self.discovery_answered_at) / 1_000,
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -2,12 +2,10 @@
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
-use honeyknot_discovery::{Caller, State};
-use honeyknot_gossip::Plan as GossipConfig;
+use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
 use honeyknot_metrics::Book;
 use honeyknot_zone_failover::Sites;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -66,7 +64,7 @@
     pub(in crate::relay) discovery_answered_at: Micros,
     pub(in crate::relay) discovery_failing: bool,
     /// What the relay is doing about its endpoint list.
-    pub(in crate::relay) list_state: State,
+    pub(in crate::relay) list_state: DiscoveryState,
     pub(in crate::relay) descriptors_in_use: DescriptorCounter,
     pub(in crate::relay) max_descriptors: usize,
     pub(in crate::relay) admin_enabled: bool,
@@ -78,7 +76,7 @@
 }
 
 /// A new relay, its discovery client's state machine, and the commands to that client.
-type NewRelay = (SharedRelay, Caller, UnboundedReceiver<DiscoveryCommand>);
+type NewRelay = (SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>);
 
 impl Relay {
     /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
@@ -93,11 +91,10 @@
         let zone_failover =
             zone_failover::start(config.zone_failover, &mut settings, &config.names, config.seed, started_at)
                 .map_err(|error| StartError::ZoneFailover(error.into()))?;
-        let gossip = config.gossip.as_ref();
-        let gossip =
-            gossip.map(|plan| join_gossip(plan, config.listen, &settings, config.seed)).transpose()?;
-        let balancer = Balancer::new(settings.clone(), config.seed, started_at)
-            .map_err(|error| StartError::Settings(error.into()))?;
+        let join_gossip = |plan| GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed);
+        let gossip = config.gossip.as_ref().map(join_gossip).transpose()?;
+        let balancer =
+            Balancer::new(settings.clone(), config.seed, started_at).map_err(StartError::Settings)?;
         let (discovery_commands, command_queue) = unbounded_channel();
         let known_endpoints = config.known_endpoints.unwrap_or(EndpointListUpdate {
             version: 0,
@@ -128,7 +125,7 @@
                 discovery_commands,
                 discovery_answered_at: started_at,
                 discovery_failing: false,
-                list_state: State::Starting,
+                list_state: DiscoveryState::Starting,
                 descriptors_in_use: DescriptorCounter::default(),
                 max_descriptors: connection_descriptors(config.max_descriptors, config.admin.is_some()),
                 admin_enabled: config.admin.is_some(),
@@ -171,10 +168,3 @@
         self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
     }
 }
-
-fn join_gossip(
-    config: &GossipConfig, listen: SocketAddr, settings: &Settings, seed: u64,
-) -> Result<GossipHandle, StartError> {
-    GossipHandle::enter(config, listen, settings.fleet_size, seed)
-        .map_err(|error| StartError::Gossip(error.into()))
-}
