--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -215,7 +215,7 @@
 
     /// Takes the zone failover settings of a configuration that was read again.
     pub(in crate::relay) fn reconfigure_zone_failover(&mut self, config: &Config) {
-        if let (Some(zone_failover), Some(config)) = (&mut self.zone_failover, &config.sites) {
+        if let (Some(zone_failover), Some(config)) = (&mut self.zone_failover, &config.zone_failover) {
             zone_failover.reconfigure(config.clone());
         }
     }
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -478,11 +478,11 @@
         self.add("discovery address", config.discovery);
         self.add("admin_addr", config.admin.map_or("none".into(), |at: SocketAddr| at.to_string()));
         self.add("seed", config.seed);
-        self.add("limits.sockets", config.sockets);
+        self.add("limits.sockets", config.max_descriptors);
         self.add("files of sites, metrics, neighbors", {
-            config.sites.is_some() || config.metrics.is_some() || config.neighbors.is_some()
+            config.zone_failover.is_some() || config.metrics.is_some() || config.gossip.is_some()
         });
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_endpoints {
             self.add_known(known);
         }
     }
@@ -658,7 +658,7 @@
         let mut broken = whole.clone();
         *broken.pointer_mut(path).expect("a place") = value;
         let text = broken.to_string();
-        let error = Config::read(text.as_bytes(), |_| None).err().expect("an error");
-        assert_eq!(error, expected, "{path}");
+        let error = Config::read(text.as_bytes(), |_| None).expect_err("an error");
+        assert_eq!(error.to_string(), expected, "{path}");
     }
 }
