--- /dev/null
+++ b/src/relay/connections/admission.rs
@@ -0,0 +1,38 @@
+//! Rejections of requests that have no entry in the relay's table.
+
+use honeyknot_balancer::Micros;
+
+use super::client_stream::ClientStream;
+use super::protocol::{self, OpenRequest};
+use crate::relay::metrics::recorder::Answer;
+use crate::relay::{ConnectionIdGuard, SharedRelay};
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// A valid request whose connection id is reserved.
+pub(super) struct ValidRequest {
+    pub(super) relay: SharedRelay,
+    pub(super) downstream: ClientStream,
+    pub(super) request: OpenRequest,
+    pub(super) connection_id: ConnectionIdGuard,
+}
+
+/// Rejects a request for which the relay has no capacity and closes its connection.
+pub(super) async fn reject(
+    relay: &SharedRelay, downstream: ClientStream, request: &OpenRequest, reason: &'static str,
+) {
+    relay.borrow_mut().record_rejected(reason, None);
+    relay.borrow_mut().record_unregistered_answer(request, Answer::Busy);
+    let line = protocol::encode_rejected(retry_after_ms(relay));
+    downstream.close_with(&line).await;
+}
+
+/// A time to retry after in milliseconds, between half and all of the maximum.
+///
+/// The clock varies it from client to client, so that clients rejected together do not retry together.
+fn retry_after_ms(relay: &SharedRelay) -> u64 {
+    let relay = relay.borrow();
+    let max = relay.max_retry_after();
+    (max / 2 + relay.timers.clock.now() % (max / 2 + 1)) / MICROS_PER_MILLISECOND
+}
--- /dev/null
+++ b/src/relay/connections/adoption.rs
@@ -0,0 +1,104 @@
+//! The adopting state of a connection: one that was established before this relay started is connected to its
+//! endpoint again.
+
+use honeyknot_balancer::{EndpointId, Micros};
+
+use super::admission::{self, ValidRequest};
+use super::attempt::{self, UpstreamStream};
+use super::client_stream::{ClientActivity, ClientStream};
+use super::connection_guard::ConnectionGuard;
+use super::established::{EstablishedConnection, RegisteredConnection};
+use super::protocol::{self, OpenRequest};
+use crate::relay::metrics::recorder::Answer;
+use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
+
+/// Pause between two attempts to connect to the endpoint.
+const RETRY_INTERVAL: Micros = 100_000;
+/// How long one attempt may take.
+const ATTEMPT_TIMEOUT: Micros = 5_000_000;
+
+/// A connection that waits until its endpoint is reachable.
+pub(super) struct AdoptingConnection {
+    relay: SharedRelay,
+    downstream: ClientStream,
+    request: OpenRequest,
+    endpoint: EndpointId,
+    upstream_permit: DescriptorPermit,
+    connection_id: ConnectionIdGuard,
+}
+
+impl AdoptingConnection {
+    /// Reserves a descriptor; none if the request was rejected and its connection closed.
+    pub(super) async fn admit(valid: ValidRequest, endpoint: EndpointId) -> Option<AdoptingConnection> {
+        let ValidRequest { relay, downstream, request, connection_id } = valid;
+        let permit = relay.borrow().acquire_descriptor();
+        let Some(upstream_permit) = permit else {
+            admission::reject(&relay, downstream, &request, "descriptors").await;
+            return None;
+        };
+        Some(AdoptingConnection { relay, downstream, request, endpoint, upstream_permit, connection_id })
+    }
+
+    /// Connects to the endpoint, however late discovery lists it; none if the connection has been closed instead.
+    pub(super) async fn run(mut self) -> Option<EstablishedConnection> {
+        let timers = self.downstream.timers.clone();
+        let deadline = self.relay.borrow().adoption_deadline();
+        let upstream = tokio::select! {
+            biased;
+            // First, so that nothing is forwarded for a client that has left.
+            activity = self.downstream.left_or_overflowed() => match activity {
+                ClientActivity::Left => {
+                    self.relay.borrow_mut().record_unregistered_answer(&self.request, Answer::Failed);
+                    return None;
+                }
+                ClientActivity::SentData => None,
+            },
+            upstream = reconnect(&self.relay, &self.request, &self.endpoint) => Some(upstream),
+            () = timers.sleep_until(deadline) => None,
+        };
+        let Some(upstream) = upstream else {
+            self.relay.borrow_mut().record_unregistered_answer(&self.request, Answer::Failed);
+            self.downstream.close_with(protocol::FAILED).await;
+            return None;
+        };
+        self.establish(upstream).await
+    }
+
+    async fn establish(self, upstream: UpstreamStream) -> Option<EstablishedConnection> {
+        let adopted = self.relay.borrow_mut().adopt_connection(&self.request, self.endpoint);
+        let Some((id, commands)) = adopted else {
+            self.downstream.close_with(protocol::FAILED).await;
+            return None;
+        };
+        let registered = RegisteredConnection {
+            guard: ConnectionGuard::new(self.relay.clone(), id),
+            relay: self.relay,
+            downstream: self.downstream,
+            request: self.request,
+            commands,
+            upstream_permit: self.upstream_permit,
+            connection_id: self.connection_id,
+        };
+        Some(EstablishedConnection::new(registered, upstream))
+    }
+}
+
+/// Attempts to connect until the endpoint has accepted the connection.
+async fn reconnect(relay: &SharedRelay, request: &OpenRequest, endpoint: &EndpointId) -> UpstreamStream {
+    let timers = relay.borrow().timers.clone();
+    loop {
+        // An endpoint in maintenance receives nothing, not even a connection that was established there.
+        let address =
+            relay.borrow().endpoint_address(endpoint).filter(|_| !relay.borrow().in_maintenance(endpoint));
+        if let Some(address) = address {
+            let upstream = tokio::select! {
+                upstream = attempt::reconnect(relay, request, endpoint, address) => upstream,
+                () = timers.sleep(ATTEMPT_TIMEOUT) => None,
+            };
+            if let Some(upstream) = upstream {
+                return upstream;
+            }
+        }
+        timers.sleep(RETRY_INTERVAL).await;
+    }
+}
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -1,69 +1,97 @@
-//! One attempt at a card server: the dial, the head, the first line of its answer.
+//! One attempt at an endpoint: connects, forwards the request and reads the first line of the answer.
 
+use std::cell::Cell;
 use std::io;
+use std::net::SocketAddr;
 
 use bytes::BytesMut;
+use honeyknot_balancer::{EndpointId, LoadReport, Micros, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 use super::protocol::{self, EndpointLine, OpenRequest, load_report_value};
-use crate::relay::{AttemptRequest, ConnectionCommand, SharedRelay};
-use honeyknot_balancer::*;
+use crate::relay::{AttemptRequest, SharedRelay};
 
-/// How an attempt went.
-pub(super) enum Came {
-    /// The card server took the session; what it has sent so far begins with its `UP`.
-    Up(TcpStream, BytesMut),
-    /// It ended without a session.
-    Ended(Outcome, Option<LoadReport>),
-    /// The card server served it to its end at once; these are its words.
-    Served(BytesMut),
-    /// The client left.
-    Left,
-    /// The decisions answered while it was out.
-    Answered(ConnectionCommand),
+/// Initial size in bytes of the buffer for an answer.
+const ANSWER_BUFFER_BYTES: usize = 512;
+
+/// A connection to an endpoint, and what has been received on it.
+pub(super) struct UpstreamStream {
+    pub(super) stream: TcpStream,
+    /// Begins with the endpoint's first line.
+    pub(super) received: BytesMut,
 }
 
-/// Whether the last byte of the head was written: up to then the card server cannot have run it.
-pub(super) type Sent = std::cell::Cell<bool>;
+/// How an attempt ended.
+pub(super) enum AttemptResult {
+    /// The endpoint has accepted the connection.
+    Established(UpstreamStream),
+    /// The endpoint served the connection to its end at once; these bytes are its answer.
+    Completed(BytesMut),
+    /// The attempt failed, perhaps with a load report.
+    Failed(Outcome, Option<LoadReport>),
+}
 
-/// Connects, sends the head and reads the card server's first line.
-pub(super) async fn dial(
-    relay: &SharedRelay, head: &OpenRequest, place: &AttemptRequest, due: Micros, sent: &Sent,
-) -> Came {
+/// Makes an attempt at an endpoint.
+///
+/// `request_sent` is set once the last byte of the request is written: until then the endpoint cannot have run it.
+pub(super) async fn connect(
+    relay: &SharedRelay, request: &OpenRequest, attempt: &AttemptRequest, due: Micros,
+    request_sent: &Cell<bool>,
+) -> AttemptResult {
     let timers = relay.borrow().timers.clone();
-    let wait = relay.borrow().connect_timeout();
-    let dialled = tokio::select! {
-        dialled = TcpStream::connect(place.address) => dialled,
-        () = timers.sleep(wait) => Err(io::ErrorKind::TimedOut.into()),
+    let connect_timeout = relay.borrow().connect_timeout();
+    let connected = tokio::select! {
+        connected = TcpStream::connect(attempt.address) => connected,
+        () = timers.sleep(connect_timeout) => Err(io::ErrorKind::TimedOut.into()),
     };
-    if dialled.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
-        relay.borrow().connection_refused_by(&place.endpoint);
+    if connected.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
+        relay.borrow().connection_refused_by(&attempt.endpoint);
     }
-    // Guards against a connection that came up late: meanwhile the card server may have begun to drain, and the time in
-    // which card servers still know the first of two attempts may have passed.
-    let in_time = |now| place.send_before.is_none_or(|end| now < end);
-    let may_send = || relay.borrow().may_send_to(&place.endpoint) && in_time(timers.clock.now());
-    let Some(mut server) = dialled.ok().filter(|_| may_send()) else {
-        return Came::Ended(Outcome::ConnectFailed, None);
+    // Since the attempt began, the endpoint may have started to drain, and the time in which endpoints recognize a
+    // repeated attempt may have passed.
+    let in_time = |now| attempt.send_before.is_none_or(|end| now < end);
+    let may_send = || relay.borrow().may_send_to(&attempt.endpoint) && in_time(timers.clock.now());
+    let Some(mut upstream) = connected.ok().filter(|_| may_send()) else {
+        return AttemptResult::Failed(Outcome::ConnectFailed, None);
     };
-    let _ = server.set_nodelay(true);
-    let left = due.saturating_sub(timers.clock.now()) / 1_000;
-    if write_head(&mut server, head, left.max(1)).await.is_err() {
-        return Came::Ended(Outcome::ConnectFailed, None);
+    let _ = upstream.set_nodelay(true);
+    let remaining_ms = due.saturating_sub(timers.clock.now()) / 1_000;
+    if forward_request(&mut upstream, request, remaining_ms.max(1)).await.is_err() {
+        return AttemptResult::Failed(Outcome::ConnectFailed, None);
+    }
+    request_sent.set(true);
+    relay.borrow_mut().record_forwarded(request);
+    read_answer(relay, upstream).await
+}
+
+/// Connects once to the endpoint of a connection that was established before the relay started.
+pub(super) async fn reconnect(
+    relay: &SharedRelay, request: &OpenRequest, endpoint: &EndpointId, address: SocketAddr,
+) -> Option<UpstreamStream> {
+    let mut upstream = TcpStream::connect(address).await.ok()?;
+    // An operator may have started the endpoint's maintenance meanwhile.
+    if relay.borrow().in_maintenance(endpoint) {
+        return None;
+    }
+    let _ = upstream.set_nodelay(true);
+    upstream.write_all(request.as_bytes()).await.ok()?;
+    relay.borrow_mut().record_forwarded(request);
+    match read_answer(relay, upstream).await {
+        AttemptResult::Established(upstream) => Some(upstream),
+        AttemptResult::Completed(_) | AttemptResult::Failed(..) => None,
     }
-    sent.set(true);
-    relay.borrow_mut().record_forwarded(head);
-    read_answer(relay, server).await
 }
 
-/// Writes the head with another wait, gathered from its pieces.
-async fn write_head(server: &mut TcpStream, head: &OpenRequest, wait_ms: u64) -> io::Result<()> {
-    let digits = wait_ms.to_string();
-    let mut pieces = head.with_time_remaining_ms(digits.as_bytes());
+/// Writes the request with another time remaining.
+async fn forward_request(
+    upstream: &mut TcpStream, request: &OpenRequest, remaining_ms: u64,
+) -> io::Result<()> {
+    let digits = remaining_ms.to_string();
+    let mut pieces = request.with_time_remaining_ms(digits.as_bytes());
     let mut pieces = &mut pieces[..];
-    while pieces.iter().any(|p| !p.is_empty()) {
-        let written = server.write_vectored(pieces).await?;
+    while pieces.iter().any(|piece| !piece.is_empty()) {
+        let written = upstream.write_vectored(pieces).await?;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
@@ -72,47 +100,31 @@
     Ok(())
 }
 
-async fn read_answer(relay: &SharedRelay, mut server: TcpStream) -> Came {
-    let mut bytes = BytesMut::with_capacity(512);
+async fn read_answer(relay: &SharedRelay, mut upstream: TcpStream) -> AttemptResult {
+    let mut received = BytesMut::with_capacity(ANSWER_BUFFER_BYTES);
     let end = loop {
-        match protocol::first_line_end(&bytes) {
+        match protocol::first_line_end(&received) {
             Ok(Some(end)) => break end,
             Ok(None) => {}
-            Err(_) => return Came::Ended(Outcome::Error, None),
+            Err(_) => return AttemptResult::Failed(Outcome::Error, None),
         }
-        match server.read_buf(&mut bytes).await {
-            Ok(0) | Err(_) => return Came::Ended(Outcome::Reset, None),
+        match upstream.read_buf(&mut received).await {
+            Ok(0) | Err(_) => return AttemptResult::Failed(Outcome::Reset, None),
             Ok(_) => {}
         }
     };
-    let report = |text: &str| {
+    let load_report = |text: &str| {
         let relay = relay.borrow();
         (!text.is_empty()).then(|| relay.names.load_report(|name| load_report_value(text, name)))
     };
-    match EndpointLine::parse(&bytes[..end]) {
-        EndpointLine::Established => Came::Up(server, bytes),
-        EndpointLine::Completed(_) => Came::Served(bytes),
-        EndpointLine::Migrate => Came::Ended(Outcome::Cancelled, None),
-        EndpointLine::Rejected(text) => Came::Ended(Outcome::Rejected, report(text)),
-        EndpointLine::Failed(text) => Came::Ended(Outcome::Error, report(text)),
-        _ => Came::Ended(Outcome::Error, None),
-    }
-}
-
-/// Dials the card server of a session from before the run, once.
-pub(super) async fn dial_again(
-    relay: &SharedRelay, head: &OpenRequest, id: &EndpointId, address: std::net::SocketAddr,
-) -> Option<(TcpStream, BytesMut)> {
-    let mut server = TcpStream::connect(address).await.ok()?;
-    // Guards against a connection that comes up after an operator has taken the card server out.
-    if relay.borrow().in_maintenance(id) {
-        return None;
-    }
-    let _ = server.set_nodelay(true);
-    server.write_all(head.as_bytes()).await.ok()?;
-    relay.borrow_mut().record_forwarded(head);
-    match read_answer(relay, server).await {
-        Came::Up(server, bytes) => Some((server, bytes)),
-        _ => None,
+    match EndpointLine::parse(&received[..end]) {
+        EndpointLine::Established => {
+            AttemptResult::Established(UpstreamStream { stream: upstream, received })
+        }
+        EndpointLine::Completed(_) => AttemptResult::Completed(received),
+        EndpointLine::Migrate => AttemptResult::Failed(Outcome::Cancelled, None),
+        EndpointLine::Rejected(report) => AttemptResult::Failed(Outcome::Rejected, load_report(report)),
+        EndpointLine::Failed(report) => AttemptResult::Failed(Outcome::Error, load_report(report)),
+        _ => AttemptResult::Failed(Outcome::Error, None),
     }
 }
--- /dev/null
+++ b/src/relay/connections/connection_guard.rs
@@ -0,0 +1,41 @@
+//! What a connection holds of the relay and gives back when it ends.
+
+use honeyknot_balancer::RequestId;
+
+use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
+
+/// A connection's entry in the relay's table, which is removed when this is dropped.
+pub(super) struct ConnectionGuard {
+    relay: SharedRelay,
+    /// The connection's id in the relay.
+    pub(super) id: RequestId,
+    /// Whether the client has received its one answer.
+    pub(super) answered: bool,
+}
+
+impl ConnectionGuard {
+    pub(super) fn new(relay: SharedRelay, id: RequestId) -> ConnectionGuard {
+        ConnectionGuard { relay, id, answered: false }
+    }
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.relay.borrow_mut().connection_closed(self.id, self.answered);
+    }
+}
+
+/// The descriptors and the client's connection id that an established connection occupies until both sides are closed.
+pub(super) struct Reservations {
+    _downstream: DescriptorPermit,
+    _upstream: DescriptorPermit,
+    _connection_id: ConnectionIdGuard,
+}
+
+impl Reservations {
+    pub(super) fn new(
+        downstream: DescriptorPermit, upstream: DescriptorPermit, connection_id: ConnectionIdGuard,
+    ) -> Reservations {
+        Reservations { _downstream: downstream, _upstream: upstream, _connection_id: connection_id }
+    }
+}
--- /dev/null
+++ b/src/relay/connections/line_relay.rs
@@ -0,0 +1,316 @@
+//! Relays lines between a client and its endpoint until the connection ends.
+
+use std::io;
+use std::rc::Rc;
+
+use bytes::{Buf, BytesMut};
+use honeyknot_balancer::{Micros, RequestId};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+use super::client_stream::BUFFER_BYTES;
+use super::downstream_buffer::DownstreamBuffer;
+use super::graceful_close::{self, CloseKind};
+use super::protocol::{EndpointLine, LastLine, LineTracker, OpenRequest};
+use super::silence_detector::SilenceDetector;
+use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
+use crate::relay::timer_wheel::Timers;
+use crate::relay::{ConnectionCommand, SharedRelay};
+
+/// How often an established connection checks its state while nothing happens on it.
+const CHECK_INTERVAL: Micros = 250_000;
+/// How long the end of one side, or a migration, waits until what is in flight has been sent.
+const FLUSH_TIMEOUT: Micros = 600_000;
+
+/// How an established connection ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionEnd {
+    /// The endpoint closed it.
+    UpstreamClosed(CloseKind),
+    /// The client closed it.
+    DownstreamClosed(CloseKind),
+    /// The balancer, or the relay's shutdown, migrates the client.
+    Migrated,
+    /// The endpoint no longer answers.
+    EndpointSilent,
+    /// Another process of this relay continues it.
+    Transferred,
+}
+
+/// The sockets of a connection.
+#[derive(Debug)]
+pub(super) struct Streams {
+    pub(super) downstream: TcpStream,
+    pub(super) upstream: TcpStream,
+}
+
+/// When and how one side of a connection was closed.
+#[derive(Clone, Copy, Debug)]
+struct SideClosed {
+    kind: CloseKind,
+    at: Micros,
+}
+
+/// Both sides of an established connection and what is in flight between them.
+pub(super) struct LineRelay {
+    relay: SharedRelay,
+    timers: Rc<Timers>,
+    id: RequestId,
+    request: OpenRequest,
+    streams: Streams,
+    to_downstream: DownstreamBuffer,
+    to_upstream: BytesMut,
+    line_tracker: LineTracker,
+    last_line: LastLine,
+    upstream_closed: Option<SideClosed>,
+    downstream_closed: Option<SideClosed>,
+    migrating_since: Option<Micros>,
+    transfer_requested: bool,
+    /// The load that the endpoint reported last.
+    load: Option<f64>,
+    silence: SilenceDetector,
+}
+
+impl LineRelay {
+    pub(super) fn new(
+        relay: SharedRelay, id: RequestId, request: OpenRequest, streams: Streams,
+    ) -> LineRelay {
+        let timers = relay.borrow().timers.clone();
+        LineRelay {
+            relay,
+            timers,
+            id,
+            request,
+            streams,
+            to_downstream: DownstreamBuffer::default(),
+            to_upstream: BytesMut::new(),
+            line_tracker: LineTracker::default(),
+            last_line: LastLine::Other,
+            upstream_closed: None,
+            downstream_closed: None,
+            migrating_since: None,
+            transfer_requested: false,
+            load: None,
+            silence: SilenceDetector::default(),
+        }
+    }
+
+    /// Adds what both sides sent before the connection was established.
+    pub(super) fn with_received(mut self, from_downstream: BytesMut, from_upstream: BytesMut) -> LineRelay {
+        self.to_upstream = from_downstream;
+        self.receive_lines(from_upstream);
+        self
+    }
+
+    /// Continues in the state that another process has sent.
+    pub(super) fn with_snapshot(mut self, snapshot: ConnectionSnapshot) -> LineRelay {
+        let between_lines = snapshot.line_tracker.between_lines();
+        self.to_downstream = DownstreamBuffer::restore(&snapshot.to_downstream, between_lines);
+        self.to_upstream = BytesMut::from(&snapshot.to_upstream[..]);
+        self.line_tracker = snapshot.line_tracker;
+        self.last_line = snapshot.last_line;
+        self.silence = SilenceDetector::restore(snapshot.unanswered_since);
+        self.load = snapshot.load;
+        self
+    }
+
+    /// The last complete line of the endpoint.
+    pub(super) fn last_line(&self) -> LastLine {
+        self.last_line
+    }
+
+    /// The connection in the form in which another process receives it.
+    pub(super) fn into_transfer(self, endpoint: String) -> ConnectionTransfer {
+        let snapshot = ConnectionSnapshot {
+            request: self.request.as_bytes().to_vec(),
+            endpoint,
+            to_downstream: self.to_downstream.unsent(),
+            to_upstream: self.to_upstream.to_vec(),
+            line_tracker: self.line_tracker,
+            last_line: self.last_line,
+            unanswered_since: self.silence.unanswered_since(),
+            load: self.load,
+        };
+        let Streams { downstream, upstream } = self.streams;
+        ConnectionTransfer { snapshot, downstream, upstream }
+    }
+
+    /// Closes what is left: the other side as the first was closed, or both after a migration.
+    pub(super) async fn close(self, end: ConnectionEnd) {
+        let line_fits = self.to_downstream.line_fits();
+        let LineRelay { streams: Streams { downstream, upstream }, timers, .. } = self;
+        match end {
+            ConnectionEnd::UpstreamClosed(kind) => {
+                graceful_close::close_like(kind, &timers, downstream).await
+            }
+            ConnectionEnd::DownstreamClosed(kind) => {
+                graceful_close::close_like(kind, &timers, upstream).await
+            }
+            ConnectionEnd::Migrated | ConnectionEnd::EndpointSilent | ConnectionEnd::Transferred => {
+                graceful_close::migrate(&timers, downstream, upstream, line_fits).await;
+            }
+        }
+    }
+
+    /// Relays lines until the connection ends.
+    pub(super) async fn run(&mut self, commands: &mut UnboundedReceiver<ConnectionCommand>) -> ConnectionEnd {
+        let check = self.timers.sleep(CHECK_INTERVAL);
+        tokio::pin!(check);
+        loop {
+            self.flush();
+            if let Some(end) = self.end() {
+                return end;
+            }
+            tokio::select! {
+                biased;
+                command = commands.recv(), if self.migrating_since.is_none() => self.execute(command),
+                ready = self.streams.upstream.readable(), if self.can_read_upstream() => {
+                    if ready.is_ok() {
+                        self.read_upstream();
+                    }
+                }
+                ready = self.streams.downstream.readable(), if self.can_read_downstream() => {
+                    if ready.is_ok() {
+                        self.read_downstream();
+                    }
+                }
+                _ = self.streams.downstream.writable(), if !self.to_downstream.is_empty() => {}
+                _ = self.streams.upstream.writable(), if !self.to_upstream.is_empty() => {}
+                () = &mut check => check.set(self.timers.sleep(CHECK_INTERVAL)),
+            }
+        }
+    }
+
+    /// Carries out a command; an established connection can only be migrated or transferred.
+    fn execute(&mut self, command: Option<ConnectionCommand>) {
+        match command {
+            Some(ConnectionCommand::Migrate) | None => self.migrating_since = Some(self.timers.clock.now()),
+            Some(ConnectionCommand::Transfer) => self.transfer_requested = true,
+            Some(_) => {}
+        }
+    }
+
+    fn can_read_upstream(&self) -> bool {
+        self.upstream_closed.is_none() && self.to_downstream.is_empty()
+    }
+
+    fn can_read_downstream(&self) -> bool {
+        self.downstream_closed.is_none() && self.to_upstream.is_empty()
+    }
+
+    /// Writes what waits, as much as the sockets accept now.
+    fn flush(&mut self) {
+        let now = self.timers.clock.now();
+        if let Err(error) = write_available(&self.streams.downstream, &mut self.to_downstream.sendable) {
+            let closed = SideClosed { kind: CloseKind::from_error(&error), at: now };
+            self.downstream_closed.get_or_insert(closed);
+            self.to_downstream.sendable.clear();
+        }
+        // A failed write is not the end of the upstream side: its last lines may still be unread, and reading shows
+        // how it was closed.
+        if write_available(&self.streams.upstream, &mut self.to_upstream).is_err() {
+            self.to_upstream.clear();
+        }
+    }
+
+    /// How the connection ends, if it ends now.
+    fn end(&self) -> Option<ConnectionEnd> {
+        let now = self.timers.clock.now();
+        let flush_overdue = |since: Micros| now >= since + FLUSH_TIMEOUT;
+        if let Some(closed) = self.downstream_closed
+            && (self.to_upstream.is_empty() || flush_overdue(closed.at))
+        {
+            return Some(ConnectionEnd::DownstreamClosed(closed.kind));
+        }
+        if let Some(closed) = self.upstream_closed
+            && (self.to_downstream.is_empty() || flush_overdue(closed.at))
+        {
+            return Some(ConnectionEnd::UpstreamClosed(closed.kind));
+        }
+        if let Some(since) = self.migrating_since
+            && (self.between_lines() || flush_overdue(since))
+        {
+            return Some(ConnectionEnd::Migrated);
+        }
+        if self.transfer_requested && self.is_open() {
+            return Some(ConnectionEnd::Transferred);
+        }
+        // While the client does not read, the endpoint is not read either and its silence is not its fault.
+        let silent = self.silence.is_silent(now);
+        (silent && self.to_downstream.is_empty()).then_some(ConnectionEnd::EndpointSilent)
+    }
+
+    /// Whether neither side is closed and no migration has begun.
+    fn is_open(&self) -> bool {
+        self.downstream_closed.is_none() && self.upstream_closed.is_none() && self.migrating_since.is_none()
+    }
+
+    /// Whether a migration now cuts no line of the endpoint.
+    fn between_lines(&self) -> bool {
+        self.to_downstream.is_empty() && self.line_tracker.between_lines()
+    }
+
+    fn read_upstream(&mut self) {
+        let mut bytes = BytesMut::with_capacity(BUFFER_BYTES);
+        let kind = match self.streams.upstream.try_read_buf(&mut bytes) {
+            Ok(0) => CloseKind::Graceful,
+            Ok(_) => return self.receive_lines(bytes),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+            Err(error) => CloseKind::from_error(&error),
+        };
+        self.upstream_closed = Some(SideClosed { kind, at: self.timers.clock.now() });
+        self.to_downstream.finish();
+    }
+
+    /// Takes bytes of the endpoint: they are relayed unchanged, and reported loads go to the balancer as well.
+    fn receive_lines(&mut self, bytes: BytesMut) {
+        let (mut load, mut answered, mut last_line) = (None, false, self.last_line);
+        self.line_tracker.observe(&bytes, |line| {
+            match line {
+                EndpointLine::Load(reported) => load = Some(reported),
+                _ => answered = true,
+            }
+            last_line = line.into();
+        });
+        self.last_line = last_line;
+        // Neither an incomplete line nor a load is an answer to the client.
+        if answered && let Some(since) = self.silence.endpoint_answered() {
+            let latency = self.timers.clock.now().saturating_sub(since);
+            self.relay.borrow_mut().message_latency_measured(self.id, latency);
+        }
+        if let Some(load) = load {
+            self.load = Some(load);
+            self.relay.borrow_mut().connection_load_reported(self.id, load);
+        }
+        self.relay.borrow_mut().record_bytes(true, bytes.len());
+        self.to_downstream.push(bytes);
+    }
+
+    fn read_downstream(&mut self) {
+        self.to_upstream.reserve(BUFFER_BYTES);
+        let now = self.timers.clock.now();
+        match self.streams.downstream.try_read_buf(&mut self.to_upstream) {
+            Ok(0) => self.downstream_closed = Some(SideClosed { kind: CloseKind::Graceful, at: now }),
+            Ok(count) => {
+                self.relay.borrow_mut().record_bytes(false, count);
+                self.silence.client_sent(now);
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => {
+                self.downstream_closed = Some(SideClosed { kind: CloseKind::from_error(&error), at: now });
+            }
+        }
+    }
+}
+
+/// Writes as much as the socket accepts now.
+fn write_available(stream: &TcpStream, bytes: &mut BytesMut) -> io::Result<()> {
+    while !bytes.is_empty() {
+        match stream.try_write(bytes) {
+            Ok(count) => bytes.advance(count),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
--- a/src/relay/connections/listener.rs
+++ b/src/relay/connections/listener.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::error;
 
-use super::handshake;
+use super::connection;
 use crate::relay::{DescriptorPermit, SharedRelay};
 
 /// Pause after a failed accept: out of descriptors or memory, which passes as sessions end.
@@ -52,7 +52,7 @@
             Ok((client, _)) => {
                 trouble = false;
                 let held = DescriptorPermit::new(&descriptors);
-                crowd.admit(|place| handshake::serve(relay.clone(), client, held, place));
+                crowd.admit(|place| connection::serve(relay.clone(), client, held, place));
                 // Guards against letting in a whole crowd before the first of them could say what it wants: it
                 // would be turned out as the oldest.
                 tokio::task::yield_now().await;
--- a/src/relay/connections/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -1,14 +1,29 @@
-//! Clients: the door that lets them in, the crowd of those who have not asked yet, their lines, and one study session each.
+//! Connections of clients: accepted, idle, opened at an endpoint, established, and closed or transferred.
 //!
-//! In come connections and bytes; out go plain calls to the hub (a client asks, stands, leaves), and the hub's orders come back
-//! to each session by a queue of its own. Nothing here chooses a card server.
+//! Connections and bytes come in; calls to the relay's owner go out (a request, an established connection, an end), and
+//! its commands come back to each connection by a queue of its own. Nothing here chooses an endpoint.
+//!
+//! [`connection`] is the state machine. Its states are in [`handshake`] (idle), [`opening`] and [`attempt`],
+//! [`adoption`], and [`established`] with [`line_relay`]; each state knows those that follow it and none before it.
 
+mod admission;
+mod adoption;
 mod attempt;
-pub mod established;
+mod client_stream;
+mod connection;
+mod connection_guard;
+mod downstream_buffer;
+mod established;
 pub mod graceful_close;
-pub mod handshake;
+mod handshake;
 pub mod idle;
+mod line_relay;
 pub(in crate::relay) mod listener;
+mod opening;
 pub mod protocol;
+mod restore;
+mod silence_detector;
+mod transfer;
 
-pub use established::{ConnectionSnapshot, ConnectionTransfer, restore_connection};
+pub use restore::restore_connection;
+pub use transfer::{ConnectionSnapshot, ConnectionTransfer};
--- /dev/null
+++ b/src/relay/connections/restore.rs
@@ -0,0 +1,55 @@
+//! Continues connections that another process of this relay has transferred to this one.
+
+use std::io;
+use std::os::fd::OwnedFd;
+
+use bytes::Bytes;
+use honeyknot_balancer::EndpointId;
+use tokio::net::TcpStream;
+
+use super::connection::ConnectionState;
+use super::connection_guard::{ConnectionGuard, Reservations};
+use super::established::EstablishedConnection;
+use super::line_relay::{LineRelay, Streams};
+use super::protocol::OpenRequest;
+use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
+use crate::relay::SharedRelay;
+
+/// Continues a connection that another process of this relay has transferred.
+///
+/// # Errors
+///
+/// Fails if a socket cannot be used, or if the connection cannot be served here; its client is then migrated.
+pub fn restore_connection(
+    relay: &SharedRelay, snapshot: ConnectionSnapshot, downstream: OwnedFd, upstream: OwnedFd,
+) -> io::Result<()> {
+    let stream = |socket: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(socket));
+    let (downstream, upstream) = (stream(downstream)?, stream(upstream)?);
+    let timers = relay.borrow().timers.clone();
+    let request = OpenRequest::parse(Bytes::copy_from_slice(&snapshot.request));
+    let (first, second) = (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
+    let (Ok(request), Some(first), Some(second)) = (request, first, second) else {
+        ConnectionTransfer { snapshot, downstream, upstream }.migrate(&timers);
+        return Err(io::Error::other("no descriptors to spare, or no sound head"));
+    };
+    let connection_id = relay.borrow().reserve_connection_id(&request);
+    let endpoint = EndpointId(snapshot.endpoint.as_str().into());
+    let registered = relay.borrow_mut().restore_connection(&request, endpoint);
+    let (Some(connection_id), Some((id, commands))) = (connection_id, registered) else {
+        ConnectionTransfer { snapshot, downstream, upstream }.migrate(&timers);
+        return Err(io::Error::other("its id is open here, or its class is not known"));
+    };
+    if let Some(load) = snapshot.load {
+        relay.borrow_mut().connection_load_reported(id, load);
+    }
+    let streams = Streams { downstream, upstream };
+    let established = EstablishedConnection {
+        relay: relay.clone(),
+        guard: ConnectionGuard::new(relay.clone(), id),
+        lines: LineRelay::new(relay.clone(), id, request, streams).with_snapshot(snapshot),
+        commands,
+        _reservations: Reservations::new(first, second, connection_id),
+    };
+    tokio::task::spawn_local(ConnectionState::Established(Box::new(established)).run());
+    Ok(())
+}
