--- a/src/relay/connections/idle.rs
+++ b/src/relay/connections/idle.rs
@@ -1,9 +1,9 @@
-//! The crowd at the door: connections that have not asked for a study session yet, or were just turned away.
+//! Idle connections: those without a request in flight, and the order in which they are evicted.
 //!
-//! Guards against clients that connect by the hundred and say nothing: they would hold every descriptor, and
-//! nobody else would get in. The crowd is held within a part of the descriptors. Who has had an answer makes
-//! room first, then who has said nothing, the oldest first; then who has begun a first line and got no further for
-//! longest. Guards against turning out a client on a slow link for a flood of silent ones.
+//! Clients that connect by the hundred and send nothing would occupy every descriptor, so idle connections are limited
+//! to a share of them. Connections that have been answered are evicted first, then those that have sent nothing, the
+//! oldest first, then those that have begun a request and made no progress for longest: a client on a slow link is not
+//! evicted because of a flood of silent ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,81 +13,96 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// Everybody at the door, in the order in which they make room.
-#[derive(Clone, Default)]
-pub struct IdleConnections(Rc<RefCell<Door>>, Rc<ShutdownNotice>);
+/// All idle connections, in the order in which they are evicted.
+#[derive(Clone, Debug, Default)]
+pub struct IdleConnections {
+    queue: Rc<RefCell<EvictionQueue>>,
+    shutdown: Rc<ShutdownNotice>,
+}
 
-/// The moment at which the relay ends and nobody can stay at the door.
-#[derive(Default)]
+/// Tells idle connections that the relay shuts down and they have to end.
+#[derive(Debug, Default)]
 pub struct ShutdownNotice {
-    called: Cell<bool>,
-    heard: Notify,
+    given: Cell<bool>,
+    notify: Notify,
 }
 
 impl ShutdownNotice {
-    /// Waits for it; at once if it has been.
+    /// Waits for the notice; returns at once if it has been given.
     pub async fn notified(&self) {
-        if !self.called.get() {
-            self.heard.notified().await;
+        if !self.given.get() {
+            self.notify.notified().await;
         }
     }
+
+    fn give(&self) {
+        self.given.set(true);
+        self.notify.notify_waiters();
+    }
 }
 
-/// How far somebody at the door is; who is less far makes room first.
+/// How far an idle connection has come; those that are less far are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
-    /// Has had an answer.
+enum Progress {
+    /// It has been answered.
     Answered,
-    /// Has said nothing that could be the beginning of a first line.
+    /// It has sent nothing that may be the beginning of a request.
     Silent,
-    /// Has begun a first line.
-    Speaks,
+    /// It has sent the beginning of a request.
+    Receiving,
 }
 
-/// The stage, and a number that grows with time.
-type Rank = (Stage, u64);
+/// The position of an idle connection in the order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    progress: Progress,
+    /// Grows with every rank that is given out.
+    sequence: u64,
+}
 
-#[derive(Default)]
-struct Door {
-    last: u64,
-    standing: BTreeMap<Rank, Option<AbortHandle>>,
+#[derive(Debug, Default)]
+struct EvictionQueue {
+    last_sequence: u64,
+    /// The task of each connection; none while it is being spawned.
+    tasks: BTreeMap<EvictionRank, Option<AbortHandle>>,
 }
 
-impl Door {
-    fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+impl EvictionQueue {
+    fn next_sequence(&mut self) -> u64 {
+        self.last_sequence += 1;
+        self.last_sequence
     }
 }
 
-/// A place in the crowd, left when it is dropped.
+/// A connection's place among the idle ones, which is given back when this is dropped.
+#[derive(Debug)]
 pub struct IdleSlot {
-    crowd: IdleConnections,
-    rank: Rank,
+    connections: IdleConnections,
+    rank: EvictionRank,
 }
 
 impl IdleSlot {
-    /// The moment at which nobody can stay any more.
+    /// The notice that is given when the relay shuts down.
     pub fn shutdown_notice(&self) -> Rc<ShutdownNotice> {
-        self.crowd.1.clone()
+        self.connections.shutdown.clone()
     }
 
-    /// Its first line goes on.
+    /// Notes that the client has sent a further part of a request.
     pub fn mark_receiving(&mut self) {
-        let rank = (Stage::Speaks, self.crowd.0.borrow_mut().number());
-        self.take(rank);
+        let sequence = self.connections.queue.borrow_mut().next_sequence();
+        self.move_to(EvictionRank { progress: Progress::Receiving, sequence });
     }
 
-    /// It has had an answer.
+    /// Notes that the client has been answered.
     pub fn mark_answered(&mut self) {
-        self.take((Stage::Answered, self.rank.1));
+        self.move_to(EvictionRank { progress: Progress::Answered, sequence: self.rank.sequence });
     }
 
-    fn take(&mut self, rank: Rank) {
-        let mut door = self.crowd.0.borrow_mut();
-        // One that was turned out just now has no place any more.
-        if let Some(task) = door.standing.remove(&self.rank) {
-            door.standing.insert(rank, task);
+    fn move_to(&mut self, rank: EvictionRank) {
+        let mut queue = self.connections.queue.borrow_mut();
+        // A connection that has just been evicted has no place any more.
+        if let Some(task) = queue.tasks.remove(&self.rank) {
+            queue.tasks.insert(rank, task);
             self.rank = rank;
         }
     }
@@ -95,41 +110,46 @@
 
 impl Drop for IdleSlot {
     fn drop(&mut self) {
-        self.crowd.0.borrow_mut().standing.remove(&self.rank);
+        self.connections.queue.borrow_mut().tasks.remove(&self.rank);
     }
 }
 
 impl IdleConnections {
-    /// Starts serving a connection, which stands in the crowd as long as it holds its place.
+    /// Spawns the task that serves a connection, which is idle as long as it holds its slot.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a [`LocalSet`](tokio::task::LocalSet).
     pub fn admit<F: Future<Output = ()> + 'static>(&self, serve: impl FnOnce(IdleSlot) -> F) {
-        let rank = (Stage::Silent, self.0.borrow_mut().number());
-        self.0.borrow_mut().standing.insert(rank, None);
-        let task = tokio::task::spawn_local(serve(IdleSlot { crowd: self.clone(), rank }));
-        if let Some(place) = self.0.borrow_mut().standing.get_mut(&rank) {
-            *place = Some(task.abort_handle());
+        let sequence = self.queue.borrow_mut().next_sequence();
+        let rank = EvictionRank { progress: Progress::Silent, sequence };
+        self.queue.borrow_mut().tasks.insert(rank, None);
+        let task = tokio::task::spawn_local(serve(IdleSlot { connections: self.clone(), rank }));
+        if let Some(entry) = self.queue.borrow_mut().tasks.get_mut(&rank) {
+            *entry = Some(task.abort_handle());
         }
     }
 
-    /// Has everybody at the door answered or ended, as the relay ends.
+    /// Has every idle connection answered or closed, as the relay shuts down.
     pub fn notify_shutdown(&self) {
-        self.1.called.set(true);
-        self.1.heard.notify_waiters();
+        self.shutdown.give();
     }
 
-    /// How many stand there.
+    /// The number of idle connections.
     pub fn len(&self) -> usize {
-        self.0.borrow().standing.len()
+        self.queue.borrow().tasks.len()
     }
 
-    /// Whether nobody stands there.
+    /// Whether no connection is idle.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Closes the connection that is to make room first; false if there is none.
+    /// Closes the connection that is first in the order of eviction; false if there is none.
+    ///
+    /// Its descriptor is free once its task would have run next.
     pub fn evict_one(&self) -> bool {
-        let first = self.0.borrow_mut().standing.pop_first();
-        // Its task ends, and gives its descriptor back, when it would next have run.
+        let first = self.queue.borrow_mut().tasks.pop_first();
         first.and_then(|(_, task)| task).map(|task| task.abort()).is_some()
     }
 }
--- a/src/relay/connections/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -6,6 +6,8 @@
 //! [`connection`] is the state machine. Its states are in [`handshake`] (idle), [`opening`] and [`attempt`],
 //! [`adoption`], and [`established`] with [`line_relay`]; each state knows those that follow it and none before it.
 
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+
 mod admission;
 mod adoption;
 mod attempt;
