--- a/tests/idle_connections.rs
+++ b/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! The order in which those at the door make room.
+//! The order in which idle connections are evicted.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,55 +6,67 @@
 use honeyknot_relay::relay::connections::idle::{IdleConnections, IdleSlot};
 use tokio::task::{LocalSet, yield_now};
 
-/// Tells that its task has ended.
-struct Ends(&'static str, Rc<RefCell<Vec<&'static str>>>);
+/// Records the name of a connection when its task ends.
+struct RecordsEnd {
+    name: &'static str,
+    ended: Rc<RefCell<Vec<&'static str>>>,
+}
 
-impl Drop for Ends {
+impl Drop for RecordsEnd {
     fn drop(&mut self) {
-        self.1.borrow_mut().push(self.0);
+        self.ended.borrow_mut().push(self.name);
     }
 }
 
-/// Those at the door, in the order in which they are turned out.
-fn order(names: &[&'static str], tell: impl Fn(&'static str, u32, &mut IdleSlot)) -> Vec<&'static str> {
-    let (crowd, places) = (IdleConnections::default(), RefCell::new(Vec::new()));
-    let out = Rc::default();
+/// How often `act` is called for each connection.
+const ROUNDS: u32 = 2;
+
+/// The names of the connections in the order of their eviction. `act` is called with name, round and slot of each.
+fn eviction_order(
+    names: &[&'static str], act: impl Fn(&'static str, u32, &mut IdleSlot),
+) -> Vec<&'static str> {
+    let connections = IdleConnections::default();
+    let slots = RefCell::new(Vec::new());
+    let ended = Rc::default();
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         for name in names {
-            let ends = Ends(name, Rc::clone(&out));
-            crowd.admit(|place| {
-                places.borrow_mut().push((*name, place));
+            let records_end = RecordsEnd { name, ended: Rc::clone(&ended) };
+            connections.admit(|slot| {
+                slots.borrow_mut().push((*name, slot));
                 async move {
-                    let _ends = ends;
+                    let _records_end = records_end;
                     std::future::pending().await
                 }
             });
         }
-        for round in 0..2 {
-            places.borrow_mut().iter_mut().for_each(|(name, place)| tell(name, round, place));
+        for round in 0..ROUNDS {
+            slots.borrow_mut().iter_mut().for_each(|(name, slot)| act(name, round, slot));
         }
-        while crowd.evict_one() {
+        while connections.evict_one() {
             yield_now().await;
         }
     });
-    out.take()
+    ended.take()
+}
+
+#[test]
+fn answered_connections_are_evicted_first_then_silent_ones_then_slow_senders() {
+    let names = ["slow", "silent", "steady", "answered", "late"];
+    let evicted = eviction_order(&names, |name, round, slot| match (name, round) {
+        ("slow" | "answered", 0) | ("steady", _) => slot.mark_receiving(),
+        ("answered", _) => slot.mark_answered(),
+        _ => {}
+    });
+    assert_eq!(evicted, ["answered", "silent", "late", "slow", "steady"]);
 }
 
 #[test]
-fn who_says_nothing_makes_room_before_who_writes_slowly() {
-    let told =
-        order(&["slow", "silent", "steady", "answered", "late"], |name, round, place| match (name, round) {
-            ("slow" | "answered", 0) | ("steady", _) => place.mark_receiving(),
-            ("answered", _) => place.mark_answered(),
-            _ => {}
-        });
-    assert_eq!(told, ["answered", "silent", "late", "slow", "steady"]);
-    // Who goes on writing stays longer than who came later and has stopped.
-    let told = order(&["goes on", "stopped"], |name, round, place| {
+fn a_connection_that_goes_on_sending_is_evicted_after_a_later_one_that_has_stopped() {
+    let evicted = eviction_order(&["goes on", "stopped"], |name, round, slot| {
         if name == "goes on" || round == 0 {
-            place.mark_receiving();
+            slot.mark_receiving();
         }
     });
-    assert_eq!(told, ["stopped", "goes on"]);
+    assert_eq!(evicted, ["stopped", "goes on"]);
 }
