--- a/src/relay/connections/admission.rs
+++ b/src/relay/connections/admission.rs
@@ -3,6 +3,7 @@
 use honeyknot_balancer::Micros;
 
 use super::client_stream::ClientStream;
+use super::metric_labels::RejectionReason;
 use super::protocol::{self, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::{ConnectionIdGuard, SharedRelay};
@@ -20,9 +21,9 @@
 
 /// Rejects a request for which the relay has no capacity and closes its connection.
 pub(super) async fn reject(
-    relay: &SharedRelay, downstream: ClientStream, request: &OpenRequest, reason: &'static str,
+    relay: &SharedRelay, downstream: ClientStream, request: &OpenRequest, reason: RejectionReason,
 ) {
-    relay.borrow_mut().record_rejected(reason, None);
+    relay.borrow_mut().record_rejected(reason.label(), None);
     relay.borrow_mut().record_unregistered_answer(request, Answer::Busy);
     let line = protocol::encode_rejected(retry_after_ms(relay));
     downstream.close_with(&line).await;
--- a/src/relay/connections/adoption.rs
+++ b/src/relay/connections/adoption.rs
@@ -7,7 +7,8 @@
 use super::attempt::{self, UpstreamStream};
 use super::client_stream::{ClientActivity, ClientStream};
 use super::connection_guard::ConnectionGuard;
-use super::established::{EstablishedConnection, RegisteredConnection};
+use super::established::{AcceptedConnection, EstablishedConnection};
+use super::metric_labels::RejectionReason;
 use super::protocol::{self, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
@@ -33,7 +34,7 @@
         let ValidRequest { relay, downstream, request, connection_id } = valid;
         let permit = relay.borrow().acquire_descriptor();
         let Some(upstream_permit) = permit else {
-            admission::reject(&relay, downstream, &request, "descriptors").await;
+            admission::reject(&relay, downstream, &request, RejectionReason::Descriptors).await;
             return None;
         };
         Some(AdoptingConnection { relay, downstream, request, endpoint, upstream_permit, connection_id })
@@ -70,7 +71,7 @@
             self.downstream.close_with(protocol::FAILED).await;
             return None;
         };
-        let registered = RegisteredConnection {
+        let accepted = AcceptedConnection {
             guard: ConnectionGuard::new(self.relay.clone(), id),
             relay: self.relay,
             downstream: self.downstream,
@@ -79,7 +80,7 @@
             upstream_permit: self.upstream_permit,
             connection_id: self.connection_id,
         };
-        Some(EstablishedConnection::new(registered, upstream))
+        Some(EstablishedConnection::new(accepted, upstream))
     }
 }
 
--- a/src/relay/connections/client_stream.rs
+++ b/src/relay/connections/client_stream.rs
@@ -7,11 +7,12 @@
 use tokio::net::TcpStream;
 
 use super::graceful_close::{self, GRACEFUL_CLOSE_TIMEOUT};
+use super::protocol::MAX_LINE_BYTES;
 use crate::relay::DescriptorPermit;
 use crate::relay::timer_wheel::Timers;
 
 /// Size in bytes of a connection's buffer in each direction: one line of the maximum length always fits.
-pub(super) const BUFFER_BYTES: usize = 4096;
+pub(super) const BUFFER_BYTES: usize = MAX_LINE_BYTES;
 /// Initial size in bytes of the buffer for a request.
 const REQUEST_BUFFER_BYTES: usize = 512;
 
--- a/src/relay/connections/connection.rs
+++ b/src/relay/connections/connection.rs
@@ -21,9 +21,9 @@
 /// | `Adopting` | `Established` | the endpoint has accepted the connection again |
 /// | `Idle`, `Opening`, `Adopting` | `Closed` | the client has its one answer, or has left |
 /// | `Established` | `Closed` | one side has closed it, the endpoint is silent, or the client is migrated |
-/// | `Established` | `Transferred` | another process of this relay continues it, from `Established` |
+/// | `Established` | `Transferred` | another process of this relay continues it, there in `Established` |
 ///
-/// Every state that leads to `Closed` closes its sockets before it does.
+/// A state that leads to `Closed` has closed its sockets by then.
 pub(super) enum ConnectionState {
     /// The client has not sent a request.
     Idle(Box<IdleConnection>),
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -6,14 +6,14 @@
 use super::attempt::UpstreamStream;
 use super::client_stream::ClientStream;
 use super::connection_guard::{ConnectionGuard, Reservations};
-use super::graceful_close::CloseKind;
 use super::line_relay::{ConnectionEnd, LineRelay, Streams};
+use super::metric_labels::connection_end_label;
 use super::protocol::{LastLine, OpenRequest};
 use super::transfer::ConnectionTransfer;
 use crate::relay::{ConnectionCommand, ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
-/// A connection with an entry in the relay's table that its endpoint has just accepted.
-pub(super) struct RegisteredConnection {
+/// The parts of a connection that an endpoint has just accepted.
+pub(super) struct AcceptedConnection {
     pub(super) relay: SharedRelay,
     pub(super) downstream: ClientStream,
     pub(super) request: OpenRequest,
@@ -42,8 +42,8 @@
 }
 
 impl EstablishedConnection {
-    pub(super) fn new(registered: RegisteredConnection, upstream: UpstreamStream) -> EstablishedConnection {
-        let RegisteredConnection {
+    pub(super) fn new(accepted: AcceptedConnection, upstream: UpstreamStream) -> EstablishedConnection {
+        let AcceptedConnection {
             relay,
             downstream,
             request,
@@ -51,7 +51,7 @@
             guard,
             upstream_permit,
             connection_id,
-        } = registered;
+        } = accepted;
         let ClientStream { stream, received, permit, .. } = downstream;
         let streams = Streams { downstream: stream, upstream: upstream.stream };
         let lines = LineRelay::new(relay.clone(), guard.id, request, streams)
@@ -64,7 +64,7 @@
     pub(super) async fn run(mut self) -> FinalState {
         let end = self.lines.run(&mut self.commands).await;
         let outcome = outcome_of(end, self.lines.last_line());
-        let end_label = label_of(end, self.lines.last_line());
+        let end_label = connection_end_label(end, self.lines.last_line());
         let endpoint = self.relay.borrow().endpoint_of(self.guard.id);
         self.relay.borrow_mut().record_connection_ended(end_label);
         if end == ConnectionEnd::EndpointSilent {
@@ -112,15 +112,3 @@
         (ConnectionEnd::UpstreamClosed(_), LastLine::Other) => Outcome::Reset,
     }
 }
-
-/// The value of the metric's tag.
-fn label_of(end: ConnectionEnd, last_line: LastLine) -> &'static str {
-    match (end, last_line) {
-        (ConnectionEnd::DownstreamClosed(_), _) => "client",
-        (ConnectionEnd::Migrated | ConnectionEnd::EndpointSilent, _) => "moved",
-        (ConnectionEnd::Transferred, _) => "passed",
-        (ConnectionEnd::UpstreamClosed(_), LastLine::Completed) => "served",
-        (ConnectionEnd::UpstreamClosed(CloseKind::Reset), _) => "reset",
-        (ConnectionEnd::UpstreamClosed(CloseKind::Graceful), _) => "server",
-    }
-}
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -7,6 +7,7 @@
 use super::admission::ValidRequest;
 use super::client_stream::ClientStream;
 use super::idle::IdleSlot;
+use super::metric_labels::FailureCause;
 use super::protocol::{self, OpenRequest, ProtocolError};
 use crate::relay::SharedRelay;
 use crate::relay::metrics::recorder::Answer;
@@ -48,7 +49,7 @@
             Ok(Handshake::Left) => None,
             Err(error) => {
                 debug!(target: "client", %error, "request rejected");
-                self.relay.borrow_mut().record_failed("malformed");
+                self.relay.borrow_mut().record_failed(FailureCause::ProtocolError.label());
                 self.answer_and_close(protocol::FAILED).await;
                 None
             }
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -10,7 +10,8 @@
 use super::attempt::{self, AttemptResult, UpstreamStream};
 use super::client_stream::{ClientActivity, ClientStream};
 use super::connection_guard::ConnectionGuard;
-use super::established::{EstablishedConnection, RegisteredConnection};
+use super::established::{AcceptedConnection, EstablishedConnection};
+use super::metric_labels::{FailureCause, RejectionReason};
 use super::protocol::{self, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::{AttemptRequest, ConnectionCommand, ConnectionIdGuard, DescriptorPermit, SharedRelay};
@@ -87,10 +88,10 @@
                 biased;
                 activity = self.downstream.activity() => match activity {
                     ClientActivity::Left => return None,
-                    ClientActivity::SentData => self.abandon("spoke"),
+                    ClientActivity::SentData => self.abandon(FailureCause::DataBeforeAnswer),
                 },
                 command = self.commands.recv() => command.unwrap_or(ConnectionCommand::Fail),
-                () = &mut overdue => self.abandon("late"),
+                () = &mut overdue => self.abandon(FailureCause::Overdue),
             };
             match self.execute(command).await {
                 Step::Continue => {}
@@ -153,7 +154,7 @@
                 activity = self.downstream.activity() => return match activity {
                     ClientActivity::Left => AttemptEnd::ClientLeft,
                     ClientActivity::SentData => {
-                        self.relay.borrow_mut().record_failed("spoke");
+                        self.relay.borrow_mut().record_failed(FailureCause::DataBeforeAnswer.label());
                         AttemptEnd::Answer(ConnectionCommand::Fail)
                     }
                 },
@@ -177,15 +178,15 @@
     }
 
     /// Tells the balancer that the relay answers by itself, for this cause.
-    fn abandon(&self, cause: &'static str) -> ConnectionCommand {
+    fn abandon(&self, cause: FailureCause) -> ConnectionCommand {
         self.relay.borrow_mut().connection_closed(self.guard.id, false);
-        self.relay.borrow_mut().record_failed(cause);
+        self.relay.borrow_mut().record_failed(cause.label());
         ConnectionCommand::Fail
     }
 
     fn establish(self, upstream: UpstreamStream) -> EstablishedConnection {
         self.relay.borrow_mut().connection_established(self.guard.id);
-        let registered = RegisteredConnection {
+        let accepted = AcceptedConnection {
             relay: self.relay,
             downstream: self.downstream,
             request: self.request,
@@ -194,7 +195,7 @@
             upstream_permit: self.upstream_permit,
             connection_id: self.connection_id,
         };
-        EstablishedConnection::new(registered, upstream)
+        EstablishedConnection::new(accepted, upstream)
     }
 
     async fn answer_and_close(mut self, line: &[u8], answer: Answer) {
@@ -205,12 +206,12 @@
     }
 }
 
-/// Why a request is rejected that the relay cannot admit, as counted.
-fn rejection_reason(relay: &SharedRelay) -> &'static str {
+/// Why the relay cannot admit a request.
+fn rejection_reason(relay: &SharedRelay) -> RejectionReason {
     match (relay.borrow().is_shutting_down(), relay.borrow().can_admit()) {
-        (true, _) => "closing",
-        (false, false) => "capacity",
-        (false, true) => "descriptors",
+        (true, _) => RejectionReason::ShuttingDown,
+        (false, false) => RejectionReason::MaxOpenRequests,
+        (false, true) => RejectionReason::Descriptors,
     }
 }
 
