--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -6,9 +6,10 @@
 use super::attempt::UpstreamStream;
 use super::client_stream::ClientStream;
 use super::connection_guard::{ConnectionGuard, Reservations};
-use super::line_relay::{ConnectionEnd, LineRelay, Streams};
+use super::line_relay::{ConnectionEnd, LineRelay};
 use super::metric_labels::connection_end_label;
 use super::protocol::{LastLine, OpenRequest};
+use super::streams::Streams;
 use super::transfer::ConnectionTransfer;
 use crate::relay::{ConnectionCommand, ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
--- a/src/relay/connections/line_relay.rs
+++ b/src/relay/connections/line_relay.rs
@@ -3,9 +3,8 @@
 use std::io;
 use std::rc::Rc;
 
-use bytes::{Buf, BytesMut};
+use bytes::BytesMut;
 use honeyknot_balancer::{Micros, RequestId};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::client_stream::BUFFER_BYTES;
@@ -13,6 +12,7 @@
 use super::graceful_close::{self, CloseKind};
 use super::protocol::{EndpointLine, LastLine, LineTracker, OpenRequest};
 use super::silence_detector::SilenceDetector;
+use super::streams::{SideClosed, Streams, write_available};
 use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{ConnectionCommand, SharedRelay};
@@ -37,20 +37,6 @@
     Transferred,
 }
 
-/// The sockets of a connection.
-#[derive(Debug)]
-pub(super) struct Streams {
-    pub(super) downstream: TcpStream,
-    pub(super) upstream: TcpStream,
-}
-
-/// When and how one side of a connection was closed.
-#[derive(Clone, Copy, Debug)]
-struct SideClosed {
-    kind: CloseKind,
-    at: Micros,
-}
-
 /// Both sides of an established connection and what is in flight between them.
 pub(super) struct LineRelay {
     relay: SharedRelay,
@@ -302,15 +288,3 @@
         }
     }
 }
-
-/// Writes as much as the socket accepts now.
-fn write_available(stream: &TcpStream, bytes: &mut BytesMut) -> io::Result<()> {
-    while !bytes.is_empty() {
-        match stream.try_write(bytes) {
-            Ok(count) => bytes.advance(count),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-            Err(error) => return Err(error),
-        }
-    }
-    Ok(())
-}
--- a/src/relay/connections/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -30,6 +30,7 @@
 pub mod protocol;
 mod restore;
 mod silence_detector;
+mod streams;
 mod transfer;
 
 pub use restore::restore_connection;
--- a/src/relay/connections/restore.rs
+++ b/src/relay/connections/restore.rs
@@ -10,8 +10,9 @@
 use super::connection::ConnectionState;
 use super::connection_guard::{ConnectionGuard, Reservations};
 use super::established::EstablishedConnection;
-use super::line_relay::{LineRelay, Streams};
+use super::line_relay::LineRelay;
 use super::protocol::OpenRequest;
+use super::streams::Streams;
 use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
 use crate::relay::SharedRelay;
 
