--- a/src/relay/connections/admission.rs
+++ b/src/relay/connections/admission.rs
@@ -1,16 +1,11 @@
-//! Rejections of requests that have no entry in the relay's table.
-
-use honeyknot_balancer::Micros;
+//! Valid requests that have no entry in the relay's table yet, and their rejection.
 
 use super::client_stream::ClientStream;
 use super::metric_labels::RejectionReason;
-use super::protocol::{self, OpenRequest};
+use super::protocol::{self, MICROS_PER_MILLISECOND, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::{ConnectionIdGuard, SharedRelay};
 
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLISECOND: Micros = 1_000;
-
 /// A valid request whose connection id is reserved.
 pub(super) struct ValidRequest {
     pub(super) relay: SharedRelay,
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::protocol::{self, EndpointLine, OpenRequest, load_report_value};
+use super::protocol::{self, EndpointLine, MICROS_PER_MILLISECOND, OpenRequest, load_report_value};
 use crate::relay::{AttemptRequest, SharedRelay};
 
 /// Initial size in bytes of the buffer for an answer.
@@ -56,7 +56,7 @@
         return AttemptResult::Failed(Outcome::ConnectFailed, None);
     };
     let _ = upstream.set_nodelay(true);
-    let remaining_ms = due.saturating_sub(timers.clock.now()) / 1_000;
+    let remaining_ms = due.saturating_sub(timers.clock.now()) / MICROS_PER_MILLISECOND;
     if forward_request(&mut upstream, request, remaining_ms.max(1)).await.is_err() {
         return AttemptResult::Failed(Outcome::ConnectFailed, None);
     }
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -12,7 +12,7 @@
 use super::connection_guard::ConnectionGuard;
 use super::established::{AcceptedConnection, EstablishedConnection};
 use super::metric_labels::{FailureCause, RejectionReason};
-use super::protocol::{self, OpenRequest};
+use super::protocol::{self, MICROS_PER_MILLISECOND, OpenRequest};
 use crate::relay::metrics::recorder::Answer;
 use crate::relay::{AttemptRequest, ConnectionCommand, ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
@@ -219,9 +219,10 @@
 fn answer_of(command: &ConnectionCommand) -> Step {
     match command {
         // Rounded up: a client that retries too early is rejected again.
-        ConnectionCommand::Reject(retry_after) => {
-            Step::Answer(protocol::encode_rejected(retry_after.div_ceil(1_000)), Answer::Busy)
-        }
+        ConnectionCommand::Reject(retry_after) => Step::Answer(
+            protocol::encode_rejected(retry_after.div_ceil(MICROS_PER_MILLISECOND)),
+            Answer::Busy,
+        ),
         _ => Step::Answer(protocol::FAILED.to_vec(), Answer::Failed),
     }
 }
--- a/src/relay/connections/protocol/mod.rs
+++ b/src/relay/connections/protocol/mod.rs
@@ -10,12 +10,16 @@
 
 use std::net::SocketAddr;
 
+use honeyknot_balancer::Micros;
+
 pub use endpoint_line::{EndpointLine, load_report_value};
 pub use error::ProtocolError;
 pub(super) use line_tracker::LastLine;
 pub use line_tracker::LineTracker;
 pub use open_request::{OpenRequest, may_open};
 
+/// The protocol counts in milliseconds, the relay in microseconds.
+pub(super) const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// The maximum length of a line in bytes, with its CRLF.
 pub const MAX_LINE_BYTES: usize = 4096;
 /// The client's check that the relay is ready, without its CRLF.
--- a/src/relay/connections/protocol/open_request.rs
+++ b/src/relay/connections/protocol/open_request.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use honeyknot_balancer::Micros;
 
-use super::ProtocolError;
+use super::{MICROS_PER_MILLISECOND, ProtocolError};
 
 /// The word that a request begins with, and the space after it.
 const OPEN_PREFIX: &str = "OPEN ";
@@ -191,7 +191,8 @@
     /// The deadline bounds it so that a client with an excessive value does not occupy the relay for as long.
     pub fn time_remaining(&self, deadline: Micros) -> Micros {
         let time_remaining = self.time_remaining.as_ref();
-        time_remaining.map_or(deadline, |time| time.milliseconds.saturating_mul(1_000).min(deadline))
+        time_remaining
+            .map_or(deadline, |time| time.milliseconds.saturating_mul(MICROS_PER_MILLISECOND).min(deadline))
     }
 
     /// The line with another time remaining, given as digits, in pieces for a vectored write.
