--- a/src/relay/connections/connection_guard.rs
+++ b/src/relay/connections/connection_guard.rs
@@ -9,14 +9,19 @@
     relay: SharedRelay,
     /// The connection's id in the relay.
     pub(super) id: RequestId,
-    /// Whether the client has received its one answer.
-    pub(super) answered: bool,
+    /// Whether the client has its one answer.
+    answered: bool,
 }
 
 impl ConnectionGuard {
     pub(super) fn new(relay: SharedRelay, id: RequestId) -> ConnectionGuard {
         ConnectionGuard { relay, id, answered: false }
     }
+
+    /// Removes the entry of a connection whose client has its one answer.
+    pub(super) fn release_answered(mut self) {
+        self.answered = true;
+    }
 }
 
 impl Drop for ConnectionGuard {
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -72,8 +72,7 @@
             self.relay.borrow_mut().record_silent_migration();
         }
         self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, true, None);
-        self.guard.answered = true;
-        drop(self.guard);
+        self.guard.release_answered();
         match (end, endpoint) {
             (ConnectionEnd::Transferred, Some(endpoint)) => {
                 let transfer = self.lines.into_transfer(endpoint.0.as_ref().to_owned());
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -121,23 +121,29 @@
         match self.attempt(attempt).await {
             AttemptEnd::Result(AttemptResult::Established(upstream)) => Step::Established(upstream),
             AttemptEnd::Result(AttemptResult::Failed(outcome, report)) => {
-                self.attempt_ended(outcome, false, report);
+                self.attempt_failed(outcome, report);
                 Step::Continue
             }
             AttemptEnd::Result(AttemptResult::Completed(answer)) => {
-                self.attempt_ended(Outcome::Ok, true, None);
+                self.request_settled(Outcome::Ok);
                 Step::Answer(answer.into(), Answer::Failed)
             }
             AttemptEnd::ClientLeft => Step::Close,
             AttemptEnd::Answer(command) => {
-                self.attempt_ended(Outcome::Cancelled, true, None);
+                self.request_settled(Outcome::Cancelled);
                 answer_of(&command)
             }
         }
     }
 
-    fn attempt_ended(&self, outcome: Outcome, closed: bool, report: Option<LoadReport>) {
-        self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, closed, report);
+    /// Reports an attempt that has not answered the client.
+    fn attempt_failed(&self, outcome: Outcome, report: Option<LoadReport>) {
+        self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, false, report);
+    }
+
+    /// Reports an attempt after which the client is answered.
+    fn request_settled(&self, outcome: Outcome) {
+        self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, true, None);
     }
 
     /// Makes an attempt. Unless it is established, its connection is closed when this returns.
@@ -198,10 +204,9 @@
         EstablishedConnection::new(accepted, upstream)
     }
 
-    async fn answer_and_close(mut self, line: &[u8], answer: Answer) {
+    async fn answer_and_close(self, line: &[u8], answer: Answer) {
         self.relay.borrow_mut().request_answered(self.guard.id, answer);
-        self.guard.answered = true;
-        drop(self.guard);
+        self.guard.release_answered();
         self.downstream.close_with(line).await;
     }
 }
