--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -6,7 +6,8 @@
 
 use crate::affinity::group_salt;
 use crate::balancer::{Balancer, TICK_INTERVAL};
-use crate::load_estimate::{REPORT_LAG, SAMPLE_SMOOTHING};
+use crate::fleet_estimate::SAMPLE_SMOOTHING;
+use crate::load_estimate::REPORT_LAG;
 use crate::rendezvous::uniform_draw;
 use crate::request_state::{PendingRequest, RequestState, pending_token};
 use crate::routing::MIN_ATTEMPT_TIME;
--- a/crates/balancer/src/affinity.rs
+++ b/crates/balancer/src/affinity.rs
@@ -15,10 +15,11 @@
 /// Sticky endpoints that are remembered; above this number, the older ones are forgotten.
 const MAX_STICKY_ENDPOINTS: usize = 20_000;
 
-/// A group takes a further endpoint when its endpoints' load is this far above the fleet's mean, within
-/// [`MIN_SPILL_LOAD`] and [`MAX_SPILL_LOAD`].
+/// A group takes a further endpoint when its endpoints' load is this far above the fleet's mean.
 const SPILL_MARGIN: f64 = 0.15;
+/// A group takes no further endpoint below this load, whatever the fleet's mean.
 const MIN_SPILL_LOAD: f64 = 0.6;
+/// A group takes a further endpoint above this load, whatever the fleet's mean.
 const MAX_SPILL_LOAD: f64 = 0.68;
 
 /// Least number of endpoints of a group: a single one would take all of a surge that no report shows yet.
@@ -80,7 +81,7 @@
     /// Whether a client's sticky endpoint has capacity for it.
     pub(crate) fn has_sticky_capacity(&self, id: &EndpointId, now: Micros) -> bool {
         self.endpoints.get(id).is_some_and(|record| {
-            self.estimate(record, now) < MAX_STICKY_LOAD
+            self.estimated_load(record, now) < MAX_STICKY_LOAD
                 && !record.has_slow_messages(now)
                 && self.slow_start_admits(record, now)
         })
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -6,7 +6,7 @@
 //! with the endpoint that it was forwarded to, the client's session key and its affinity group.
 //!
 //! - A new connection goes to an endpoint by a weighted random choice that favours spare reported capacity
-//!   and trusts old reports less (`routing`, `load_estimate`). The best candidates get a health check first,
+//!   and trusts old reports less (`ranking`, `load_estimate`). The best candidates get a health check first,
 //!   while the request is pending for some milliseconds (`health_check`).
 //! - The choice is weighted rendezvous hashing of the connection's affinity group, or else of its session
 //!   key: all balancers agree without communication where a group goes (`rendezvous`, `affinity`).
@@ -26,7 +26,8 @@
 use crate::circuit_breaker::CircuitBreaker;
 use crate::discovery::MAX_INITIAL_DISCOVERY_DELAY;
 use crate::endpoint_record::EndpointRecord;
-use crate::load_estimate::{ConnectionLoads, FleetEstimate};
+use crate::fleet_estimate::FleetEstimate;
+use crate::load_estimate::ConnectionLoads;
 use crate::migration::MigratedClient;
 use crate::request_state::RequestState;
 use crate::retry::EndedAttempt;
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -57,12 +57,14 @@
 
     /// This set with one more zone.
     pub fn with(self, zone: ZoneId) -> ZoneSet {
-        ZoneSet(self.0 | u32::try_from(zone.0).ok().and_then(|z| 1u128.checked_shl(z)).unwrap_or(0))
+        let bit = u32::try_from(zone.0).ok().and_then(|index| 1u128.checked_shl(index));
+        ZoneSet(self.0 | bit.unwrap_or(0))
     }
 
     /// Whether the set contains an endpoint of that zone; it always contains one without a zone.
     pub fn contains(self, zone: Option<ZoneId>) -> bool {
-        self == ZoneSet::ALL || zone.is_none_or(|z| z.0 < ZoneSet::MAX_ZONES && self.0 >> z.0 & 1 == 1)
+        self == ZoneSet::ALL
+            || zone.is_none_or(|zone| zone.0 < ZoneSet::MAX_ZONES && self.0 >> zone.0 & 1 == 1)
     }
 }
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -8,8 +8,10 @@
 //!
 //! - Types that go in and out: [`event`], [`action`], [`ids`], [`settings`].
 //! - State and dispatch of events: [`balancer`].
-//! - Handlers, spread over `impl Balancer` blocks: `admission`, `affinity`, `discovery`, `health_check`,
-//!   `load_estimate`, `migration`, `rebalancing`, `request_state`, `retry`, `routing`.
+//! - Handlers, spread over `impl Balancer` blocks: `discovery`, `request_state`, `routing`, `ranking`,
+//!   `admission`, `affinity`, `retry`, `health_check`, `migration`, `rebalancing`.
+//! - The estimates that they use: `load_estimate`, `fleet_estimate`; what is known of one endpoint:
+//!   `endpoint_record`.
 //! - Parts that can be used alone: [`circuit_breaker`], [`outlier_detection`], [`rendezvous`],
 //!   [`slow_start`], [`unreported_load`], [`zone_affinity`].
 //! - [`maintenance`] stands between discovery and the balancer.
@@ -22,12 +24,14 @@
 mod discovery;
 mod endpoint_record;
 pub mod event;
+mod fleet_estimate;
 mod health_check;
 pub mod ids;
 mod load_estimate;
 pub mod maintenance;
 mod migration;
 pub mod outlier_detection;
+mod ranking;
 mod rebalancing;
 pub mod rendezvous;
 mod request_state;
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -122,7 +122,7 @@
     pub fn mark_draining(&mut self, ids: &[EndpointId]) -> Vec<Endpoint> {
         let mut changed = Vec::new();
         for id in ids {
-            let ready = self.endpoints.get_mut(id).filter(|e| e.state == EndpointState::Ready);
+            let ready = self.endpoints.get_mut(id).filter(|known| known.state == EndpointState::Ready);
             let Some(endpoint) = ready else { continue };
             endpoint.state = EndpointState::Draining;
             changed.push(endpoint.clone());
@@ -164,8 +164,8 @@
             visible.state = EndpointState::Draining;
         }
         // Discovery may report the restart late, or never.
-        let window = self.last_windows.get(&endpoint.id).filter(|w| endpoint.started_at <= w.from);
-        visible.started_at = visible.started_at.max(window.map_or(0, |w| w.to));
+        let window = self.last_windows.get(&endpoint.id).filter(|window| endpoint.started_at <= window.from);
+        visible.started_at = visible.started_at.max(window.map_or(0, |window| window.to));
         visible
     }
 }
--- a/crates/balancer/src/rebalancing.rs
+++ b/crates/balancer/src/rebalancing.rs
@@ -45,7 +45,7 @@
             self.is_local(record) && !record.has_slow_messages(now) && self.endpoint_weight(record, now) > 0.0
         };
         let usable = self.endpoints.values().filter(is_usable);
-        let loads = usable.map(|record| (self.estimate(record, now), record));
+        let loads = usable.map(|record| (self.estimated_load(record, now), record));
         let (load, record) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some((load, record.endpoint.id.clone()))
     }
@@ -63,7 +63,7 @@
         let misplaced = with_record.filter(|(_, state, record)| {
             self.is_to_be_rebalanced(state, record, now) && record.migration.is_none()
         });
-        let loads = misplaced.map(|(id, _, record)| (self.estimate(record, now), id, record));
+        let loads = misplaced.map(|(id, _, record)| (self.estimated_load(record, now), id, record));
         let (_, id, record) = loads.max_by(|a, b| a.0.total_cmp(&b.0))?;
         Some((id, record.endpoint.id.clone()))
     }
