--- a/crates/lease/tests/clock_drift.rs
+++ b/crates/lease/tests/clock_drift.rs
@@ -1,52 +1,67 @@
-//! Clocks compared by messages that take their time.
+//! Detection of clock drift by messages with delays.
 
 use honeyknot_lease::{ClockDriftChange, ClockDriftMonitor, Micros};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What is shown in so many seconds of a clock that is off by so many parts of a million, ten messages a second on ways that take
-/// up to so long.
-fn hear(
-    clock_drift: &mut ClockDriftMonitor, seconds: u64, ppm: i64, way: Micros, seed: u64,
-) -> Vec<(u64, ClockDriftChange)> {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut shown = Vec::new();
-    for step in 0..seconds * 10 {
-        let sent = step * 100_000;
-        let said = 7_000_000_000 + (sent as i64 + sent as i64 * ppm / 1_000_000) as u64;
-        let came = sent + rng.random_range(0..=way);
-        shown.extend(clock_drift.message_received(came, 2, said).map(|it| (step / 10, it)));
+const PEER: u64 = 2;
+const MESSAGES_PER_SECOND: u64 = 10;
+const MESSAGE_INTERVAL: Micros = 1_000_000 / MESSAGES_PER_SECOND;
+/// What the peer's clock shows at true time 0.
+const PEER_CLOCK_OFFSET: Micros = 7_000_000_000;
+
+/// A clock to be monitored, and the messages that show it.
+struct Scenario {
+    seconds: u64,
+    /// Rate error of the peer's clock in parts per million.
+    drift_ppm: i64,
+    /// Maximum delay of a message in microseconds.
+    max_delay: Micros,
+    seed: u64,
+}
+
+/// The detected changes, each with the second at which it was detected.
+fn detected_changes(monitor: &mut ClockDriftMonitor, scenario: &Scenario) -> Vec<(u64, ClockDriftChange)> {
+    let mut rng = Pcg64Mcg::seed_from_u64(scenario.seed);
+    let mut changes = Vec::new();
+    for message in 0..scenario.seconds * MESSAGES_PER_SECOND {
+        let true_time = message * MESSAGE_INTERVAL;
+        let drift = true_time as i64 * scenario.drift_ppm / 1_000_000;
+        let sent_at = PEER_CLOCK_OFFSET + (true_time as i64 + drift) as u64;
+        let received_at = true_time + rng.random_range(0..=scenario.max_delay);
+        let change = monitor.message_received(received_at, PEER, sent_at);
+        changes.extend(change.map(|change| (message / MESSAGES_PER_SECOND, change)));
     }
-    shown
+    changes
 }
 
 #[test]
-fn a_clock_that_is_a_fifth_fast_is_noticed_within_a_quarter_of_a_minute() {
-    for ppm in [200_000, -200_000] {
-        let shown = hear(&mut ClockDriftMonitor::new(10_000), 60, ppm, 50_000, 1);
-        let [(at, ClockDriftChange::Exceeded(seen))] = shown[..] else { panic!("{shown:?}") };
-        assert!(at <= 15 && (seen - ppm).abs() < 40_000, "{shown:?}");
+fn a_clock_off_by_a_fifth_is_detected_within_fifteen_seconds() {
+    for drift_ppm in [200_000, -200_000] {
+        let scenario = Scenario { seconds: 60, drift_ppm, max_delay: 50_000, seed: 1 };
+        let changes = detected_changes(&mut ClockDriftMonitor::new(10_000), &scenario);
+        let [(second, ClockDriftChange::Exceeded(detected_ppm))] = changes[..] else { panic!("{changes:?}") };
+        assert!(second <= 15 && (detected_ppm - drift_ppm).abs() < 40_000, "{changes:?}");
     }
 }
 
 #[test]
-fn a_small_drift_beyond_the_bound_is_noticed_in_minutes_and_one_within_it_never() {
-    let shown = hear(&mut ClockDriftMonitor::new(1_000), 400, 6_000, 20_000, 2);
-    assert!(matches!(shown[..], [(at, ClockDriftChange::Exceeded(_))] if at < 200), "{shown:?}");
-    for (seed, ppm) in [(3, 2_000), (4, -2_000), (5, 0)] {
-        // Ways that take up to half a second, for an hour.
-        assert_eq!(hear(&mut ClockDriftMonitor::new(1_000), 3_600, ppm, 450_000, seed), []);
+fn a_small_drift_beyond_the_bound_is_detected_in_minutes_and_one_within_it_never() {
+    let scenario = Scenario { seconds: 400, drift_ppm: 6_000, max_delay: 20_000, seed: 2 };
+    let changes = detected_changes(&mut ClockDriftMonitor::new(1_000), &scenario);
+    assert!(matches!(changes[..], [(second, ClockDriftChange::Exceeded(_))] if second < 200), "{changes:?}");
+    for (seed, drift_ppm) in [(3, 2_000), (4, -2_000), (5, 0)] {
+        let scenario = Scenario { seconds: 3_600, drift_ppm, max_delay: 450_000, seed };
+        assert_eq!(detected_changes(&mut ClockDriftMonitor::new(1_000), &scenario), []);
     }
 }
 
 #[test]
-fn a_clock_that_was_put_right_is_within_the_bound_again() {
-    let mut clock_drift = ClockDriftMonitor::new(10_000);
-    assert!(matches!(
-        hear(&mut clock_drift, 60, 100_000, 1_000, 6)[..],
-        [(_, ClockDriftChange::Exceeded(_))]
-    ));
-    // Its process started anew.
-    clock_drift.reset_peer(2);
-    assert_eq!(hear(&mut clock_drift, 60, 0, 1_000, 7), []);
+fn a_corrected_clock_of_a_restarted_peer_is_within_the_bound() {
+    let mut monitor = ClockDriftMonitor::new(10_000);
+    let wrong = Scenario { seconds: 60, drift_ppm: 100_000, max_delay: 1_000, seed: 6 };
+    assert!(matches!(detected_changes(&mut monitor, &wrong)[..], [(_, ClockDriftChange::Exceeded(_))]));
+    monitor.reset_peer(PEER);
+    let corrected = Scenario { seconds: 60, drift_ppm: 0, max_delay: 1_000, seed: 7 };
+    assert_eq!(detected_changes(&mut monitor, &corrected), []);
 }
--- a/crates/lease/tests/lease_client.rs
+++ b/crates/lease/tests/lease_client.rs
@@ -1,239 +1,208 @@
-//! The claims of relays against a book that answers at once, or not.
+//! Lease clients against a server that answers at once, late or not at all.
+
+mod support;
 
 use honeyknot_lease::{
-    AcquireBackoff, Answer, Command, CommandResult, ExpiryTracker, LeaseClient, LeaseParameters,
-    LeaseRequest, LeaseTable, MAX_UNANSWERED_REQUESTS, Micros, Rejection, TaskOptions,
+    Command, CommandResult, LeaseClient, LeaseParameters, MAX_UNANSWERED_REQUESTS, Micros, TaskOptions,
 };
 
+use support::Server;
+
 const LEASE: Micros = 1_000_000;
-const ONE: TaskOptions = TaskOptions { slots: 1, max_hold: None, max_idle: None };
+const STEPS_PER_LEASE: u64 = 50;
+const STEP: Micros = LEASE / STEPS_PER_LEASE;
+const TASK: &str = "probes";
+const ONE_SLOT: TaskOptions = TaskOptions { slots: 1, max_hold: None, max_idle: None };
 
-struct Replica {
-    parameters: LeaseParameters,
-    lease_table: LeaseTable,
-    expiry_tracker: ExpiryTracker,
-    acquire_backoff: AcquireBackoff,
-    commands: usize,
-    asks: usize,
+fn client(name: &str, seed: u64) -> LeaseClient {
+    LeaseClient::new(LeaseParameters::new(LEASE), name, 1, seed)
 }
 
-impl Replica {
-    fn new(parameters: LeaseParameters) -> Replica {
-        let lease_table = LeaseTable::with_tokens_from(0);
-        let expiry_tracker = ExpiryTracker::new(parameters, 0, &lease_table);
-        Replica {
-            parameters,
-            lease_table,
-            expiry_tracker,
-            acquire_backoff: AcquireBackoff::new(parameters),
-            commands: 0,
-            asks: 0,
-        }
-    }
-
-    fn hears(&mut self, now: Micros, request: &LeaseRequest) -> Vec<CommandResult> {
-        self.asks += 1;
-        request.commands.iter().map(|command| self.applies(now, command)).collect()
-    }
-
-    fn applies(&mut self, now: Micros, command: &Command) -> CommandResult {
-        self.commands += 1;
-        let answer = self.lease_table.apply(&self.parameters, command);
-        self.expiry_tracker.commands_applied(now, now, &self.lease_table, std::slice::from_ref(command));
-        let taken = answer == Answer::Rejected(Rejection::SlotsTaken);
-        CommandResult {
-            answer,
-            retry_after: if taken { self.acquire_backoff.retry_after(now, command.task()) } else { 0 },
-        }
-    }
-
-    fn expires(&mut self, now: Micros) {
-        for command in self.expiry_tracker.expired(now) {
-            self.applies(now, &command);
-        }
-    }
+fn server() -> Server {
+    Server::new(LeaseParameters::new(LEASE))
 }
 
 #[test]
-fn a_holder_that_hears_nothing_does_not_keep_its_task() {
-    let parameters = LeaseParameters::new(LEASE);
-    let mut keeper = Replica::new(parameters);
-    let (mut deaf, mut other) =
-        (LeaseClient::new(parameters, "deaf", 1, 1), LeaseClient::new(parameters, "other", 1, 2));
-    let mut taken = None;
+fn a_holder_that_receives_no_responses_loses_its_task() {
+    let mut server = server();
+    let (mut deaf, mut other) = (client("deaf", 1), client("other", 2));
+    let mut acquired_at = None;
     for step in 0..1_000 {
-        let now = step * LEASE / 50;
-        keeper.expires(now);
+        let now = step * STEP;
+        server.expire_leases(now);
         if step == 0 {
-            deaf.add_task(now, "probes", ONE);
+            deaf.add_task(now, TASK, ONE_SLOT);
         }
-        // The keeper hears it; it hears nothing after its first answers.
+        // The server receives all of its requests; it receives only the first responses.
         if let Some(request) = deaf.next_request(now) {
-            let said = keeper.hears(now, &request);
+            let results = server.handle(now, &request);
             if now < 2 * LEASE {
-                deaf.on_response(now, request.id, &said);
+                deaf.on_response(now, request.id, &results);
             }
         }
         if now == 2 * LEASE {
-            other.add_task(now, "probes", ONE);
+            other.add_task(now, TASK, ONE_SLOT);
         }
-        if let Some(request) = other.next_request(now) {
-            let said = keeper.hears(now, &request);
-            other.on_response(now, request.id, &said);
-        }
-        if taken.is_none() && other.held_token(now, "probes").is_some() {
-            assert!(deaf.held_token(now, "probes").is_none());
-            taken = Some(now);
+        server.exchange(now, &mut other);
+        if acquired_at.is_none() && other.held_token(now, TASK).is_some() {
+            assert!(deaf.held_token(now, TASK).is_none());
+            acquired_at = Some(now);
         }
     }
-    let most = 2 * LEASE + (MAX_UNANSWERED_REQUESTS as Micros + 4) * LEASE;
-    assert!(taken.is_some_and(|at| at < most), "taken at {taken:?}, at the latest {most}");
+    let latest = 2 * LEASE + (MAX_UNANSWERED_REQUESTS as Micros + 4) * LEASE;
+    assert!(
+        acquired_at.is_some_and(|at| at < latest),
+        "acquired at {acquired_at:?}, at the latest at {latest}"
+    );
+}
+
+struct DelayedResponse {
+    arrives_at: Micros,
+    id: u64,
+    results: Vec<CommandResult>,
 }
 
 #[test]
-fn an_answer_that_comes_after_it_was_given_up_still_counts() {
-    let parameters = LeaseParameters::new(LEASE);
-    let mut keeper = Replica::new(parameters);
-    let mut slow = LeaseClient::new(parameters, "slow", 1, 1);
-    slow.add_task(0, "probes", ONE);
-    let mut late: Vec<(Micros, u64, Vec<CommandResult>)> = Vec::new();
-    let mut held = 0;
+fn a_response_to_an_abandoned_request_still_counts() {
+    let mut server = server();
+    let mut slow = client("slow", 1);
+    slow.add_task(0, TASK, ONE_SLOT);
+    let mut responses: Vec<DelayedResponse> = Vec::new();
+    let mut steps_held = 0;
     for step in 0..500 {
-        let now = step * LEASE / 50;
-        keeper.expires(now);
-        late.retain(|(at, id, said)| {
-            let due = *at <= now;
-            if due {
-                slow.on_response(now, *id, said);
+        let now = step * STEP;
+        server.expire_leases(now);
+        responses.retain(|response| {
+            let has_arrived = response.arrives_at <= now;
+            if has_arrived {
+                slow.on_response(now, response.id, &response.results);
             }
-            !due
+            !has_arrived
         });
         if let Some(request) = slow.next_request(now) {
-            // Longer than it waits for an answer, and shorter than the lease.
-            late.push((now + LEASE * 2 / 5, request.id, keeper.hears(now, &request)));
+            // Longer than the timeout of a request, shorter than the lease.
+            let arrives_at = now + LEASE * 2 / 5;
+            let results = server.handle(now, &request);
+            responses.push(DelayedResponse { arrives_at, id: request.id, results });
         }
-        held += u64::from(slow.held_token(now, "probes").is_some());
+        steps_held += u64::from(slow.held_token(now, TASK).is_some());
     }
-    assert!(held > 400, "held in {held} of 500 steps");
+    assert!(steps_held > 400, "held in {steps_held} of 500 steps");
+}
+
+#[derive(Debug)]
+struct ContentionCost {
+    requests_per_lease: usize,
+    /// Number of steps without a holder after the death of one.
+    steps_without_holder: u64,
 }
 
-/// What one task costs the keeper by the number of relays that want it: asks in each lease, and steps without a holder after it
-/// has died.
-fn stampede(relays: usize) -> (usize, u64) {
-    let parameters = LeaseParameters::new(LEASE);
-    let mut keeper = Replica::new(parameters);
-    let mut client: Vec<LeaseClient> =
-        (0..relays).map(|n| LeaseClient::new(parameters, &format!("n{n}"), 1, n as u64)).collect();
-    client.iter_mut().for_each(|client| client.add_task(0, "probes", ONE));
-    let (mut dead, mut without, mut before) = (None, 0, 0);
-    for step in 0..50 * 60 {
-        let now = step * LEASE / 50;
-        keeper.expires(now);
-        for (_, client) in client.iter_mut().enumerate().filter(|(n, _)| dead != Some(*n)) {
-            let Some(request) = client.next_request(now) else { continue };
-            let said = keeper.hears(now, &request);
-            client.on_response(now, request.id, &said);
+/// The cost of one task that so many clients want, over twenty leases after its holder has died.
+fn contention_cost(client_count: usize) -> ContentionCost {
+    const DEATH: Micros = 40 * LEASE;
+    let mut server = server();
+    let mut clients: Vec<LeaseClient> =
+        (0..client_count).map(|number| client(&format!("n{number}"), number as u64)).collect();
+    clients.iter_mut().for_each(|client| client.add_task(0, TASK, ONE_SLOT));
+    let (mut dead, mut steps_without_holder, mut requests_before) = (None, 0, 0);
+    for step in 0..STEPS_PER_LEASE * 60 {
+        let now = step * STEP;
+        server.expire_leases(now);
+        for (number, client) in clients.iter_mut().enumerate() {
+            if dead != Some(number) {
+                server.exchange(now, client);
+            }
         }
-        let holder = client.iter().position(|client| client.held_token(now, "probes").is_some());
-        if now == 40 * LEASE {
-            before = keeper.asks;
+        let holder = clients.iter().position(|client| client.held_token(now, TASK).is_some());
+        if now == DEATH {
+            requests_before = server.requests;
             dead = holder;
         }
-        without += u64::from(now > 40 * LEASE && holder.is_none());
+        steps_without_holder += u64::from(now > DEATH && holder.is_none());
     }
-    ((keeper.asks - before) / 20, without)
+    ContentionCost { requests_per_lease: (server.requests - requests_before) / 20, steps_without_holder }
 }
 
 #[test]
-fn a_task_costs_the_keepers_the_same_whether_ten_relays_want_it_or_hundreds() {
-    let (few, many) = (stampede(10), stampede(300));
-    println!("asks a lease, steps of a fiftieth without a holder: {few:?} with 10 relays, {many:?} with 300");
-    assert!(many.0 <= 24 && few.0 <= 24, "{few:?} {many:?}");
-    // The lease has run out at its holder a little before it does at the keeper, and somebody comes within a sixteenth.
-    assert!(many.1 <= 10, "{many:?}");
+fn a_contended_task_costs_the_server_the_same_for_ten_clients_as_for_hundreds() {
+    let (few, many) = (contention_cost(10), contention_cost(300));
+    println!("{few:?} with 10 clients, {many:?} with 300");
+    assert!(many.requests_per_lease <= 24 && few.requests_per_lease <= 24, "{few:?} {many:?}");
+    // The lease ends at its holder a little before it does at the server, and is acquired within a sixteenth.
+    assert!(many.steps_without_holder <= 10, "{many:?}");
 }
 
 #[test]
-fn what_staff_take_away_is_free_once_it_has_run_out_and_not_before() {
-    let parameters = LeaseParameters::new(LEASE);
-    let mut keeper = Replica::new(parameters);
-    let mut holder = LeaseClient::new(parameters, "holder", 1, 1);
-    holder.add_task(0, "probes", ONE);
-    let mut until = 0;
+fn a_revoked_lease_is_free_once_it_has_run_out_and_not_before() {
+    let mut server = server();
+    let mut holder = client("holder", 1);
+    holder.add_task(0, TASK, ONE_SLOT);
+    let mut free_at = 0;
     for step in 0..200 {
-        let now = step * LEASE / 50;
-        keeper.expires(now);
+        let now = step * STEP;
+        server.expire_leases(now);
         if now == 2 * LEASE {
-            let token = holder.held_token(now, "probes").expect("it holds it");
-            keeper.applies(now, &Command::Revoke { task: "probes".into(), token });
+            let token = holder.held_token(now, TASK).expect("it holds the task");
+            server.apply(now, &Command::Revoke { task: TASK.into(), token });
         }
-        let free = keeper.lease_table.leases().count() == 0;
+        let is_free = server.lease_count() == 0;
         assert!(
-            now == 0 || !free || holder.held_token(now, "probes").is_none(),
+            now == 0 || !is_free || holder.held_token(now, TASK).is_none(),
             "free while it is held, at {now}"
         );
-        if free && now > 0 && until == 0 {
-            until = now;
+        if is_free && now > 0 && free_at == 0 {
+            free_at = now;
         }
-        if until == 0
-            && let Some(request) = holder.next_request(now)
-        {
-            let said = keeper.hears(now, &request);
-            holder.on_response(now, request.id, &said);
+        if free_at == 0 {
+            server.exchange(now, &mut holder);
         }
     }
-    assert!((2 * LEASE + LEASE / 2..4 * LEASE).contains(&until), "free at {until}");
+    assert!((2 * LEASE + LEASE / 2..4 * LEASE).contains(&free_at), "free at {free_at}");
 }
 
 #[test]
-fn who_leaves_lets_go_and_the_next_need_not_wait() {
-    let parameters = LeaseParameters::new(LEASE);
-    let mut keeper = Replica::new(parameters);
-    let mut old = LeaseClient::new(parameters, "old", 1, 1);
-    old.add_task(0, "probes", ONE);
-    let request = old.next_request(0).expect("it wants a task");
-    let said = keeper.hears(0, &request);
-    old.on_response(0, request.id, &said);
-    let permit = old.permit(1_000, "probes", 10_000).expect("it holds it");
-    old.shut_down(2_000);
-    assert!(!old.is_idle());
-    // The act that is under way ends first.
-    let request = old.next_request(3_000).expect("its lease goes on while it acts");
+fn a_client_that_shuts_down_releases_its_lease_after_the_action_in_progress() {
+    let mut server = server();
+    let mut client = client("old", 1);
+    client.add_task(0, TASK, ONE_SLOT);
+    let request = client.next_request(0).expect("a request for the task");
+    let results = server.handle(0, &request);
+    client.on_response(0, request.id, &results);
+    let permit = client.permit(1_000, TASK, 10_000).expect("it holds the task");
+    client.shut_down(2_000);
+    assert!(!client.is_idle());
+    let request = client.next_request(3_000).expect("a renewal during the action");
     assert!(matches!(request.commands[..], [Command::Renew { .. }]), "{request:?}");
-    let said = keeper.hears(3_000, &request);
-    old.on_response(3_000, request.id, &said);
-    assert!(old.permit(4_000, "probes", 10_000).is_err());
+    let results = server.handle(3_000, &request);
+    client.on_response(3_000, request.id, &results);
+    assert!(client.permit(4_000, TASK, 10_000).is_err());
     drop(permit);
     let later = 5_000 + LEASE / 64;
-    let request = old.next_request(later).expect("it lets go");
+    let request = client.next_request(later).expect("a release after the action");
     assert!(matches!(request.commands[..], [Command::Release { .. }]), "{request:?}");
-    let said = keeper.hears(later, &request);
-    old.on_response(later, request.id, &said);
-    assert!(old.is_idle());
-    assert_eq!(keeper.lease_table.leases().count(), 0);
+    let results = server.handle(later, &request);
+    client.on_response(later, request.id, &results);
+    assert!(client.is_idle());
+    assert_eq!(server.lease_count(), 0);
 }
 
 #[test]
-fn a_holder_without_headway_and_one_whose_turn_is_over_let_go() {
-    let parameters = LeaseParameters::new(LEASE);
-    for options in
-        [TaskOptions { max_hold: Some(4 * LEASE), ..ONE }, TaskOptions { max_idle: Some(4 * LEASE), ..ONE }]
-    {
-        let mut keeper = Replica::new(parameters);
-        let mut client = [LeaseClient::new(parameters, "a", 1, 1), LeaseClient::new(parameters, "b", 1, 2)];
-        client.iter_mut().for_each(|client| client.add_task(0, "probes", options));
-        let mut held = [0, 0];
-        for step in 0..50 * 40 {
-            let now = step * LEASE / 50;
-            keeper.expires(now);
-            for (client, held) in client.iter_mut().zip(&mut held) {
-                if let Some(request) = client.next_request(now) {
-                    let said = keeper.hears(now, &request);
-                    client.on_response(now, request.id, &said);
-                }
-                *held += u32::from(client.held_token(now, "probes").is_some());
+fn a_holder_that_is_idle_or_over_its_time_lets_another_client_hold_the_task() {
+    let over_time = TaskOptions { max_hold: Some(4 * LEASE), ..ONE_SLOT };
+    let idle = TaskOptions { max_idle: Some(4 * LEASE), ..ONE_SLOT };
+    for options in [over_time, idle] {
+        let mut server = server();
+        let mut clients = [client("a", 1), client("b", 2)];
+        clients.iter_mut().for_each(|client| client.add_task(0, TASK, options));
+        let mut steps_held = [0, 0];
+        for step in 0..STEPS_PER_LEASE * 40 {
+            let now = step * STEP;
+            server.expire_leases(now);
+            for (client, steps_held) in clients.iter_mut().zip(&mut steps_held) {
+                server.exchange(now, client);
+                *steps_held += u32::from(client.held_token(now, TASK).is_some());
             }
         }
-        assert!(held.iter().all(|held| *held > 400), "{options:?}: {held:?}");
+        assert!(steps_held.iter().all(|steps| *steps > 400), "{options:?}: {steps_held:?}");
     }
 }
--- /dev/null
+++ b/crates/lease/tests/simulation/event.rs
@@ -0,0 +1,34 @@
+//! Events of a simulation.
+
+use honeyknot_lease::{Answer, Command, Micros, RequestTime};
+
+/// A client's request with one command.
+#[derive(Clone)]
+pub struct Request {
+    pub client: usize,
+    pub command: Command,
+    pub sent_at: RequestTime,
+}
+
+pub enum Event {
+    /// A client acts and sends requests.
+    ClientStep(usize),
+    /// The leader expires leases.
+    LeaderTick,
+    RequestArrives {
+        replica: usize,
+        request: Request,
+    },
+    /// A proposal of the leader of an epoch is committed.
+    Committed {
+        epoch: u64,
+        request: Option<Request>,
+        command: Command,
+        received_at: Micros,
+    },
+    AnswerArrives {
+        request: Request,
+        answer: Answer,
+    },
+    Fault,
+}
--- /dev/null
+++ b/crates/lease/tests/support/mod.rs
@@ -0,0 +1,5 @@
+//! Helpers of the tests of lease clients.
+
+mod server;
+
+pub use server::Server;
