--- /dev/null
+++ b/tests/lease_servers/main.rs
@@ -0,0 +1,7 @@
+//! Lease servers as processes of the program: storage, protocol, configuration, and what survives when all are killed at once.
+
+mod cluster;
+mod configuration;
+mod disk_full;
+mod protocol;
+mod recovery;
