--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -29,7 +29,7 @@
             Action::CloseIdleConnections(endpoint) => {
                 self.send_health_check_command(endpoint, HealthCheckCommand::Close)
             }
-            Action::SetTimer { delay, token } => self.timers.decision(delay, token),
+            Action::SetTimer { delay, token } => self.timers.set_balancer_timer(delay, token),
             // The discovery client follows the endpoint list all the time and paces its own polls.
             Action::Watch(_) => {}
             Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::Fetch),
--- a/src/relay/clock.rs
+++ b/src/relay/clock.rs
@@ -1,26 +1,27 @@
-//! The relay's one clock: Unix microseconds.
+//! The relay's clock, in Unix microseconds.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use honeyknot_balancer::Micros;
 
-/// Unix time read once, and monotonic time since. Guards against a stepped system clock, while the server
-/// roll's start times can still be compared with it.
-#[derive(Clone, Copy)]
+/// A clock that reads Unix time once, and advances by monotonic time since.
+///
+/// A step of the system clock does not change it, and it can be compared with the start times in the endpoint list.
+#[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Micros,
-    read: Instant,
+    unix_at_start: Micros,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clocks.
+    /// Starts a clock at the system's time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as Micros, read: Instant::now() }
+        Clock { unix_at_start: unix.as_micros() as Micros, started_at: Instant::now() }
     }
 
-    /// Unix microseconds.
+    /// Returns the time in Unix microseconds.
     pub fn now(&self) -> Micros {
-        self.unix + self.read.elapsed().as_micros() as Micros
+        self.unix_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -140,12 +140,12 @@
 async fn run_timers(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
-        let lag = timers.rest().await;
+        let lag = timers.wait().await;
         relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
-        for event in timers.due() {
+        for event in timers.take_due() {
             match event {
                 TimerEvent::Wake(task) => task.wake(),
-                TimerEvent::Decision(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
+                TimerEvent::Balancer(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
             }
         }
     }
--- a/src/relay/timer_wheel.rs
+++ b/src/relay/timer_wheel.rs
@@ -1,26 +1,26 @@
-//! Timers as coarse ticks on a wheel, and the naps that sessions take on it.
+//! Timers as coarse ticks on a hashed wheel, and the sleeps of tasks on it.
 
 use std::cell::{Cell, RefCell};
+use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
+use honeyknot_balancer::{Micros, TimerToken};
 use tokio::sync::Notify;
 
 use super::clock::Clock;
-use honeyknot_balancer::{Micros, TimerToken};
 
-/// Length of a tick: well under the simulator's own step of 5 ms.
+/// Length of a tick, well under the simulator's step of 5 ms.
 pub const TICK: Micros = 2_000;
-/// Slots of a turn, about two seconds: most timers are shorter, the others stay for some turns.
+/// Slots of the wheel: one turn takes about two seconds, and an entry that is due later stays for several turns.
 const SLOTS: u64 = 1024;
+/// The wheel is advanced after this many ticks at the latest, so that entries due later need not be looked for.
+const MAX_TICKS_AHEAD: u64 = 128;
 
-/// The wheel is turned after so many ticks at the latest, whatever it holds. What comes due later need not be looked for.
-const LONGEST_REST: u64 = 128;
-
-/// Where an entry sits, to take it back.
+/// Identifies an entry of the wheel, to remove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerHandle {
     tick: u64,
@@ -28,143 +28,160 @@
 }
 
 /// A hashed timer wheel.
+#[derive(Debug)]
 pub struct TimerWheel<T> {
     slots: Vec<Vec<(TimerHandle, T)>>,
-    turned_to: u64,
-    serial: u64,
+    current_tick: u64,
+    last_serial: u64,
+}
+
+fn slot_of(tick: u64) -> usize {
+    (tick % SLOTS) as usize
 }
 
 impl<T> TimerWheel<T> {
-    /// An empty wheel that stands at this time.
+    /// Returns an empty wheel at this time.
     pub fn new(now: Micros) -> TimerWheel<T> {
-        TimerWheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), turned_to: now / TICK, serial: 0 }
+        let slots = (0..SLOTS).map(|_| Vec::new()).collect();
+        TimerWheel { slots, current_tick: now / TICK, last_serial: 0 }
     }
 
-    /// Puts an item down for the first tick at or after its time, which is never one that has passed.
-    pub fn put(&mut self, due: Micros, item: T) -> TimerHandle {
-        self.serial += 1;
-        let place = TimerHandle { tick: due.div_ceil(TICK).max(self.turned_to + 1), serial: self.serial };
-        self.slots[(place.tick % SLOTS) as usize].push((place, item));
-        place
+    /// Inserts an item for the first tick at or after its time that has not passed.
+    pub fn insert(&mut self, due: Micros, item: T) -> TimerHandle {
+        self.last_serial += 1;
+        let tick = due.div_ceil(TICK).max(self.current_tick + 1);
+        let handle = TimerHandle { tick, serial: self.last_serial };
+        self.slots[slot_of(tick)].push((handle, item));
+        handle
     }
 
-    /// Takes an item back, if it is still there.
-    pub fn take(&mut self, place: TimerHandle) -> Option<T> {
-        let slot = &mut self.slots[(place.tick % SLOTS) as usize];
-        let at = slot.iter().position(|(p, _)| *p == place)?;
-        Some(slot.swap_remove(at).1)
+    /// Removes an item, if the wheel still holds it.
+    pub fn remove(&mut self, handle: TimerHandle) -> Option<T> {
+        let slot = &mut self.slots[slot_of(handle.tick)];
+        let index = slot.iter().position(|(held, _)| *held == handle)?;
+        Some(slot.swap_remove(index).1)
     }
 
-    /// The tick at which it must be turned next: that of the first entry that comes due, or some ticks on.
-    pub fn next_turn(&self) -> u64 {
-        let soon = self.turned_to + 1..self.turned_to + LONGEST_REST;
-        let holds = |tick: &u64| self.slots[(tick % SLOTS) as usize].iter().any(|(p, _)| p.tick <= *tick);
-        soon.into_iter().find(holds).unwrap_or(self.turned_to + LONGEST_REST)
+    /// Returns the tick at which the wheel must be advanced next: the first with an entry that is due, or the last
+    /// one that is looked at.
+    pub fn next_tick(&self) -> u64 {
+        let last = self.current_tick + MAX_TICKS_AHEAD;
+        let holds_due = |tick: &u64| self.slots[slot_of(*tick)].iter().any(|(held, _)| held.tick <= *tick);
+        (self.current_tick + 1..last).find(holds_due).unwrap_or(last)
     }
 
-    /// Turns to this time and returns what has come due, in the order of time and of putting down.
-    pub fn turn(&mut self, now: Micros) -> Vec<T> {
+    /// Advances to this time and returns the items that are due, in the order of their ticks and of insertion.
+    pub fn advance(&mut self, now: Micros) -> Vec<T> {
         let target = now / TICK;
         let mut due = Vec::new();
         // After a long pause one turn visits every slot.
-        for tick in (self.turned_to + 1..=target).take(SLOTS as usize) {
-            let slot = &mut self.slots[(tick % SLOTS) as usize];
-            let (ripe, later) = std::mem::take(slot).into_iter().partition(|(p, _)| p.tick <= target);
-            *slot = later;
-            due.extend::<Vec<_>>(ripe);
+        for tick in (self.current_tick + 1..=target).take(SLOTS as usize) {
+            let slot = &mut self.slots[slot_of(tick)];
+            let entries = std::mem::take(slot).into_iter();
+            let (expired, pending) = entries.partition(|(held, _)| held.tick <= target);
+            *slot = pending;
+            due.extend::<Vec<_>>(expired);
         }
-        self.turned_to = self.turned_to.max(target);
-        due.sort_by_key(|(place, _)| (place.tick, place.serial));
+        self.current_tick = self.current_tick.max(target);
+        due.sort_by_key(|(handle, _)| (handle.tick, handle.serial));
         due.into_iter().map(|(_, item)| item).collect()
     }
 }
 
 /// What the wheel holds.
+#[derive(Debug)]
 pub enum TimerEvent {
-    /// A timer of the decisions.
-    Decision(TimerToken),
-    /// A task that naps.
+    /// A timer of the balancer.
+    Balancer(TimerToken),
+    /// A task that sleeps.
     Wake(Waker),
 }
 
-/// The relay's wheel with its clock, shared by all tasks.
+/// The relay's clock and timer wheel, shared by all tasks.
 pub struct Timers {
     /// The relay's clock.
     pub clock: Clock,
     wheel: RefCell<TimerWheel<TimerEvent>>,
-    /// The tick until which nobody turns the wheel.
-    rests_until: Cell<u64>,
-    /// Told when something comes due before that.
-    sooner: Notify,
+    /// The tick until which [`Timers::wait`] waits.
+    waiting_until: Cell<u64>,
+    /// Notified when an entry is due before that.
+    earlier_entry: Notify,
+}
+
+impl fmt::Debug for Timers {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.debug_struct("Timers").field("clock", &self.clock).finish_non_exhaustive()
+    }
 }
 
 impl Timers {
-    /// A wheel that stands at the clock's time.
+    /// Returns an empty wheel at the clock's time.
     pub fn new(clock: Clock) -> Rc<Timers> {
         let wheel = RefCell::new(TimerWheel::new(clock.now()));
-        Rc::new(Timers { clock, wheel, rests_until: Cell::new(0), sooner: Notify::new() })
+        Rc::new(Timers { clock, wheel, waiting_until: Cell::new(0), earlier_entry: Notify::new() })
     }
 
-    /// Sets a timer of the decisions.
-    pub fn decision(&self, delay: Micros, token: TimerToken) {
-        self.put(self.clock.now().saturating_add(delay), TimerEvent::Decision(token));
+    /// Sets a timer of the balancer.
+    pub fn set_balancer_timer(&self, delay: Micros, token: TimerToken) {
+        self.insert(self.clock.now().saturating_add(delay), TimerEvent::Balancer(token));
     }
 
-    fn put(&self, due: Micros, alarm: TimerEvent) -> TimerHandle {
-        let place = self.wheel.borrow_mut().put(due, alarm);
-        if place.tick < self.rests_until.get() {
-            self.sooner.notify_one();
+    fn insert(&self, due: Micros, event: TimerEvent) -> TimerHandle {
+        let handle = self.wheel.borrow_mut().insert(due, event);
+        if handle.tick < self.waiting_until.get() {
+            self.earlier_entry.notify_one();
         }
-        place
+        handle
     }
 
-    /// Rests until something comes due. A relay that does nothing wakes some times a second and not at every tick:
-    /// hundreds of them share a machine.
-    /// How late it is then comes back.
-    pub async fn rest(&self) -> Micros {
+    /// Waits until the wheel must be advanced, and returns by how much that is late.
+    ///
+    /// An idle relay wakes some times a second and not at every tick: hundreds of them may share a machine.
+    pub async fn wait(&self) -> Micros {
         loop {
-            let next = self.wheel.borrow().next_turn();
+            let next = self.wheel.borrow().next_tick();
             let now = self.clock.now();
             let due = next * TICK;
             if now >= due {
-                self.rests_until.set(0);
+                self.waiting_until.set(0);
                 return now - due;
             }
-            self.rests_until.set(next);
+            self.waiting_until.set(next);
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_micros(due - now)) => {}
-                () = self.sooner.notified() => {}
+                () = self.earlier_entry.notified() => {}
             }
         }
     }
 
-    /// What has come due by now.
-    pub fn due(&self) -> Vec<TimerEvent> {
-        self.wheel.borrow_mut().turn(self.clock.now())
+    /// Removes and returns the events that are due by now.
+    pub fn take_due(&self) -> Vec<TimerEvent> {
+        self.wheel.borrow_mut().advance(self.clock.now())
     }
 
-    /// Waits for a point in time.
-    pub fn sleep_until(self: &Rc<Timers>, due: Micros) -> Sleep {
-        Sleep { timers: self.clone(), due, place: None }
+    /// Waits until a point in time, in Unix microseconds.
+    pub fn sleep_until(self: &Rc<Timers>, deadline: Micros) -> Sleep {
+        Sleep { timers: self.clone(), deadline, handle: None }
     }
 
-    /// Waits for a span of time.
-    pub fn sleep(self: &Rc<Timers>, span: Micros) -> Sleep {
-        self.sleep_until(self.clock.now().saturating_add(span))
+    /// Waits for a duration.
+    pub fn sleep(self: &Rc<Timers>, duration: Micros) -> Sleep {
+        self.sleep_until(self.clock.now().saturating_add(duration))
     }
 }
 
-/// A wait on the wheel; dropping it takes it off.
+/// A task's wait on the wheel; dropping it removes its entry.
+#[derive(Debug)]
 pub struct Sleep {
     timers: Rc<Timers>,
-    due: Micros,
-    place: Option<TimerHandle>,
+    deadline: Micros,
+    handle: Option<TimerHandle>,
 }
 
 impl Sleep {
-    fn take_off(&mut self) {
-        if let Some(place) = self.place.take() {
-            self.timers.wheel.borrow_mut().take(place);
+    fn remove_entry(&mut self) {
+        if let Some(handle) = self.handle.take() {
+            self.timers.wheel.borrow_mut().remove(handle);
         }
     }
 }
@@ -173,19 +190,18 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        self.take_off();
-        if self.timers.clock.now() >= self.due {
+        self.remove_entry();
+        if self.timers.clock.now() >= self.deadline {
             return Poll::Ready(());
         }
-        let alarm = TimerEvent::Wake(context.waker().clone());
-        let place = self.timers.put(self.due, alarm);
-        self.place = Some(place);
+        let handle = self.timers.insert(self.deadline, TimerEvent::Wake(context.waker().clone()));
+        self.handle = Some(handle);
         Poll::Pending
     }
 }
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        self.take_off();
+        self.remove_entry();
     }
 }
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against a sorted list, from a fixed seed, and the pace of a planned restart.
+//! The timer wheel against a sorted list, from a fixed seed, and the pace of a graceful shutdown.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use rand_pcg::Pcg64Mcg;
 
 #[test]
-fn what_is_due_comes_out_in_order_and_what_is_taken_back_does_not() {
+fn due_entries_are_returned_in_order_and_removed_ones_are_not() {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let mut now = 1_000_000_007;
-    let (mut wheel, mut waiting) = (TimerWheel::new(now), BTreeMap::new());
+    let (mut wheel, mut pending) = (TimerWheel::new(now), BTreeMap::new());
     for serial in 0..20_000u64 {
         match rng.random_range(0..4) {
             0 => {
@@ -19,64 +19,64 @@
                 now += rng.random_range(0..if serial % 97 == 0 { 20_000_000 } else { 9_000 });
                 let mut due = Vec::new();
                 while let Some((&(tick, id), _)) =
-                    waiting.first_key_value().filter(|((t, _), _)| *t <= now / TICK)
+                    pending.first_key_value().filter(|((tick, _), _)| *tick <= now / TICK)
                 {
-                    waiting.remove(&(tick, id));
+                    pending.remove(&(tick, id));
                     due.push(id);
                 }
-                assert_eq!(wheel.turn(now), due);
+                assert_eq!(wheel.advance(now), due);
             }
-            1 if !waiting.is_empty() => {
-                let at = rng.random_range(0..waiting.len());
-                let (&(tick, id), &place) = waiting.iter().nth(at).expect("an entry");
-                waiting.remove(&(tick, id));
-                assert_eq!((wheel.take(place), wheel.take(place)), (Some(id), None));
+            1 if !pending.is_empty() => {
+                let index = rng.random_range(0..pending.len());
+                let (&(tick, id), &handle) = pending.iter().nth(index).expect("an entry");
+                pending.remove(&(tick, id));
+                assert_eq!((wheel.remove(handle), wheel.remove(handle)), (Some(id), None));
             }
             _ => {
                 let due = now + rng.random_range(0..6_000_000);
                 let tick = due.div_ceil(TICK).max(now / TICK + 1);
-                waiting.insert((tick, serial), wheel.put(due, serial));
+                pending.insert((tick, serial), wheel.insert(due, serial));
             }
         }
     }
 }
 
-/// Guards against a turn that finds nothing due and is wanted again at once, for ever: tens of thousands of restarts' worth of
-/// timers, with pauses as of a process that was stopped.
+/// Guards against an advance that finds nothing due and is wanted again at once, for ever: tens of thousands of
+/// restarts' worth of timers, with pauses as of a process that was stopped.
 #[test]
-fn every_turn_moves_on_and_nothing_comes_late_by_a_rest() {
+fn next_tick_is_in_the_future_and_never_after_the_first_due_entry() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     for _ in 0..400 {
         let mut now = rng.random_range(1..4_000_000_000);
-        let (mut wheel, mut waiting) = (TimerWheel::new(now), BTreeMap::new());
+        let (mut wheel, mut pending) = (TimerWheel::new(now), BTreeMap::new());
         for serial in 0..100u64 {
             for _ in 0..rng.random_range(0..3) {
                 // Some are due at once, some long ago, some after many turns.
                 let due = (now + rng.random_range(0..3_000_000)).saturating_sub(rng.random_range(0..500_000));
                 let tick = due.div_ceil(TICK).max(now / TICK + 1);
-                *waiting.entry(tick).or_insert(0) += 1;
-                wheel.put(due, serial);
+                *pending.entry(tick).or_insert(0) += 1;
+                wheel.insert(due, serial);
             }
-            let next = wheel.next_turn();
-            assert!(next > now / TICK, "a turn that is due already");
+            let next = wheel.next_tick();
+            assert!(next > now / TICK, "a tick that has passed");
             assert!(
-                waiting.first_key_value().is_none_or(|(tick, _)| next <= *tick),
-                "a rest beyond what is due"
+                pending.first_key_value().is_none_or(|(tick, _)| next <= *tick),
+                "a wait beyond the first due entry"
             );
             now = next * TICK + if rng.random_bool(0.02) { 8_000_000 } else { rng.random_range(0..TICK) };
-            let due: usize = waiting.extract_if(..=now / TICK, |_, _| true).map(|(_, count)| count).sum();
-            assert_eq!(wheel.turn(now).len(), due);
+            let due: usize = pending.extract_if(..=now / TICK, |_, _| true).map(|(_, count)| count).sum();
+            assert_eq!(wheel.advance(now).len(), due);
         }
     }
 }
 
 #[test]
-fn a_restart_moves_everybody_in_time_and_not_at_once() {
-    let (mut standing, mut left, mut most) = (400, 800_000, 0);
-    while left > 0 && standing > 0 {
-        let due = migrations_due(standing, left);
-        (standing, left, most) = (standing - due, left - 20_000, most.max(due));
+fn graceful_shutdown_migrates_every_connection_in_time_at_an_even_pace() {
+    let (mut established, mut time_left, mut max_due) = (400, 800_000, 0);
+    while time_left > 0 && established > 0 {
+        let due = migrations_due(established, time_left);
+        (established, time_left, max_due) = (established - due, time_left - 20_000, max_due.max(due));
     }
-    assert_eq!((standing, most), (0, 10));
+    assert_eq!((established, max_due), (0, 10));
     assert_eq!(migrations_due(5, 0), 5);
 }
