--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -9,7 +9,10 @@
 
 use honeyknot_relay::admin::call::{self, Bad, Call};
 use honeyknot_relay::relay::lifecycle::config::Config;
-use loopback::{OPEN, Relay, case, config, config_text, line, listen, open, rest, say, session};
+use loopback::{
+    OPEN, Relay, accept_connection, config, config_text, listen, open_request, receive_line, receive_to_end,
+    run_case, send,
+};
 use proptest::prelude::*;
 use serde_json::Value;
 use tokio::io::BufReader;
@@ -20,7 +23,7 @@
 async fn figures(relay: &Relay, wanted: impl Fn(&Value) -> bool) -> Value {
     let until = Instant::now() + Duration::from_secs(10);
     loop {
-        let text = relay.call("stats\r\n").await;
+        let text = relay.admin_command("stats\r\n").await;
         let figures = text.strip_suffix("\r\nEND\r\n").expect("an END");
         let figures: Value = serde_json::from_str(figures).expect("JSON");
         if wanted(&figures) {
@@ -38,36 +41,36 @@
 
 #[test]
 fn each_connection_is_counted_once_as_its_client_saw_it() {
-    case(async {
+    run_case(async {
         let (server, at) = listen().await;
         let relay = Relay::start(&[("s-1", at, "active")], 256).await;
         let start = figures(&relay, |_| true).await;
         assert_eq!((counts(&start), &start["outstanding"]), ([0; 4], &Value::from(0)));
         // Brought up, and stands.
         let mut stands = relay.client(OPEN).await;
-        let (mut held, _) = session(&server).await;
-        say(&mut held, "UP r-1\r\n").await;
-        assert_eq!(line(&mut stands).await, "UP r-1\r\n");
+        let (mut held, _) = accept_connection(&server).await;
+        send(&mut held, "UP r-1\r\n").await;
+        assert_eq!(receive_line(&mut stands).await, "UP r-1\r\n");
         let one = figures(&relay, |f| counts(f)[0] == 1).await;
         assert_eq!((counts(&one), &one["outstanding"]), ([1, 0, 0, 1], &Value::from(1)));
         // Failed: the same id again, which is sent nowhere. A line that cannot be read is of no class.
-        assert_eq!(rest(relay.client(OPEN).await).await, "ERR\r\n");
-        assert_eq!(rest(relay.client("NONSENSE\r\n").await).await, "ERR\r\n");
+        assert_eq!(receive_to_end(relay.client(OPEN).await).await, "ERR\r\n");
+        assert_eq!(receive_to_end(relay.client("NONSENSE\r\n").await).await, "ERR\r\n");
         // Turned away by the card server for good: the relay has tried it and refuses.
-        let declined = relay.client(&open("9c")).await;
-        let (mut turned, _) = session(&server).await;
-        say(&mut turned, "BUSY\r\n").await;
+        let declined = relay.client(&open_request("9c")).await;
+        let (mut turned, _) = accept_connection(&server).await;
+        send(&mut turned, "BUSY\r\n").await;
         drop(turned);
-        assert!(rest(declined).await.starts_with("BUSY"));
+        assert!(receive_to_end(declined).await.starts_with("BUSY"));
         // The client leaves first.
-        let leaves = relay.client(&open("9d")).await;
-        let (_waits, _) = session(&server).await;
+        let leaves = relay.client(&open_request("9d")).await;
+        let (_waits, _) = accept_connection(&server).await;
         drop(leaves);
         let all = figures(&relay, |f| counts(f).iter().take(3).sum::<u64>() == 4).await;
         assert_eq!(counts(&all), [1, 1, 2, 3]);
         // The one that stood ends.
         drop(held);
-        assert_eq!(rest(stands).await, "");
+        assert_eq!(receive_to_end(stands).await, "");
         let end = figures(&relay, |f| f["outstanding"] == 0).await;
         assert_eq!((counts(&end), &end["discovered"]), ([1, 1, 2, 3], &Value::from(1)));
         // Discovery is down: the list is the one of the configuration.
@@ -82,40 +85,41 @@
 
 #[test]
 fn a_card_server_out_by_hand_gets_nothing_and_its_clients_are_moved() {
-    case(async {
+    run_case(async {
         let (server, at) = listen().await;
         let relay = Relay::start(&[("s-1", at, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut held, _) = session(&server).await;
-        say(&mut held, "UP r-1\r\n").await;
-        assert_eq!(line(&mut client).await, "UP r-1\r\n");
-        assert!(relay.call("maint-on nobody\r\n").await.starts_with("NO"));
-        assert!(relay.call("maint-off nobody\r\n").await.starts_with("NO"));
+        let (mut held, _) = accept_connection(&server).await;
+        send(&mut held, "UP r-1\r\n").await;
+        assert_eq!(receive_line(&mut client).await, "UP r-1\r\n");
+        assert!(relay.admin_command("maint-on nobody\r\n").await.starts_with("NO"));
+        assert!(relay.admin_command("maint-off nobody\r\n").await.starts_with("NO"));
         // Two calls out need one back.
-        assert_eq!(relay.call("maint-on s-1\r\n").await, "YES\r\n");
-        assert_eq!(relay.call("maint-on s-1\n").await, "YES\n");
+        assert_eq!(relay.admin_command("maint-on s-1\r\n").await, "YES\r\n");
+        assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
         let seen = figures(&relay, |_| true).await;
         assert_eq!((&seen["discovered"], &seen["ejected"]), (&Value::from(1), &Value::from(1)));
-        assert_eq!(rest(client).await, "MOVE\r\n");
+        assert_eq!(receive_to_end(client).await, "MOVE\r\n");
         // What was under way to it is over, and nothing new comes: the client is refused.
-        let refused = rest(relay.client(&open("9e")).await).await;
+        let refused = receive_to_end(relay.client(&open_request("9e")).await).await;
         assert!(refused.starts_with("BUSY"), "{refused}");
         assert!(timeout(Duration::from_millis(300), server.accept()).await.is_err());
-        assert_eq!(relay.call("maint-off s-1\r\n").await, "YES\r\n");
-        assert_eq!(relay.call("maint-off s-1\r\n").await, "YES\r\n");
+        assert_eq!(relay.admin_command("maint-off s-1\r\n").await, "YES\r\n");
+        assert_eq!(relay.admin_command("maint-off s-1\r\n").await, "YES\r\n");
         assert_eq!(figures(&relay, |_| true).await["ejected"], 0);
         // It comes back cold, and is used: other clients than those moved away come again when refused.
         let (back, until) = (Cell::new(false), Instant::now() + Duration::from_secs(5));
         let served = async {
-            let (mut held, _) = session(&server).await;
+            let (mut held, _) = accept_connection(&server).await;
             back.set(true);
-            say(&mut held, "UP r-2\r\n").await;
+            send(&mut held, "UP r-2\r\n").await;
             held
         };
         let clients = async {
             for number in 0.. {
-                let mut client = relay.client(&open(&format!("a{number}")).replace("7f3a", "7f3b")).await;
-                if line(&mut client).await == "UP r-2\r\n" {
+                let mut client =
+                    relay.client(&open_request(&format!("a{number}")).replace("7f3a", "7f3b")).await;
+                if receive_line(&mut client).await == "UP r-2\r\n" {
                     return;
                 }
                 assert!(!back.get() && Instant::now() < until, "not used within 5 s");
@@ -128,48 +132,48 @@
 
 #[test]
 fn a_call_is_answered_within_a_second_beside_many_that_say_nothing() {
-    case(async {
+    run_case(async {
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
         let mut silent = Vec::new();
         for round in 0..64 {
             let mut caller = BufReader::new(TcpStream::connect(relay.admin).await.expect("a connection"));
             if round % 2 == 0 {
-                say(&mut caller, "stat").await;
+                send(&mut caller, "stat").await;
             }
             silent.push(caller);
         }
         let asked = Instant::now();
-        assert_eq!(relay.call("status\r\n").await, "YES\r\n");
+        assert_eq!(relay.admin_command("status\r\n").await, "YES\r\n");
         assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
     });
 }
 
 #[test]
 fn calls_that_are_none_get_a_reason() {
-    case(async {
+    run_case(async {
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
         let long = format!("status{}\r\n", " ".repeat(5_000));
         for bad in ["\r\n", "STATUS\r\n", "maint-on\r\n", "status now\r\n", "st\0atus\r\n", "sté\r\n", &long]
         {
-            let answer = relay.call(bad).await;
+            let answer = relay.admin_command(bad).await;
             assert!(answer.starts_with("NO ") && answer.ends_with('\n'), "{bad:?}: {answer:?}");
         }
-        assert_eq!(relay.call("  status \n").await, "YES\n");
+        assert_eq!(relay.admin_command("  status \n").await, "YES\n");
     });
 }
 
 #[test]
 fn a_process_says_yes_only_while_it_can_serve() {
-    case(async {
+    run_case(async {
         let relay = Relay::start(&[], 256).await;
-        assert_eq!(relay.call("status\r\n").await, "NO no server roll yet\r\n");
+        assert_eq!(relay.admin_command("status\r\n").await, "NO no server roll yet\r\n");
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
-        assert_eq!(relay.call("status\r\n").await, "YES\r\n");
+        assert_eq!(relay.admin_command("status\r\n").await, "YES\r\n");
         let _ = relay.stop.send(());
         sleep(Duration::from_millis(50)).await;
         let mut caller = BufReader::new(TcpStream::connect(relay.admin).await.expect("a connection"));
-        say(&mut caller, "status\r\n").await;
-        assert_eq!(rest(caller).await, "NO on its way out\r\n");
+        send(&mut caller, "status\r\n").await;
+        assert_eq!(receive_to_end(caller).await, "NO on its way out\r\n");
     });
 }
 
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Output;
 
-use process::{Folder, Relay, answer, config, free, honeyknot};
+use process::{Relay, ScratchDirectory, config, first_answer, relay_command, unused_address};
 use serde_json::json;
 
 fn told(output: &Output) -> (Option<i32>, String) {
@@ -16,12 +16,12 @@
 
 #[test]
 fn check_config_tells_all_faults_of_an_operator_file_with_their_places() {
-    let folder = Folder::new("check");
+    let folder = ScratchDirectory::new("check");
     let config = folder.write("config.json", &config("127.0.0.1:1".parse().expect("an address")));
     let good = folder.write("good.conf", "spill-limit 20%\nprefer tema {\n  tier kasoa\n}\n");
     let checked = |file: &Path| {
         let file = file.display().to_string();
-        honeyknot(&config, &["check-config", "--sites", &file]).output().expect("a run")
+        relay_command(&config, &["check-config", "--sites", &file]).output().expect("a run")
     };
     let output = checked(&good);
     assert!(output.status.success(), "{:?}", told(&output));
@@ -42,18 +42,18 @@
 
 #[test]
 fn a_hangup_takes_all_of_an_operator_file_or_nothing_and_the_log_may_be_json() {
-    let folder = Folder::new("hangup");
-    let listen = free();
+    let folder = ScratchDirectory::new("hangup");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let sites = folder.write("sites.conf", "spill-limit 20%\n");
     let relay = Relay::start(&folder, &config, "log", &["--sites", &sites.display().to_string()]);
     folder.write("sites.conf", "spill-limit 20%\nspill-limits 5%\n");
-    relay.hang_up();
-    relay.logged("unknown directive `spill-limits`; is `spill-limit` meant?");
-    relay.logged("configuration rejected; the current one stays");
+    relay.send_sighup();
+    relay.wait_for_log("unknown directive `spill-limits`; is `spill-limit` meant?");
+    relay.wait_for_log("configuration rejected; the current one stays");
     folder.write("sites.conf", "spill-limit 30%\n");
-    relay.hang_up();
-    relay.logged("\"message\":\"configuration applied\"");
+    relay.send_sighup();
+    relay.wait_for_log("\"message\":\"configuration applied\"");
     let first = fs::read_to_string(&relay.log).expect("a log").lines().next().map(str::to_owned);
     let record: serde_json::Value = serde_json::from_str(&first.expect("a record")).expect("JSON");
     assert_eq!(
@@ -61,14 +61,14 @@
         (&json!("relay"), &json!("n0"), &json!("INFO"))
     );
     // It still serves: nobody is ready, so a client is refused at once, with a time to come back.
-    let line = answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
+    let line = first_answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
     assert!(line.starts_with("BUSY"), "{line}");
 }
 
 #[test]
 fn metrics_are_named_and_captures_made_readable() {
-    let folder = Folder::new("inspect");
-    let run = |words: &[&str]| honeyknot(&folder.0, words).output().expect("a run");
+    let folder = ScratchDirectory::new("inspect");
+    let run = |words: &[&str]| relay_command(&folder.0, words).output().expect("a run");
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
--- a/tests/compatibility/relay/admin.rs
+++ b/tests/compatibility/relay/admin.rs
@@ -4,7 +4,7 @@
 use honeyknot_relay::admin::call::{self, Call as AdminCommand};
 use serde_json::Value;
 
-use super::loopback::{Relay, case, listen};
+use super::loopback::{Relay, listen, run_case};
 use super::{fixture, fixture_text};
 
 /// Command, a tab and how its answer begins.
@@ -38,11 +38,11 @@
 
 #[test]
 fn each_admin_command_is_answered_as_by_the_previous_version() {
-    case(async {
+    run_case(async {
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
         for line in fixture_text(ANSWERS).lines() {
             let (command, wanted) = line.split_once('\t').expect("a command and an answer");
-            let answer = relay.call(&format!("{command}\r\n")).await;
+            let answer = relay.admin_command(&format!("{command}\r\n")).await;
             assert_eq!(beginning(&answer), wanted, "{command:?}: {answer:?}");
         }
     });
@@ -71,9 +71,9 @@
 
 #[test]
 fn the_figures_have_the_keys_of_the_previous_version() {
-    case(async {
+    run_case(async {
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
-        let answer = relay.call("stats\n").await;
+        let answer = relay.admin_command("stats\n").await;
         let line = answer.strip_suffix("\nEND\n").expect("a last line");
         let mut found = String::new();
         keys("", &serde_json::from_str(line).expect("JSON"), &mut found);
--- a/tests/compatibility/relay/command_line.rs
+++ b/tests/compatibility/relay/command_line.rs
@@ -6,7 +6,7 @@
 use std::process::Output;
 use std::thread::JoinHandle;
 
-use super::process::{Folder as ScratchFolder, config, free, honeyknot as program};
+use super::process::{ScratchDirectory, config, relay_command as program, unused_address};
 use super::{FIXTURES, address, fixture_text};
 
 /// The program's name in what it prints.
@@ -32,7 +32,7 @@
 }
 
 /// A sound configuration of the platform, in a folder of its own.
-fn sound_configuration(scratch: &ScratchFolder) -> PathBuf {
+fn sound_configuration(scratch: &ScratchDirectory) -> PathBuf {
     scratch.write("config.json", &config(address("127.0.0.1:1")))
 }
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_wrong_operator_file_is_told_with_status_2_whether_a_flag_or_a_variable_names_it() {
-    let scratch = ScratchFolder::new("frozen-wrong-file");
+    let scratch = ScratchDirectory::new("frozen-wrong-file");
     let config = sound_configuration(&scratch);
     for (flag, variable, name) in OPERATOR_FILES {
         let file = path(&format!("{name}.conf"));
@@ -146,7 +146,7 @@
 
 #[test]
 fn operator_files_of_the_previous_version_are_accepted() {
-    let scratch = ScratchFolder::new("frozen-right-files");
+    let scratch = ScratchDirectory::new("frozen-right-files");
     let config = sound_configuration(&scratch);
     let sites = scratch.write("sites.conf", "prefer tema {\n    tier kasoa\n}\n").display().to_string();
     let (neighbors, metrics) = (path("neighbors.conf"), path("metrics.conf"));
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_configuration_that_is_wrong_is_told_with_status_2() {
-    let scratch = ScratchFolder::new("frozen-wrong-config");
+    let scratch = ScratchDirectory::new("frozen-wrong-config");
     let config = scratch.write("config.json", "{\"name\": \"n0\"}");
     let (status, _, errors) = run_with(&config, &[], &["check-config"]);
     let wanted = format!("{PROGRAM_NAME}: {}: neither `listen` nor EDGE_LISTEN is given\n", config.display());
@@ -167,7 +167,7 @@
 
 #[test]
 fn variables_of_the_environment_go_before_the_configuration() {
-    let scratch = ScratchFolder::new("frozen-variables");
+    let scratch = ScratchDirectory::new("frozen-variables");
     let config = sound_configuration(&scratch);
     let variables = [
         ("EDGE_NAME", "n7"),
@@ -202,7 +202,7 @@
         assert_eq!(done, (Some(status), answer.to_owned(), String::new()));
         assert_eq!(sent.join().expect("a line"), "maint-on s-1\n");
     }
-    let at = free().to_string();
+    let at = unused_address().to_string();
     let (status, printed, errors) = run(&["call", &at, "status"]);
     assert_eq!((status, printed.as_str()), (Some(2), ""));
     assert!(errors.starts_with(&format!("{PROGRAM_NAME}: {at}: ")), "{errors}");
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -14,8 +14,8 @@
 use tokio::net::UnixStream;
 use tokio::time::sleep;
 
-use super::loopback::{Relay, case, config};
-use super::process::Folder as ScratchFolder;
+use super::loopback::{Relay, config, run_case};
+use super::process::ScratchDirectory;
 use super::{address, fixture, fixture_text, start_relay};
 
 const MESSAGES: &str = "hot-restart-messages.jsonl";
@@ -177,7 +177,7 @@
 }
 
 /// A relay that found the fixture's file of endpoints in maintenance at its start, and the folder of that file.
-async fn restarted_relay(scratch: &ScratchFolder) -> (Relay, PathBuf) {
+async fn restarted_relay(scratch: &ScratchDirectory) -> (Relay, PathBuf) {
     let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
     let path = scratch.0.join(MEETING_FOLDER);
     fs::write(path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("a file");
@@ -191,20 +191,20 @@
 
 #[test]
 fn the_file_of_endpoints_in_maintenance_of_the_previous_version_is_read_and_written_unchanged() {
-    case(async {
-        let scratch = ScratchFolder::new("frozen-maintenance");
+    run_case(async {
+        let scratch = ScratchDirectory::new("frozen-maintenance");
         let (relay, path) = restarted_relay(&scratch).await;
         let file = path.join(MAINTENANCE_FILE);
         fs::remove_file(&file).expect("it was there");
         // It is in maintenance already, so that the record stays as it is and is written again.
-        assert_eq!(relay.call("maint-on s-1\n").await, "YES\n");
+        assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
         assert_eq!(fs::read(&file).expect("a file"), fixture(MAINTENANCE_FILE));
     });
 }
 
 #[test]
 fn a_file_of_endpoints_in_maintenance_with_any_byte_changed_is_not_taken() {
-    let scratch = ScratchFolder::new("frozen-maintenance-torn");
+    let scratch = ScratchDirectory::new("frozen-maintenance-torn");
     let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
     let file = scratch.0.join(MEETING_FOLDER).join(MAINTENANCE_FILE);
     let whole = fixture(MAINTENANCE_FILE);
@@ -244,8 +244,8 @@
 
 #[test]
 fn a_new_process_of_the_previous_version_takes_over_by_the_frozen_lines() {
-    case(async {
-        let scratch = ScratchFolder::new("frozen-takeover");
+    run_case(async {
+        let scratch = ScratchDirectory::new("frozen-takeover");
         let (_relay, path) = restarted_relay(&scratch).await;
         let mut newer = PreviousVersion::connect(&path).await;
         newer.say(&line_of("hello")).await;
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -12,8 +12,8 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpListener;
 
-use super::loopback::{case, config};
-use super::process::Folder as ScratchFolder;
+use super::loopback::{config, run_case};
+use super::process::ScratchDirectory;
 use super::{address, fixture, fixture_text, start_relay};
 
 /// Name, kind, unit, tag and the tag's values, separated by tabs.
@@ -235,8 +235,8 @@
 
 #[test]
 fn a_relay_takes_up_the_folder_of_the_previous_version_and_sends_what_waited_there_first() {
-    case(async {
-        let scratch = ScratchFolder::new("frozen-metrics");
+    run_case(async {
+        let scratch = ScratchDirectory::new("frozen-metrics");
         let spool = scratch.0.join("spool-main_sink");
         fs::create_dir(&spool).expect("a folder");
         fs::write(scratch.0.join(SNAPSHOT), fixture(SNAPSHOT)).expect("a file");
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -16,7 +16,7 @@
 use honeyknot_relay::relay::lifecycle::hot_restart::{
     EndedMaintenance, MaintenanceState, OngoingMaintenance,
 };
-use process::{Folder, Relay, free, honeyknot};
+use process::{Relay, ScratchDirectory, relay_command, unused_address};
 use serde_json::{Value, json};
 
 /// A card server that takes every session and answers probes and lines.
@@ -72,14 +72,14 @@
 
 /// A relay's place: its folder, its address, its configuration.
 struct World {
-    folder: Folder,
+    folder: ScratchDirectory,
     clients: SocketAddr,
     config: PathBuf,
 }
 
 impl World {
     fn new(name: &str) -> World {
-        let (folder, clients, at) = (Folder::new(name), free(), card_server());
+        let (folder, clients, at) = (ScratchDirectory::new(name), unused_address(), card_server());
         // Large ones, which no load of a test fills.
         let servers: Vec<Value> = ["s-1", "s-2", "s-3"]
             .map(|id| json!({"id": id, "addr": at.to_string(), "state": "active", "weight": 1e5}))
@@ -99,7 +99,7 @@
     }
 
     fn command(&self, admin: SocketAddr, log: &str) -> Command {
-        let mut command = honeyknot(&self.config, &["serve", "--log-form", "json"]);
+        let mut command = relay_command(&self.config, &["serve", "--log-form", "json"]);
         command.env("TMPDIR", &self.folder.0).env("EDGE_ADMIN_ADDR", admin.to_string());
         command.stderr(fs::File::create(self.folder.0.join(log)).expect("a log")).stdout(Stdio::null());
         command
@@ -107,7 +107,7 @@
 
     /// Starts a process and waits until it says that it can serve.
     fn start(&self, log: &str) -> (Relay, SocketAddr) {
-        let admin = free();
+        let admin = unused_address();
         let child = self.command(admin, log).spawn().expect("a process");
         let relay = Relay { child, log: self.folder.0.join(log) };
         eventually("a yes", || call(admin, "status").starts_with("YES"));
@@ -276,7 +276,7 @@
     let (_old, _) = world.start("old.log");
     let (_new, _) = world.start("new.log");
     // The first is linked to the old one still: it offers itself, and a third may follow it, but not two at once.
-    let admins = [free(), free()];
+    let admins = [unused_address(), unused_address()];
     let logs = ["third.log", "fourth.log"];
     let mut racers: Vec<Relay> = (0..2)
         .map(|i| {
@@ -319,7 +319,7 @@
     }
     let (fourth, admin) = world.start("fourth.log");
     assert_eq!(figure(admin, "ejected"), 0);
-    fourth.logged("maintenance file ignored");
+    fourth.wait_for_log("maintenance file ignored");
 }
 
 #[test]
@@ -328,7 +328,7 @@
     let (_relay, admin) = world.start("log");
     let told = |words: &[&str]| {
         let at = admin.to_string();
-        let output = honeyknot(&world.config, &[&["call", &at], words].concat()).output().expect("a run");
+        let output = relay_command(&world.config, &[&["call", &at], words].concat()).output().expect("a run");
         (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
     assert_eq!(told(&["status"]), (Some(0), "YES\n".to_owned()));
@@ -336,7 +336,9 @@
     assert_eq!(told(&["maint-on", "nobody"]).0, Some(1));
     let (code, figures) = told(&["stats"]);
     assert!(code == Some(0) && figures.ends_with("\nEND\n"), "{figures}");
-    let nobody = honeyknot(&world.config, &["call", &free().to_string(), "status"]).output().expect("a run");
+    let nobody = relay_command(&world.config, &["call", &unused_address().to_string(), "status"])
+        .output()
+        .expect("a run");
     assert_eq!(nobody.status.code(), Some(2));
 }
 
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -11,7 +11,7 @@
 
 use honeyknot_metrics::book::Value;
 use honeyknot_metrics::collectd::read;
-use process::{Folder, Relay, answer, config, free};
+use process::{Relay, ScratchDirectory, config, first_answer, unused_address};
 
 /// A Graphite that hands on every line it gets.
 fn graphite(listener: TcpListener) -> Receiver<String> {
@@ -59,8 +59,8 @@
 /// A relay dies and returns, beside sinks that are a black hole and down: Graphite's counts add up to what clients saw.
 #[test]
 fn counts_at_graphite_add_up_over_two_lives_while_other_sinks_are_sick() {
-    let folder = Folder::new("metrics");
-    let listen = free();
+    let folder = ScratchDirectory::new("metrics");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let sink = TcpListener::bind("127.0.0.1:0").expect("a port");
     let hole = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -71,7 +71,7 @@
          sink down {{\n  graphite-pickle {}\n  interval 1s\n  buffer 8KiB\n}}\n",
         at(&sink),
         at(&hole),
-        free()
+        unused_address()
     );
     let plan = folder.write("metrics.conf", &plan);
     let plan = plan.display().to_string();
@@ -80,12 +80,12 @@
     for life in 0..2 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
         for _ in 0..3 {
-            let line = answer(listen, HEAD);
+            let line = first_answer(listen, HEAD);
             assert!(line.starts_with("BUSY"), "{line}");
             sum += 1.0;
         }
         store.reaches(REFUSED, sum);
-        relay.logged("the sink takes no data");
+        relay.wait_for_log("the sink takes no data");
         relay.child.kill().expect("a kill");
         relay.child.wait().expect("an end");
     }
@@ -98,8 +98,8 @@
 #[test]
 fn collectd_gets_encrypted_packets_that_only_the_key_opens() {
     use std::os::unix::fs::PermissionsExt;
-    let folder = Folder::new("collectd");
-    let listen = free();
+    let folder = ScratchDirectory::new("collectd");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let key = folder.write("key", "edge: secret\n");
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).expect("a mode");
@@ -109,7 +109,7 @@
     let text = format!("sink c {{\n  collectd {at}\n  interval 100ms\n  encrypt {}\n}}\n", key.display());
     let plan = folder.write("metrics.conf", &text);
     let _relay = Relay::start(&folder, &config, "log", &["--metrics", &plan.display().to_string()]);
-    assert!(answer(listen, HEAD).starts_with("BUSY"));
+    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     let mut packet = [0; 2048];
     let password = |user: &str| (user == "edge").then(|| "secret".to_owned());
     let wrong = |_: &str| Some("other".to_owned());
@@ -141,8 +141,8 @@
 
 #[test]
 fn totals_last_over_lives_that_are_killed_at_any_time_and_never_fall() {
-    let folder = Folder::new("lasting");
-    let listen = free();
+    let folder = ScratchDirectory::new("lasting");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let sink = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = sink.local_addr().expect("an address");
@@ -154,15 +154,15 @@
     let (mut last, mut told) = (BTreeMap::new(), 0.0);
     for life in 0..4 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
-        relay.logged("counts are kept");
+        relay.wait_for_log("counts are kept");
         if life == 1 {
             // A second relay with the same folder serves without it.
-            let other = folder.write("other.json", &process::config(free()));
+            let other = folder.write("other.json", &process::config(unused_address()));
             let second = Relay::start(&folder, &other, "log-second", &["--metrics", &plan]);
-            second.logged("another relay uses this folder");
+            second.wait_for_log("another relay uses this folder");
         }
         for _ in 0..2 {
-            assert!(answer(listen, HEAD).starts_with("BUSY"));
+            assert!(first_answer(listen, HEAD).starts_with("BUSY"));
         }
         told += 2.0;
         totals(&got, &mut last, REFUSED, told);
@@ -189,8 +189,8 @@
 /// A sink is down; a hangup gives it another address, and what waited for it goes there.
 #[test]
 fn a_hangup_moves_a_sink_and_what_waited_goes_to_the_new_address() {
-    let folder = Folder::new("swap");
-    let listen = free();
+    let folder = ScratchDirectory::new("swap");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let sink = TcpListener::bind("127.0.0.1:0").expect("a port");
     let hole = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -200,17 +200,17 @@
             "sink g {{\n  graphite {at}\n  interval 1s\n  prefix edge\n}}\nsink hole {{\n  graphite {hole}\n}}\n"
         )
     };
-    let plan = folder.write("metrics.conf", &text(free())).display().to_string();
+    let plan = folder.write("metrics.conf", &text(unused_address())).display().to_string();
     let relay = Relay::start(&folder, &config, "log", &["--metrics", &plan]);
     for _ in 0..3 {
-        assert!(answer(listen, HEAD).starts_with("BUSY"));
+        assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     }
-    relay.logged("the sink takes no data");
+    relay.wait_for_log("the sink takes no data");
     std::thread::sleep(Duration::from_millis(1_200));
     folder.write("metrics.conf", &text(sink.local_addr().expect("an address")));
-    relay.hang_up();
-    relay.logged("\"message\":\"configuration applied\"");
-    assert!(answer(listen, HEAD).starts_with("BUSY"));
+    relay.send_sighup();
+    relay.wait_for_log("\"message\":\"configuration applied\"");
+    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     store.reaches(REFUSED, 4.0);
     assert_eq!(store.sum(REFUSED), 4.0);
@@ -219,10 +219,10 @@
 /// The sink is down for some readings, the relay is killed meanwhile, and both come back: no reading is missing.
 #[test]
 fn a_spool_fills_in_what_a_sink_missed_over_a_death_of_the_relay() {
-    let folder = Folder::new("spool");
-    let listen = free();
+    let folder = ScratchDirectory::new("spool");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
-    let at = free();
+    let at = unused_address();
     let state = folder.0.join("state");
     let text = format!(
         "state {}\nsink g {{\n  graphite {at}\n  interval 1s\n  prefix edge\n  spool 4MiB\n}}\n",
@@ -233,7 +233,7 @@
     for life in 0..2 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
         for _ in 0..4 {
-            assert!(answer(listen, HEAD).starts_with("BUSY"));
+            assert!(first_answer(listen, HEAD).starts_with("BUSY"));
             asked += 1.0;
             std::thread::sleep(Duration::from_millis(1_000));
         }
@@ -243,7 +243,7 @@
     let sink = TcpListener::bind(at).expect("the sink's port");
     let got = graphite(sink);
     let relay = Relay::start(&folder, &config, "log-2", &["--metrics", &plan]);
-    relay.logged("readings wait on disk");
+    relay.wait_for_log("readings wait on disk");
     let (mut seen, mut most) = (BTreeMap::new(), 0.0f64);
     let until = Instant::now() + Duration::from_secs(30);
     while seen.len() < 6 || most < asked - 1.0 {
@@ -263,8 +263,8 @@
 
 #[test]
 fn a_folder_that_cannot_be_used_costs_nothing_but_the_lasting() {
-    let folder = Folder::new("no-folder");
-    let listen = free();
+    let folder = ScratchDirectory::new("no-folder");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let file = folder.write("file", "not a folder");
     let sink = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -274,7 +274,7 @@
     let plan = folder.write("metrics.conf", &text).display().to_string();
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     let relay = Relay::start(&folder, &config, "log", &["--metrics", &plan]);
-    relay.logged("counts will not outlast this relay");
-    assert!(answer(listen, HEAD).starts_with("BUSY"));
+    relay.wait_for_log("counts will not outlast this relay");
+    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     store.reaches(REFUSED, 1.0);
 }
--- a/tests/support/loopback.rs
+++ b/tests/support/loopback.rs
@@ -13,21 +13,21 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
-pub type Line = BufReader<TcpStream>;
+pub type Connection = BufReader<TcpStream>;
 
 /// A client, or a card server's end of a session.
-pub async fn line(end: &mut Line) -> String {
+pub async fn receive_line(end: &mut Connection) -> String {
     let mut text = String::new();
     end.read_line(&mut text).await.expect("a line");
     text
 }
 
-pub async fn say(end: &mut Line, text: &str) {
+pub async fn send(end: &mut Connection, text: &str) {
     end.write_all(text.as_bytes()).await.expect("a write");
 }
 
 /// Everything up to the end of the connection.
-pub async fn rest(mut end: Line) -> String {
+pub async fn receive_to_end(mut end: Connection) -> String {
     let mut text = String::new();
     end.read_to_string(&mut text).await.expect("an orderly end");
     text
@@ -40,32 +40,32 @@
 }
 
 /// A card server's next session; probes are answered on the way.
-pub async fn session(server: &TcpListener) -> (Line, String) {
+pub async fn accept_connection(server: &TcpListener) -> (Connection, String) {
     loop {
         let mut end = BufReader::new(server.accept().await.expect("a connection").0);
-        let first = line(&mut end).await;
+        let first = receive_line(&mut end).await;
         if first != "STATS\r\n" {
             return (end, first);
         }
         spawn_local(async move {
-            say(&mut end, "PONG util=0.2,latency_ms=4,x0=0.2\r\n").await;
-            while !line(&mut end).await.is_empty() {
-                say(&mut end, "PONG util=0.2,latency_ms=4,x0=0.2\r\n").await;
+            send(&mut end, "PONG util=0.2,latency_ms=4,x0=0.2\r\n").await;
+            while !receive_line(&mut end).await.is_empty() {
+                send(&mut end, "PONG util=0.2,latency_ms=4,x0=0.2\r\n").await;
             }
         });
     }
 }
 
-pub type Servers<'a> = &'a [(&'a str, SocketAddr, &'a str)];
+pub type Endpoints<'a> = &'a [(&'a str, SocketAddr, &'a str)];
 
-pub fn config_text(servers: Servers, sockets: u64, discovery: SocketAddr) -> String {
+pub fn config_text(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> String {
     config_value(servers, sockets, discovery).to_string()
 }
 
-pub fn config_value(servers: Servers, sockets: u64, discovery: SocketAddr) -> Value {
+pub fn config_value(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:1", "discovery": discovery.to_string(), "seed": "1f",
-        "limits": {"sockets": sockets}, "known": list_value(1, true, servers),
+        "limits": {"sockets": sockets}, "known": endpoint_list_value(1, true, servers),
         "settings": {
             "family": "conn", "discovery": "on_request", "telemetry": {"source": "pull"},
             "familyInfo": {"messageAimUs": [150000.0], "tellsLoad": true, "tellsDelay": true},
@@ -77,7 +77,7 @@
                 "fallUs": 2000000, "stopSendingWithinUs": 500000, "mustAskInUs": 10000000}}})
 }
 
-pub fn config(servers: Servers, sockets: u64, discovery: SocketAddr) -> Result<Config, LoadConfigError> {
+pub fn config(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> Result<Config, LoadConfigError> {
     read_config(config_text(servers, sockets, discovery).as_bytes())
 }
 
@@ -98,11 +98,11 @@
 
 impl Relay {
     /// A relay that knows the given card servers and whose discovery is down.
-    pub async fn start(servers: Servers<'_>, sockets: u64) -> Relay {
+    pub async fn start(servers: Endpoints<'_>, sockets: u64) -> Relay {
         Relay::with_discovery(servers, sockets, "127.0.0.1:1".parse().expect("an address")).await
     }
 
-    pub async fn with_discovery(servers: Servers<'_>, sockets: u64, discovery: SocketAddr) -> Relay {
+    pub async fn with_discovery(servers: Endpoints<'_>, sockets: u64, discovery: SocketAddr) -> Relay {
         Relay::of(config_value(servers, sockets, discovery)).await
     }
 
@@ -125,21 +125,21 @@
     }
 
     /// What an operator's call is answered.
-    pub async fn call(&self, line: &str) -> String {
+    pub async fn admin_command(&self, line: &str) -> String {
         let mut end = BufReader::new(TcpStream::connect(self.admin).await.expect("a connection"));
-        say(&mut end, line).await;
-        rest(end).await
+        send(&mut end, line).await;
+        receive_to_end(end).await
     }
 
-    pub async fn client(&self, first: &str) -> Line {
+    pub async fn client(&self, first: &str) -> Connection {
         let mut end = BufReader::new(TcpStream::connect(self.at).await.expect("a connection"));
-        say(&mut end, first).await;
+        send(&mut end, first).await;
         end
     }
 }
 
 /// Runs a case on the relay's kind of runtime; a case that hangs fails in the end.
-pub fn case(run: impl Future<Output = ()>) {
+pub fn run_case(run: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let limit = Duration::from_secs(60);
     let done = LocalSet::new().block_on(&runtime, async { tokio::time::timeout(limit, run).await });
@@ -147,48 +147,48 @@
 }
 
 /// The next call to discovery, up to the end of its head.
-pub async fn call(discovery: &TcpListener, wanted: &str) -> Line {
+pub async fn accept_request(discovery: &TcpListener, wanted: &str) -> Connection {
     let mut end = BufReader::new(discovery.accept().await.expect("a call").0);
-    let path = line(&mut end).await;
+    let path = receive_line(&mut end).await;
     assert!(path.starts_with(wanted), "{path}");
-    while line(&mut end).await != "\r\n" {}
+    while receive_line(&mut end).await != "\r\n" {}
     end
 }
 
-pub async fn answer(mut end: Line, status: &str, body: &str) {
+pub async fn respond(mut end: Connection, status: &str, body: &str) {
     let head = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
-    say(&mut end, &(head + body)).await;
+    send(&mut end, &(head + body)).await;
 }
 
 /// A list in discovery's form.
-pub fn list(version: u64, whole: bool, servers: Servers) -> String {
-    list_value(version, whole, servers).to_string()
+pub fn endpoint_list(version: u64, whole: bool, servers: Endpoints) -> String {
+    endpoint_list_value(version, whole, servers).to_string()
 }
 
-fn list_value(version: u64, whole: bool, servers: Servers) -> Value {
+fn endpoint_list_value(version: u64, whole: bool, servers: Endpoints) -> Value {
     let entry = |(id, at, state): &(&str, SocketAddr, &str)| json!({"id": id, "addr": at.to_string(), "state": state});
     let servers: Vec<_> = servers.iter().map(entry).collect();
     json!({"version": version, "full": whole, "servers": servers})
 }
 
 /// A client whose session its card server has taken, and the card server's end of it.
-pub async fn standing(relay: &Relay, server: &TcpListener) -> (Line, Line) {
+pub async fn establish_connection(relay: &Relay, server: &TcpListener) -> (Connection, Connection) {
     let mut client = relay.client(OPEN).await;
-    let (mut held, _) = session(server).await;
-    say(&mut held, "UP r1\r\n").await;
-    assert_eq!(line(&mut client).await, "UP r1\r\n");
+    let (mut held, _) = accept_connection(server).await;
+    send(&mut held, "UP r1\r\n").await;
+    assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
     (client, held)
 }
 
-/// A card server whose connections come up late: its queue is full until [`Late::let_in`].
-pub struct Late {
+/// A card server whose connections come up late: its queue is full until [`LateListener::accept_waiting`].
+pub struct LateListener {
     listener: std::net::TcpListener,
     filled: Vec<std::net::TcpStream>,
     pub at: SocketAddr,
 }
 
-impl Late {
-    pub fn new() -> Late {
+impl LateListener {
+    pub fn new() -> LateListener {
         use std::net::TcpStream as Stream;
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -200,11 +200,11 @@
             filled.push(stream);
             assert!(filled.len() < 100, "a queue that never fills");
         }
-        Late { listener, filled, at }
+        LateListener { listener, filled, at }
     }
 
     /// Waits until somebody else's dial is under way, as the system's table of connections tells.
-    pub async fn dialled(&self) {
+    pub async fn wait_for_dial(&self) {
         let port = format!(":{:04X} 02 ", self.at.port());
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
@@ -216,7 +216,7 @@
     }
 
     /// Empties the queue. Who dialled meanwhile comes up when the system tries again, a second or so after it began.
-    pub fn let_in(&mut self) {
+    pub fn accept_waiting(&mut self) {
         self.listener.set_nonblocking(false).expect("an option");
         for _ in self.filled.drain(..) {
             self.listener.accept().expect("one that waited");
@@ -224,16 +224,16 @@
     }
 
     /// The next connection, once it comes up, and all that it brings up to its end.
-    pub async fn next(self) -> String {
+    pub async fn next_connection(self) -> String {
         self.listener.set_nonblocking(true).expect("an option");
         let listener = TcpListener::from_std(self.listener).expect("a listener");
-        rest(BufReader::new(listener.accept().await.expect("a connection").0)).await
+        receive_to_end(BufReader::new(listener.accept().await.expect("a connection").0)).await
     }
 }
 
 pub const OPEN: &str = "OPEN 9b1f 7f3a c=study,d=26000,g=5c0f,x=1\r\n";
 
 /// Each connection has an id of its own.
-pub fn open(id: &str) -> String {
+pub fn open_request(id: &str) -> String {
     OPEN.replace("9b1f", id)
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -11,13 +11,13 @@
 use serde_json::json;
 
 /// A folder of this test's own, gone with it.
-pub struct Folder(pub PathBuf);
+pub struct ScratchDirectory(pub PathBuf);
 
-impl Folder {
-    pub fn new(name: &str) -> Folder {
+impl ScratchDirectory {
+    pub fn new(name: &str) -> ScratchDirectory {
         let path = std::env::temp_dir().join(format!("honeyknot-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        ScratchDirectory(path)
     }
 
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
@@ -27,7 +27,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -45,7 +45,7 @@
     .to_string()
 }
 
-pub fn honeyknot(config: &Path, words: &[&str]) -> Command {
+pub fn relay_command(config: &Path, words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"));
     command.args(words).env("EDGE_CONFIG", config);
     for name in [
@@ -69,22 +69,22 @@
 
 impl Relay {
     /// Starts a relay, whose log is a file of that name in the folder, and waits until it serves.
-    pub fn start(folder: &Folder, config: &Path, log: &str, words: &[&str]) -> Relay {
+    pub fn start(folder: &ScratchDirectory, config: &Path, log: &str, words: &[&str]) -> Relay {
         let log = folder.0.join(log);
-        let mut command = honeyknot(config, &["serve", "--log-form", "json"]);
+        let mut command = relay_command(config, &["serve", "--log-form", "json"]);
         command.args(words).stderr(fs::File::create(&log).expect("a log")).stdout(Stdio::null());
         let relay = Relay { child: command.spawn().expect("a relay"), log };
-        relay.logged("\"message\":\"serving\"");
+        relay.wait_for_log("\"message\":\"serving\"");
         relay
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         let sent = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status();
         assert!(sent.expect("a signal").success());
     }
 
     /// Waits for a record of the log.
-    pub fn logged(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         let until = Instant::now() + Duration::from_secs(30);
         while !fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text)) {
             assert!(Instant::now() < until, "no `{text}` in {:?}", fs::read_to_string(&self.log));
@@ -101,12 +101,12 @@
 }
 
 /// An address where nothing listens now.
-pub fn free() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
 /// A relay's answer to a client's head.
-pub fn answer(relay: SocketAddr, head: &str) -> String {
+pub fn first_answer(relay: SocketAddr, head: &str) -> String {
     let mut client = TcpStream::connect(relay).expect("a connection");
     client.write_all(head.as_bytes()).expect("a write");
     let mut line = String::new();
