--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program as operators meet it: `check-config`, its faults, and SIGHUP.
+//! The program on the command line: `check-config` and its errors, reload by SIGHUP, and the metrics commands.
 
 #[path = "support/process.rs"]
 mod process;
@@ -10,12 +10,12 @@
 use process::{Relay, ScratchDirectory, config, first_answer, relay_command, unused_address};
 use serde_json::json;
 
-fn told(output: &Output) -> (Option<i32>, String) {
+fn failure(output: &Output) -> (Option<i32>, String) {
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn check_config_tells_all_faults_of_an_operator_file_with_their_places() {
+fn check_config_reports_all_faults_of_an_operator_file_with_their_places() {
     let folder = ScratchDirectory::new("check");
     let config = folder.write("config.json", &config("127.0.0.1:1".parse().expect("an address")));
     let good = folder.write("good.conf", "spill-limit 20%\nprefer tema {\n  tier kasoa\n}\n");
@@ -24,10 +24,10 @@
         relay_command(&config, &["check-config", "--sites", &file]).output().expect("a run")
     };
     let output = checked(&good);
-    assert!(output.status.success(), "{:?}", told(&output));
+    assert!(output.status.success(), "{:?}", failure(&output));
     assert!(String::from_utf8_lossy(&output.stdout).contains("spill up to 20% of a site"));
     let bad = folder.write("bad.conf", "spill-limit 20\nprefer accra {\n  tier kasoa\n}\nspread soon\n");
-    let (code, text) = told(&checked(&bad));
+    let (code, text) = failure(&checked(&bad));
     assert_eq!(code, Some(2));
     for place in [
         "bad.conf:1:13: `spill-limit`: `20`",
@@ -36,12 +36,12 @@
     ] {
         assert!(text.contains(place), "{place} is not in {text}");
     }
-    let (code, text) = told(&checked(&folder.0.join("none.conf")));
+    let (code, text) = failure(&checked(&folder.0.join("none.conf")));
     assert!(code == Some(2) && text.contains("none.conf"), "{text}");
 }
 
 #[test]
-fn a_hangup_takes_all_of_an_operator_file_or_nothing_and_the_log_may_be_json() {
+fn a_reload_applies_all_of_an_operator_file_or_nothing_and_the_log_may_be_json() {
     let folder = ScratchDirectory::new("hangup");
     let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
@@ -60,13 +60,13 @@
         (&record["target"], &record["name"], &record["level"]),
         (&json!("relay"), &json!("n0"), &json!("INFO"))
     );
-    // It still serves: nobody is ready, so a client is refused at once, with a time to come back.
+    // It still serves: without endpoints a request is rejected at once, with a retry time.
     let line = first_answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
     assert!(line.starts_with("BUSY"), "{line}");
 }
 
 #[test]
-fn metrics_are_named_and_captures_made_readable() {
+fn metrics_are_listed_and_captures_are_decoded() {
     let folder = ScratchDirectory::new("inspect");
     let run = |words: &[&str]| relay_command(&folder.0, words).output().expect("a run");
     let output = run(&["metrics", "names"]);
@@ -78,7 +78,7 @@
     let output = run(&["metrics", "decode", &file.display().to_string()]);
     assert!(String::from_utf8_lossy(&output.stdout).starts_with("relay n0 at 5.000, life 2\n"));
     fs::write(&file, &state[..state.len() - 1]).expect("a file");
-    let (code, text) = told(&run(&["metrics", "decode", &file.display().to_string()]));
+    let (code, text) = failure(&run(&["metrics", "decode", &file.display().to_string()]));
     assert!(code == Some(2) && text.contains("the snapshot has"), "{text}");
     let packet = honeyknot_metrics::collectd::packets(
         "n0",
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -63,5 +63,5 @@
         predecessor: None,
     };
     let ended = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
-    loopback::Relay { at, admin, reloads, stop, ended }
+    loopback::Relay { address: at, admin, reloads, stop, ended }
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! One process of a relay takes over from another, under load and in trouble.
+//! Hot restart: one process of a relay takes over from another, under load and with faults.
 
 #[path = "support/process.rs"]
 mod process;
@@ -19,10 +19,10 @@
 use process::{Relay, ScratchDirectory, relay_command, unused_address};
 use serde_json::{Value, json};
 
-/// A card server that takes every session and answers probes and lines.
-fn card_server() -> SocketAddr {
+/// An endpoint that accepts every connection and answers health checks and lines.
+fn start_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
@@ -40,16 +40,16 @@
             });
         }
     });
-    at
+    address
 }
 
-/// A discovery that tells one roll, to watches after their wait.
-fn discovery(roll: Value) -> SocketAddr {
+/// A discovery with one endpoint list; it answers a watch after its wait.
+fn discovery(endpoint_list: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let body = roll.to_string();
+            let body = endpoint_list.to_string();
             std::thread::spawn(move || {
                 let mut out = stream.try_clone().expect("the other way");
                 for line in BufReader::new(stream).lines().map_while(Result::ok) {
@@ -67,27 +67,27 @@
             });
         }
     });
-    at
+    address
 }
 
-/// A relay's place: its folder, its address, its configuration.
-struct World {
+/// What the processes of one relay share: folder, address, configuration.
+struct RelaySetup {
     folder: ScratchDirectory,
     clients: SocketAddr,
     config: PathBuf,
 }
 
-impl World {
-    fn new(name: &str) -> World {
-        let (folder, clients, at) = (ScratchDirectory::new(name), unused_address(), card_server());
-        // Large ones, which no load of a test fills.
-        let servers: Vec<Value> = ["s-1", "s-2", "s-3"]
-            .map(|id| json!({"id": id, "addr": at.to_string(), "state": "active", "weight": 1e5}))
+impl RelaySetup {
+    fn new(name: &str) -> RelaySetup {
+        let (folder, clients, address) = (ScratchDirectory::new(name), unused_address(), start_endpoint());
+        // Weights that no test's load exhausts.
+        let endpoints: Vec<Value> = ["s-1", "s-2", "s-3"]
+            .map(|id| json!({"id": id, "addr": address.to_string(), "state": "active", "weight": 1e5}))
             .to_vec();
-        let roll = json!({"version": 3, "full": true, "servers": servers});
+        let endpoint_list = json!({"version": 3, "full": true, "servers": endpoints});
         let config = json!({
-            "name": "n0", "listen": clients.to_string(), "discovery": discovery(roll.clone()).to_string(),
-            "seed": "1f", "limits": {"sockets": 384}, "known": roll,
+            "name": "n0", "listen": clients.to_string(), "discovery": discovery(endpoint_list.clone()).to_string(),
+            "seed": "1f", "limits": {"sockets": 384}, "known": endpoint_list,
             "settings": {
                 "family": "conn", "discovery": "on_request", "telemetry": {"source": "pull"},
                 "services": [{"name": "study", "effect": "idempotent", "aimUs": 300000, "hardLimitUs": 1200000}],
@@ -95,7 +95,7 @@
                 "rules": {"startCapacity": 0.3, "coldUs": 9000000, "overloadFactor": 3.0,
                     "stopSendingWithinUs": 500000, "mustAskInUs": 10000000}}});
         let config = folder.write("config.json", &config.to_string());
-        World { folder, clients, config }
+        RelaySetup { folder, clients, config }
     }
 
     fn command(&self, admin: SocketAddr, log: &str) -> Command {
@@ -105,31 +105,31 @@
         command
     }
 
-    /// Starts a process and waits until it says that it can serve.
+    /// Starts a process and waits until its status is ready.
     fn start(&self, log: &str) -> (Relay, SocketAddr) {
         let admin = unused_address();
         let child = self.command(admin, log).spawn().expect("a process");
         let relay = Relay { child, log: self.folder.0.join(log) };
-        eventually("a yes", || call(admin, "status").starts_with("YES"));
+        eventually("a ready status", || call(admin, "status").starts_with("YES"));
         (relay, admin)
     }
 
-    /// Where what is out by hand is kept.
-    fn kept(&self) -> PathBuf {
+    /// Returns the path of the maintenance file.
+    fn maintenance_file(&self) -> PathBuf {
         let name = self.clients.to_string().replace(':', "-");
         self.folder.0.join(format!("honeyknot-{name}")).join("by-hand")
     }
 }
 
-fn eventually(what: &str, mut held: impl FnMut() -> bool) {
+fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(20);
-    while !held() {
+    while !condition() {
         assert!(Instant::now() < until, "no {what} in time");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// The answer to an operator's call; empty where nobody answers.
+/// Returns the answer to an admin command; empty if there is none.
 fn call(admin: SocketAddr, line: &str) -> String {
     let mut answer = String::new();
     let _ = TcpStream::connect(admin).and_then(|mut caller| {
@@ -147,9 +147,9 @@
 
 static IDS: AtomicUsize = AtomicUsize::new(0);
 
-/// A new client's first answer and its connection; the error if it ended at the door.
-fn open(at: SocketAddr) -> std::io::Result<(String, TcpStream)> {
-    let mut client = TcpStream::connect(at)?;
+/// Opens a connection and returns its first line; an error if it was not answered.
+fn open(address: SocketAddr) -> std::io::Result<(String, TcpStream)> {
+    let mut client = TcpStream::connect(address)?;
     let id = IDS.fetch_add(1, Ordering::Relaxed);
     client.write_all(format!("OPEN c{id} k{id} c=study,d=1200\r\n").as_bytes())?;
     let mut line = String::new();
@@ -162,28 +162,28 @@
     assert!(sent.expect("a signal").success());
 }
 
-/// Clients that come one after another until they are told to stop; how many there were, and what went wrong.
+/// Clients that connect one after another until stopped; counts them and records failures.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<(usize, Vec<String>)>>,
 }
 
 impl Load {
-    fn start(at: SocketAddr) -> Load {
+    fn start(address: SocketAddr) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let client = || {
             let stop = stop.clone();
             std::thread::spawn(move || {
-                let (mut came, mut wrong) = (0, Vec::new());
+                let (mut opened, mut failures) = (0, Vec::new());
                 while !stop.load(Ordering::Relaxed) {
-                    came += 1;
-                    match open(at) {
+                    opened += 1;
+                    match open(address) {
                         Ok((line, _)) if line.starts_with("UP") => {}
-                        other => wrong.push(format!("{other:?}")),
+                        other => failures.push(format!("{other:?}")),
                     }
                     sleep(Duration::from_millis(2));
                 }
-                (came, wrong)
+                (opened, failures)
             })
         };
         let threads = (0..4).map(|_| client()).collect();
@@ -192,25 +192,25 @@
 
     fn end(self) -> (usize, Vec<String>) {
         self.stop.store(true, Ordering::Relaxed);
-        let (mut came, mut wrong) = (0, Vec::new());
+        let (mut opened, mut failures) = (0, Vec::new());
         for thread in self.threads {
-            let (count, told) = thread.join().expect("a client");
-            came += count;
-            wrong.extend(told);
+            let (count, failed) = thread.join().expect("a client");
+            opened += count;
+            failures.extend(failed);
         }
-        (came, wrong)
+        (opened, failures)
     }
 }
 
 #[test]
-fn new_versions_take_over_under_load_and_no_connection_ends_at_the_door() {
-    let world = World::new("upgrade");
-    let (mut old, mut admin) = world.start("0.log");
-    let load = Load::start(world.clients);
+fn successors_take_over_under_load_and_every_client_is_answered() {
+    let setup = RelaySetup::new("upgrade");
+    let (mut old, mut admin) = setup.start("0.log");
+    let load = Load::start(setup.clients);
     assert_eq!(call(admin, "maint-on s-1"), "YES\r\n");
     for round in 1..=4 {
-        let (new, new_admin) = world.start(&format!("{round}.log"));
-        // What is out at the old process is out at the new one, and both hold what either is told.
+        let (new, new_admin) = setup.start(&format!("{round}.log"));
+        // Maintenance at the predecessor holds at the successor, and a change at either holds at both.
         assert_eq!(figure(new_admin, "ejected"), 1);
         assert_eq!(call(new_admin, "maint-on s-2"), "YES\r\n");
         assert_eq!(figure(admin, "ejected"), 2);
@@ -220,15 +220,15 @@
         assert_eq!(old.child.wait().expect("an end").code(), Some(0), "{:?}", fs::read_to_string(&old.log));
         (old, admin) = (new, new_admin);
     }
-    let (came, wrong) = load.end();
-    assert!(came > 100 && wrong.is_empty(), "{} of {came}: {:?}", wrong.len(), wrong.first());
+    let (opened, failures) = load.end();
+    assert!(opened > 100 && failures.is_empty(), "{} of {opened}: {:?}", failures.len(), failures.first());
 }
 
 #[test]
-fn a_session_goes_on_at_the_new_process_when_the_old_one_is_told_to_stop() {
-    let world = World::new("sessions");
-    let (mut old, _) = world.start("old.log");
-    let (first, client) = open(world.clients).expect("a session");
+fn a_connection_continues_in_the_successor_when_the_predecessor_stops() {
+    let setup = RelaySetup::new("sessions");
+    let (mut old, _) = setup.start("old.log");
+    let (first, client) = open(setup.clients).expect("a session");
     assert!(first.starts_with("UP"), "{first}");
     let mut lines = BufReader::new(client.try_clone().expect("the other way"));
     let mut ask = |text: &str| {
@@ -237,16 +237,16 @@
         lines.read_line(&mut line).expect("a line");
         line
     };
-    let (mut new, admin) = world.start("new.log");
+    let (mut new, admin) = setup.start("new.log");
     assert_eq!(ask("card 1\r\n"), "OK\r\n");
-    // A line is under way while the session changes hands.
+    // Half a line is sent while the connection is transferred.
     (&client).write_all(b"card ").expect("a write");
     signal(&old, "-TERM");
     assert_eq!(old.child.wait().expect("an end").code(), Some(0));
     assert_eq!(ask("2\r\n"), "OK\r\n");
     assert_eq!(figure(admin, "outstanding"), 1);
-    // A third process gets it from the second. Nobody follows that: its clients are moved.
-    let (mut third, _) = world.start("third.log");
+    // A third process receives it from the second; without a successor the third has its client migrate.
+    let (mut third, _) = setup.start("third.log");
     signal(&new, "-TERM");
     assert_eq!(new.child.wait().expect("an end").code(), Some(0));
     assert_eq!(ask("card 3\r\n"), "OK\r\n");
@@ -258,30 +258,30 @@
 }
 
 #[test]
-fn the_old_process_serves_on_when_the_new_one_dies() {
-    let world = World::new("dies");
-    let (_old, admin) = world.start("old.log");
+fn the_predecessor_serves_on_when_the_successor_dies() {
+    let setup = RelaySetup::new("dies");
+    let (_old, admin) = setup.start("old.log");
     for round in 0..2 {
-        let (mut new, _) = world.start(&format!("new-{round}.log"));
+        let (mut new, _) = setup.start(&format!("new-{round}.log"));
         signal(&new, "-KILL");
         new.child.wait().expect("an end");
-        assert!(open(world.clients).expect("it serves").0.starts_with("UP"), "after {round}");
+        assert!(open(setup.clients).expect("it serves").0.starts_with("UP"), "after {round}");
         assert_eq!(call(admin, "status"), "YES\r\n");
     }
 }
 
 #[test]
-fn of_two_new_processes_one_takes_over_and_the_other_says_why_not() {
-    let world = World::new("two");
-    let (_old, _) = world.start("old.log");
-    let (_new, _) = world.start("new.log");
-    // The first is linked to the old one still: it offers itself, and a third may follow it, but not two at once.
+fn of_two_successors_one_takes_over_and_the_other_reports_why_not() {
+    let setup = RelaySetup::new("two");
+    let (_old, _) = setup.start("old.log");
+    let (_new, _) = setup.start("new.log");
+    // The successor is still linked to its predecessor; of two further successors only one may follow it.
     let admins = [unused_address(), unused_address()];
     let logs = ["third.log", "fourth.log"];
     let mut racers: Vec<Relay> = (0..2)
         .map(|i| {
-            let child = world.command(admins[i], logs[i]).spawn().expect("a process");
-            Relay { child, log: world.folder.0.join(logs[i]) }
+            let child = setup.command(admins[i], logs[i]).spawn().expect("a process");
+            Relay { child, log: setup.folder.0.join(logs[i]) }
         })
         .collect();
     eventually("an answer", || {
@@ -295,65 +295,66 @@
             assert!(status.code() == Some(2) && log.contains("another process is taking over"), "{log}");
         }
     }
-    assert!(open(world.clients).expect("it serves").0.starts_with("UP"));
+    assert!(open(setup.clients).expect("it serves").0.starts_with("UP"));
 }
 
 #[test]
-fn what_is_out_by_hand_outlives_a_process_that_was_killed_and_a_torn_file_is_passed_over() {
-    let world = World::new("killed");
-    let (mut first, admin) = world.start("first.log");
+fn maintenance_outlives_a_killed_process_and_a_torn_file_is_ignored() {
+    let setup = RelaySetup::new("killed");
+    let (mut first, admin) = setup.start("first.log");
     assert_eq!(call(admin, "maint-on s-1"), "YES\r\n");
     signal(&first, "-KILL");
     first.child.wait().expect("an end");
-    // The socket of the dead process lies there still.
-    let (mut second, admin) = world.start("second.log");
+    // The dead process's socket still exists.
+    let (mut second, admin) = setup.start("second.log");
     assert_eq!(figure(admin, "ejected"), 1);
-    // The living process is asked, not the file.
-    let whole = fs::read(world.kept()).expect("a file");
-    fs::write(world.kept(), &whole[..whole.len() / 2]).expect("a torn file");
-    let (mut third, admin) = world.start("third.log");
+    // The running process is asked, not the file.
+    let whole = fs::read(setup.maintenance_file()).expect("a file");
+    fs::write(setup.maintenance_file(), &whole[..whole.len() / 2]).expect("a torn file");
+    let (mut third, admin) = setup.start("third.log");
     assert_eq!(figure(admin, "ejected"), 1);
     for relay in [&mut second, &mut third] {
         signal(relay, "-KILL");
         relay.child.wait().expect("an end");
     }
-    let (fourth, admin) = world.start("fourth.log");
+    let (fourth, admin) = setup.start("fourth.log");
     assert_eq!(figure(admin, "ejected"), 0);
     fourth.wait_for_log("maintenance file ignored");
 }
 
 #[test]
-fn a_call_from_the_command_line_tells_the_answer_by_its_exit_status() {
-    let world = World::new("call");
-    let (_relay, admin) = world.start("log");
-    let told = |words: &[&str]| {
-        let at = admin.to_string();
-        let output = relay_command(&world.config, &[&["call", &at], words].concat()).output().expect("a run");
+fn an_admin_command_reports_its_answer_by_the_exit_status() {
+    let setup = RelaySetup::new("call");
+    let (_relay, admin) = setup.start("log");
+    let admin_command = |words: &[&str]| {
+        let address = admin.to_string();
+        let output =
+            relay_command(&setup.config, &[&["call", &address], words].concat()).output().expect("a run");
         (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
-    assert_eq!(told(&["status"]), (Some(0), "YES\n".to_owned()));
-    assert_eq!(told(&["maint-on", "s-1"]), (Some(0), "YES\n".to_owned()));
-    assert_eq!(told(&["maint-on", "nobody"]).0, Some(1));
-    let (code, figures) = told(&["stats"]);
+    assert_eq!(admin_command(&["status"]), (Some(0), "YES\n".to_owned()));
+    assert_eq!(admin_command(&["maint-on", "s-1"]), (Some(0), "YES\n".to_owned()));
+    assert_eq!(admin_command(&["maint-on", "nobody"]).0, Some(1));
+    let (code, figures) = admin_command(&["stats"]);
     assert!(code == Some(0) && figures.ends_with("\nEND\n"), "{figures}");
-    let nobody = relay_command(&world.config, &["call", &unused_address().to_string(), "status"])
+    let nobody = relay_command(&setup.config, &["call", &unused_address().to_string(), "status"])
         .output()
         .expect("a run");
     assert_eq!(nobody.status.code(), Some(2));
 }
 
 #[test]
-fn an_operators_address_that_is_taken_ends_the_start_with_its_name() {
-    let world = World::new("taken");
+fn a_start_with_an_admin_address_in_use_fails_and_names_it() {
+    let setup = RelaySetup::new("taken");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let admin = taken.local_addr().expect("an address");
-    let output = world.command(admin, "log").output().expect("a run");
-    let log = fs::read_to_string(world.folder.0.join("log")).expect("a log");
+    let output = setup.command(admin, "log").output().expect("a run");
+    let log = fs::read_to_string(setup.folder.0.join("log")).expect("a log");
     assert!(output.status.code() == Some(2) && log.contains("`admin_addr`"), "{log}");
-    // The relay that serves is not hurt by it.
-    let (_relay, _) = world.start("serves");
-    assert_eq!(world.command(admin, "again").output().expect("a run").status.code(), Some(2));
-    assert!(open(world.clients).expect("it serves").0.starts_with("UP"));
+    // A process that serves is not affected.
+    let (_relay, _) = setup.start("serves");
+    assert_eq!(setup.command(admin, "again").output().expect("a run").status.code(), Some(2));
+    assert!(open(setup.clients).expect("it serves").0.starts_with("UP"));
 }
 
 #[test]
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -1,5 +1,5 @@
-//! Moments at which an event comes between two others that usually follow each other. Each case makes the bad order happen
-//! every time, by gates and not by waiting.
+//! Race conditions: an event between two others that usually follow each other. Each test forces the order by gates
+//! instead of waiting for it.
 
 #[path = "support/loopback.rs"]
 mod loopback;
@@ -14,10 +14,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longer than anything here should take, shorter than what the relay does by itself when nothing happens.
+/// Longer than any step here should take, shorter than the relay's own timeouts.
 const SOON: Duration = Duration::from_secs(5);
 
-/// A configuration without probes, in which connections may come up late.
+/// A configuration without health checks, with a connect timeout that late connections meet.
 fn patient(mut config: Value) -> Value {
     let permissions = &mut config["settings"]["permissions"];
     permissions["probing"] = json!(false);
@@ -25,23 +25,23 @@
     config
 }
 
-/// Where lists are pushed, what the agent has counts as told from the first moment of a process.
+/// Where lists are pushed, the agent's list is authoritative from the start of the process.
 #[test]
-fn a_pushed_list_is_asked_for_at_once_and_goes_before_what_the_relay_remembers() {
+fn a_pushed_list_is_watched_at_once_and_replaces_the_cached_one() {
     run_case(async {
-        let ((_server, at), (agent, agent_at)) = (listen().await, listen().await);
-        let mut config = config_value(&[("s-1", at, "active")], 256, agent_at);
+        let ((_server, address), (agent, agent_at)) = (listen().await, listen().await);
+        let mut config = config_value(&[("s-1", address, "active")], 256, agent_at);
         config["settings"]["discovery"] = json!("pushed");
         let relay = Relay::of(config).await;
         let first = timeout(SOON, accept_request(&agent, "GET /registry/instances?index=1&wait=125 ")).await;
         respond(
             first.expect("a call at once"),
             "200 OK",
-            &endpoint_list(2, false, &[("s-1", at, "leaving")]),
+            &endpoint_list(2, false, &[("s-1", address, "leaving")]),
         )
         .await;
         let next = timeout(SOON, accept_request(&agent, "GET /registry/instances?index=2&wait=125 ")).await;
-        // It has heard, and goes on asking although this call is never answered.
+        // The list was received, and the watch continues although this request is never answered.
         let next = next.expect("the watch goes on");
         let answered = timeout(SOON, receive_to_end(relay.client(OPEN).await)).await.expect("an answer");
         assert!(answered.starts_with("BUSY"), "{answered}");
@@ -54,19 +54,19 @@
     });
 }
 
-/// An attempt that was placed before the news of a drain, and whose connection comes up after it, is not sent.
+/// The attempt starts before the endpoint drains, and its upstream connects afterwards.
 #[test]
-fn a_connection_that_comes_up_after_the_news_of_a_drain_carries_nothing() {
+fn an_upstream_connected_after_its_endpoint_drains_is_sent_nothing() {
     run_case(async {
         let (discovery, discovery_at) = listen().await;
         let mut late = LateListener::new();
-        let mut config = config_value(&[("s-1", late.at, "active")], 256, discovery_at);
+        let mut config = config_value(&[("s-1", late.address, "active")], 256, discovery_at);
         config["settings"]["rules"]["stopSendingWithinUs"] = json!(20_000_000);
         let relay = Relay::of(patient(config)).await;
         let watch = accept_request(&discovery, "GET /registry/instances?index=1&").await;
         let client = relay.client(OPEN).await;
-        let at = late.at;
-        respond(watch, "200 OK", &endpoint_list(2, false, &[("s-1", at, "leaving")])).await;
+        let address = late.address;
+        respond(watch, "200 OK", &endpoint_list(2, false, &[("s-1", address, "leaving")])).await;
         let _heard = accept_request(&discovery, "GET /registry/instances?index=2&").await;
         late.accept_waiting();
         let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up or is given up");
@@ -77,23 +77,23 @@
 
 const RETURNING: &str = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
 
-/// A relay without discovery, and its one card server, whose connections come up late.
-async fn with_late_server() -> (Relay, LateListener) {
+/// A relay without discovery, and its one endpoint, which accepts late.
+async fn with_late_endpoint() -> (Relay, LateListener) {
     let late = LateListener::new();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let relay = Relay::of(patient(config_value(&[("s-1", late.at, "active")], 256, nowhere))).await;
+    let relay = Relay::of(patient(config_value(&[("s-1", late.address, "active")], 256, nowhere))).await;
     (relay, late)
 }
 
-/// A connection comes up in the same moment in which its client leaves: a newcomer, and a session from before the run.
+/// The upstream connects at the moment in which the client leaves: a new client, and a reconnecting one.
 #[test]
-fn a_client_that_left_while_its_connection_came_up_is_not_sent_on() {
+fn a_request_whose_client_left_while_connecting_is_not_forwarded() {
     for first in [OPEN, RETURNING] {
         run_case(async {
-            let (relay, mut late) = with_late_server().await;
+            let (relay, mut late) = with_late_endpoint().await;
             let client = relay.client(first).await;
             late.wait_for_dial().await;
-            // The relay shares this thread: it sees both only when both have happened.
+            // The relay runs on this thread, so it sees both events only after both have happened.
             late.accept_waiting();
             drop(client.into_inner().into_std().expect("a plain socket"));
             std::thread::sleep(Duration::from_millis(1_500));
@@ -103,9 +103,9 @@
     }
 }
 
-/// A returning client that waits for its card server and says more than is kept is answered, and its end is seen.
+/// The client waits for its endpoint and sends more than is buffered.
 #[test]
-fn a_returning_client_that_floods_is_answered_while_its_card_server_is_unknown() {
+fn a_reconnecting_client_that_floods_is_answered_while_its_endpoint_is_unknown() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut client = relay.client("OPEN 9b1f 7f3a c=study,d=40000,at=s-9\r\n").await;
@@ -115,11 +115,11 @@
     });
 }
 
-/// An operator takes a card server out while a session from before the run is being dialled there.
+/// An operator starts the endpoint's maintenance while a reconnecting client's upstream connects.
 #[test]
-fn a_returning_session_is_not_sent_to_a_card_server_that_was_taken_out_meanwhile() {
+fn a_reconnecting_client_is_not_forwarded_to_an_endpoint_in_maintenance_since() {
     run_case(async {
-        let (relay, mut late) = with_late_server().await;
+        let (relay, mut late) = with_late_endpoint().await;
         let _client = relay.client(RETURNING).await;
         late.wait_for_dial().await;
         assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
@@ -129,9 +129,9 @@
     });
 }
 
-/// The second of two attempts comes up when the card servers no longer know the first.
+/// The second attempt connects when the endpoints no longer know the first one's key.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_key_time_is_not_sent() {
+fn a_retry_connected_after_the_idempotency_key_expires_is_not_sent() {
     run_case(async {
         let ((first, first_at), (discovery, discovery_at)) = (listen().await, listen().await);
         let mut late = LateListener::new();
@@ -142,12 +142,12 @@
         let relay = Relay::of(patient(config)).await;
         let watch = accept_request(&discovery, "GET /registry/instances?index=1&").await;
         let client = relay.client(OPEN).await;
-        let (held, _) = accept_connection(&first).await;
-        let both = [("s-1", first_at, "active"), ("s-2", late.at, "active")];
+        let (upstream, _) = accept_connection(&first).await;
+        let both = [("s-1", first_at, "active"), ("s-2", late.address, "active")];
         respond(watch, "200 OK", &endpoint_list(2, false, &both)).await;
         let _heard = accept_request(&discovery, "GET /registry/instances?index=2&").await;
-        // It may have run there; the repeat is placed at once, well within the key time, and comes up after it.
-        drop(held);
+        // The request may have run; the retry starts at once, before the key expires, and connects after that.
+        drop(upstream);
         late.wait_for_dial().await;
         std::thread::sleep(Duration::from_millis(800));
         late.accept_waiting();
@@ -158,63 +158,63 @@
     });
 }
 
-/// An answer that is no card server's word for this session serves nobody.
+/// Answers that the line protocol does not allow here.
 #[test]
-fn spoilt_answers_end_the_attempt_and_the_client_gets_one_answer() {
+fn a_malformed_answer_of_an_endpoint_ends_the_attempt_and_the_client_gets_one_answer() {
     let endless = "a".repeat(100_000);
     for spoilt in ["UP\r\n", "UP \r\n", "PONG\r\n", "\r\n", "\u{7}\r\n", "UP r1\n", &endless] {
         run_case(async {
-            let (server, at) = listen().await;
-            let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+            let (endpoint, address) = listen().await;
+            let relay = Relay::start(&[("s-1", address, "active")], 256).await;
             let client = relay.client(OPEN).await;
-            let (mut held, _) = accept_connection(&server).await;
-            let _ = held.get_mut().write_all(spoilt.as_bytes()).await;
+            let (mut upstream, _) = accept_connection(&endpoint).await;
+            let _ = upstream.get_mut().write_all(spoilt.as_bytes()).await;
             let answer = timeout(SOON, receive_to_end(client)).await.expect("one final answer");
             assert!(answer.starts_with("BUSY"), "{spoilt:.20}: {answer}");
         });
     }
 }
 
-/// Half a line of a card server is under way when the relay is told to end, and its rest comes too late.
+/// The endpoint has sent half a line when the relay shuts down, and the rest arrives too late.
 #[test]
-fn half_a_line_does_not_keep_a_client_from_its_move() {
+fn half_a_line_does_not_keep_a_client_from_migrating() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut held, _) = accept_connection(&server).await;
-        send(&mut held, "UP r1\r\ncard 1\r\ncard 2 o").await;
+        let (mut upstream, _) = accept_connection(&endpoint).await;
+        send(&mut upstream, "UP r1\r\ncard 1\r\ncard 2 o").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         relay.stop.send(()).expect("a relay that runs");
         assert_eq!(timeout(SOON, receive_to_end(client)).await.expect("a move"), "card 1\r\nMOVE\r\n");
-        drop(held);
+        drop(upstream);
         relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
-/// A line longer than any may be passes as it comes: nothing of it is kept for good.
+/// A line beyond the limit is forwarded without being buffered.
 #[test]
-fn a_line_that_is_too_long_passes_as_it_comes() {
+fn a_line_that_is_too_long_is_forwarded_as_it_arrives() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut held, _) = accept_connection(&server).await;
+        let (mut upstream, _) = accept_connection(&endpoint).await;
         let long = "b".repeat(30_000);
-        send(&mut held, &format!("UP r1\r\n{long}")).await;
+        send(&mut upstream, &format!("UP r1\r\n{long}")).await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         let mut some = vec![0; 20_000];
         timeout(SOON, client.read_exact(&mut some)).await.expect("it passes").expect("bytes");
-        send(&mut held, "\r\nBYE\r\n").await;
-        drop(held);
+        send(&mut upstream, "\r\nBYE\r\n").await;
+        drop(upstream);
         assert_eq!(receive_to_end(client).await, format!("{}\r\nBYE\r\n", &long[20_000..]));
     });
 }
 
-/// Connections at the door as the relay ends: one that rests after a `PONG`, one in the middle of its first line, one that says
-/// nothing. Each has an answer before its end, and a request that arrives in that moment finds one.
+/// One connection is idle after a `PONG`, one is in the middle of its first line, one has sent nothing. Each is answered
+/// before it is closed.
 #[test]
-fn who_stands_at_the_door_of_a_relay_that_ends_has_an_answer() {
+fn idle_connections_are_answered_when_the_relay_shuts_down() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut rests = relay.client("PING\r\n").await;
@@ -230,26 +230,26 @@
     });
 }
 
-/// A request arrives on a resting connection after the relay has begun to end it: its client reads an answer and an orderly end.
+/// A request arrives after the relay has begun to close the idle connection: its client reads an answer and the end.
 #[test]
-fn a_request_that_meets_the_end_of_a_resting_connection_is_not_reset() {
+fn a_request_on_an_idle_connection_being_closed_is_not_reset() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut client = relay.client("PING\r\n").await;
         assert_eq!(receive_line(&mut client).await, "PONG\r\n");
-        // Ended by itself, as it rests too long; the request is written when the answer has come.
+        // The relay closes it by its idle timeout; the request is written after that answer.
         assert_eq!(timeout(SOON, receive_line(&mut client)).await.expect("an end"), "BUSY\r\n");
         send(&mut client, OPEN).await;
         assert_eq!(receive_to_end(client).await, "");
     });
 }
 
-/// Idle clients hold all that they can get: discovery, card servers, probes and operators still get their descriptors.
+/// Discovery, endpoints, health checks and operators still get descriptors while idle clients take all they can.
 #[test]
-fn a_door_full_of_idle_clients_leaves_descriptors_for_everything_else() {
+fn idle_connections_leave_descriptors_for_everything_else() {
     run_case(async {
-        let ((server, at), (discovery, discovery_at)) = (listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", at, "active")], 96, discovery_at).await;
+        let ((endpoint, address), (discovery, discovery_at)) = (listen().await, listen().await);
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 96, discovery_at).await;
         let mut idle = Vec::new();
         for _ in 0..400 {
             idle.push(relay.client("PING\r\n").await);
@@ -263,20 +263,20 @@
             .expect("it is called again");
         assert_eq!(timeout(SOON, relay.admin_command("status\n")).await.expect("an answer"), "YES\n");
         let mut client = relay.client(OPEN).await;
-        let (mut held, _) = timeout(SOON, accept_connection(&server)).await.expect("a session");
-        send(&mut held, "UP r1\r\n").await;
+        let (mut upstream, _) = timeout(SOON, accept_connection(&endpoint)).await.expect("a session");
+        send(&mut upstream, "UP r1\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
     });
 }
 
-/// A relay is ready at once though discovery refuses or says nothing.
+/// Discovery refuses connections, or does not answer.
 #[test]
-fn a_relay_is_ready_at_once_though_discovery_is_not() {
+fn a_relay_is_ready_at_once_while_discovery_is_down() {
     run_case(async {
         let (_silent, silent_at) = listen().await;
         for discovery in ["127.0.0.1:1".parse().expect("an address"), silent_at] {
-            let (_server, at) = listen().await;
-            let relay = Relay::with_discovery(&[("s-1", at, "active")], 256, discovery).await;
+            let (_server, address) = listen().await;
+            let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, discovery).await;
             let mut front = relay.client("PING\r\n").await;
             let pong = timeout(Duration::from_secs(1), receive_line(&mut front)).await;
             assert_eq!(pong.expect("an answer at once"), "PONG\r\n");
@@ -284,9 +284,9 @@
     });
 }
 
-/// A watch has fallen silent, and the card servers that it should have told of are gone.
+/// The watch is silent, and the endpoints that it should have reported as removed are gone.
 #[test]
-fn card_servers_that_refuse_connections_have_a_silent_watch_opened_anew() {
+fn a_silent_watch_is_reopened_when_endpoints_refuse_connections() {
     run_case(async {
         let (discovery, discovery_at) = listen().await;
         let (one, two) = (listen().await, listen().await);
@@ -294,7 +294,7 @@
         drop((one, two));
         let relay = Relay::of(patient(config)).await;
         let silent = accept_request(&discovery, "GET /registry/instances?index=1&").await;
-        // A watch that is younger than this may still be about to answer.
+        // A younger watch may still be about to answer.
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         assert!(receive_to_end(relay.client(OPEN).await).await.starts_with("BUSY"));
         timeout(SOON, accept_request(&discovery, "GET /registry/instances?index=1&"))
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay on real sockets of the loopback, with card servers of a few lines.
+//! The relay on real sockets of the loopback, with small endpoints in the test.
 
 #[path = "support/loopback.rs"]
 mod loopback;
@@ -17,40 +17,40 @@
 use tokio::task::spawn_local;
 
 #[test]
-fn a_session_is_placed_passed_on_and_ended_as_its_card_server_ends_it() {
+fn a_connection_is_forwarded_to_an_endpoint_and_ends_as_the_endpoint_ends_it() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut held, first) = accept_connection(&server).await;
+        let (mut upstream, first) = accept_connection(&endpoint).await;
         let wait = first.strip_prefix("OPEN 9b1f 7f3a c=study,d=").and_then(|t| t.split_once(','));
         let (wait, after) = wait.expect("the head with another wait");
         assert!(wait.parse::<u64>().is_ok_and(|ms| (1..=25_000).contains(&ms)), "{first}");
         assert_eq!(after, "g=5c0f,x=1\r\n");
-        send(&mut held, "UP r1\r\nLOAD 81").await;
+        send(&mut upstream, "UP r1\r\nLOAD 81").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         send(&mut client, "answer 1\r\n").await;
-        assert_eq!(receive_line(&mut held).await, "answer 1\r\n");
-        send(&mut held, "2.5\r\nBYE\r\n").await;
-        drop(held);
+        assert_eq!(receive_line(&mut upstream).await, "answer 1\r\n");
+        send(&mut upstream, "2.5\r\nBYE\r\n").await;
+        drop(upstream);
         assert_eq!(receive_to_end(client).await, "LOAD 812.5\r\nBYE\r\n");
     });
 }
 
 #[test]
-fn a_reset_is_passed_on_as_a_reset() {
+fn a_reset_by_the_endpoint_reaches_the_client_as_a_reset() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
-        let (mut client, held) = establish_connection(&relay, &server).await;
-        held.get_ref().set_zero_linger().expect("an option");
-        drop(held);
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
+        let (mut client, upstream) = establish_connection(&relay, &endpoint).await;
+        upstream.get_ref().set_zero_linger().expect("an option");
+        drop(upstream);
         assert!(client.read(&mut [0; 8]).await.is_err());
     });
 }
 
 #[test]
-fn the_first_line_gets_its_due() {
+fn a_ping_is_answered_and_a_malformed_first_line_gets_one_error() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut front = relay.client("PING\r\n").await;
@@ -75,10 +75,10 @@
     });
 }
 
-/// A card server that takes every session and only ever sees sound heads; it counts them.
-async fn card_server(server: TcpListener, heads: Rc<Cell<usize>>) {
+/// An endpoint that accepts every connection and counts the requests.
+async fn accepting_endpoint(endpoint: TcpListener, heads: Rc<Cell<usize>>) {
     loop {
-        let (mut end, _) = accept_connection(&server).await;
+        let (mut end, _) = accept_connection(&endpoint).await;
         heads.set(heads.get() + 1);
         spawn_local(async move {
             send(&mut end, "UP r1\r\n").await;
@@ -88,15 +88,15 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_keeps_nobody_out() {
+fn silent_idle_connections_do_not_keep_requests_out() {
     run_case(async {
-        let (server, at) = listen().await;
-        spawn_local(card_server(server, Rc::default()));
-        let relay = Relay::start(&[("s-1", at, "active")], 128).await;
-        let (mut crowd, mut served) = (Vec::new(), Vec::new());
+        let (endpoint, address) = listen().await;
+        spawn_local(accepting_endpoint(endpoint, Rc::default()));
+        let relay = Relay::start(&[("s-1", address, "active")], 128).await;
+        let (mut idle_clients, mut served) = (Vec::new(), Vec::new());
         for round in 0..10 {
             for _ in 0..40 {
-                crowd.push(TcpStream::connect(relay.at).await.expect("a connection"));
+                idle_clients.push(TcpStream::connect(relay.address).await.expect("a connection"));
             }
             let mut client = relay.client(&open_request(&round.to_string())).await;
             assert_eq!(receive_line(&mut client).await, "UP r1\r\n", "round {round}");
@@ -106,11 +106,11 @@
 }
 
 #[test]
-fn who_asks_wrongly_gets_one_error_and_nothing_is_sent_on_for_it() {
+fn an_open_id_or_many_requests_at_once_get_one_error_and_nothing_is_forwarded() {
     run_case(async {
-        let ((server, at), heads) = (listen().await, Rc::new(Cell::new(0)));
-        spawn_local(card_server(server, heads.clone()));
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let ((endpoint, address), heads) = (listen().await, Rc::new(Cell::new(0)));
+        spawn_local(accepting_endpoint(endpoint, heads.clone()));
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         let taken = "OPEN 9b1f 8888 c=study,d=26000\r\n";
@@ -127,12 +127,12 @@
 }
 
 #[test]
-fn the_wait_for_a_first_line_does_not_begin_anew() {
+fn the_timeout_of_a_first_line_is_not_extended_by_single_bytes() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let (mut drip, mut front) = (relay.client("OPEN").await, relay.client("PING\r\n").await);
         assert_eq!(receive_line(&mut front).await, "PONG\r\n");
-        // Half of the 3 s that they are owed for a slow machine.
+        // The timeout is 3 s; half of it again is left for a slow machine.
         let owed = Duration::from_millis(4_500);
         let (end, mut dripping) = drip.get_mut().split();
         let dripped = tokio::time::timeout(owed, async {
@@ -156,12 +156,12 @@
 }
 
 #[test]
-fn a_request_without_room_or_descriptors_is_told_when_to_come_back() {
+fn a_request_without_capacity_or_descriptors_is_rejected_with_a_retry_time() {
     run_case(async {
         let (gone, nowhere) = listen().await;
         drop(gone);
-        for (servers, sockets) in [(vec![("s-1", nowhere, "active")], 256), (vec![], 32)] {
-            let relay = Relay::start(&servers, sockets).await;
+        for (endpoints, max_descriptors) in [(vec![("s-1", nowhere, "active")], 256), (vec![], 32)] {
+            let relay = Relay::start(&endpoints, max_descriptors).await;
             let answer = receive_to_end(relay.client(OPEN).await).await;
             let ms = answer.strip_prefix("BUSY ").and_then(|ms| ms.trim_end().parse::<u64>().ok());
             assert!(ms.is_some_and(|ms| (300..=600).contains(&ms)), "{answer}");
@@ -170,100 +170,101 @@
 }
 
 #[test]
-fn a_card_server_that_turns_away_is_left_before_another_is_tried() {
+fn an_attempt_that_an_endpoint_rejects_is_closed_before_the_retry() {
     run_case(async {
         let ((one, one_at), (two, two_at)) = (listen().await, listen().await);
         let relay = Relay::start(&[("s-1", one_at, "active"), ("s-2", two_at, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let ((mut held, _), other) = tokio::select! {
-            held = accept_connection(&one) => (held, &two),
-            held = accept_connection(&two) => (held, &one),
+        let ((mut upstream, _), other) = tokio::select! {
+            upstream = accept_connection(&one) => (upstream, &two),
+            upstream = accept_connection(&two) => (upstream, &one),
         };
-        send(&mut held, "BUSY\r\n").await;
-        assert_eq!(receive_to_end(held).await, "", "the attempt is closed");
-        let (mut held, _) = accept_connection(other).await;
-        send(&mut held, "UP r2\r\n").await;
+        send(&mut upstream, "BUSY\r\n").await;
+        assert_eq!(receive_to_end(upstream).await, "", "the attempt is closed");
+        let (mut upstream, _) = accept_connection(other).await;
+        send(&mut upstream, "UP r2\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP r2\r\n");
     });
 }
 
 #[test]
-fn a_session_from_before_goes_back_to_its_draining_card_server() {
+fn a_reconnecting_client_reaches_its_endpoint_though_it_is_draining() {
     run_case(async {
-        let ((server, at), (_other, other_at)) = (listen().await, listen().await);
-        let relay = Relay::start(&[("s-1", at, "leaving"), ("s-2", other_at, "active")], 256).await;
+        let ((endpoint, address), (_other, other_at)) = (listen().await, listen().await);
+        let relay = Relay::start(&[("s-1", address, "leaving"), ("s-2", other_at, "active")], 256).await;
         let first = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
         let mut client = relay.client(first).await;
-        let (mut held, got) = accept_connection(&server).await;
+        let (mut upstream, got) = accept_connection(&endpoint).await;
         assert_eq!(got, first);
-        send(&mut held, "UP old\r\n").await;
+        send(&mut upstream, "UP old\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP old\r\n");
     });
 }
 
 #[test]
-fn a_planned_restart_moves_sessions_between_lines_and_refuses_newcomers() {
+fn graceful_shutdown_migrates_connections_between_lines_and_rejects_new_requests() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut held, _) = accept_connection(&server).await;
-        send(&mut held, "UP r1\r\ncard 1").await;
+        let (mut upstream, _) = accept_connection(&endpoint).await;
+        send(&mut upstream, "UP r1\r\ncard 1").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         let mut front = relay.client("PING\r\n").await;
         assert_eq!(receive_line(&mut front).await, "PONG\r\n");
         relay.stop.send(()).expect("a relay that runs");
         send(&mut front, "PING\r\n").await;
         assert_eq!(receive_line(&mut front).await, "BUSY\r\n");
-        let newcomer = BufReader::new(TcpStream::connect(relay.at).await.expect("a connection"));
-        let mut newcomer = newcomer;
-        send(&mut newcomer, &open_request("9b20")).await;
-        assert!(receive_to_end(newcomer).await.starts_with("BUSY "));
-        send(&mut held, " of 9\r\n").await;
+        let new_client = BufReader::new(TcpStream::connect(relay.address).await.expect("a connection"));
+        let mut new_client = new_client;
+        send(&mut new_client, &open_request("9b20")).await;
+        assert!(receive_to_end(new_client).await.starts_with("BUSY "));
+        send(&mut upstream, " of 9\r\n").await;
         assert_eq!(receive_to_end(client).await, "card 1 of 9\r\nMOVE\r\n");
-        assert_eq!(receive_to_end(held).await, "");
+        assert_eq!(receive_to_end(upstream).await, "");
         relay.ended.await.expect("no panic").expect("an orderly end");
     });
 }
 
 #[test]
-fn a_card_server_that_stops_short_of_an_answer_loses_the_client() {
+fn a_connection_whose_endpoint_stops_answering_is_migrated() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let (mut whole, mut half) = (relay.client(OPEN).await, relay.client(&open_request("9b20")).await);
-        // Which of the two comes first is the system's to choose; the first line tells whose it is.
-        let mut ends = [accept_connection(&server).await, accept_connection(&server).await];
+        // Either may connect first; the first line says whose connection it is.
+        let mut ends = [accept_connection(&endpoint).await, accept_connection(&endpoint).await];
         ends.sort_by_key(|(_, first)| !first.starts_with("OPEN 9b1f "));
         let [(mut one, _), (mut two, other)] = ends;
         assert!(other.starts_with("OPEN 9b20 "), "{other}");
-        for (client, held) in [(&mut whole, &mut one), (&mut half, &mut two)] {
-            send(held, "UP r1\r\n").await;
+        for (client, upstream) in [(&mut whole, &mut one), (&mut half, &mut two)] {
+            send(upstream, "UP r1\r\n").await;
             assert_eq!(receive_line(client).await, "UP r1\r\n");
             send(client, "answer 1\r\n").await;
         }
-        // Neither its load nor half a line is an answer.
+        // Neither a load report nor half a line counts as an answer.
         spawn_local(async move {
             send(&mut two, "card 1 o").await;
             while one.write_all(b"LOAD 7\r\n").await.is_ok() {
                 tokio::time::sleep(Duration::from_millis(300)).await;
             }
         });
-        // Half a line is not passed on, so that the client can be moved politely.
+        // Half a line is not forwarded, so that `MOVE` can be sent between lines.
         assert_eq!(receive_to_end(half).await, "MOVE\r\n");
         assert!(receive_to_end(whole).await.ends_with("LOAD 7\r\nMOVE\r\n"));
     });
 }
 
-/// A card server that takes every session, answers lines at once, and is behind with its messages.
-async fn slow_card_server(server: TcpListener) {
+/// An endpoint that accepts every connection, answers lines at once, and reports slow messages.
+async fn slow_endpoint(endpoint: TcpListener) {
     loop {
-        let mut end = BufReader::new(server.accept().await.expect("a connection").0);
+        let mut end = BufReader::new(endpoint.accept().await.expect("a connection").0);
         spawn_local(async move {
             let mut text = String::new();
             while end.read_line(&mut text).await.is_ok_and(|n| n > 0) {
-                let probe = text == "STATS\r\n";
-                let answer = if probe { "PONG util=0.2,latency_ms=900,x0=0.2\r\n" } else { "UP r\r\n" };
+                let health_check = text == "STATS\r\n";
+                let answer =
+                    if health_check { "PONG util=0.2,latency_ms=900,x0=0.2\r\n" } else { "UP r\r\n" };
                 send(&mut end, answer).await;
                 text.clear();
             }
@@ -272,18 +273,18 @@
 }
 
 #[test]
-fn a_card_server_whose_reports_tell_of_slow_messages_gets_no_newcomers() {
+fn an_endpoint_that_reports_slow_messages_gets_no_new_connections() {
     run_case(async {
-        let (server, at) = listen().await;
-        spawn_local(slow_card_server(server));
-        let relay = Relay::start(&[("s-1", at, "active")], 100_000).await;
+        let (endpoint, address) = listen().await;
+        spawn_local(slow_endpoint(endpoint));
+        let relay = Relay::start(&[("s-1", address, "active")], 100_000).await;
         let mut standing = Vec::new();
         loop {
             let mut client = relay.client(&open_request(&standing.len().to_string())).await;
             if receive_line(&mut client).await.starts_with("BUSY") {
                 break;
             }
-            // A line answered at once does not hide what the reports tell.
+            // A fast answer on the connection does not outweigh the load reports.
             send(&mut client, "answer 1\r\n").await;
             standing.push(client);
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -295,18 +296,18 @@
 const WATCH: &str = "GET /registry/instances?index=1&wait=";
 const WHOLE: &str = "GET /registry/instances HTTP/1.1";
 
-fn leaving(whole: bool, at: SocketAddr) -> String {
-    endpoint_list(2, whole, &[("s-1", at, "leaving")])
+fn leaving(whole: bool, address: SocketAddr) -> String {
+    endpoint_list(2, whole, &[("s-1", address, "leaving")])
 }
 
 #[test]
-fn news_of_a_drain_after_failed_calls_moves_the_sessions_there() {
+fn an_endpoint_that_drains_after_failed_polls_has_its_connections_migrated() {
     run_case(async {
-        let ((server, at), (discovery, discovery_at)) = (listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", at, "active")], 256, discovery_at).await;
-        let (mut client, _held) = establish_connection(&relay, &server).await;
+        let ((endpoint, address), (discovery, discovery_at)) = (listen().await, listen().await);
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, discovery_at).await;
+        let (mut client, _held) = establish_connection(&relay, &endpoint).await;
         drop(accept_request(&discovery, WATCH).await);
-        for (status, body) in [("503 Busy", ""), ("200 OK", "[]"), ("200 OK", &leaving(false, at))] {
+        for (status, body) in [("503 Busy", ""), ("200 OK", "[]"), ("200 OK", &leaving(false, address))] {
             respond(accept_request(&discovery, WATCH).await, status, body).await;
         }
         assert_eq!(receive_line(&mut client).await, "MOVE\r\n");
@@ -315,44 +316,46 @@
 }
 
 #[test]
-fn a_busy_card_server_where_sessions_stand_is_asked_again_without_newcomers() {
+fn a_busy_endpoint_with_connections_is_health_checked_without_new_requests() {
     run_case(async {
-        let (server, at) = listen().await;
-        let relay = Relay::start(&[("s-1", at, "active")], 256).await;
-        let (mut client, mut probe) = (relay.client(OPEN).await, server.accept().await.expect("a probe").0);
+        let (endpoint, address) = listen().await;
+        let relay = Relay::start(&[("s-1", address, "active")], 256).await;
+        let (mut client, mut health_check) =
+            (relay.client(OPEN).await, endpoint.accept().await.expect("a probe").0);
         let mut stats = [0; 7];
         for asked in 0..4 {
-            probe.read_exact(&mut stats).await.expect("a probe");
+            health_check.read_exact(&mut stats).await.expect("a probe");
             assert_eq!(&stats, b"STATS\r\n");
-            probe.write_all(b"PONG x0=0.65\r\n").await.expect("a write");
+            health_check.write_all(b"PONG x0=0.65\r\n").await.expect("a write");
             if asked == 0 {
-                let (mut held, _) = accept_connection(&server).await;
-                send(&mut held, "UP r1\r\n").await;
+                let (mut upstream, _) = accept_connection(&endpoint).await;
+                send(&mut upstream, "UP r1\r\n").await;
                 assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-                spawn_local(async move { receive_to_end(held).await });
+                spawn_local(async move { receive_to_end(upstream).await });
             }
         }
     });
 }
 
 #[test]
-fn a_reload_asks_the_new_discovery_and_no_session_notices() {
+fn a_reload_polls_the_new_discovery_and_keeps_connections() {
     run_case(async {
-        let ((server, at), (old, old_at), (new, new_at)) = (listen().await, listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", at, "active")], 256, old_at).await;
-        let (mut client, mut held) = establish_connection(&relay, &server).await;
+        let ((endpoint, address), (old, old_at), (new, new_at)) =
+            (listen().await, listen().await, listen().await);
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, old_at).await;
+        let (mut client, mut upstream) = establish_connection(&relay, &endpoint).await;
         let watch = accept_request(&old, WATCH).await;
-        // Half written: the configuration held stays in use, and so does the watch.
+        // A half-written file: configuration and watch stay as they are.
         relay.reloads.send(read_config(b"{\"name\":")).expect("a relay that runs");
         for _ in 0..2 {
             relay.reloads.send(config(&[], 256, new_at)).expect("a relay that runs");
         }
         assert_eq!(receive_to_end(watch).await, "", "the call at the old address is dropped");
-        // The roll held stays, the call that fails is made again, and the new discovery's word counts.
+        // The endpoint list stays, the failed request is repeated, and the new discovery's list applies.
         send(&mut client, "answer 1\r\n").await;
-        assert_eq!(receive_line(&mut held).await, "answer 1\r\n");
+        assert_eq!(receive_line(&mut upstream).await, "answer 1\r\n");
         respond(accept_request(&new, WHOLE).await, "503 Busy", "").await;
-        respond(accept_request(&new, WHOLE).await, "200 OK", &leaving(true, at)).await;
+        respond(accept_request(&new, WHOLE).await, "200 OK", &leaving(true, address)).await;
         assert_eq!(receive_line(&mut client).await, "MOVE\r\n");
         accept_request(&new, "GET /registry/instances?index=2&wait=").await;
         relay.stop.send(()).expect("a relay that runs");
@@ -361,7 +364,7 @@
     });
 }
 
-/// A started relay, which ends with its test, however that goes.
+/// A relay's process, killed at the end of its test.
 struct Program(std::process::Child);
 
 impl Drop for Program {
--- a/tests/support/loopback.rs
+++ b/tests/support/loopback.rs
@@ -1,4 +1,4 @@
-//! A relay in this process on real sockets of the loopback, with card servers of a few lines.
+//! A relay in this process on real sockets of the loopback, with small endpoints in the test.
 #![allow(dead_code)] // each test file uses a part
 
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 pub type Connection = BufReader<TcpStream>;
 
-/// A client, or a card server's end of a session.
+/// Receives one line.
 pub async fn receive_line(end: &mut Connection) -> String {
     let mut text = String::new();
     end.read_line(&mut text).await.expect("a line");
@@ -26,7 +26,7 @@
     end.write_all(text.as_bytes()).await.expect("a write");
 }
 
-/// Everything up to the end of the connection.
+/// Receives everything up to the end of the connection.
 pub async fn receive_to_end(mut end: Connection) -> String {
     let mut text = String::new();
     end.read_to_string(&mut text).await.expect("an orderly end");
@@ -35,14 +35,14 @@
 
 pub async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("an address");
-    (listener, at)
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
 }
 
-/// A card server's next session; probes are answered on the way.
-pub async fn accept_connection(server: &TcpListener) -> (Connection, String) {
+/// Accepts an endpoint's next connection and returns its first line; health checks before it are answered.
+pub async fn accept_connection(endpoint: &TcpListener) -> (Connection, String) {
     loop {
-        let mut end = BufReader::new(server.accept().await.expect("a connection").0);
+        let mut end = BufReader::new(endpoint.accept().await.expect("a connection").0);
         let first = receive_line(&mut end).await;
         if first != "STATS\r\n" {
             return (end, first);
@@ -58,14 +58,14 @@
 
 pub type Endpoints<'a> = &'a [(&'a str, SocketAddr, &'a str)];
 
-pub fn config_text(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> String {
-    config_value(servers, sockets, discovery).to_string()
+pub fn config_text(endpoints: Endpoints, max_descriptors: u64, discovery: SocketAddr) -> String {
+    config_value(endpoints, max_descriptors, discovery).to_string()
 }
 
-pub fn config_value(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> Value {
+pub fn config_value(endpoints: Endpoints, max_descriptors: u64, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:1", "discovery": discovery.to_string(), "seed": "1f",
-        "limits": {"sockets": sockets}, "known": endpoint_list_value(1, true, servers),
+        "limits": {"sockets": max_descriptors}, "known": endpoint_list_value(1, true, endpoints),
         "settings": {
             "family": "conn", "discovery": "on_request", "telemetry": {"source": "pull"},
             "familyInfo": {"messageAimUs": [150000.0], "tellsLoad": true, "tellsDelay": true},
@@ -77,8 +77,10 @@
                 "fallUs": 2000000, "stopSendingWithinUs": 500000, "mustAskInUs": 10000000}}})
 }
 
-pub fn config(servers: Endpoints, sockets: u64, discovery: SocketAddr) -> Result<Config, LoadConfigError> {
-    read_config(config_text(servers, sockets, discovery).as_bytes())
+pub fn config(
+    endpoints: Endpoints, max_descriptors: u64, discovery: SocketAddr,
+) -> Result<Config, LoadConfigError> {
+    read_config(config_text(endpoints, max_descriptors, discovery).as_bytes())
 }
 
 /// Reads a configuration's text as a reload does.
@@ -88,8 +90,8 @@
 }
 
 pub struct Relay {
-    pub at: SocketAddr,
-    /// Where operators call.
+    pub address: SocketAddr,
+    /// The address for operators.
     pub admin: SocketAddr,
     pub reloads: UnboundedSender<Result<Config, LoadConfigError>>,
     pub stop: oneshot::Sender<()>,
@@ -97,18 +99,20 @@
 }
 
 impl Relay {
-    /// A relay that knows the given card servers and whose discovery is down.
-    pub async fn start(servers: Endpoints<'_>, sockets: u64) -> Relay {
-        Relay::with_discovery(servers, sockets, "127.0.0.1:1".parse().expect("an address")).await
+    /// Starts a relay that knows the given endpoints and whose discovery is down.
+    pub async fn start(endpoints: Endpoints<'_>, max_descriptors: u64) -> Relay {
+        Relay::with_discovery(endpoints, max_descriptors, "127.0.0.1:1".parse().expect("an address")).await
     }
 
-    pub async fn with_discovery(servers: Endpoints<'_>, sockets: u64, discovery: SocketAddr) -> Relay {
-        Relay::of(config_value(servers, sockets, discovery)).await
+    pub async fn with_discovery(
+        endpoints: Endpoints<'_>, max_descriptors: u64, discovery: SocketAddr,
+    ) -> Relay {
+        Relay::of(config_value(endpoints, max_descriptors, discovery)).await
     }
 
     pub async fn of(config: Value) -> Relay {
         let config = Config::read(config.to_string().as_bytes(), |_| None).expect("a sound configuration");
-        let (clients, at) = listen().await;
+        let (clients, address) = listen().await;
         let (operators, admin) = listen().await;
         let (stop, stopped) = oneshot::channel();
         let (reloads, reloaded) = unbounded_channel();
@@ -121,10 +125,10 @@
             stopped,
             reloaded,
         ));
-        Relay { at, admin, reloads, stop, ended }
+        Relay { address, admin, reloads, stop, ended }
     }
 
-    /// What an operator's call is answered.
+    /// Sends an admin command and returns the answer.
     pub async fn admin_command(&self, line: &str) -> String {
         let mut end = BufReader::new(TcpStream::connect(self.admin).await.expect("a connection"));
         send(&mut end, line).await;
@@ -132,13 +136,13 @@
     }
 
     pub async fn client(&self, first: &str) -> Connection {
-        let mut end = BufReader::new(TcpStream::connect(self.at).await.expect("a connection"));
+        let mut end = BufReader::new(TcpStream::connect(self.address).await.expect("a connection"));
         send(&mut end, first).await;
         end
     }
 }
 
-/// Runs a case on the relay's kind of runtime; a case that hangs fails in the end.
+/// Runs a test case on a single-threaded runtime, as the relay's; a case that hangs fails by a timeout.
 pub fn run_case(run: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let limit = Duration::from_secs(60);
@@ -146,7 +150,7 @@
     done.expect("the case ends");
 }
 
-/// The next call to discovery, up to the end of its head.
+/// Accepts the next request to discovery and reads its head.
 pub async fn accept_request(discovery: &TcpListener, wanted: &str) -> Connection {
     let mut end = BufReader::new(discovery.accept().await.expect("a call").0);
     let path = receive_line(&mut end).await;
@@ -160,31 +164,31 @@
     send(&mut end, &(head + body)).await;
 }
 
-/// A list in discovery's form.
-pub fn endpoint_list(version: u64, whole: bool, servers: Endpoints) -> String {
-    endpoint_list_value(version, whole, servers).to_string()
+/// Returns an endpoint list in discovery's JSON.
+pub fn endpoint_list(version: u64, whole: bool, endpoints: Endpoints) -> String {
+    endpoint_list_value(version, whole, endpoints).to_string()
 }
 
-fn endpoint_list_value(version: u64, whole: bool, servers: Endpoints) -> Value {
-    let entry = |(id, at, state): &(&str, SocketAddr, &str)| json!({"id": id, "addr": at.to_string(), "state": state});
-    let servers: Vec<_> = servers.iter().map(entry).collect();
-    json!({"version": version, "full": whole, "servers": servers})
+fn endpoint_list_value(version: u64, whole: bool, endpoints: Endpoints) -> Value {
+    let entry = |(id, address, state): &(&str, SocketAddr, &str)| json!({"id": id, "addr": address.to_string(), "state": state});
+    let endpoints: Vec<_> = endpoints.iter().map(entry).collect();
+    json!({"version": version, "full": whole, "servers": endpoints})
 }
 
-/// A client whose session its card server has taken, and the card server's end of it.
-pub async fn establish_connection(relay: &Relay, server: &TcpListener) -> (Connection, Connection) {
+/// Establishes a connection and returns the client's and the endpoint's end.
+pub async fn establish_connection(relay: &Relay, endpoint: &TcpListener) -> (Connection, Connection) {
     let mut client = relay.client(OPEN).await;
-    let (mut held, _) = accept_connection(server).await;
-    send(&mut held, "UP r1\r\n").await;
+    let (mut upstream, _) = accept_connection(endpoint).await;
+    send(&mut upstream, "UP r1\r\n").await;
     assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-    (client, held)
+    (client, upstream)
 }
 
-/// A card server whose connections come up late: its queue is full until [`LateListener::accept_waiting`].
+/// An endpoint that connects late: its accept queue is full until [`LateListener::accept_waiting`].
 pub struct LateListener {
     listener: std::net::TcpListener,
     filled: Vec<std::net::TcpStream>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 impl LateListener {
@@ -193,19 +197,19 @@
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let listener = socket.listen(1).expect("a listener").into_std().expect("a plain listener");
-        let at = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         let mut filled = Vec::new();
-        // The system lets in one more than it is asked to; the first that does not come up tells.
-        while let Ok(stream) = Stream::connect_timeout(&at, Duration::from_millis(100)) {
+        // The kernel queues more than the backlog; the queue is full when a connection times out.
+        while let Ok(stream) = Stream::connect_timeout(&address, Duration::from_millis(100)) {
             filled.push(stream);
             assert!(filled.len() < 100, "a queue that never fills");
         }
-        LateListener { listener, filled, at }
+        LateListener { listener, filled, address }
     }
 
-    /// Waits until somebody else's dial is under way, as the system's table of connections tells.
+    /// Waits until another connection attempt is in progress, by the kernel's table of connections.
     pub async fn wait_for_dial(&self) {
-        let port = format!(":{:04X} 02 ", self.at.port());
+        let port = format!(":{:04X} 02 ", self.address.port());
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
             if table.lines().any(|line| line.contains(&port)) {
@@ -215,7 +219,7 @@
         }
     }
 
-    /// Empties the queue. Who dialled meanwhile comes up when the system tries again, a second or so after it began.
+    /// Empties the queue. Pending attempts connect when the kernel retries, about a second after they began.
     pub fn accept_waiting(&mut self) {
         self.listener.set_nonblocking(false).expect("an option");
         for _ in self.filled.drain(..) {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// The next connection, once it comes up, and all that it brings up to its end.
+    /// Accepts the next connection and receives everything up to its end.
     pub async fn next_connection(self) -> String {
         self.listener.set_nonblocking(true).expect("an option");
         let listener = TcpListener::from_std(self.listener).expect("a listener");
@@ -233,7 +237,7 @@
 
 pub const OPEN: &str = "OPEN 9b1f 7f3a c=study,d=26000,g=5c0f,x=1\r\n";
 
-/// Each connection has an id of its own.
+/// Returns a request whose connection has this id.
 pub fn open_request(id: &str) -> String {
     OPEN.replace("9b1f", id)
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 
-/// A folder of this test's own, gone with it.
+/// A directory of this test's own, removed with it.
 pub struct ScratchDirectory(pub PathBuf);
 
 impl ScratchDirectory {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A configuration with a discovery that is down, and two sites.
+/// Returns a configuration with two zones whose discovery is down.
 pub fn config(listen: SocketAddr) -> String {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": "127.0.0.1:1", "seed": "1f",
@@ -61,14 +61,14 @@
     command
 }
 
-/// A relay's process, ended with the test.
+/// A relay's process, killed at the end of the test.
 pub struct Relay {
     pub child: Child,
     pub log: PathBuf,
 }
 
 impl Relay {
-    /// Starts a relay, whose log is a file of that name in the folder, and waits until it serves.
+    /// Starts a relay whose log is a file of that name in the directory, and waits until it serves.
     pub fn start(folder: &ScratchDirectory, config: &Path, log: &str, words: &[&str]) -> Relay {
         let log = folder.0.join(log);
         let mut command = relay_command(config, &["serve", "--log-form", "json"]);
@@ -83,7 +83,7 @@
         assert!(sent.expect("a signal").success());
     }
 
-    /// Waits for a record of the log.
+    /// Waits until the log contains a text.
     pub fn wait_for_log(&self, text: &str) {
         let until = Instant::now() + Duration::from_secs(30);
         while !fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text)) {
@@ -100,12 +100,12 @@
     }
 }
 
-/// An address where nothing listens now.
+/// Returns an address that nothing listens on.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-/// A relay's answer to a client's head.
+/// Sends a request and returns the first line of the answer.
 pub fn first_answer(relay: SocketAddr, head: &str) -> String {
     let mut client = TcpStream::connect(relay).expect("a connection");
     client.write_all(head.as_bytes()).expect("a write");
