--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -10,7 +10,7 @@
 use honeyknot_balancer::Settings;
 use honeyknot_gossip::Plan as GossipConfig;
 use honeyknot_metrics::Plan as MetricsConfig;
-use honeyknot_zone_failover::Plan as ZoneFailoverConfig;
+use honeyknot_zone_failover::ZoneFailoverConfig;
 use serde_json::Value;
 
 use crate::relay::connections::protocol::socket_address;
