--- a/src/main.rs
+++ b/src/main.rs
@@ -120,7 +120,7 @@
 
 fn describe(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
-    let known = config.known.as_ref().map_or(0, |k| k.entries.len());
+    let known = config.known.as_ref().map_or(0, |k| k.endpoints.len());
     println!("{} descriptors, {known} card servers known", config.sockets);
     if let Some(admin) = config.admin {
         println!("operators call at {admin}");
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -32,7 +32,7 @@
             Action::SetTimer { delay, token } => self.timers.decision(delay, token),
             // The discovery client follows the endpoint list all the time and paces its own polls.
             Action::Watch(_) => {}
-            Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::Fetch),
+            Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::FetchFullList),
             Action::Log(text) => info!(target: "balancer", "{text}"),
             // The settings tell the balancer that relays cannot send messages to each other.
             Action::SendPeerMessage { .. } => {}
--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -10,6 +10,7 @@
 
 use super::connection_table::{ConnectionEntry, CurrentAttempt};
 use super::connections::protocol::OpenRequest;
+use super::endpoints::message_latency::LatencySource;
 use super::metrics::recorder::Answer;
 use super::{ConnectionCommand, Relay};
 
@@ -166,7 +167,7 @@
     pub fn message_latency_measured(&mut self, id: RequestId, latency: Micros) {
         if let Some(endpoint) = self.endpoint_of(id) {
             self.update_metrics(|book| book.record(Family::Message, latency));
-            self.note_message_latency(endpoint, latency as f64 / 1e3, false);
+            self.note_message_latency(endpoint, latency as f64 / 1e3, LatencySource::ClientLine);
         }
     }
 
--- a/src/relay/endpoint_events.rs
+++ b/src/relay/endpoint_events.rs
@@ -3,20 +3,21 @@
 use honeyknot_balancer::{ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome};
 
 use super::Relay;
+use super::endpoints::message_latency::LatencySource;
 
 impl Relay {
-    /// A message took this many milliseconds at an endpoint; `reported` if the endpoint says so itself.
+    /// A message took this many milliseconds at an endpoint.
     pub(in crate::relay) fn note_message_latency(
-        &mut self, endpoint: EndpointId, latency_ms: f64, reported: bool,
+        &mut self, endpoint: EndpointId, latency_ms: f64, source: LatencySource,
     ) {
-        if self.message_latencies.seen(self.timers.clock.now(), &endpoint, latency_ms, reported) {
+        if self.message_latencies.record(self.timers.clock.now(), &endpoint, latency_ms, source) {
             self.report_message_latency(&endpoint, latency_ms);
         }
     }
 
     /// Reports again the latencies that last, as far as they were observed recently.
     pub(in crate::relay) fn report_lasting_latencies(&mut self) {
-        for (endpoint, latency_ms) in self.message_latencies.due(self.timers.clock.now()) {
+        for (endpoint, latency_ms) in self.message_latencies.due_reports(self.timers.clock.now()) {
             self.report_message_latency(&endpoint, latency_ms);
         }
     }
@@ -46,14 +47,14 @@
         &mut self, endpoint: EndpointId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
     ) {
         let load = report.as_ref().and_then(|report| report.load);
-        self.message_latencies.measured(self.timers.clock.now(), &endpoint, load);
+        self.message_latencies.measurement_ended(self.timers.clock.now(), &endpoint, load);
         self.zone_health_check_ended(&endpoint, outcome, load);
         self.share_health_check(&endpoint, outcome, report.as_ref());
         self.record_health_check(outcome, elapsed);
         let latency_ms = report.as_ref().and_then(|report| report.latency_ms);
         self.handle_event(Event::HealthCheckEnded { endpoint: endpoint.clone(), outcome, elapsed, report });
         if let Some(latency_ms) = latency_ms {
-            self.note_message_latency(endpoint, latency_ms, true);
+            self.note_message_latency(endpoint, latency_ms, LatencySource::LoadReport);
         }
     }
 }
--- /dev/null
+++ b/src/relay/endpoints/discovery_client/connection.rs
@@ -0,0 +1,107 @@
+//! The connection to discovery, kept from request to request.
+
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use bytes::BytesMut;
+use honeyknot_balancer::Micros;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+use super::error::DiscoveryError;
+use super::http::{HttpResponse, take_response};
+use crate::relay::timer_wheel::Timers;
+
+/// Time to connect to discovery, in microseconds: enough for one lost packet, which is sent again after a second.
+const CONNECT_TIMEOUT: Micros = 1_200_000;
+
+/// An HTTP connection that carries one request at a time.
+pub(super) struct DiscoveryConnection {
+    address: SocketAddr,
+    stream: Option<TcpStream>,
+    timers: Rc<Timers>,
+}
+
+impl DiscoveryConnection {
+    /// Creates a connection that is opened by the first request.
+    pub(super) fn new(address: SocketAddr, timers: &Rc<Timers>) -> DiscoveryConnection {
+        DiscoveryConnection { address, stream: None, timers: timers.clone() }
+    }
+
+    /// Closes the connection; the next request opens one to this address.
+    pub(super) fn change_address(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.close();
+    }
+
+    /// Closes the connection; the next request opens another.
+    pub(super) fn close(&mut self) {
+        self.stream = None;
+    }
+
+    /// Makes a request and returns the body of its response. The connection is closed if the request fails.
+    pub(super) async fn get(&mut self, path: &str, timeout: Micros) -> Result<Vec<u8>, DiscoveryError> {
+        let timers = self.timers.clone();
+        // The response is polled first: it may have arrived while the whole process stood still.
+        let result = tokio::select! {
+            biased;
+            result = self.exchange(path) => result,
+            () = timers.sleep(timeout) => Err(DiscoveryError::ResponseTimeout),
+        };
+        if result.is_err() {
+            self.close();
+        }
+        result
+    }
+
+    async fn connect(&self) -> Result<TcpStream, DiscoveryError> {
+        tokio::select! {
+            biased;
+            stream = TcpStream::connect(self.address) => Ok(stream?),
+            () = self.timers.sleep(CONNECT_TIMEOUT) => Err(DiscoveryError::ConnectTimeout),
+        }
+    }
+
+    async fn exchange(&mut self, path: &str) -> Result<Vec<u8>, DiscoveryError> {
+        let request =
+            format!("GET {path} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.address);
+        let mut stream = match self.stream.take().filter(is_open) {
+            Some(stream) => stream,
+            None => self.connect().await?,
+        };
+        let _ = stream.set_nodelay(true);
+        stream.write_all(request.as_bytes()).await?;
+        let response = read_response(&mut stream).await?;
+        if !response.closes {
+            self.stream = Some(stream);
+        }
+        match response.status {
+            200 => Ok(response.body),
+            status @ (429 | 503) => {
+                Err(DiscoveryError::Overloaded { status, retry_after: response.retry_after })
+            }
+            status => Err(DiscoveryError::UnexpectedStatus(status)),
+        }
+    }
+}
+
+async fn read_response(stream: &mut TcpStream) -> Result<HttpResponse, DiscoveryError> {
+    let mut bytes = BytesMut::new();
+    loop {
+        if let Some(response) = take_response(&mut bytes)? {
+            return Ok(response);
+        }
+        if stream.read_buf(&mut bytes).await? == 0 {
+            return Err(DiscoveryError::ResponseTruncated);
+        }
+    }
+}
+
+/// Whether an idle connection is still open.
+///
+/// A connection that was closed while idle is not a failed request. Once the request is written, a broken connection is one, and is
+/// not retried at once, as discovery may be overloaded.
+fn is_open(stream: &TcpStream) -> bool {
+    matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+}
--- /dev/null
+++ b/src/relay/endpoints/discovery_client/mod.rs
@@ -0,0 +1,13 @@
+//! Discovery over HTTP: carries out the requests that [`DiscoveryPoller`](honeyknot_discovery::DiscoveryPoller) schedules, one at a
+//! time, and applies the endpoint lists that it accepts.
+
+mod connection;
+mod error;
+mod http;
+mod list_codec;
+mod task;
+
+pub use error::DiscoveryError;
+pub use http::{HttpError, HttpResponse, take_response};
+pub use list_codec::{EndpointListError, EndpointListUpdate, parse_endpoint_list};
+pub use task::{DiscoveryCommand, new_poller, run};
--- /dev/null
+++ b/src/relay/endpoints/discovery_client/task.rs
@@ -0,0 +1,223 @@
+//! The task that polls discovery as long as the relay runs.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use honeyknot_balancer::{DiscoveryMode, EndpointId, Micros, Settings};
+use honeyknot_discovery::{
+    DiscoveryConfig, DiscoveryPoller, DiscoveryRequest, DiscoveryState, EndpointList, Poll,
+};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tracing::{info, warn};
+
+use super::connection::DiscoveryConnection;
+use super::error::DiscoveryError;
+use super::list_codec::{EndpointListUpdate, parse_endpoint_list};
+use crate::relay::SharedRelay;
+use crate::relay::timer_wheel::Timers;
+
+/// Keeps the poller's draws apart from those of the balancer, which has the same seed.
+const SEED_SALT: u64 = 0x115_7e4;
+
+/// A command to the discovery client.
+#[derive(Debug)]
+pub enum DiscoveryCommand {
+    /// Request the full endpoint list once.
+    FetchFullList,
+    /// Discovery is at this address from now on.
+    ChangeAddress(SocketAddr),
+    /// An endpoint that is listed as ready refused a connection.
+    ConnectionRefused,
+}
+
+/// Why the request in flight is abandoned.
+enum Interruption {
+    /// Discovery has another address.
+    AddressChanged(SocketAddr),
+    /// The endpoint list is stale, so the watch in flight has gone silent.
+    StaleList,
+}
+
+/// How a request ended.
+enum PollOutcome {
+    Completed(Result<EndpointListUpdate, DiscoveryError>),
+    Interrupted(Interruption),
+    /// The relay is gone.
+    RelayStopped,
+}
+
+/// Creates the poller of a relay that starts with this endpoint list.
+pub fn new_poller(
+    settings: &Settings, seed: u64, known: &EndpointListUpdate, now: Micros,
+) -> DiscoveryPoller {
+    let initial = EndpointList { version: known.version, full: true, endpoints: known.endpoints.clone() };
+    let is_pushed = settings.discovery == DiscoveryMode::Pushed;
+    let config = DiscoveryConfig {
+        fleet_size: settings.fleet_size,
+        max_list_age: settings.rules.max_list_age,
+        agent_drain_grace: is_pushed.then_some(settings.rules.drain_grace),
+        seed: seed.rotate_left(32) ^ SEED_SALT,
+    };
+    DiscoveryPoller::new(config, &initial, now)
+}
+
+/// Makes the requests that the poller schedules until the relay stops, one at a time.
+///
+/// The endpoint list is followed from the start, also where the settings say that it is pushed: it then lies ready at an agent and
+/// counts as notified there. A change of address abandons the request in flight and requests the full list at the new address; the
+/// list held stays in use meanwhile.
+pub async fn run(
+    relay: SharedRelay, address: SocketAddr, poller: DiscoveryPoller,
+    commands: UnboundedReceiver<DiscoveryCommand>,
+) {
+    let timers = relay.borrow().timers.clone();
+    let connection = DiscoveryConnection::new(address, &timers);
+    DiscoveryClient { relay, timers, poller, connection, commands }.run().await;
+}
+
+struct DiscoveryClient {
+    relay: SharedRelay,
+    timers: Rc<Timers>,
+    poller: DiscoveryPoller,
+    connection: DiscoveryConnection,
+    commands: UnboundedReceiver<DiscoveryCommand>,
+}
+
+impl DiscoveryClient {
+    async fn run(mut self) {
+        loop {
+            self.relay.borrow_mut().list_state = self.poller.state();
+            let next_poll_at = self.poller.next_poll_at();
+            tokio::select! {
+                biased;
+                command = self.commands.recv() => {
+                    let Some(command) = command else { return };
+                    self.handle_idle_command(command);
+                    continue;
+                }
+                () = self.timers.sleep_until(next_poll_at.unwrap_or(0)), if next_poll_at.is_some() => {}
+            }
+            match self.poll().await {
+                PollOutcome::Completed(Ok(update)) => self.apply(update),
+                PollOutcome::Completed(Err(error)) => self.fail(&error),
+                PollOutcome::Interrupted(Interruption::StaleList) => {
+                    self.connection.close();
+                    self.fail(&DiscoveryError::StaleList);
+                }
+                PollOutcome::Interrupted(Interruption::AddressChanged(address)) => {
+                    self.change_address(address);
+                }
+                PollOutcome::RelayStopped => return,
+            }
+        }
+    }
+
+    fn handle_idle_command(&mut self, command: DiscoveryCommand) {
+        let interruption = handle_command(command, &mut self.poller, self.timers.clock.now());
+        if let Some(Interruption::AddressChanged(address)) = interruption {
+            self.change_address(address);
+        }
+    }
+
+    fn change_address(&mut self, address: SocketAddr) {
+        self.connection.change_address(address);
+        self.poller.change_service(self.timers.clock.now());
+    }
+
+    /// Makes the request that is due, unless a command interrupts it.
+    async fn poll(&mut self) -> PollOutcome {
+        let Poll { request, timeout } = self.poller.start_poll(self.timers.clock.now());
+        let path = request_path(request);
+        tokio::select! {
+            biased;
+            interruption = next_interruption(&mut self.commands, &mut self.poller, &self.timers) => {
+                interruption.map_or(PollOutcome::RelayStopped, PollOutcome::Interrupted)
+            }
+            result = fetch_list(&mut self.connection, &self.relay, &path, timeout) => {
+                PollOutcome::Completed(result)
+            }
+        }
+    }
+
+    /// Applies the part of a list that the poller accepts.
+    fn apply(&mut self, update: EndpointListUpdate) {
+        let held_older_list = self.poller.state() == DiscoveryState::ValidatingOlderList;
+        let accepted = accept_list(&mut self.poller, self.timers.clock.now(), update);
+        let version = accepted.version;
+        match self.poller.state() {
+            DiscoveryState::ValidatingOlderList if !held_older_list => {
+                warn!(target: "discovery", version, "older endpoint list accepted in part");
+            }
+            DiscoveryState::Following if held_older_list => {
+                info!(target: "discovery", version, "endpoint list accepted in full again");
+            }
+            _ => {}
+        }
+        self.relay.borrow_mut().apply_endpoint_list(accepted);
+    }
+
+    fn fail(&mut self, error: &DiscoveryError) {
+        self.poller.poll_failed(self.timers.clock.now(), error.kind());
+        self.relay.borrow_mut().discovery_failed(error);
+    }
+}
+
+/// Handles a command; returns why the request in flight is abandoned, if it is.
+fn handle_command(
+    command: DiscoveryCommand, poller: &mut DiscoveryPoller, now: Micros,
+) -> Option<Interruption> {
+    match command {
+        DiscoveryCommand::FetchFullList => {
+            poller.request_full_list();
+            None
+        }
+        DiscoveryCommand::ConnectionRefused => {
+            poller.connection_refused(now).then_some(Interruption::StaleList)
+        }
+        DiscoveryCommand::ChangeAddress(address) => Some(Interruption::AddressChanged(address)),
+    }
+}
+
+/// Handles commands until one interrupts the request in flight; none once the relay is gone.
+async fn next_interruption(
+    commands: &mut UnboundedReceiver<DiscoveryCommand>, poller: &mut DiscoveryPoller, timers: &Timers,
+) -> Option<Interruption> {
+    loop {
+        let command = commands.recv().await?;
+        if let Some(interruption) = handle_command(command, poller, timers.clock.now()) {
+            return Some(interruption);
+        }
+    }
+}
+
+async fn fetch_list(
+    connection: &mut DiscoveryConnection, relay: &SharedRelay, path: &str, timeout: Micros,
+) -> Result<EndpointListUpdate, DiscoveryError> {
+    let body = connection.get(path, timeout).await?;
+    let value = serde_json::from_slice(&body)?;
+    Ok(parse_endpoint_list(&value, &relay.borrow().names)?)
+}
+
+/// Returns the path and query of a request.
+fn request_path(request: DiscoveryRequest) -> String {
+    match request {
+        DiscoveryRequest::FullList => "/registry/instances".to_owned(),
+        DiscoveryRequest::Watch { since_version, max_wait } => {
+            format!("/registry/instances?index={since_version}&wait={}", max_wait / 1_000)
+        }
+    }
+}
+
+/// Returns the part of a list that the poller accepts, with the addresses of its endpoints.
+fn accept_list(poller: &mut DiscoveryPoller, now: Micros, update: EndpointListUpdate) -> EndpointListUpdate {
+    let received = update.endpoints.len();
+    let list = EndpointList { version: update.version, full: update.full, endpoints: update.endpoints };
+    let EndpointList { version, full, endpoints } = poller.poll_succeeded(now, list);
+    let mut addresses = update.addresses;
+    if endpoints.len() < received {
+        let accepted: BTreeSet<&EndpointId> = endpoints.iter().map(|endpoint| &endpoint.id).collect();
+        addresses.retain(|(id, _)| accepted.contains(id));
+    }
+    EndpointListUpdate { version, full, endpoints, addresses }
+}
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -1,20 +1,20 @@
-//! The server roll as the relay holds it: as discovery tells it, but for card servers that operators have taken out.
+//! The endpoint list that the relay holds: discovery's, with the endpoints in maintenance as operators want them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use honeyknot_balancer::maintenance::UnknownEndpoint;
+use honeyknot_balancer::{Endpoint, EndpointId, EndpointState, EndpointUpdate, Event};
 use honeyknot_discovery::DiscoveryErrorKind;
 use honeyknot_metrics::Family;
 use tracing::{info, warn};
 
-use super::discovery_client::{DiscoveryCommand, EndpointListUpdate, Failure};
+use super::discovery_client::{DiscoveryCommand, DiscoveryError, EndpointListUpdate};
 use crate::relay::Relay;
-use honeyknot_balancer::*;
 
-/// The tag's value of a failed call.
-fn trouble_word(trouble: DiscoveryErrorKind) -> &'static str {
-    match trouble {
+/// Returns the metric tag of a failed request.
+fn outcome_tag(kind: DiscoveryErrorKind) -> &'static str {
+    match kind {
         DiscoveryErrorKind::ConnectionRefused => "refused",
         DiscoveryErrorKind::ConnectionBroken => "broken",
         DiscoveryErrorKind::Overloaded { .. } => "busy",
@@ -24,102 +24,118 @@
 }
 
 impl Relay {
-    pub(in crate::relay) fn apply_known_endpoints(&mut self, news: EndpointListUpdate) {
-        let update = EndpointUpdate::Cached(self.record_endpoint_list(news));
-        self.update_zones(&update);
-        self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
+    /// Applies the endpoint list that the relay starts with.
+    pub(in crate::relay) fn apply_known_endpoints(&mut self, list: EndpointListUpdate) {
+        let update = EndpointUpdate::Cached(self.record_endpoint_list(list));
+        self.apply_endpoint_update(update);
     }
 
-    /// News of the server roll. They are applied before anything else is sent.
-    pub fn apply_endpoint_list(&mut self, news: EndpointListUpdate) {
+    /// Applies an endpoint list of discovery before anything else is sent.
+    pub fn apply_endpoint_list(&mut self, list: EndpointListUpdate) {
         if std::mem::take(&mut self.discovery_failing) {
-            info!(target: "roll", version = news.version, "discovery answers again");
+            info!(target: "discovery", version = list.version, "discovery responds again");
         }
         self.discovery_answered_at = self.timers.clock.now();
-        let whole = news.whole;
-        let outcome = if news.entries.is_empty() && news.version == self.endpoint_list_version {
-            "quiet"
-        } else {
-            "news"
-        };
-        self.update_metrics(|book| book.count(Family::RollCalls, outcome));
-        let entries = self.record_endpoint_list(news);
-        let update = if whole { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
+        let is_full = list.full;
+        let is_unchanged = list.endpoints.is_empty() && list.version == self.endpoint_list_version;
+        let outcome = if is_unchanged { "quiet" } else { "news" };
+        self.update_metrics(|metrics| metrics.count(Family::RollCalls, outcome));
+        let endpoints = self.record_endpoint_list(list);
+        let update = if is_full { EndpointUpdate::Full(endpoints) } else { EndpointUpdate::Delta(endpoints) };
+        self.apply_endpoint_update(update);
+    }
+
+    /// Passes an update to zone failover and to the balancer.
+    fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         self.update_zones(&update);
         self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
     }
 
-    fn record_endpoint_list(&mut self, news: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
-        self.endpoint_list_version = news.version;
-        self.endpoints.set_addresses(news.addresses);
-        let entries = self.maintenance.apply_update(news.entries, news.whole);
-        self.record_endpoints(entries, news.whole)
+    fn record_endpoint_list(&mut self, list: EndpointListUpdate) -> Arc<Vec<Endpoint>> {
+        self.endpoint_list_version = list.version;
+        self.endpoints.set_addresses(list.addresses);
+        let endpoints = self.maintenance.apply_update(list.endpoints, list.full);
+        self.record_endpoints(endpoints, list.full)
     }
 
-    /// Notes a roll, or changes of it, as the decisions are to see it.
-    fn record_endpoints(&mut self, entries: Vec<Endpoint>, whole: bool) -> Arc<Vec<Endpoint>> {
-        let mut drains = 0;
-        for entry in &entries {
-            if let Some(zone) = entry.zone {
-                self.endpoints.set_zone(&entry.id, zone);
+    /// Records endpoints as the balancer is to see them.
+    fn record_endpoints(&mut self, endpoints: Vec<Endpoint>, is_full: bool) -> Arc<Vec<Endpoint>> {
+        let mut started_drains = 0;
+        for endpoint in &endpoints {
+            if let Some(zone) = endpoint.zone {
+                self.endpoints.set_zone(&endpoint.id, zone);
             }
-            if entry.state == EndpointState::Ready {
-                self.endpoints.stop_draining(&entry.id);
-            } else if self.endpoints.start_draining(&entry.id) {
-                drains += u64::from(entry.state == EndpointState::Draining);
+            if endpoint.state == EndpointState::Ready {
+                self.endpoints.stop_draining(&endpoint.id);
+            } else if self.endpoints.start_draining(&endpoint.id) {
+                started_drains += u64::from(endpoint.state == EndpointState::Draining);
             }
         }
-        self.update_metrics(|book| book.add(Family::Drains, 0, drains));
-        if whole {
-            let named = |id: &EndpointId| entries.iter().any(|e| e.id == *id);
-            let lost: Vec<EndpointId> =
-                self.endpoints.with_address().filter(|id| !named(id)).cloned().collect();
-            for id in &lost {
-                self.endpoints.start_draining(id);
-            }
+        self.update_metrics(|metrics| metrics.add(Family::Drains, 0, started_drains));
+        if is_full {
+            self.drain_unlisted_endpoints(&endpoints);
         }
-        // A probe of a card server that is gone has nothing left to ask.
-        let gone = entries.iter().filter(|e| e.state == EndpointState::Removed);
-        gone.for_each(|e| self.endpoints.stop_health_check(&e.id));
-        Arc::new(entries)
+        let removed = endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Removed);
+        removed.for_each(|endpoint| self.endpoints.stop_health_check(&endpoint.id));
+        Arc::new(endpoints)
     }
 
-    /// Takes a card server out by hand. When this returns, nothing new goes there.
+    /// Drains the endpoints that a full list does not name.
+    fn drain_unlisted_endpoints(&mut self, listed: &[Endpoint]) {
+        let is_listed = |id: &EndpointId| listed.iter().any(|endpoint| endpoint.id == *id);
+        let unlisted: Vec<EndpointId> =
+            self.endpoints.with_address().filter(|id| !is_listed(id)).cloned().collect();
+        for id in &unlisted {
+            self.endpoints.start_draining(id);
+        }
+    }
+
+    /// Takes an endpoint into maintenance. When this returns, nothing new is sent to it.
+    ///
+    /// # Errors
+    /// If no such endpoint is listed.
     pub fn start_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.start_maintenance(self.timers.clock.now(), id)?;
-        self.apply_maintenance_change(seen);
+        let changed = self.maintenance.start_maintenance(self.timers.clock.now(), id)?;
+        self.apply_maintenance_change(changed);
         Ok(())
     }
 
-    /// Puts a card server back that was taken out by hand.
+    /// Ends the maintenance of an endpoint.
+    ///
+    /// # Errors
+    /// If no such endpoint is listed.
     pub fn end_maintenance(&mut self, id: &EndpointId) -> Result<(), UnknownEndpoint> {
-        let seen = self.maintenance.end_maintenance(self.timers.clock.now(), id)?;
-        self.apply_maintenance_change(seen);
+        let changed = self.maintenance.end_maintenance(self.timers.clock.now(), id)?;
+        self.apply_maintenance_change(changed);
         Ok(())
     }
 
-    /// Whether a card server is out by hand.
+    /// Whether an endpoint is in maintenance.
     pub fn in_maintenance(&self, id: &EndpointId) -> bool {
         self.maintenance.contains(id)
     }
 
-    /// Tells the decisions what operators have changed of a card server.
-    pub(in crate::relay) fn apply_maintenance_change(&mut self, seen: Option<Endpoint>) {
-        let Some(entry) = seen else { return };
-        info!(target: "admin", server = &*entry.id.0, state = ?entry.state, "by hand");
-        let update = EndpointUpdate::Delta(self.record_endpoints(vec![entry], false));
-        self.update_zones(&update);
-        self.handle_event(Event::EndpointsUpdated { version: self.endpoint_list_version, update });
+    /// Applies what operators have changed of an endpoint.
+    pub(in crate::relay) fn apply_maintenance_change(&mut self, changed: Option<Endpoint>) {
+        let Some(endpoint) = changed else { return };
+        info!(
+            target: "admin",
+            endpoint = &*endpoint.id.0,
+            state = ?endpoint.state,
+            "endpoint maintenance changed"
+        );
+        let update = EndpointUpdate::Delta(self.record_endpoints(vec![endpoint], false));
+        self.apply_endpoint_update(update);
     }
 
-    /// A call to discovery failed.
-    pub fn discovery_failed(&mut self, failure: &Failure) {
+    /// Records a failed request to discovery.
+    pub fn discovery_failed(&mut self, error: &DiscoveryError) {
         if !std::mem::replace(&mut self.discovery_failing, true) {
-            warn!(target: "roll", why = failure.why, "discovery does not answer");
+            warn!(target: "discovery", %error, "discovery does not respond");
         }
-        self.update_metrics(|book| {
-            book.add(Family::RollFailures, 0, 1);
-            book.count(Family::RollCalls, trouble_word(failure.trouble));
+        self.update_metrics(|metrics| {
+            metrics.add(Family::RollFailures, 0, 1);
+            metrics.count(Family::RollCalls, outcome_tag(error.kind()));
         });
         self.handle_event(Event::EndpointsUpdated {
             version: self.endpoint_list_version,
@@ -127,32 +143,34 @@
         });
     }
 
-    /// Whether discovery has told its roll since the start.
+    /// Whether discovery has responded since the start.
     pub fn has_discovery_answered(&self) -> bool {
         self.discovery_answered_at > self.started_at
     }
 
-    /// Who leaves or is gone by what discovery says.
+    /// Returns the ids of endpoints that are draining or removed by discovery.
     pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
-        let by_roll = self.endpoints.draining().filter(|id| !self.maintenance.contains(id));
-        by_roll.map(|id| id.0.as_ref().to_owned()).collect()
+        let by_discovery = self.endpoints.draining().filter(|id| !self.maintenance.contains(id));
+        by_discovery.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
-    /// Where this relay reaches a card server.
-    pub fn endpoint_address(&self, server: &EndpointId) -> Option<SocketAddr> {
-        self.endpoints.address(server)
+    /// Returns the address at which this relay reaches an endpoint.
+    pub fn endpoint_address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
+        self.endpoints.address(endpoint)
     }
 
-    /// Nobody listens at a card server. Where the list says that it is ready, the list is old.
-    pub fn connection_refused_by(&self, server: &EndpointId) {
-        if !self.endpoints.is_draining(server) {
-            self.send_discovery_command(DiscoveryCommand::Refused);
+    /// Records that an endpoint refused a connection; the endpoint list may be stale where it lists the endpoint as ready.
+    pub fn connection_refused_by(&self, endpoint: &EndpointId) {
+        if !self.endpoints.is_draining(endpoint) {
+            self.send_discovery_command(DiscoveryCommand::ConnectionRefused);
         }
     }
 
-    /// Whether a head may still be written to a card server. Guards against an attempt that was placed before
-    /// the news of a drain and connects after it: the news may have counted as told for a while already.
-    pub fn may_send_to(&self, server: &EndpointId) -> bool {
-        !self.endpoints.is_draining(server)
+    /// Whether a request may still be written to an endpoint.
+    ///
+    /// An attempt may have been placed before its endpoint's drain and connect after it, when the relay has counted as notified for a
+    /// while.
+    pub fn may_send_to(&self, endpoint: &EndpointId) -> bool {
+        !self.endpoints.is_draining(endpoint)
     }
 }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -1,99 +1,127 @@
-//! Probes: asks a card server for its load, over one connection that is kept.
+//! Health checks: asks an endpoint for its load over one connection that is kept.
 
 use bytes::BytesMut;
+use honeyknot_balancer::{EndpointId, LoadReport, Micros, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::relay::connections::protocol::{EndpointLine, first_line_end, load_report_value};
 use crate::relay::{DescriptorPermit, SharedRelay};
-use honeyknot_balancer::*;
 
-/// A probe without an answer after this has failed.
-const PROBE_WAIT: Micros = 500_000;
+/// Time after which a health check without an answer has failed, in microseconds.
+const HEALTH_CHECK_TIMEOUT: Micros = 500_000;
+/// Initial capacity of the buffer for an answer, in bytes.
+const ANSWER_CAPACITY: usize = 256;
 
-/// What the probe of a card server is asked to do.
+/// A command to the health check task of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckCommand {
-    /// Ask for its load.
-    Look,
+    /// Check the endpoint's health once.
+    Check,
     /// Close the connection.
     Close,
 }
 
-/// Starts the probe of a card server.
-pub fn start(relay: SharedRelay, server: EndpointId) -> UnboundedSender<HealthCheckCommand> {
-    let (errands, asked) = unbounded_channel();
-    tokio::task::spawn_local(run(relay, server, asked));
-    errands
+/// The kept connection to an endpoint and its descriptor.
+struct HealthCheckConnection {
+    stream: TcpStream,
+    _permit: DescriptorPermit,
 }
 
-/// The kept connection of a probe, and its descriptor in the count.
-type Line = Option<(TcpStream, DescriptorPermit)>;
+/// What a health check has found.
+struct HealthCheckResult {
+    outcome: Outcome,
+    report: Option<LoadReport>,
+}
+
+impl From<Outcome> for HealthCheckResult {
+    fn from(outcome: Outcome) -> HealthCheckResult {
+        HealthCheckResult { outcome, report: None }
+    }
+}
+
+/// Starts the health check task of an endpoint; it ends when the returned sender is dropped.
+pub fn start(relay: SharedRelay, endpoint: EndpointId) -> UnboundedSender<HealthCheckCommand> {
+    let (sender, commands) = unbounded_channel();
+    tokio::task::spawn_local(run(relay, endpoint, commands));
+    sender
+}
 
-async fn run(relay: SharedRelay, server: EndpointId, mut errands: UnboundedReceiver<HealthCheckCommand>) {
+async fn run(relay: SharedRelay, endpoint: EndpointId, mut commands: UnboundedReceiver<HealthCheckCommand>) {
     let timers = relay.borrow().timers.clone();
-    let idle = relay.borrow().idle_close();
-    let mut line: Line = None;
+    let idle_timeout = relay.borrow().idle_close();
+    let mut connection = None;
     loop {
-        let errand = tokio::select! {
-            errand = errands.recv() => errand,
-            () = timers.sleep(idle), if line.is_some() => Some(HealthCheckCommand::Close),
+        let command = tokio::select! {
+            command = commands.recv() => command,
+            () = timers.sleep(idle_timeout), if connection.is_some() => Some(HealthCheckCommand::Close),
         };
-        match errand {
+        match command {
             None => return,
-            Some(HealthCheckCommand::Close) => line = None,
-            Some(HealthCheckCommand::Look) => {
-                let sent = timers.clock.now();
-                let found = tokio::select! {
-                    found = look(&relay, &server, &mut line) => found,
-                    () = timers.sleep(PROBE_WAIT) => (Outcome::Timeout, None),
+            Some(HealthCheckCommand::Close) => connection = None,
+            Some(HealthCheckCommand::Check) => {
+                let started_at = timers.clock.now();
+                let result = tokio::select! {
+                    result = check(&relay, &endpoint, &mut connection) => result,
+                    () = timers.sleep(HEALTH_CHECK_TIMEOUT) => Outcome::Timeout.into(),
                 };
-                if !matches!(found.0, Outcome::Ok | Outcome::Error) {
-                    line = None;
+                if !matches!(result.outcome, Outcome::Ok | Outcome::Error) {
+                    connection = None;
                 }
-                let elapsed = timers.clock.now() - sent;
-                relay.borrow_mut().health_check_ended(server.clone(), found.0, elapsed, found.1);
+                let elapsed = timers.clock.now() - started_at;
+                let mut relay = relay.borrow_mut();
+                relay.health_check_ended(endpoint.clone(), result.outcome, elapsed, result.report);
             }
         }
     }
 }
 
-/// One probe. A kept connection that turns out closed is opened anew: only its closing was seen late.
-async fn look(relay: &SharedRelay, server: &EndpointId, line: &mut Line) -> (Outcome, Option<LoadReport>) {
-    if let Some((stream, _)) = line
-        && let Some(found) = ask(relay, stream).await
+/// Checks an endpoint's health. A kept connection that turns out to be closed is replaced.
+async fn check(
+    relay: &SharedRelay, endpoint: &EndpointId, connection: &mut Option<HealthCheckConnection>,
+) -> HealthCheckResult {
+    if let Some(kept) = connection
+        && let Some(result) = request_stats(relay, &mut kept.stream).await
     {
-        return found;
+        return result;
     }
-    *line = None;
-    let (address, held) = {
+    *connection = None;
+    let opened = match connect(relay, endpoint).await {
+        Ok(opened) => connection.insert(opened),
+        Err(outcome) => return outcome.into(),
+    };
+    request_stats(relay, &mut opened.stream).await.unwrap_or(Outcome::Reset.into())
+}
+
+/// Connects to an endpoint; [`Outcome::Cancelled`] without a descriptor to spare, which shows nothing about the endpoint.
+async fn connect(relay: &SharedRelay, endpoint: &EndpointId) -> Result<HealthCheckConnection, Outcome> {
+    let (address, permit) = {
         let relay = relay.borrow();
-        (relay.endpoint_address(server), relay.acquire_descriptor())
+        (relay.endpoint_address(endpoint), relay.acquire_descriptor())
     };
-    // Without a descriptor to spare it says nothing about the card server.
-    let Some(held) = held else { return (Outcome::Cancelled, None) };
-    let Some(address) = address else { return (Outcome::ConnectFailed, None) };
-    let wait = relay.borrow().connect_timeout();
+    let permit = permit.ok_or(Outcome::Cancelled)?;
+    let address = address.ok_or(Outcome::ConnectFailed)?;
+    let timeout = relay.borrow().connect_timeout();
     let timers = relay.borrow().timers.clone();
-    let dialled = tokio::select! {
-        dialled = TcpStream::connect(address) => dialled.ok(),
-        () = timers.sleep(wait) => None,
+    let stream = tokio::select! {
+        stream = TcpStream::connect(address) => stream.ok(),
+        () = timers.sleep(timeout) => None,
     };
-    let Some(stream) = dialled else { return (Outcome::ConnectFailed, None) };
+    let stream = stream.ok_or(Outcome::ConnectFailed)?;
     let _ = stream.set_nodelay(true);
-    let (stream, _) = line.insert((stream, held));
-    ask(relay, stream).await.unwrap_or((Outcome::Reset, None))
+    Ok(HealthCheckConnection { stream, _permit: permit })
 }
 
-/// Asks and reads one line; nothing if the connection broke.
-async fn ask(relay: &SharedRelay, stream: &mut TcpStream) -> Option<(Outcome, Option<LoadReport>)> {
+/// Requests the load report and reads one line; none if the connection broke.
+async fn request_stats(relay: &SharedRelay, stream: &mut TcpStream) -> Option<HealthCheckResult> {
     stream.write_all(b"STATS\r\n").await.ok()?;
-    let mut bytes = BytesMut::with_capacity(256);
+    let mut bytes = BytesMut::with_capacity(ANSWER_CAPACITY);
     let end = loop {
         match first_line_end(&bytes) {
             Ok(Some(end)) => break end,
             Ok(None) => {}
-            Err(_) => return Some((Outcome::Error, None)),
+            Err(_) => return Some(Outcome::Error.into()),
         }
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
@@ -103,10 +131,12 @@
     let report =
         |text: &str| (!text.is_empty()).then(|| names.load_report(|name| load_report_value(text, name)));
     Some(match EndpointLine::parse(&bytes[..end]) {
-        EndpointLine::Healthy(text) => (Outcome::Ok, report(text)),
-        EndpointLine::Failed(text) => (Outcome::Error, report(text)),
-        EndpointLine::Rejected(text) => (Outcome::Rejected, report(text)),
-        EndpointLine::HealthCheckDisallowed => (Outcome::NotSent, None),
-        _ => (Outcome::Error, None),
+        EndpointLine::Healthy(text) => HealthCheckResult { outcome: Outcome::Ok, report: report(text) },
+        EndpointLine::Failed(text) => HealthCheckResult { outcome: Outcome::Error, report: report(text) },
+        EndpointLine::Rejected(text) => {
+            HealthCheckResult { outcome: Outcome::Rejected, report: report(text) }
+        }
+        EndpointLine::HealthCheckDisallowed => Outcome::NotSent.into(),
+        _ => Outcome::Error.into(),
     })
 }
--- a/src/relay/endpoints/mod.rs
+++ b/src/relay/endpoints/mod.rs
@@ -1,7 +1,9 @@
-//! Card servers as this relay knows them: the roll and who asks for it, the roll as held, probes, delays, sites.
+//! Endpoints as this relay knows them: the discovery client, the endpoint list, health checks, message latencies and zone failover.
 //!
-//! In come discovery's answers and what probes bring; out go events for the decisions, through the hub. When discovery is
-//! called is up to `honeyknot_discovery`, what is done with a card server up to the decisions.
+//! Responses of discovery and results of health checks come in; events for the balancer go out through the relay's state. When
+//! discovery is polled is decided in `honeyknot_discovery`, where requests go in the balancer.
+
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 pub mod discovery_client;
 pub(in crate::relay) mod endpoint_list;
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -1,81 +1,89 @@
-//! Between the relay and its neighbourhood: wishes to probe, duties of a witness, what probes found.
+//! Health checks shared with other relays by gossip: which of them this relay makes, and the results that it takes from others.
 
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicU64, Ordering};
 
+use honeyknot_balancer::{EndpointId, Event, LoadReport, Micros, Outcome};
 use honeyknot_health_check_budget::Asking;
 use tracing::{info, trace};
 
 use super::health_check::HealthCheckCommand;
+use super::message_latency::LatencySource;
 use crate::relay::{Relay, SharedRelay};
-use honeyknot_balancer::*;
 
-/// How often it is looked which card servers this relay has to ask as their witness.
-const LOOK: Micros = 100_000;
-/// How often the log tells how many live.
-const TELL: Micros = 10_000_000;
+/// Interval at which the health checks assigned to this relay are started, in microseconds.
+const ASSIGNMENT_INTERVAL: Micros = 100_000;
+/// Interval at which gossip's counters are logged, in microseconds.
+const LOG_INTERVAL: Micros = 10_000_000;
 
 impl Relay {
-    /// The decisions want to know how a card server does: it is asked, or they are told what its witnesses found.
-    pub(in crate::relay) fn request_health_check(&mut self, server: EndpointId) {
+    /// Checks an endpoint's health as the balancer requests, or passes on what other relays have observed.
+    pub(in crate::relay) fn request_health_check(&mut self, endpoint: EndpointId) {
         let now = self.timers.clock.now();
-        match self.gossip.as_mut().map(|neighbors| neighbors.wish(now, &server)) {
-            None | Some(Asking::Ask) => self.send_health_check_command(server, HealthCheckCommand::Look),
+        match self.gossip.as_mut().map(|gossip| gossip.wish(now, &endpoint)) {
+            None | Some(Asking::Ask) => self.send_health_check_command(endpoint, HealthCheckCommand::Check),
             Some(Asking::Known(outcome, report)) => {
-                trace!(target: "neighbors", server = &*server.0, ?outcome, ?report, "by its witnesses");
-                if let Some(ms) = report.as_ref().and_then(|r| r.latency_ms) {
-                    self.message_latencies.measured(now, &server, report.as_ref().and_then(|r| r.load));
-                    self.note_message_latency(server.clone(), ms, true);
-                }
-                // Fed in its turn, after what is being carried out.
-                self.events.push_back(Event::HealthCheckEnded {
-                    endpoint: server,
-                    outcome,
-                    elapsed: 0,
-                    report,
-                });
+                self.apply_shared_health_check(now, endpoint, outcome, report);
             }
         }
     }
 
-    /// A probe of this relay's own has ended.
+    /// Queues the result of another relay's health check, to be handled after the events that are being handled.
+    fn apply_shared_health_check(
+        &mut self, now: Micros, endpoint: EndpointId, outcome: Outcome, report: Option<LoadReport>,
+    ) {
+        trace!(target: "gossip", endpoint = &*endpoint.0, ?outcome, ?report, "health check answered by gossip");
+        if let Some(latency_ms) = report.as_ref().and_then(|report| report.latency_ms) {
+            let load = report.as_ref().and_then(|report| report.load);
+            self.message_latencies.measurement_ended(now, &endpoint, load);
+            self.note_message_latency(endpoint.clone(), latency_ms, LatencySource::LoadReport);
+        }
+        self.events.push_back(Event::HealthCheckEnded { endpoint, outcome, elapsed: 0, report });
+    }
+
+    /// Shares the result of this relay's own health check.
     pub(in crate::relay) fn share_health_check(
-        &mut self, server: &EndpointId, outcome: Outcome, report: Option<&LoadReport>,
+        &mut self, endpoint: &EndpointId, outcome: Outcome, report: Option<&LoadReport>,
     ) {
         let now = self.timers.clock.now();
-        if let Some(neighbors) = &mut self.gossip {
-            neighbors.ended(now, server, outcome, report);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.ended(now, endpoint, outcome, report);
         }
     }
 
-    /// Asks the card servers whose witness this relay is, as their time comes.
-    fn bear_witness(&mut self) {
+    /// Starts the health checks assigned to this relay that are due.
+    fn start_assigned_health_checks(&mut self) {
         let now = self.timers.clock.now();
-        let Some(neighbors) = self.gossip.as_mut().filter(|_| !self.shutting_down) else { return };
-        for server in neighbors.duties(now, self.endpoints.serving()) {
-            self.send_health_check_command(server, HealthCheckCommand::Look);
+        let Some(gossip) = self.gossip.as_mut().filter(|_| !self.shutting_down) else { return };
+        for endpoint in gossip.duties(now, self.endpoints.serving()) {
+            self.send_health_check_command(endpoint, HealthCheckCommand::Check);
         }
     }
 
-    /// Tells the log who lives.
-    fn publish_health_observations(&self) {
-        let Some(counts) = self.gossip.as_ref().map(|neighbors| neighbors.counts()) else { return };
-        let of = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
-        let (alive, heard, dropped) = (of(&counts.alive), of(&counts.heard), of(&counts.dropped));
-        info!(target: "neighbors", alive, heard, dropped, unsaid = of(&counts.unsaid), "so far");
+    fn log_gossip_counters(&self) {
+        let Some(counts) = self.gossip.as_ref().map(|gossip| gossip.counts()) else { return };
+        let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        info!(
+            target: "gossip",
+            alive = value(&counts.alive),
+            received = value(&counts.heard),
+            dropped = value(&counts.dropped),
+            unsent = value(&counts.unsaid),
+            "gossip counters"
+        );
     }
 }
 
-/// Does this relay's part as long as it serves.
-pub async fn run(relay: SharedRelay) {
+/// Takes part in shared health checks as long as the relay runs.
+pub(in crate::relay) async fn run(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
-    let mut told = timers.clock.now();
+    let mut logged_at = timers.clock.now();
     loop {
-        timers.sleep(LOOK).await;
-        relay.borrow_mut().bear_witness();
+        timers.sleep(ASSIGNMENT_INTERVAL).await;
+        relay.borrow_mut().start_assigned_health_checks();
         let now = timers.clock.now();
-        if now >= told + TELL {
-            told = now;
-            relay.borrow().publish_health_observations();
+        if now >= logged_at + LOG_INTERVAL {
+            logged_at = now;
+            relay.borrow().log_gossip_counters();
         }
     }
 }
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -21,7 +21,7 @@
 
 /// Why zone failover could not be started.
 #[derive(Debug, Error)]
-pub enum ZoneFailoverStartError {
+pub(in crate::relay) enum ZoneFailoverStartError {
     /// The settings name no zone of this relay.
     #[error("sites: the settings name no site of this relay")]
     NoHomeZone,
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings do not fit the operators' configuration.
-pub fn start(
+pub(in crate::relay) fn start(
     config: Option<ZoneFailoverConfig>, settings: &mut Settings, names: &NameTable, seed: u64, now: Micros,
 ) -> Result<Option<ZoneFailover>, ZoneFailoverStartError> {
     let Some(config) = config else { return Ok(None) };
@@ -117,7 +117,7 @@
                 self.send_command(id, ConnectionCommand::Migrate);
             }
             ZoneAction::CheckHealth(endpoint) => {
-                self.send_health_check_command(endpoint, HealthCheckCommand::Look);
+                self.send_health_check_command(endpoint, HealthCheckCommand::Check);
             }
             ZoneAction::Log(event) => {
                 if let Some(zone_failover) = &self.zone_failover {
--- a/src/relay/lifecycle/config.rs
+++ b/src/relay/lifecycle/config.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::relay::connections::protocol::socket_address;
-use crate::relay::endpoints::discovery_client::{EndpointListUpdate, read_roll};
+use crate::relay::endpoints::discovery_client::{EndpointListUpdate, parse_endpoint_list};
 use crate::settings::{self, NameTable};
 use honeyknot_balancer::Settings;
 
@@ -155,7 +155,8 @@
             settings::parse_settings(value.get("settings").ok_or("`settings` is missing")?)
                 .map_err(|error| error.to_string())?;
         let known = value.get("known").filter(|v| !v.is_null());
-        let known = known.map(|v| read_roll(v, &names)).transpose().map_err(|e| format!("`known`: {e}"))?;
+        let known =
+            known.map(|v| parse_endpoint_list(v, &names)).transpose().map_err(|e| format!("`known`: {e}"))?;
         Ok(Config {
             name: word("name", "EDGE_NAME")?,
             listen,
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -81,12 +81,12 @@
         Relay::new(config).map_err(|error| error.to_string())?;
     if listeners.from.is_some() {
         // The successor is bound by what its predecessor was told: it needs the full list now.
-        relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
+        relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
     }
     if let Some(metrics) = metrics {
         start_metrics(&relay, &metrics, &name);
     }
-    let client = discovery_client::follow(relay.clone(), discovery, discovery_state, discovery_commands);
+    let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
     let clients = Rc::new(listeners.clients);
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -101,11 +101,11 @@
         let (discovery_commands, command_queue) = unbounded_channel();
         let known_endpoints = config.known.unwrap_or(EndpointListUpdate {
             version: 0,
-            whole: true,
-            entries: Vec::new(),
+            full: true,
+            endpoints: Vec::new(),
             addresses: Vec::new(),
         });
-        let discovery = discovery_client::caller(&settings, config.seed, &known_endpoints, started_at);
+        let discovery = discovery_client::new_poller(&settings, config.seed, &known_endpoints, started_at);
         let relay = Rc::new_cyclic(|weak_self| {
             RefCell::new(Relay {
                 timers,
@@ -168,7 +168,7 @@
     pub fn reconfigure(&mut self, config: &Config) {
         self.max_descriptors = connection_descriptors(config.sockets, self.admin_enabled);
         self.reconfigure_zone_failover(config);
-        self.send_discovery_command(DiscoveryCommand::Renew(config.discovery));
+        self.send_discovery_command(DiscoveryCommand::ChangeAddress(config.discovery));
     }
 }
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -489,8 +489,8 @@
 
     fn add_known(&mut self, known: &EndpointListUpdate) {
         self.add("known.version", known.version);
-        self.add("known.full", known.whole);
-        for (number, entry) in known.entries.iter().enumerate() {
+        self.add("known.full", known.full);
+        for (number, entry) in known.endpoints.iter().enumerate() {
             self.add_entry(&format!("known.servers.{number}"), entry);
         }
         for (id, address) in &known.addresses {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 use honeyknot_relay::relay::connections::protocol::{
     EndpointLine, LineTracker, MAX_LINE_BYTES, OpenRequest, first_line_end, load_report_value,
 };
-use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
+use honeyknot_relay::relay::endpoints::discovery_client::{parse_endpoint_list, take_response};
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::settings::NameTable;
 use proptest::prelude::*;
@@ -12,14 +12,14 @@
 
 const OPEN: &str =
     "OPEN 9b1f03aa5c7e2d41 7f3a c=study-session,d=2000,g=5c0f,r=1,again=1,h=3.5,at=s-1,x=y\r\n";
-const ROLL: &str = r#"{"version":41,"full":true,"servers":[
+const ENDPOINT_LIST: &str = r#"{"version":41,"full":true,"servers":[
 {"id":"s-1","addr":"127.0.0.1:5000","zone":"a","kind":"m2","cell":3,"state":"active","weight":1.0,"started_ms":2},
 {"id":"s-2","addr":"127.0.0.1:5001","state":"leaving"},{"id":"s-3","state":"left"}]}"#;
 const CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f",
 "limits":{"sockets":4096},"known":ROLL,"settings":{"services":[{"name":"study-session","hardLimitUs":1200000}],
 "rules":{"startCapacity":0.3,"coldUs":1,"overloadFactor":3.0}}}"#;
 
-fn answers(body: &str) -> [String; 2] {
+fn responses(body: &str) -> [String; 2] {
     let (one, two) = body.split_at(body.len() / 2);
     [
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
@@ -77,10 +77,10 @@
         line.extend(b"\r\n");
         let _ = OpenRequest::parse(line.into());
         let _ = (OpenRequest::parse(bytes.clone().into()), load_report_value(&tail, "util"));
-        let _ = take_answer(&mut BytesMut::from(&bytes[..]));
+        let _ = take_response(&mut BytesMut::from(&bytes[..]));
         let mut after_head = BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         after_head.extend_from_slice(&bytes);
-        let _ = take_answer(&mut after_head);
+        let _ = take_response(&mut after_head);
         let _ = Config::read(&bytes, |_| None);
     }
 
@@ -95,55 +95,56 @@
     }
 
     #[test]
-    fn an_answer_in_pieces_is_taken_once_it_is_whole(cut in 0usize..400, form in 0usize..2) {
-        let whole = &answers(ROLL)[form];
+    fn response_in_pieces_is_taken_once_complete(cut in 0usize..400, form in 0usize..2) {
+        let whole = &responses(ENDPOINT_LIST)[form];
         let cut = cut.min(whole.len() - 1);
         let mut bytes = BytesMut::from(&whole.as_bytes()[..cut]);
-        prop_assert_eq!(take_answer(&mut bytes), Ok(None));
+        prop_assert_eq!(take_response(&mut bytes), Ok(None));
         bytes.extend_from_slice(&whole.as_bytes()[cut..]);
-        let answer = take_answer(&mut bytes).unwrap().unwrap();
-        prop_assert_eq!((answer.status, answer.body.as_slice()), (200, ROLL.as_bytes()));
+        let response = take_response(&mut bytes).unwrap().unwrap();
+        prop_assert_eq!((response.status, response.body.as_slice()), (200, ENDPOINT_LIST.as_bytes()));
         prop_assert!(bytes.is_empty());
     }
 
     #[test]
     fn a_configuration_cut_anywhere_is_refused(at in 0..CONFIG.len()) {
-        let text = CONFIG.replace("ROLL", ROLL);
+        let text = CONFIG.replace("ROLL", ENDPOINT_LIST);
         prop_assert!(Config::read(text.as_bytes(), |_| None).is_ok());
         prop_assert!(Config::read(&text.as_bytes()[..at], |_| None).is_err());
     }
 
     #[test]
-    fn a_roll_with_a_wrong_value_is_a_failed_call(field in 0usize..7) {
+    fn endpoint_list_with_an_invalid_value_is_rejected(field in 0usize..7) {
         let wrong = [
             ("41", "-1"), ("true", "7"), ("\"s-1\"", "null"), ("127.0.0.1:5000", "nowhere"),
             ("active", "asleep"), ("1.0", "\"big\""), ("[", "{\"a\":["),
         ][field];
-        let text = ROLL.replacen(wrong.0, wrong.1, 1);
-        let read = serde_json::from_str(&text).map(|value| read_roll(&value, &NameTable::default()).is_err());
+        let text = ENDPOINT_LIST.replacen(wrong.0, wrong.1, 1);
+        let read = serde_json::from_str(&text).map(|value| parse_endpoint_list(&value, &NameTable::default()).is_err());
         prop_assert!(read.unwrap_or(true), "{}", text);
     }
 }
 
 #[test]
-fn a_time_to_come_back_is_read_in_seconds() {
-    let retry_after = |told: &str| {
-        let text = format!("HTTP/1.1 503 Busy\r\n{told}Content-Length: 0\r\n\r\n");
-        take_answer(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
+fn retry_after_is_read_in_seconds() {
+    let retry_after = |header: &str| {
+        let text = format!("HTTP/1.1 503 Busy\r\n{header}Content-Length: 0\r\n\r\n");
+        take_response(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
     };
     assert_eq!(retry_after("retry-after: 3\r\n"), Some(3_000_000));
     assert_eq!(retry_after(&format!("Retry-After: {}\r\n", u64::MAX)), Some(u64::MAX));
-    // A date, and nonsense, are no times.
-    for told in ["", "Retry-After: Tue, 01 Dec 2026 22:00:00 GMT\r\n", "Retry-After: -1\r\n"] {
-        assert_eq!(retry_after(told), None);
+    // Dates and invalid values are ignored.
+    for header in ["", "Retry-After: Tue, 01 Dec 2026 22:00:00 GMT\r\n", "Retry-After: -1\r\n"] {
+        assert_eq!(retry_after(header), None);
     }
 }
 
 #[test]
-fn a_roll_is_read() {
-    let news = read_roll(&serde_json::from_str(ROLL).unwrap(), &NameTable::default()).unwrap();
-    assert_eq!((news.version, news.whole, news.entries.len(), news.addresses.len()), (41, true, 3, 2));
-    assert_eq!(news.entries[0].started_at, 2_000);
+fn endpoint_list_is_parsed() {
+    let list =
+        parse_endpoint_list(&serde_json::from_str(ENDPOINT_LIST).unwrap(), &NameTable::default()).unwrap();
+    assert_eq!((list.version, list.full, list.endpoints.len(), list.addresses.len()), (41, true, 3, 2));
+    assert_eq!(list.endpoints[0].started_at, 2_000);
 }
 
 #[test]
