--- a/crates/discovery/src/backoff.rs
+++ b/crates/discovery/src/backoff.rs
@@ -47,8 +47,8 @@
 
     /// Decides whether the next request is made without backoff.
     ///
-    /// That is so after a request that timed out, as the changes that it missed are about to count as notified, and after requests
-    /// since then that failed without a sign that the service is down or overloaded.
+    /// That is so after a request that timed out, as the changes that it missed are about to count as notified, and
+    /// after requests since then that failed without a sign that the service is down or overloaded.
     fn retries_immediately(&mut self, error: DiscoveryErrorKind, elapsed: Micros) -> bool {
         let immediately = match error {
             DiscoveryErrorKind::Timeout => {
@@ -123,8 +123,8 @@
 
     /// Returns the longest backoff in microseconds.
     ///
-    /// A relay that serves from a list is bound by the notification deadline, unless the fleet is so large that the service
-    /// could not answer all relays within it.
+    /// A relay that serves from a list is bound by the notification deadline, unless the fleet is so large that the
+    /// service could not answer all relays within it.
     fn max_backoff(&self) -> Micros {
         if self.validator.is_empty() {
             return MAX_BACKOFF;
--- a/crates/discovery/src/config.rs
+++ b/crates/discovery/src/config.rs
@@ -14,11 +14,13 @@
 pub struct DiscoveryConfig {
     /// Number of relays in the fleet, this one included; 0 if unknown.
     pub fleet_size: u32,
-    /// Time without a request after which a relay counts as notified of every change, in microseconds; 0 if there is no such
-    /// limit. The deadlines of [`notification_deadline`](crate::notification_deadline) apply in any case.
+    /// Time without a request after which a relay counts as notified of every change, in microseconds; 0 if there
+    /// is no such limit. The deadlines of [`notification_deadline`](crate::notification_deadline) apply in any
+    /// case.
     pub max_list_age: Micros,
-    /// Time within which sends to a draining endpoint must stop, in microseconds, if lists are pushed to an agent beside the relay.
-    /// The relay counts as notified of what the agent has, so requests to it are frequent and not spread over the fleet.
+    /// Time within which sends to a draining endpoint must stop, in microseconds, if lists are pushed to an agent
+    /// beside the relay. The relay counts as notified of what the agent has, so requests to it are frequent and not
+    /// spread over the fleet.
     pub agent_drain_grace: Option<Micros>,
     /// Seed of all random draws.
     pub seed: u64,
--- a/crates/discovery/src/list_validation.rs
+++ b/crates/discovery/src/list_validation.rs
@@ -1,17 +1,19 @@
 //! Decides which endpoint lists are accepted in full and which in part.
 //!
-//! - A version that is not older than the one held is accepted at once and in full: an endpoint that it lacks is removed. The
-//!   rule on drains counts from the moment at which the list was written to the relay, so acceptance may not be delayed.
-//! - An older version comes from a service that restarted or from a replica that lags. Endpoints that it adds are accepted, and so
-//!   are endpoints that it lists as draining. Endpoints that it lacks stay listed, and an endpoint that was draining or removed
-//!   stays so unless it has restarted since. The list is accepted in full once it is received again after [`GRACE_PERIOD`], or
-//!   once its version is as high as the one held before.
+//! - A version that is not older than the one held is accepted at once and in full: an endpoint that it lacks is
+//!   removed. The rule on drains counts from the moment at which the list was written to the relay, so acceptance
+//!   may not be delayed.
+//! - An older version comes from a service that restarted or from a replica that lags. Endpoints that it adds are
+//!   accepted, and so are endpoints that it lists as draining. Endpoints that it lacks stay listed, and an endpoint
+//!   that was draining or removed stays so unless it has restarted since. The list is accepted in full once it is
+//!   received again after [`GRACE_PERIOD`], or once its version is as high as the one held before.
 
 use std::collections::BTreeMap;
 
 use honeyknot_balancer::{Endpoint, EndpointId, EndpointState, Micros};
 
-/// Time that a service has for filling its list after a restart before endpoints that it lacks are removed, in microseconds.
+/// Time that a service has for filling its list after a restart before endpoints that it lacks are removed, in
+/// microseconds.
 const GRACE_PERIOD: Micros = 12_000_000;
 /// Endpoints kept in memory, removed ones included, for each listed one.
 const MAX_KNOWN_PER_LISTED: usize = 4;
--- a/crates/discovery/src/poller.rs
+++ b/crates/discovery/src/poller.rs
@@ -112,8 +112,8 @@
 
     /// Records that an endpoint listed as ready refused a connection.
     ///
-    /// Returns true if the request in flight is to be abandoned as timed out: the list is stale and the watch that should have
-    /// brought the change has gone silent.
+    /// Returns true if the request in flight is to be abandoned as timed out: the list is stale and the watch that
+    /// should have brought the change has gone silent.
     pub fn connection_refused(&mut self, now: Micros) -> bool {
         let Some(in_flight) = self.in_flight else { return false };
         self.stale_list.record_refusal(now, in_flight)
@@ -154,8 +154,8 @@
 
     /// Takes the response to the request in flight and returns the part of it that is accepted.
     ///
-    /// A list that is not accepted in full is returned as changes, so that endpoints that it does not name stay listed. Without
-    /// a request in flight the list is returned as it is.
+    /// A list that is not accepted in full is returned as changes, so that endpoints that it does not name stay
+    /// listed. Without a request in flight the list is returned as it is.
     pub fn poll_succeeded(&mut self, now: Micros, list: EndpointList) -> EndpointList {
         let Some(in_flight) = self.in_flight.take() else { return list };
         let has_changes = !list.endpoints.is_empty() || list.version != self.validator.version();
--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -82,8 +82,8 @@
 impl DiscoveryPoller {
     /// Returns the time after which a request made now is abandoned.
     ///
-    /// A second request must still fit before the changes that the first one missed count as notified. The time left for it
-    /// shrinks as responses get later.
+    /// A second request must still fit before the changes that the first one missed count as notified. The time
+    /// left for it shrinks as responses get later.
     pub(crate) fn request_timeout(&self, now: Micros, request: DiscoveryRequest) -> Micros {
         if let Some(wait) = self.config.agent_watch_wait() {
             let answer_time =
--- a/crates/discovery/tests/agent_watch.rs
+++ b/crates/discovery/tests/agent_watch.rs
@@ -1,5 +1,5 @@
-//! Lists pushed to an agent beside the relay: the relay counts as notified of what the agent has, so it must know it before sends
-//! have to stop, also when requests time out or the agent is silent.
+//! Lists pushed to an agent beside the relay: the relay counts as notified of what the agent has, so it must know
+//! it before sends have to stop, also when requests time out or the agent is silent.
 
 mod simulated_service;
 
--- a/crates/discovery/tests/fleet.rs
+++ b/crates/discovery/tests/fleet.rs
@@ -143,7 +143,8 @@
     assert_eq!(stats.full_list_requests, 0);
 }
 
-/// Ten thousand relays overload a service of 50 lists a second, as the maximum list age bounds the spread of first requests.
+/// Ten thousand relays overload a service of 50 lists a second, as the maximum list age bounds the spread of first
+/// requests.
 #[test]
 fn oversized_fleet_gets_the_list_eventually() {
     let scenario = Scenario { full_list_cost: 5_000, length: 240 * S, ..fleet_of(10_000) };
--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -1,5 +1,5 @@
-//! Notification deadlines: a model of the protocol's rules judges when changes reach a poller through silent requests, outages and
-//! reloads.
+//! Notification deadlines: a model of the protocol's rules judges when changes reach a poller through silent
+//! requests, outages and reloads.
 
 mod simulated_service;
 
@@ -13,7 +13,8 @@
 use simulated_service::{S, endpoint_list};
 
 const MS: Micros = 1_000;
-/// Shortest time in which an endpoint may still be sent to after the notification of its drain, with the slack of sockets.
+/// Shortest time in which an endpoint may still be sent to after the notification of its drain, with the slack of
+/// sockets.
 const GRACE: Micros = 300 * MS + 50 * MS;
 /// Length of a scenario.
 const LENGTH: Micros = 60 * S;
--- a/crates/discovery/tests/simulated_service/mod.rs
+++ b/crates/discovery/tests/simulated_service/mod.rs
@@ -1,5 +1,5 @@
-//! A discovery service and its relays on a simulated clock: one worker, requests in turn, watches, and requests that waited too
-//! long in the queue.
+//! A discovery service and its relays on a simulated clock: one worker, requests in turn, watches, and requests
+//! that waited too long in the queue.
 #![allow(dead_code)] // each test file uses a part
 
 use std::cmp::Reverse;
@@ -47,7 +47,8 @@
     EndpointChange,
     /// All relays are stopped until this time.
     StopRelays(Micros),
-    /// Whether requests are rejected after a long time in the queue; without rejection, abandoned ones are served too.
+    /// Whether requests are rejected after a long time in the queue; without rejection, abandoned ones are served
+    /// too.
     RejectLate(bool),
 }
 
--- a/crates/zone-failover/src/capacity_survey.rs
+++ b/crates/zone-failover/src/capacity_survey.rs
@@ -93,8 +93,8 @@
 
     /// Takes a zone for silent if several of its endpoints are silent and none of the others has responded in time.
     ///
-    /// The others need not be found silent one by one, at the cost of a client's timeout each. Under a suspected local fault no zone
-    /// is taken for silent.
+    /// The others need not be found silent one by one, at the cost of a client's timeout each. Under a suspected
+    /// local fault no zone is taken for silent.
     fn judge_silence(&mut self, now: Micros, index: usize, survey: &mut ZoneSurvey) {
         let zone = &mut self.zones[index];
         let capacity = &mut survey.capacity;
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -7,8 +7,8 @@
 /// Settings for zone failover. [`ZoneFailoverConfig::default`] holds what an empty file means.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneFailoverConfig {
-    /// Tiers of preference by home zone: the zones of each tier, nearest first. A zone in no tier takes no spill. A home zone without
-    /// an entry has all other zones as its one tier.
+    /// Tiers of preference by home zone: the zones of each tier, nearest first. A zone in no tier takes no spill. A
+    /// home zone without an entry has all other zones as its one tier.
     pub tiers: BTreeMap<String, Vec<Vec<String>>>,
     /// Most of a receiving zone's capacity that spilled connections of all relays may hold, as a share.
     pub spill_limit: f64,
@@ -20,8 +20,8 @@
     pub overflow_share: f64,
     /// Number of relays in each zone; spread evenly over zones that are not named.
     pub relays_per_zone: BTreeMap<String, u32>,
-    /// Factor by which the busiest relay's part of a limit may exceed an equal one. At 1 the limit holds for any skew between
-    /// relays; above 1 it holds while no more than one relay in so many uses its part.
+    /// Factor by which the busiest relay's part of a limit may exceed an equal one. At 1 the limit holds for any
+    /// skew between relays; above 1 it holds while no more than one relay in so many uses its part.
     pub relay_skew: f64,
     /// Load of a usual connection on an endpoint of weight 1, as a share of its capacity.
     pub connection_load: f64,
@@ -59,7 +59,8 @@
     pub rebalance_threshold: f64,
     /// Most time by which an update reaches one relay later than another, in microseconds.
     pub max_update_skew: Micros,
-    /// Time over which a relay whose zone was lost after others takes up its part of the spill limit, in microseconds.
+    /// Time over which a relay whose zone was lost after others takes up its part of the spill limit, in
+    /// microseconds.
     pub claim_ramp_duration: Micros,
     /// Time after which half of a zone's usual capacity is forgotten, in microseconds.
     pub usual_capacity_half_life: Micros,
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if there are too many zones, the home zone is not among them, or the configuration says that no relay stands
-    /// in it.
+    /// Returns an error if there are too many zones, the home zone is not among them, or the configuration says
+    /// that no relay stands in it.
     pub fn new(setup: ZoneFailoverSetup, now: Micros) -> Result<ZoneFailover, ZoneFailoverError> {
         let ZoneFailoverSetup { config, zone_names, home_zone, .. } = setup;
         if zone_names.len() > ZoneSet::MAX_ZONES {
--- a/crates/zone-failover/src/health_checks.rs
+++ b/crates/zone-failover/src/health_checks.rs
@@ -10,8 +10,8 @@
 
 /// Interval of health checks of endpoints that may be silent, in microseconds.
 const SILENT_CHECK_INTERVAL: Micros = 500_000;
-/// Age of a load report from which on endpoints of zones that may take spill are checked, and the interval of those checks; in
-/// microseconds.
+/// Age of a load report from which on endpoints of zones that may take spill are checked, and the interval of those
+/// checks; in microseconds.
 const LOAD_CHECK_INTERVAL: Micros = 1_500_000;
 
 impl ZoneFailover {
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,17 +1,19 @@
-//! Decides which zones a relay's new connections may go to when zones are lost or overloaded, and when connections return to their
-//! home zone.
+//! Decides which zones a relay's new connections may go to when zones are lost or overloaded, and when connections
+//! return to their home zone.
 //!
-//! [`ZoneFailover`] is the part of one relay. For each new connection it returns the zones within which the balancer may choose
-//! ([`ZoneDecision::Allow`]), or a rejection with a `Retry-After` ([`ZoneDecision::Reject`]). It never chooses an endpoint. Events
-//! go in with the time: endpoint lists, attempts and their outcomes, load reports. Actions come out ([`ZoneAction`]). It does no
-//! I/O, reads no clock and draws every random number from its seed.
+//! [`ZoneFailover`] is the part of one relay. For each new connection it returns the zones within which the
+//! balancer may choose ([`ZoneDecision::Allow`]), or a rejection with a `Retry-After` ([`ZoneDecision::Reject`]).
+//! It never chooses an endpoint. Events go in with the time: endpoint lists, attempts and their outcomes, load
+//! reports. Actions come out ([`ZoneAction`]). It does no I/O, reads no clock and draws every random number from
+//! its seed.
 //!
-//! Relays share no state. Each keeps to its part of a limit that holds for all of them; the parts add up to no more than the whole
-//! as long as the configured assumptions hold ([`ZoneFailoverConfig::relay_skew`], [`ZoneFailoverConfig::max_update_skew`]).
-//! `docs/design/sites.md` derives the parts.
+//! Relays share no state. Each keeps to its part of a limit that holds for all of them; the parts add up to no more
+//! than the whole as long as the configured assumptions hold ([`ZoneFailoverConfig::relay_skew`],
+//! [`ZoneFailoverConfig::max_update_skew`]). `docs/design/sites.md` derives the parts.
 //!
 //! A new connection takes O(zones) steps, a load report or outcome O(log endpoints), an endpoint list and each
-//! [`ZoneFailover::tick`] O(endpoints + zones). Memory grows with endpoints, zones and this relay's spilled connections.
+//! [`ZoneFailover::tick`] O(endpoints + zones). Memory grows with endpoints, zones and this relay's spilled
+//! connections.
 
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
--- a/crates/zone-failover/src/recovery_ramp.rs
+++ b/crates/zone-failover/src/recovery_ramp.rs
@@ -5,8 +5,8 @@
 use crate::failover::ZoneFailover;
 use crate::zone_health::ZoneState;
 
-/// Multiple of the pace that fills the zone over its ramp, scaled by the ramp's progress. It stays below the multiple of 3 at which
-/// cold endpoints are overloaded, as relays never get equal shares.
+/// Multiple of the pace that fills the zone over its ramp, scaled by the ramp's progress. It stays below the
+/// multiple of 3 at which cold endpoints are overloaded, as relays never get equal shares.
 const RAMP_MARGIN: f64 = 2.0;
 /// Tokens of a ramp that may accumulate.
 pub(crate) const RAMP_BURST: f64 = 2.0;
--- a/crates/zone-failover/src/retry_after.rs
+++ b/crates/zone-failover/src/retry_after.rs
@@ -9,7 +9,8 @@
 /// Least rate of admitted connections a second that is assumed for the distance of slots.
 const MIN_RATE: f64 = 0.1;
 
-/// Assigns rejected clients retry slots one after another, so that clients that are rejected together do not return together.
+/// Assigns rejected clients retry slots one after another, so that clients that are rejected together do not return
+/// together.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryAfterSchedule {
     min: Micros,
--- a/crates/zone-failover/src/spill_limit.rs
+++ b/crates/zone-failover/src/spill_limit.rs
@@ -34,7 +34,8 @@
         zone.spill_limit * zone.capacity.warm * share
     }
 
-    /// Returns this relay's share of a receiving zone's spill limit; the shares of all relays add up to no more than 1.
+    /// Returns this relay's share of a receiving zone's spill limit; the shares of all relays add up to no more
+    /// than 1.
     ///
     /// The overflow share belongs to all foreign relays alike, the rest to relays whose home zones are lost.
     fn spill_share(&self, zone: &Zone, now: Micros) -> f64 {
@@ -52,9 +53,9 @@
 
     /// Returns this relay's share of what belongs to relays of lost zones.
     ///
-    /// All relays learn of a loss by the endpoint list, though not at the same time. Until the update must have reached every relay,
-    /// a relay takes what would be its share if all zones were lost. A relay whose zone was lost after others takes up its share as
-    /// slowly as those give theirs back.
+    /// All relays learn of a loss by the endpoint list, though not at the same time. Until the update must have
+    /// reached every relay, a relay takes what would be its share if all zones were lost. A relay whose zone was
+    /// lost after others takes up its share as slowly as those give theirs back.
     fn claimed_share(&self, zone: &Zone, foreign_relays: f64, short_since: Micros, now: Micros) -> f64 {
         let claim = self.home().claim;
         let age = now.saturating_sub(short_since);
@@ -76,8 +77,8 @@
 
     /// Updates each zone's claim and their totals.
     ///
-    /// A zone claims what it cannot carry itself, and everything until spilled connections must have returned at the pace of
-    /// migrations.
+    /// A zone claims what it cannot carry itself, and everything until spilled connections must have returned at
+    /// the pace of migrations.
     pub(crate) fn update_claims(&mut self, now: Micros) {
         let max_spill: f64 = self.zones.iter().map(|zone| zone.spill_limit * zone.capacity.warm).sum();
         let migration_rate = (self.config.migrations_per_second / self.fleet_size).max(MIN_MIGRATION_RATE);
--- a/crates/zone-failover/src/spilled_connections.rs
+++ b/crates/zone-failover/src/spilled_connections.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Returns what connections hold at a zone, in usual connections, where each group on an endpoint costs `group_cost` more.
+    /// Returns what connections hold at a zone, in usual connections, where each group on an endpoint costs
+    /// `group_cost` more.
     pub(crate) fn held(&self, zone: ZoneId, group_cost: f64) -> f64 {
         self.held.get(&zone).map_or(0.0, |held| held.units + f64::from(held.groups) * group_cost)
     }
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -6,7 +6,8 @@
 use crate::decaying_sum::DecayingSum;
 use crate::zone_health::ZoneHealth;
 
-/// Time after which load reports show a placed connection, in microseconds; own placements since then are added to reports.
+/// Time after which load reports show a placed connection, in microseconds; own placements since then are added to
+/// reports.
 const REPORT_DELAY: f64 = 1e6;
 
 /// Capacity of a zone, summed over its endpoints that are listed as ready, in weights.
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -142,7 +142,8 @@
         self.short_since = None;
     }
 
-    /// Records that most of its endpoints have just started, so that it was lost and is back though no update showed the loss.
+    /// Records that most of its endpoints have just started, so that it was lost and is back though no update
+    /// showed the loss.
     pub(crate) fn endpoints_restarted(&mut self, context: &mut TransitionContext) -> Option<StateChange> {
         self.is_up().then(|| {
             self.record_flap(context);
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -29,7 +29,8 @@
     let first = fleet.connect(2, None);
     assert_eq!(first, Ok(1));
     let (established, rejected) = fleet.connect_many(2, 50, 20 * S);
-    // A quarter of four endpoints, at 2.5% a connection, is 40 connections; this relay has a third of the overflow's quarter.
+    // A quarter of four endpoints, at 2.5% a connection, is 40 connections; this relay has a third of the
+    // overflow's quarter.
     assert_eq!(established, [33, 32, 0, 33]);
     for zone in [0, 1, 3] {
         assert!(fleet.spill(zone) <= config.spill_limit, "{zone}: {}", fleet.spill(zone));
--- a/src/relay/endpoints/discovery_client/connection.rs
+++ b/src/relay/endpoints/discovery_client/connection.rs
@@ -100,8 +100,8 @@
 
 /// Whether an idle connection is still open.
 ///
-/// A connection that was closed while idle is not a failed request. Once the request is written, a broken connection is one, and is
-/// not retried at once, as discovery may be overloaded.
+/// A connection that was closed while idle is not a failed request. Once the request is written, a broken
+/// connection is one, and is not retried at once, as discovery may be overloaded.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/src/relay/endpoints/discovery_client/mod.rs
+++ b/src/relay/endpoints/discovery_client/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery over HTTP: carries out the requests that [`DiscoveryPoller`](honeyknot_discovery::DiscoveryPoller) schedules, one at a
-//! time, and applies the endpoint lists that it accepts.
+//! Discovery over HTTP: carries out the requests that [`DiscoveryPoller`](honeyknot_discovery::DiscoveryPoller)
+//! schedules, one at a time, and applies the endpoint lists that it accepts.
 
 mod connection;
 mod error;
--- a/src/relay/endpoints/discovery_client/task.rs
+++ b/src/relay/endpoints/discovery_client/task.rs
@@ -64,9 +64,9 @@
 
 /// Makes the requests that the poller schedules until the relay stops, one at a time.
 ///
-/// The endpoint list is followed from the start, also where the settings say that it is pushed: it then lies ready at an agent and
-/// counts as notified there. A change of address abandons the request in flight and requests the full list at the new address; the
-/// list held stays in use meanwhile.
+/// The endpoint list is followed from the start, also where the settings say that it is pushed: it then lies ready
+/// at an agent and counts as notified there. A change of address abandons the request in flight and requests the
+/// full list at the new address; the list held stays in use meanwhile.
 pub async fn run(
     relay: SharedRelay, address: SocketAddr, poller: DiscoveryPoller,
     commands: UnboundedReceiver<DiscoveryCommand>,
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -159,7 +159,8 @@
         self.endpoints.address(endpoint)
     }
 
-    /// Records that an endpoint refused a connection; the endpoint list may be stale where it lists the endpoint as ready.
+    /// Records that an endpoint refused a connection; the endpoint list may be stale where it lists the endpoint as
+    /// ready.
     pub fn connection_refused_by(&self, endpoint: &EndpointId) {
         if !self.endpoints.is_draining(endpoint) {
             self.send_discovery_command(DiscoveryCommand::ConnectionRefused);
@@ -168,8 +169,8 @@
 
     /// Whether a request may still be written to an endpoint.
     ///
-    /// An attempt may have been placed before its endpoint's drain and connect after it, when the relay has counted as notified for a
-    /// while.
+    /// An attempt may have been placed before its endpoint's drain and connect after it, when the relay has counted
+    /// as notified for a while.
     pub fn may_send_to(&self, endpoint: &EndpointId) -> bool {
         !self.endpoints.is_draining(endpoint)
     }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -94,7 +94,8 @@
     request_stats(relay, &mut opened.stream).await.unwrap_or(Outcome::Reset.into())
 }
 
-/// Connects to an endpoint; [`Outcome::Cancelled`] without a descriptor to spare, which shows nothing about the endpoint.
+/// Connects to an endpoint; [`Outcome::Cancelled`] without a descriptor to spare, which shows nothing about the
+/// endpoint.
 async fn connect(relay: &SharedRelay, endpoint: &EndpointId) -> Result<HealthCheckConnection, Outcome> {
     let (address, permit) = {
         let relay = relay.borrow();
--- a/src/relay/endpoints/message_latency.rs
+++ b/src/relay/endpoints/message_latency.rs
@@ -67,8 +67,9 @@
 
     /// Records a latency and returns whether it is to be reported.
     ///
-    /// A high latency is reported once per interval while it lasts, and once more when it has ended. An endpoint may answer client
-    /// lines at once while its other work is late, so a low latency ends only a high one of the same source.
+    /// A high latency is reported once per interval while it lasts, and once more when it has ended. An endpoint
+    /// may answer client lines at once while its other work is late, so a low latency ends only a high one of the
+    /// same source.
     pub(in crate::relay) fn record(
         &mut self, now: Micros, endpoint: &EndpointId, latency_ms: f64, source: LatencySource,
     ) -> bool {
@@ -93,7 +94,8 @@
         true
     }
 
-    /// Returns the latencies in milliseconds that are to be reported again: those of load reports that were observed recently.
+    /// Returns the latencies in milliseconds that are to be reported again: those of load reports that were
+    /// observed recently.
     pub(in crate::relay) fn due_reports(&mut self, now: Micros) -> Vec<(EndpointId, f64)> {
         self.high.retain(|_, high| now < high.observed_at + MAX_LATENCY_AGE);
         let is_due = |high: &HighLatency| {
--- a/src/relay/endpoints/mod.rs
+++ b/src/relay/endpoints/mod.rs
@@ -1,7 +1,8 @@
-//! Endpoints as this relay knows them: the discovery client, the endpoint list, health checks, message latencies and zone failover.
+//! Endpoints as this relay knows them: the discovery client, the endpoint list, health checks, message latencies
+//! and zone failover.
 //!
-//! Responses of discovery and results of health checks come in; events for the balancer go out through the relay's state. When
-//! discovery is polled is decided in `honeyknot_discovery`, where requests go in the balancer.
+//! Responses of discovery and results of health checks come in; events for the balancer go out through the relay's
+//! state. When discovery is polled is decided in `honeyknot_discovery`, where requests go in the balancer.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks shared with other relays by gossip: which of them this relay makes, and the results that it takes from others.
+//! Health checks shared with other relays by gossip: which of them this relay makes, and the results that it takes
+//! from others.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -16,7 +16,8 @@
 use crate::relay::{ConnectionCommand, Relay};
 use crate::settings::NameTable;
 
-/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it has capacity.
+/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it
+/// has capacity.
 const MIN_CROSS_ZONE_PRICE: f64 = 0.2;
 
 /// Why zone failover could not be started.
@@ -172,8 +173,8 @@
 
     /// Records the end of an attempt or of an established connection.
     ///
-    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets connections and still
-    /// responds.
+    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets
+    /// connections and still responds.
     pub(in crate::relay) fn zone_attempt_ended(
         &mut self, id: RequestId, endpoint: &EndpointId, outcome: Outcome,
     ) {
