--- a/crates/zone-failover/src/admission.rs
+++ b/crates/zone-failover/src/admission.rs
@@ -75,7 +75,7 @@
         let group_cost = self.config.affinity_group_cost;
         let is_new_group = group.is_some_and(|group| !self.spilled.has_group(zone_id, group));
         let units = 1.0 + if is_new_group { group_cost } else { 0.0 };
-        let held = self.spilled.held(zone_id, group_cost) + units;
-        held * self.config.connection_load <= self.spill_allowance(zone_id, now)
+        let used = self.spilled.used(zone_id, group_cost) + units;
+        used * self.config.connection_load <= self.spill_allowance(zone_id, now)
     }
 }
--- a/crates/zone-failover/src/rebalancing.rs
+++ b/crates/zone-failover/src/rebalancing.rs
@@ -57,8 +57,8 @@
     /// A relay whose home zone is up returns its connections there instead.
     fn must_give_back(&self, zone: ZoneId, now: Micros) -> bool {
         let is_overloaded = self.zone_load(zone, now) >= self.config.give_back_threshold;
-        let held = self.spilled.held(zone, self.config.affinity_group_cost) * self.config.connection_load;
-        let exceeds_allowance = held > self.spill_allowance(zone, now) * ALLOWANCE_TOLERANCE
+        let used = self.spilled.used(zone, self.config.affinity_group_cost) * self.config.connection_load;
+        let exceeds_allowance = used > self.spill_allowance(zone, now) * ALLOWANCE_TOLERANCE
             && self.home().health.short_since().is_some();
         (is_overloaded || exceeds_allowance) && self.spilled.established_at(zone) > 0
     }
--- a/crates/zone-failover/src/spilled_connections.rs
+++ b/crates/zone-failover/src/spilled_connections.rs
@@ -1,4 +1,4 @@
-//! This relay's connections to other zones, and the capacity that they hold there.
+//! This relay's connections to other zones, and the capacity that they use there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,9 +16,9 @@
     pub(crate) since: Micros,
 }
 
-/// What connections hold at a zone.
+/// Capacity of a zone that connections use.
 #[derive(Clone, Copy, Debug, Default)]
-struct HeldCapacity {
+struct ZoneUsage {
     /// In usual connections.
     units: f64,
     /// Pairs of an endpoint and an affinity group.
@@ -38,22 +38,22 @@
     group_connections: BTreeMap<(EndpointId, AffinityGroup), u32>,
     /// Number of endpoints of each zone to which a group has connections.
     group_endpoints: BTreeMap<(ZoneId, AffinityGroup), u32>,
-    held: BTreeMap<ZoneId, HeldCapacity>,
+    usage: BTreeMap<ZoneId, ZoneUsage>,
     established: BTreeMap<ZoneId, BTreeSet<GroupedConnection>>,
 }
 
 impl SpilledConnections {
-    /// Adds an attempt in place of what the connection held before.
+    /// Adds an attempt in place of what the connection used before.
     pub(crate) fn insert(&mut self, id: RequestId, connection: SpilledConnection) {
         self.remove(id);
-        let held = self.held.entry(connection.zone).or_default();
-        held.units += connection.units;
+        let usage = self.usage.entry(connection.zone).or_default();
+        usage.units += connection.units;
         if let Some(group) = &connection.group {
             let key = (connection.endpoint.clone(), group.clone());
             let count = self.group_connections.entry(key).or_default();
             *count += 1;
             if *count == 1 {
-                held.groups += 1;
+                usage.groups += 1;
                 *self.group_endpoints.entry((connection.zone, group.clone())).or_default() += 1;
             }
         }
@@ -71,8 +71,8 @@
     /// Changes a connection's load, in usual connections.
     pub(crate) fn set_load(&mut self, id: RequestId, units: f64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if let Some(held) = self.held.get_mut(&connection.zone) {
-            held.units = (held.units + units - connection.units).max(0.0);
+        if let Some(usage) = self.usage.get_mut(&connection.zone) {
+            usage.units = (usage.units + units - connection.units).max(0.0);
         }
         connection.units = units;
     }
@@ -80,12 +80,12 @@
     /// Removes a connection or an attempt that has ended.
     pub(crate) fn remove(&mut self, id: RequestId) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        let held = self.held.entry(connection.zone).or_default();
-        held.units = (held.units - connection.units).max(0.0);
+        let usage = self.usage.entry(connection.zone).or_default();
+        usage.units = (usage.units - connection.units).max(0.0);
         if let Some(group) = &connection.group {
             let key = (connection.endpoint.clone(), group.clone());
             if decrement(&mut self.group_connections, &key) {
-                held.groups -= 1;
+                usage.groups -= 1;
                 decrement(&mut self.group_endpoints, &(connection.zone, group.clone()));
             }
         }
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Returns what connections hold at a zone, in usual connections, where each group on an endpoint costs
+    /// Returns the capacity of a zone that connections use, in usual connections, where each group on an endpoint costs
     /// `group_cost` more.
-    pub(crate) fn held(&self, zone: ZoneId, group_cost: f64) -> f64 {
-        self.held.get(&zone).map_or(0.0, |held| held.units + f64::from(held.groups) * group_cost)
+    pub(crate) fn used(&self, zone: ZoneId, group_cost: f64) -> f64 {
+        self.usage.get(&zone).map_or(0.0, |usage| usage.units + f64::from(usage.groups) * group_cost)
     }
 
     /// Whether an affinity group has a connection of this relay to a zone.
