--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 use honeyknot_relay::relay::connections::protocol::{
     EndpointLine, LineTracker, MAX_LINE_BYTES, OpenRequest, first_line_end, load_report_value,
 };
-use honeyknot_relay::relay::endpoints::discovery_client::{read_roll, take_answer};
+use honeyknot_relay::relay::endpoints::discovery_client::{parse_endpoint_list, take_response};
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::settings::NameTable;
 use proptest::prelude::*;
@@ -88,10 +88,10 @@
         line.extend(b"\r\n");
         let _ = OpenRequest::parse(line.into());
         let _ = (OpenRequest::parse(bytes.clone().into()), load_report_value(&tail, "util"));
-        let _ = take_answer(&mut BytesMut::from(&bytes[..]));
+        let _ = take_response(&mut BytesMut::from(&bytes[..]));
         let mut after_headers = BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         after_headers.extend_from_slice(&bytes);
-        let _ = take_answer(&mut after_headers);
+        let _ = take_response(&mut after_headers);
         let _ = Config::read(&bytes, |_| None);
     }
 
@@ -110,10 +110,10 @@
         let response = &http_responses(ENDPOINT_LIST)[form];
         let cut = cut.min(response.len() - 1);
         let mut bytes = BytesMut::from(&response.as_bytes()[..cut]);
-        prop_assert_eq!(take_answer(&mut bytes), Ok(None));
+        prop_assert_eq!(take_response(&mut bytes), Ok(None));
         bytes.extend_from_slice(&response.as_bytes()[cut..]);
-        let answer = take_answer(&mut bytes).unwrap().unwrap();
-        prop_assert_eq!((answer.status, answer.body.as_slice()), (200, ENDPOINT_LIST.as_bytes()));
+        let received = take_response(&mut bytes).unwrap().unwrap();
+        prop_assert_eq!((received.status, received.body.as_slice()), (200, ENDPOINT_LIST.as_bytes()));
         prop_assert!(bytes.is_empty());
     }
 
@@ -131,7 +131,7 @@
             ("active", "asleep"), ("1.0", "\"big\""), ("[", "{\"a\":["),
         ][field];
         let text = ENDPOINT_LIST.replacen(valid, invalid, 1);
-        let read = serde_json::from_str(&text).map(|value| read_roll(&value, &NameTable::default()).is_err());
+        let read = serde_json::from_str(&text).map(|value| parse_endpoint_list(&value, &NameTable::default()).is_err());
         prop_assert!(read.unwrap_or(true), "{}", text);
     }
 }
@@ -140,7 +140,7 @@
 fn retry_after_is_a_number_of_seconds_and_anything_else_is_ignored() {
     let retry_after = |header: &str| {
         let text = format!("HTTP/1.1 503 Busy\r\n{header}Content-Length: 0\r\n\r\n");
-        take_answer(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
+        take_response(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
     };
     assert_eq!(retry_after("retry-after: 3\r\n"), Some(3_000_000));
     assert_eq!(retry_after(&format!("Retry-After: {}\r\n", u64::MAX)), Some(u64::MAX));
@@ -151,13 +151,14 @@
 }
 
 #[test]
-fn an_endpoint_list_is_parsed_with_entries_and_addresses() {
-    let update = read_roll(&serde_json::from_str(ENDPOINT_LIST).unwrap(), &NameTable::default()).unwrap();
+fn an_endpoint_list_is_parsed_with_endpoints_and_addresses() {
+    let update =
+        parse_endpoint_list(&serde_json::from_str(ENDPOINT_LIST).unwrap(), &NameTable::default()).unwrap();
     assert_eq!(
-        (update.version, update.whole, update.entries.len(), update.addresses.len()),
+        (update.version, update.full, update.endpoints.len(), update.addresses.len()),
         (41, true, 3, 2)
     );
-    assert_eq!(update.entries[0].started_at, 2_000);
+    assert_eq!(update.endpoints[0].started_at, 2_000);
 }
 
 #[test]
