--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -10,14 +10,14 @@
 
 use serde_json::json;
 
-/// A folder of this test's own, gone with it.
-pub struct Folder(pub PathBuf);
+/// A directory of this test's own, removed with it.
+pub struct ScratchDirectory(pub PathBuf);
 
-impl Folder {
-    pub fn new(name: &str) -> Folder {
+impl ScratchDirectory {
+    pub fn new(name: &str) -> ScratchDirectory {
         let path = std::env::temp_dir().join(format!("honeyknot-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        ScratchDirectory(path)
     }
 
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
@@ -27,13 +27,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// A configuration with a discovery that is down, and two sites.
+/// Returns a configuration with two zones whose discovery is down.
 pub fn config(listen: SocketAddr) -> String {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": "127.0.0.1:1", "seed": "1f",
@@ -45,7 +45,7 @@
     .to_string()
 }
 
-pub fn honeyknot(config: &Path, words: &[&str]) -> Command {
+pub fn relay_command(config: &Path, words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"));
     command.args(words).env("EDGE_CONFIG", config);
     for name in [
@@ -61,30 +61,30 @@
     command
 }
 
-/// A relay's process, ended with the test.
+/// A relay's process, killed at the end of the test.
 pub struct Relay {
     pub child: Child,
     pub log: PathBuf,
 }
 
 impl Relay {
-    /// Starts a relay, whose log is a file of that name in the folder, and waits until it serves.
-    pub fn start(folder: &Folder, config: &Path, log: &str, words: &[&str]) -> Relay {
+    /// Starts a relay whose log is a file of that name in the directory, and waits until it serves.
+    pub fn start(folder: &ScratchDirectory, config: &Path, log: &str, words: &[&str]) -> Relay {
         let log = folder.0.join(log);
-        let mut command = honeyknot(config, &["serve", "--log-form", "json"]);
+        let mut command = relay_command(config, &["serve", "--log-form", "json"]);
         command.args(words).stderr(fs::File::create(&log).expect("a log")).stdout(Stdio::null());
         let relay = Relay { child: command.spawn().expect("a relay"), log };
-        relay.logged("\"message\":\"serving\"");
+        relay.wait_for_log("\"message\":\"serving\"");
         relay
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         let sent = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status();
         assert!(sent.expect("a signal").success());
     }
 
-    /// Waits for a record of the log.
-    pub fn logged(&self, text: &str) {
+    /// Waits until the log contains a text.
+    pub fn wait_for_log(&self, text: &str) {
         let until = Instant::now() + Duration::from_secs(30);
         while !fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text)) {
             assert!(Instant::now() < until, "no `{text}` in {:?}", fs::read_to_string(&self.log));
@@ -100,13 +100,13 @@
     }
 }
 
-/// An address where nothing listens now.
-pub fn free() -> SocketAddr {
+/// Returns an address that nothing listens on.
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-/// A relay's answer to a client's head.
-pub fn answer(relay: SocketAddr, head: &str) -> String {
+/// Sends a request and returns the first line of the answer.
+pub fn first_answer(relay: SocketAddr, head: &str) -> String {
     let mut client = TcpStream::connect(relay).expect("a connection");
     client.write_all(head.as_bytes()).expect("a write");
     let mut line = String::new();
