--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -13,8 +13,9 @@
 //! - A returning client prefers its sticky endpoint. The connections of a draining endpoint migrate at a pace
 //!   (`migration`), and their clients go to other endpoints.
 //! - An endpoint in slow start gets no more than this balancer's share of what it can bear (`slow_start`).
-//! - Unresponsive and overloaded endpoints lose connections at a pace, unless so many are unresponsive that
-//!   the fault is probably elsewhere (`outlier_detection`).
+//! - Endpoints that fail are ejected (`outlier_detection`). Unresponsive and overloaded ones lose connections
+//!   at a pace, unless so many are unresponsive that the fault is probably elsewhere
+//!   (`connection_shedding`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -5,10 +5,10 @@
 use rand::Rng;
 
 use crate::balancer::Balancer;
+use crate::connection_shedding::SHED_THRESHOLD;
 use crate::endpoint_record::EndpointRecord;
-use crate::outlier_detection::SHED_THRESHOLD;
 use crate::request_state::{PendingRequest, RequestState, pending_token};
-use crate::{Action, ConnectionUpdate, EndpointId, LoadReport, LoadReportSource, Micros, Outcome, RequestId};
+use crate::{Action, EndpointId, LoadReport, LoadReportSource, Micros, Outcome, RequestId};
 
 /// Candidates that get a health check in a request's first round, at most.
 pub(crate) const HEALTH_CHECK_SAMPLE: usize = 3;
@@ -136,17 +136,4 @@
         };
         self.pending_requests.iter().filter(|request| was_last(request)).copied().collect()
     }
-
-    /// Takes news of an established connection.
-    pub(crate) fn connection_updated(
-        &mut self, now: Micros, id: RequestId, endpoint: EndpointId, update: ConnectionUpdate,
-        actions: &mut Vec<Action>,
-    ) {
-        match update {
-            ConnectionUpdate::Load(load) => self.record_connection_load(id, load),
-            ConnectionUpdate::MessageLatency(milliseconds) => {
-                self.record_message_latency(now, &endpoint, milliseconds, actions);
-            }
-        }
-    }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,7 +9,8 @@
 //! - Types that go in and out: [`event`], [`action`], [`ids`], [`settings`].
 //! - State and dispatch of events: [`balancer`].
 //! - Handlers, spread over `impl Balancer` blocks: `discovery`, `request_state`, `routing`, `ranking`,
-//!   `admission`, `affinity`, `retry`, `health_check`, `migration`, `rebalancing`.
+//!   `admission`, `affinity`, `retry`, `health_check`, `connection_shedding`, `migration`,
+//!   `rebalancing`.
 //! - The estimates that they use: `load_estimate`, `fleet_estimate`; what is known of one endpoint:
 //!   `endpoint_record`.
 //! - Parts that can be used alone: [`circuit_breaker`], [`outlier_detection`], [`rendezvous`],
@@ -21,6 +22,7 @@
 mod affinity;
 pub mod balancer;
 pub mod circuit_breaker;
+mod connection_shedding;
 mod discovery;
 mod endpoint_record;
 pub mod event;
--- a/crates/balancer/src/request_state.rs
+++ b/crates/balancer/src/request_state.rs
@@ -4,7 +4,7 @@
 
 use crate::balancer::{Balancer, FIRST_REQUEST_TOKEN};
 use crate::migration::{MigrationPlan, SHED_DURATION};
-use crate::{Action, CellId, EndpointId, Micros, Request, RequestId, TimerToken, ZoneId};
+use crate::{Action, CellId, ConnectionUpdate, EndpointId, Micros, Request, RequestId, TimerToken, ZoneId};
 
 /// A request, from its arrival to the outcome of its last attempt.
 #[derive(Debug, Default)]
@@ -112,6 +112,19 @@
         }
     }
 
+    /// Takes news of an established connection.
+    pub(crate) fn connection_updated(
+        &mut self, now: Micros, id: RequestId, endpoint: EndpointId, update: ConnectionUpdate,
+        actions: &mut Vec<Action>,
+    ) {
+        match update {
+            ConnectionUpdate::Load(load) => self.record_connection_load(id, load),
+            ConnectionUpdate::MessageLatency(milliseconds) => {
+                self.record_message_latency(now, &endpoint, milliseconds, actions);
+            }
+        }
+    }
+
     /// Makes a request wait, as its [`PendingRequest`] says.
     pub(crate) fn enqueue_pending(&mut self, state: RequestState) {
         self.pending_requests.insert(state.request.id);
