--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -16,12 +16,13 @@
 use crate::relay::{ConnectionCommand, Relay};
 use crate::settings::NameTable;
 
-/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it has capacity.
+/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it
+/// has capacity.
 const MIN_CROSS_ZONE_PRICE: f64 = 0.2;
 
 /// Why zone failover could not be started.
 #[derive(Debug, Error)]
-pub enum ZoneFailoverStartError {
+pub(in crate::relay) enum ZoneFailoverStartError {
     /// The settings name no zone of this relay.
     #[error("sites: the settings name no site of this relay")]
     NoHomeZone,
@@ -35,7 +36,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings do not fit the operators' configuration.
-pub fn start(
+pub(in crate::relay) fn start(
     config: Option<ZoneFailoverConfig>, settings: &mut Settings, names: &NameTable, seed: u64, now: Micros,
 ) -> Result<Option<ZoneFailover>, ZoneFailoverStartError> {
     let Some(config) = config else { return Ok(None) };
@@ -117,7 +118,7 @@
                 self.send_command(id, ConnectionCommand::Migrate);
             }
             ZoneAction::CheckHealth(endpoint) => {
-                self.send_health_check_command(endpoint, HealthCheckCommand::Look);
+                self.send_health_check_command(endpoint, HealthCheckCommand::Check);
             }
             ZoneAction::Log(event) => {
                 if let Some(zone_failover) = &self.zone_failover {
@@ -172,8 +173,8 @@
 
     /// Records the end of an attempt or of an established connection.
     ///
-    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets connections and still
-    /// responds.
+    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets
+    /// connections and still responds.
     pub(in crate::relay) fn zone_attempt_ended(
         &mut self, id: RequestId, endpoint: &EndpointId, outcome: Outcome,
     ) {
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 use crate::relay::connections::protocol::socket_address;
-use crate::relay::endpoints::discovery_client::{EndpointListUpdate, read_roll};
+use crate::relay::endpoints::discovery_client::{EndpointListUpdate, parse_endpoint_list};
 use crate::settings::{self, NameTable};
 pub use error::{ConfigError, KeyFileError, LoadConfigError};
 pub use key_file::read_key_file;
@@ -209,7 +209,7 @@
 
     fn known_endpoints(&self, names: &NameTable) -> Result<Option<EndpointListUpdate>, ConfigError> {
         let list = self.json.get("known").filter(|value| !value.is_null());
-        let parsed = list.map(|value| read_roll(value, names)).transpose();
+        let parsed = list.map(|value| parse_endpoint_list(value, names)).transpose();
         parsed.map_err(|error| ConfigError::KnownEndpoints(error.into()))
     }
 }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -82,12 +82,12 @@
     let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
         // The successor is bound by what its predecessor was told: it needs the full list now.
-        relay.borrow_mut().send_discovery_command(DiscoveryCommand::Renew(discovery));
+        relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
     }
     if let Some(metrics) = metrics {
         start_metrics(&relay, &metrics, &name);
     }
-    let client = discovery_client::follow(relay.clone(), discovery, discovery_state, discovery_commands);
+    let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
     let clients = Rc::new(listeners.clients);
@@ -140,12 +140,12 @@
 async fn run_timers(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
-        let lag = timers.rest().await;
+        let lag = timers.wait().await;
         relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
-        for event in timers.due() {
+        for event in timers.take_due() {
             match event {
                 TimerEvent::Wake(task) => task.wake(),
-                TimerEvent::Decision(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
+                TimerEvent::Balancer(token) => relay.borrow_mut().handle_event(Event::TimerFired(token)),
             }
         }
     }
