--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -21,7 +21,7 @@
                 self.send_command(id, ConnectionCommand::Fail);
             }
             Action::Migrate(id) => {
-                self.update_metrics(|book| book.count(Family::Moves, "decisions"));
+                self.update_metrics(|metrics| metrics.count(Family::Moves, "decisions"));
                 self.send_command(id, ConnectionCommand::Migrate);
             }
             Action::Cancel { id, attempt } => self.send_command(id, ConnectionCommand::Cancel(attempt)),
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -1,11 +1,11 @@
 //! Why a relay does not start, ends early, or is not ready.
 
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 
 use honeyknot_balancer::SettingsError;
 
+use super::endpoints::zone_failover::ZoneFailoverStartError;
 use super::lifecycle::config::LoadConfigError;
 use super::lifecycle::hot_restart::HotRestartError;
 use super::lifecycle::signals::SignalError;
@@ -16,7 +16,7 @@
 pub enum StartError {
     /// Zone failover cannot work with these settings.
     #[error(transparent)]
-    ZoneFailover(Box<dyn Error + Send + Sync>),
+    ZoneFailover(#[from] ZoneFailoverStartError),
     /// The relay cannot take part in gossip.
     #[error(transparent)]
     Gossip(#[from] Unreachable),
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -30,15 +30,15 @@
 /// Files by which operators switch on what the platform's configuration does not speak of.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct OperatorFiles {
-    /// Tiers of sites, the limit on spill and the way back: an operator file such as deploy/sites.conf.
-    #[arg(long, value_name = "FILE", env = "HONEYKNOT_SITES")]
-    pub sites: Option<PathBuf>,
-    /// Sinks of metrics: an operator file such as deploy/metrics.conf.
+    /// Zone failover, its tiers and limits: an operator file such as deploy/sites.conf.
+    #[arg(long = "sites", value_name = "FILE", env = "HONEYKNOT_SITES")]
+    pub zone_failover: Option<PathBuf>,
+    /// Exporters of metrics: an operator file such as deploy/metrics.conf.
     #[arg(long, value_name = "FILE", env = "HONEYKNOT_METRICS")]
     pub metrics: Option<PathBuf>,
-    /// The relays nearby, and witnesses of card servers: an operator file such as deploy/neighbors.conf.
-    #[arg(long, value_name = "FILE", env = "HONEYKNOT_NEIGHBORS")]
-    pub neighbors: Option<PathBuf>,
+    /// Gossip with other relays, and shared health checks: an operator file such as deploy/neighbors.conf.
+    #[arg(long = "neighbors", value_name = "FILE", env = "HONEYKNOT_NEIGHBORS")]
+    pub gossip: Option<PathBuf>,
 }
 
 /// A relay's configuration.
@@ -103,7 +103,7 @@
         let text = fs::read(&path).map_err(|source| LoadConfigError::Read { path: path.clone(), source })?;
         let config = Config::read(&text, variable);
         let mut config = config.map_err(|source| LoadConfigError::Invalid { path, source })?;
-        if let Some(file) = &files.sites {
+        if let Some(file) = &files.zone_failover {
             let text = read_operator_file(file)?;
             let parsed = ZoneFailoverConfig::read(&display(file), &text, config.names.zones());
             config.zone_failover = Some(parsed?);
@@ -113,7 +113,7 @@
             let read_key = |path: &str| read_key_file(path).map_err(|error| error.to_string());
             config.metrics = Some(MetricsConfig::read(&display(file), &text, read_key)?);
         }
-        if let Some(file) = &files.neighbors {
+        if let Some(file) = &files.gossip {
             let text = read_operator_file(file)?;
             let parsed = GossipConfig::read(&display(file), &text)?;
             let network = parsed.check_listen(config.listen);
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -90,7 +90,7 @@
         return;
     }
     for id in established.iter().take(migrations_due(established.len(), time_left)) {
-        relay.update_metrics(|book| book.count(Family::Moves, "restart"));
+        relay.update_metrics(|metrics| metrics.count(Family::Moves, "restart"));
         relay.send_command(*id, ConnectionCommand::Migrate);
     }
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -9,6 +9,7 @@
 //! - `actions` carries out what the balancer decides;
 //! - `limits` answers what a task needs to know before it goes on;
 //! - `serve` starts the tasks and runs them until the relay stops.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod actions;
 pub mod clock;
@@ -19,10 +20,12 @@
 mod descriptors;
 mod endpoint_events;
 mod endpoint_table;
+#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)] // to be brought to them
 pub mod endpoints;
 mod error;
 pub mod lifecycle;
 mod limits;
+#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)] // to be brought to them
 pub mod metrics;
 mod serve;
 mod state;
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -20,6 +20,7 @@
 use crate::admin;
 
 /// What a relay is reached by.
+#[derive(Debug)]
 pub struct Listeners {
     /// The listener for clients.
     pub clients: TcpListener,
@@ -141,7 +142,7 @@
     let timers = relay.borrow().timers.clone();
     loop {
         let lag = timers.wait().await;
-        relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
+        relay.borrow_mut().update_metrics(|metrics| metrics.record(Family::LoopLag, lag));
         for event in timers.take_due() {
             match event {
                 TimerEvent::Wake(task) => task.wake(),
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -2,6 +2,7 @@
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 use std::rc::{Rc, Weak};
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
@@ -78,6 +79,16 @@
 /// A new relay, its discovery client's state machine, and the commands to that client.
 type NewRelay = (SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>);
 
+impl fmt::Debug for Relay {
+    /// Shows what tells relays apart in a log; the whole state would fill pages.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut fields = formatter.debug_struct("Relay");
+        fields.field("endpoint_list_version", &self.endpoint_list_version);
+        fields.field("connections", &self.connections.count()).field("shutting_down", &self.shutting_down);
+        fields.finish_non_exhaustive()
+    }
+}
+
 impl Relay {
     /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
     ///
@@ -88,9 +99,13 @@
         let started_at = timers.clock.now();
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
-        let zone_failover =
-            zone_failover::start(config.zone_failover, &mut settings, &config.names, config.seed, started_at)
-                .map_err(|error| StartError::ZoneFailover(error.into()))?;
+        let zone_failover = zone_failover::start(
+            config.zone_failover,
+            &mut settings,
+            &config.names,
+            config.seed,
+            started_at,
+        )?;
         let join_gossip = |plan| GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed);
         let gossip = config.gossip.as_ref().map(join_gossip).transpose()?;
         let balancer =
--- a/src/relay/timer_wheel.rs
+++ b/src/relay/timer_wheel.rs
@@ -58,7 +58,7 @@
     /// Removes an item, if the wheel still holds it.
     pub fn remove(&mut self, handle: TimerHandle) -> Option<T> {
         let slot = &mut self.slots[slot_of(handle.tick)];
-        let index = slot.iter().position(|(held, _)| *held == handle)?;
+        let index = slot.iter().position(|(entry, _)| *entry == handle)?;
         Some(slot.swap_remove(index).1)
     }
 
@@ -66,7 +66,7 @@
     /// one that is looked at.
     pub fn next_tick(&self) -> u64 {
         let last = self.current_tick + MAX_TICKS_AHEAD;
-        let holds_due = |tick: &u64| self.slots[slot_of(*tick)].iter().any(|(held, _)| held.tick <= *tick);
+        let holds_due = |tick: &u64| self.slots[slot_of(*tick)].iter().any(|(entry, _)| entry.tick <= *tick);
         (self.current_tick + 1..last).find(holds_due).unwrap_or(last)
     }
 
@@ -78,7 +78,7 @@
         for tick in (self.current_tick + 1..=target).take(SLOTS as usize) {
             let slot = &mut self.slots[slot_of(tick)];
             let entries = std::mem::take(slot).into_iter();
-            let (expired, pending) = entries.partition(|(held, _)| held.tick <= target);
+            let (expired, pending) = entries.partition(|(entry, _)| entry.tick <= target);
             *slot = pending;
             due.extend::<Vec<_>>(expired);
         }
@@ -103,7 +103,7 @@
     pub clock: Clock,
     wheel: RefCell<TimerWheel<TimerEvent>>,
     /// The tick until which [`Timers::wait`] waits.
-    waiting_until: Cell<u64>,
+    wakes_at_tick: Cell<u64>,
     /// Notified when an entry is due before that.
     earlier_entry: Notify,
 }
@@ -118,7 +118,7 @@
     /// Returns an empty wheel at the clock's time.
     pub fn new(clock: Clock) -> Rc<Timers> {
         let wheel = RefCell::new(TimerWheel::new(clock.now()));
-        Rc::new(Timers { clock, wheel, waiting_until: Cell::new(0), earlier_entry: Notify::new() })
+        Rc::new(Timers { clock, wheel, wakes_at_tick: Cell::new(0), earlier_entry: Notify::new() })
     }
 
     /// Sets a timer of the balancer.
@@ -128,7 +128,7 @@
 
     fn insert(&self, due: Micros, event: TimerEvent) -> TimerHandle {
         let handle = self.wheel.borrow_mut().insert(due, event);
-        if handle.tick < self.waiting_until.get() {
+        if handle.tick < self.wakes_at_tick.get() {
             self.earlier_entry.notify_one();
         }
         handle
@@ -143,10 +143,10 @@
             let now = self.clock.now();
             let due = next * TICK;
             if now >= due {
-                self.waiting_until.set(0);
+                self.wakes_at_tick.set(0);
                 return now - due;
             }
-            self.waiting_until.set(next);
+            self.wakes_at_tick.set(next);
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_micros(due - now)) => {}
                 () = self.earlier_entry.notified() => {}
