--- a/src/main.rs
+++ b/src/main.rs
@@ -132,7 +132,7 @@
 
 fn describe(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
-    let known = config.known_endpoints.as_ref().map_or(0, |k| k.entries.len());
+    let known = config.known_endpoints.as_ref().map_or(0, |k| k.endpoints.len());
     println!("{} descriptors, {known} card servers known", config.max_descriptors);
     if let Some(admin) = config.admin {
         println!("operators call at {admin}");
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -20,7 +20,6 @@
 mod descriptors;
 mod endpoint_events;
 mod endpoint_table;
-#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)] // to be brought to them
 pub mod endpoints;
 mod error;
 pub mod lifecycle;
@@ -34,6 +33,7 @@
 pub use command::{AttemptRequest, ConnectionCommand};
 pub use connection_table::ConnectionIdGuard;
 pub use descriptors::DescriptorPermit;
+pub use endpoints::zone_failover::ZoneFailoverStartError;
 pub use error::{NotReady, ServeError, StartError};
 pub use serve::{Listeners, serve, serve_with_listeners};
 pub use state::{Relay, SharedRelay};
