--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -22,7 +22,7 @@
 
 /// Why zone failover could not be started.
 #[derive(Debug, Error)]
-pub(in crate::relay) enum ZoneFailoverStartError {
+pub enum ZoneFailoverStartError {
     /// The settings name no zone of this relay.
     #[error("sites: the settings name no site of this relay")]
     NoHomeZone,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -9,6 +9,7 @@
 //! - `actions` carries out what the balancer decides;
 //! - `limits` answers what a task needs to know before it goes on;
 //! - `serve` starts the tasks and runs them until the relay stops.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod actions;
 pub mod clock;
@@ -23,6 +24,7 @@
 mod error;
 pub mod lifecycle;
 mod limits;
+#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)] // to be brought to them
 pub mod metrics;
 mod serve;
 mod state;
@@ -31,6 +33,7 @@
 pub use command::{AttemptRequest, ConnectionCommand};
 pub use connection_table::ConnectionIdGuard;
 pub use descriptors::DescriptorPermit;
+pub use endpoints::zone_failover::ZoneFailoverStartError;
 pub use error::{NotReady, ServeError, StartError};
 pub use serve::{Listeners, serve, serve_with_listeners};
 pub use state::{Relay, SharedRelay};
