--- a/crates/lease-consensus/src/replica.rs
+++ b/crates/lease-consensus/src/replica.rs
@@ -3,6 +3,7 @@
 mod leadership;
 mod message_check;
 mod pending_requests;
+mod persistence;
 mod raft_config;
 mod state_machine;
 
@@ -10,12 +11,12 @@
 use std::fmt;
 
 use honeyknot_lease::{Command, LeaseTable};
-use raft::{RawNode, Ready, StateRole, Storage, eraftpb};
+use raft::{RawNode, Ready, StateRole, eraftpb};
 
 use crate::log::Log;
 use crate::{
     ClientRequest, Entry, Micros, PeerMessage, PersistedState, ReplicaError, ReplicaId, ReplicaSettings,
-    ReplicaWrite, Response, Snapshot, StoredItem,
+    Response, Snapshot, StoredItem,
 };
 use leadership::Leadership;
 use pending_requests::{PendingRequest, PendingRequests, ProposedEntry};
@@ -175,92 +176,6 @@
         self.node.raft.term
     }
 
-    /// What has to be persisted next, if there is anything to do. [`Replica::advance`] follows, and nothing else before it.
-    pub fn ready(&mut self, now: Micros) -> Option<ReplicaWrite> {
-        self.propose_requests(now);
-        if !self.node.has_ready() && self.new_snapshot.is_none() && self.actions.is_empty() {
-            return None;
-        }
-        let mut write = ReplicaWrite { snapshot: self.new_snapshot.take(), ..ReplicaWrite::default() };
-        if self.node.has_ready() {
-            let ready = self.node.ready();
-            write.hard_state = ready.hs().map(|state| state.clone().into());
-            if !ready.snapshot().is_empty() {
-                let snapshot = Snapshot::from(ready.snapshot().clone());
-                write.truncate_from = Some(snapshot.index + 1);
-                write.snapshot = Some(snapshot);
-            }
-            write.entries = ready.entries().iter().cloned().map(Entry::from).collect();
-            write.truncate_from = write.entries.first().map(|entry| entry.index).or(write.truncate_from);
-            self.ready = Some(ready);
-        }
-        Some(write)
-    }
-
-    /// Continues after the write of [`Replica::ready`], given back here, is durable. Returns what follows from it.
-    ///
-    /// # Errors
-    /// A committed entry or snapshot cannot be decoded.
-    pub fn advance(&mut self, now: Micros, write: ReplicaWrite) -> Result<Vec<ReplicaAction>, ReplicaError> {
-        if let Some(ready) = self.ready.take() {
-            self.advance_ready(now, ready, write)?;
-        }
-        self.follow_role(now);
-        self.compact();
-        Ok(std::mem::take(&mut self.actions))
-    }
-
-    fn advance_ready(
-        &mut self, now: Micros, mut ready: Ready, write: ReplicaWrite,
-    ) -> Result<(), ReplicaError> {
-        if !ready.snapshot().is_empty()
-            && let Some(snapshot) = write.snapshot
-        {
-            self.restore(snapshot)?;
-        }
-        let log = self.node.mut_store();
-        log.append(write.entries);
-        if let Some(hard_state) = write.hard_state {
-            log.set_hard_state(hard_state);
-        }
-        self.send(ready.take_messages());
-        self.send(ready.take_persisted_messages());
-        let committed = ready.take_committed_entries();
-        self.follow_role(now);
-        self.apply(now, committed)?;
-        let mut light_ready = self.node.advance(ready);
-        if let Some(commit) = light_ready.commit_index() {
-            self.node.mut_store().commit(commit);
-        }
-        self.send(light_ready.take_messages());
-        let committed = light_ready.take_committed_entries();
-        self.apply(now, committed)?;
-        self.node.advance_apply();
-        Ok(())
-    }
-
-    /// Takes over another replica's snapshot.
-    fn restore(&mut self, snapshot: Snapshot) -> Result<(), ReplicaError> {
-        self.lease_table = decode(StoredItem::Snapshot, snapshot.index, &snapshot.lease_table)?;
-        self.applied_index = snapshot.index;
-        self.node.mut_store().restore(snapshot);
-        Ok(())
-    }
-
-    /// Takes a snapshot once enough entries were applied since the last one.
-    fn compact(&mut self) {
-        let next_snapshot_index = self.node.store().snapshot_index() + self.settings.compact_after;
-        if self.applied_index < next_snapshot_index || self.new_snapshot.is_some() {
-            return;
-        }
-        let term = self.node.store().term(self.applied_index);
-        if let (Ok(lease_table), Ok(term)) = (postcard::to_stdvec(&self.lease_table), term) {
-            let snapshot = Snapshot { index: self.applied_index, term, lease_table };
-            self.node.mut_store().compact(snapshot.clone());
-            self.new_snapshot = Some(snapshot);
-        }
-    }
-
     /// Proposes the requests that arrived since the last proposal, as few entries as possible.
     fn propose_requests(&mut self, now: Micros) {
         while let Some(batch) = self.requests.take_batch(now, MAX_COMMANDS_PER_ENTRY) {
@@ -268,7 +183,7 @@
         }
     }
 
-    /// Proposes an entry and returns its index. If the engine refuses it, its clients are told that the replica is overloaded.
+    /// Proposes an entry and returns its index. If the engine refuses it, its clients are answered that the replica is overloaded.
     fn propose(
         &mut self, requested_at: Micros, commands: &[Command], requests: Vec<PendingRequest>,
     ) -> Option<u64> {
--- a/src/lease_server/event_loop.rs
+++ b/src/lease_server/event_loop.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Which of the two clocks is wrong cannot be told; until it is corrected, only fencing tokens keep tasks safe.
+/// Which of the two clocks is wrong is unknown; until it is corrected, only fencing tokens keep tasks safe.
 fn log_clock_drift(replica: ReplicaId, change: Option<ClockDriftChange>) {
     match change {
         Some(ClockDriftChange::Exceeded(drift_ppm)) => {
