--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,20 +1,21 @@
-//! Groups and zones: together on few servers where nothing is reported, in their clients' zones where loads are.
+//! Affinity groups and zones: together on few endpoints without load reports, in their clients' zones with
+//! them.
 
-mod common;
+mod support;
 
 use std::collections::BTreeSet;
 
-use common::*;
 use honeyknot_balancer::zone_affinity::{GROUP_COST, copy_cost, slowdown};
 use honeyknot_balancer::*;
+use support::*;
 
 const ZONES: usize = 4;
 const SERVERS: [&str; 12] =
     ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1", "h:1", "i:1", "j:1", "k:1", "l:1"];
 
-/// A server's place in the list tells its zone.
-fn zone_of(server: &EndpointId) -> usize {
-    SERVERS.iter().position(|name| sid(name) == *server).expect("a server of the fleet") % ZONES
+/// An endpoint's place in the list tells its zone.
+fn zone_of(endpoint: &EndpointId) -> usize {
+    SERVERS.iter().position(|name| endpoint_id(name) == *endpoint).expect("an endpoint of the fleet") % ZONES
 }
 
 fn settings_in(zone: usize, fleet_size: u32, price: f64) -> Settings {
@@ -23,87 +24,87 @@
     settings
 }
 
-fn bench(settings: Settings, seed: u64, load: f64) -> Bench {
-    let mut bench = Bench::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
-    bench.terse = true;
-    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready(SERVERS[i]) };
-    bench.feed(delta((0..SERVERS.len()).map(at).collect()));
-    bench
+fn harness(settings: Settings, seed: u64, load: f64) -> Harness {
+    let mut harness = Harness::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
+    harness.omits_inflight = true;
+    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready_endpoint(SERVERS[i]) };
+    harness.handle(delta_update((0..SERVERS.len()).map(at).collect()));
+    harness
 }
 
-/// Where a request goes, which may be held for a while; one that stands is left to the caller, others end.
-fn asks(bench: &mut Bench, request: Request) -> Option<EndpointId> {
+/// Where a request goes, which may be pending for a while. One of a group stays open, others end.
+fn send_request(harness: &mut Harness, request: Request) -> Option<EndpointId> {
     let (id, keeps) = (request.id.0, request.affinity_group.is_some());
-    bench.feed(Event::Request(request));
-    bench.pass(2 * SECOND);
-    let server = bench.placed(id);
-    if server.is_some() && !keeps {
-        bench.end(id, 0, Outcome::Ok, true);
+    harness.handle(Event::Request(request));
+    harness.advance(2 * SECOND);
+    let endpoint = harness.last_endpoint(id);
+    if endpoint.is_some() && !keeps {
+        harness.end_attempt(id, 0, Outcome::Ok, true);
     }
-    server
+    endpoint
 }
 
-/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: pairs of a group and a server that holds any of
-/// it, and how many of the connections cross zones.
+/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: the pairs of a group
+/// and an endpoint that holds any of it, and the number of connections that cross zones.
 fn pairs_and_crossings(load: f64, change: impl Fn(&mut Settings)) -> (usize, usize) {
     let (mut pairs, mut crossings, mut placed) = (BTreeSet::new(), 0, 0);
     for number in 0..80 {
         let mut settings = settings_in(number % ZONES, 80, 0.1);
         change(&mut settings);
-        let mut bench = bench(settings, number as u64, load);
-        // Probes have told of the fleet, and its mean is known, before the first of them.
-        (100..110).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
+        let mut harness = harness(settings, number as u64, load);
+        // Before the first of them, the mean load of the fleet is known from health checks.
+        (100..110)
+            .for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
         for i in 0..5 {
             let of = (number / ZONES + i) % 10;
-            let asked = Request { affinity_group: group(&format!("g{of}")), ..request(i as u32) };
-            let Some(server) = asks(&mut bench, asked) else { continue };
-            bench.feed(Event::ConnectionEstablished {
+            let request_in_group =
+                Request { affinity_group: affinity_group(&format!("g{of}")), ..request(i as u32) };
+            let Some(endpoint) = send_request(&mut harness, request_in_group) else { continue };
+            harness.handle(Event::ConnectionEstablished {
                 id: RequestId(i as u32),
                 attempt: AttemptId(0),
-                endpoint: server.clone(),
+                endpoint: endpoint.clone(),
                 elapsed: 5_000,
             });
-            crossings += usize::from(zone_of(&server) != number % ZONES);
+            crossings += usize::from(zone_of(&endpoint) != number % ZONES);
             placed += 1;
-            pairs.insert((of, server));
+            pairs.insert((of, endpoint));
         }
     }
     assert!(placed > 300, "{placed} of 400 are placed");
     (pairs.len(), crossings)
 }
 
-fn told_nothing(settings: &mut Settings) {
+fn disable_reports(settings: &mut Settings) {
     settings.load_reports = LoadReportSource::Unavailable;
     settings.permissions.health_checks = false;
 }
 
-/// Guards against a group that each zone holds anew: its copies once took two fifths of a jammed fleet, and no report told how full it
-/// was.
+/// Regression: each zone held every group anew; the copies took two fifths of an overloaded fleet.
 #[test]
-fn a_group_is_not_copied_into_every_zone_where_nothing_is_reported() {
-    let (pairs, _) = pairs_and_crossings(0.4, told_nothing);
+fn group_is_not_copied_into_every_zone_without_load_reports() {
+    let (pairs, _) = pairs_and_crossings(0.4, disable_reports);
     assert!(pairs <= 20, "{pairs} pairs of ten groups where nothing is reported");
 }
 
-/// Guards against crossings that buy nothing: where loads are reported, room is seen.
+/// Where loads are reported, a full zone is seen, and crossing zones otherwise gains nothing.
 #[test]
-fn clients_stay_in_their_zone_where_loads_are_reported() {
+fn clients_stay_in_their_zone_with_load_reports() {
     let (pairs, crossings) = pairs_and_crossings(0.4, |_| ());
     assert!(crossings < 100 && pairs >= 40, "{crossings} of 400 cross zones, {pairs} pairs");
 }
 
-/// The same where crossing costs more than any copy.
 #[test]
-fn clients_stay_in_their_zone_where_crossing_is_dear() {
+fn clients_stay_in_their_zone_if_crossing_costs_more_than_a_copy() {
     let (_, crossings) = pairs_and_crossings(0.4, |settings| {
-        told_nothing(settings);
+        disable_reports(settings);
         settings.prices.cross_zone = 2.0 * GROUP_COST;
     });
     assert!(crossings <= 20, "{crossings} of 400 cross zones");
 }
 
 #[test]
-fn a_copy_is_shared_by_its_members() {
+fn copy_cost_is_shared_by_the_groups_members() {
     assert_eq!(copy_cost(30.0), GROUP_COST / 30.0);
     assert_eq!(copy_cost(0.1), GROUP_COST, "nobody shares with a part of a connection");
     let price = GROUP_COST / 30.0;
@@ -112,41 +113,51 @@
     assert_eq!(slowdown(0.0, 0.0), 1.0, "crossing costs nothing");
 }
 
-/// A connection that stands in zone 1, of a group of which four balancers see little, with room at one server of the own zone.
-fn stands_away(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
-    // Nothing is reported but to probes, which are allowed.
+/// Number of migrations of one connection in zone 1, with spare capacity at one local endpoint, at one of
+/// four balancers.
+fn migrations_of_connection_in_another_zone(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
+    // Loads are reported only to health checks, which are permitted.
     let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
-    let mut bench = bench(settings, 3, elsewhere);
-    bench.loads.insert(sid("a:1"), Some(0.5));
-    bench.feed(Event::ConnectionAdopted(Request { affinity_group: group_of, ..request(1) }, sid("b:1")));
-    (100..140).for_each(|id| drop(asks(&mut bench, Request { session_key: None, ..request(id) })));
-    bench.pass(60 * SECOND);
-    bench.moved().len()
+    let mut harness = harness(settings, 3, elsewhere);
+    harness.reported_loads.insert(endpoint_id("a:1"), Some(0.5));
+    harness.handle(Event::ConnectionAdopted(
+        Request { affinity_group: group_of, ..request(1) },
+        endpoint_id("b:1"),
+    ));
+    (100..140).for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
+    harness.advance(60 * SECOND);
+    harness.migrations().len()
 }
 
-/// Guards against a connection that is sent home, comes again, and is placed by its group in the other zone once more, for ever.
+/// Regression: a connection was rebalanced, placed by its group in the other zone once more, and so on.
 #[test]
-fn what_stands_with_its_group_is_not_brought_home_from_another_zone() {
+fn connection_with_its_group_in_another_zone_is_not_rebalanced() {
     let there = |name: &String| {
-        let mut bench = bench(settings_in(0, 4, 0.0), 3, 0.2);
-        bench.connect(Request { affinity_group: group(name), ..request(1) }) == sid("b:1")
+        let mut harness = harness(settings_in(0, 4, 0.0), 3, 0.2);
+        harness.connect(Request { affinity_group: affinity_group(name), ..request(1) }) == endpoint_id("b:1")
     };
-    let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first server is b:1");
-    assert_eq!(stands_away(0.66, group(&of_b)), 0, "its group is together there");
-    assert_eq!(stands_away(0.66, None), 1, "without a group it is brought home");
+    let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first endpoint is b:1");
+    assert_eq!(
+        migrations_of_connection_in_another_zone(0.66, affinity_group(&of_b)),
+        0,
+        "its group is together there"
+    );
+    assert_eq!(migrations_of_connection_in_another_zone(0.66, None), 1, "without a group it is rebalanced");
 }
 
-/// Guards against probes, and so connections, at card servers whose settings allow none.
+/// Regression: health checks were sent although the settings did not permit them.
 #[test]
-fn nothing_is_probed_where_probes_are_not_allowed() {
+fn no_health_check_is_sent_if_not_permitted() {
     for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
         let mut settings = settings_in(0, 1, 0.1);
         (settings.load_reports, settings.permissions.health_checks) = (reports, false);
-        let mut bench = bench(settings, 3, 0.2);
-        bench
-            .feed(Event::ConnectionAdopted(Request { affinity_group: group("g"), ..request(1) }, sid("b:1")));
-        (2..20).for_each(|id| drop(bench.connect(request(id))));
-        bench.pass(10 * SECOND);
-        assert_eq!(bench.probes, 0, "{reports:?}");
+        let mut harness = harness(settings, 3, 0.2);
+        harness.handle(Event::ConnectionAdopted(
+            Request { affinity_group: affinity_group("g"), ..request(1) },
+            endpoint_id("b:1"),
+        ));
+        (2..20).for_each(|id| drop(harness.connect(request(id))));
+        harness.advance(10 * SECOND);
+        assert_eq!(harness.health_check_count, 0, "{reports:?}");
     }
 }
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -6,15 +6,16 @@
 
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::relay::lifecycle::hot_restart::{
-    HotRestartMessage, MaintenanceState, StateDirectory as HotRestartFolder,
+    EndedMaintenance, HotRestartMessage, MaintenanceState, OngoingMaintenance,
+    StateDirectory as HotRestartFolder,
 };
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
 use tokio::time::sleep;
 
-use super::loopback::{Relay, case, config};
-use super::process::Folder as ScratchFolder;
+use super::loopback::{Relay, config, run_case};
+use super::process::ScratchDirectory;
 use super::{address, fixture, fixture_text, start_relay};
 
 const MESSAGES: &str = "hot-restart-messages.jsonl";
@@ -26,9 +27,14 @@
 
 /// What the fixtures say of endpoints in maintenance.
 fn maintenance_record() -> MaintenanceState {
+    let ongoing = |id: &str, since| OngoingMaintenance { id: id.into(), since };
     MaintenanceState {
-        out: vec![("s-1".into(), 1_700_000_000_000_001), ("s-2".into(), 1_700_000_000_000_002)],
-        back: vec![("s-3".into(), 1_700_000_000_000_003, 1_700_000_060_000_003)],
+        ongoing: vec![ongoing("s-1", 1_700_000_000_000_001), ongoing("s-2", 1_700_000_000_000_002)],
+        ended: vec![EndedMaintenance {
+            id: "s-3".into(),
+            from: 1_700_000_000_000_003,
+            to: 1_700_000_060_000_003,
+        }],
     }
 }
 
@@ -45,28 +51,32 @@
     match message {
         HotRestartMessage::Hello => "hello",
         HotRestartMessage::State { .. } => "state",
-        HotRestartMessage::Busy => "busy",
-        HotRestartMessage::Take => "take",
-        HotRestartMessage::Yours { .. } => "yours",
-        HotRestartMessage::Holding { .. } => "holding",
-        HotRestartMessage::Hand { .. } => "hand",
-        HotRestartMessage::Session(_) => "session",
-        HotRestartMessage::Done { .. } => "done",
+        HotRestartMessage::TakeoverInProgress => "busy",
+        HotRestartMessage::TakeOver => "take",
+        HotRestartMessage::HandedOver { .. } => "yours",
+        HotRestartMessage::DescriptorsInUse { .. } => "holding",
+        HotRestartMessage::SetMaintenance { .. } => "hand",
+        HotRestartMessage::Connection(_) => "session",
+        HotRestartMessage::Confirmed { .. } => "done",
     }
 }
 
 /// The messages of the fixture that carry no connection, in its order.
 fn plain_messages() -> Vec<HotRestartMessage> {
-    let by_hand = maintenance_record();
+    let maintenance = maintenance_record();
     vec![
         HotRestartMessage::Hello,
-        HotRestartMessage::State { by_hand: by_hand.clone(), leaving: vec!["s-4".into()] },
-        HotRestartMessage::Busy,
-        HotRestartMessage::Take,
-        HotRestartMessage::Yours { by_hand },
-        HotRestartMessage::Holding { descriptors: 77 },
-        HotRestartMessage::Hand { id: "s-1".into(), out: false, number: 18_446_744_073_709_551_615 },
-        HotRestartMessage::Done { number: 18_446_744_073_709_551_615 },
+        HotRestartMessage::State { maintenance: maintenance.clone(), draining: vec!["s-4".into()] },
+        HotRestartMessage::TakeoverInProgress,
+        HotRestartMessage::TakeOver,
+        HotRestartMessage::HandedOver { maintenance },
+        HotRestartMessage::DescriptorsInUse { descriptors: 77 },
+        HotRestartMessage::SetMaintenance {
+            id: "s-1".into(),
+            in_maintenance: false,
+            number: 18_446_744_073_709_551_615,
+        },
+        HotRestartMessage::Confirmed { number: 18_446_744_073_709_551_615 },
     ]
 }
 
@@ -167,7 +177,7 @@
 }
 
 /// A relay that found the fixture's file of endpoints in maintenance at its start, and the folder of that file.
-async fn restarted_relay(scratch: &ScratchFolder) -> (Relay, PathBuf) {
+async fn restarted_relay(scratch: &ScratchDirectory) -> (Relay, PathBuf) {
     let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
     let path = scratch.0.join(MEETING_FOLDER);
     fs::write(path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("a file");
@@ -181,20 +191,20 @@
 
 #[test]
 fn the_file_of_endpoints_in_maintenance_of_the_previous_version_is_read_and_written_unchanged() {
-    case(async {
-        let scratch = ScratchFolder::new("frozen-maintenance");
+    run_case(async {
+        let scratch = ScratchDirectory::new("frozen-maintenance");
         let (relay, path) = restarted_relay(&scratch).await;
         let file = path.join(MAINTENANCE_FILE);
         fs::remove_file(&file).expect("it was there");
         // It is in maintenance already, so that the record stays as it is and is written again.
-        assert_eq!(relay.call("maint-on s-1\n").await, "YES\n");
+        assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
         assert_eq!(fs::read(&file).expect("a file"), fixture(MAINTENANCE_FILE));
     });
 }
 
 #[test]
 fn a_file_of_endpoints_in_maintenance_with_any_byte_changed_is_not_taken() {
-    let scratch = ScratchFolder::new("frozen-maintenance-torn");
+    let scratch = ScratchDirectory::new("frozen-maintenance-torn");
     let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
     let file = scratch.0.join(MEETING_FOLDER).join(MAINTENANCE_FILE);
     let whole = fixture(MAINTENANCE_FILE);
@@ -234,8 +244,8 @@
 
 #[test]
 fn a_new_process_of_the_previous_version_takes_over_by_the_frozen_lines() {
-    case(async {
-        let scratch = ScratchFolder::new("frozen-takeover");
+    run_case(async {
+        let scratch = ScratchDirectory::new("frozen-takeover");
         let (_relay, path) = restarted_relay(&scratch).await;
         let mut newer = PreviousVersion::connect(&path).await;
         newer.say(&line_of("hello")).await;
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -478,19 +478,19 @@
         self.add("discovery address", config.discovery);
         self.add("admin_addr", config.admin.map_or("none".into(), |at: SocketAddr| at.to_string()));
         self.add("seed", config.seed);
-        self.add("limits.sockets", config.sockets);
+        self.add("limits.sockets", config.max_descriptors);
         self.add("files of sites, metrics, neighbors", {
-            config.sites.is_some() || config.metrics.is_some() || config.neighbors.is_some()
+            config.zone_failover.is_some() || config.metrics.is_some() || config.gossip.is_some()
         });
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_endpoints {
             self.add_known(known);
         }
     }
 
     fn add_known(&mut self, known: &EndpointListUpdate) {
         self.add("known.version", known.version);
-        self.add("known.full", known.whole);
-        for (number, entry) in known.entries.iter().enumerate() {
+        self.add("known.full", known.full);
+        for (number, entry) in known.endpoints.iter().enumerate() {
             self.add_entry(&format!("known.servers.{number}"), entry);
         }
         for (id, address) in &known.addresses {
@@ -584,7 +584,7 @@
 fn settings_of_each_site_give_the_same_typed_values() {
     for site in SITES {
         let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
-        let (settings, names) = settings::settings(&value).expect("sound settings");
+        let (settings, names) = settings::parse_settings(&value).expect("sound settings");
         let mut fields = Fields::default();
         fields.add_settings(&settings);
         fields.add_names(&names, &value);
@@ -658,7 +658,7 @@
         let mut broken = whole.clone();
         *broken.pointer_mut(path).expect("a place") = value;
         let text = broken.to_string();
-        let error = Config::read(text.as_bytes(), |_| None).err().expect("an error");
-        assert_eq!(error, expected, "{path}");
+        let error = Config::read(text.as_bytes(), |_| None).expect_err("an error");
+        assert_eq!(error.to_string(), expected, "{path}");
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,7 @@
 //! Configurations of four kinds of deployment, each broken in one place after another: the start ends with one line that names the
 //! place, or the decisions serve with what it says, and nothing panics.
 
+#[path = "support/loopback.rs"]
 mod loopback;
 
 use std::collections::BTreeMap;
@@ -272,7 +273,8 @@
                 set(&mut broken, &place, value.clone());
                 let what = format!("{kind}: {place} is {value:?}");
                 let run = || {
-                    let config = Config::read(broken.to_string().as_bytes(), |_| None)?;
+                    let config = Config::read(broken.to_string().as_bytes(), |_| None);
+                    let config = config.map_err(|error| error.to_string())?;
                     play(&config)
                 };
                 let run = catch_unwind(AssertUnwindSafe(run));
