--- a/crates/testbed/src/leases/keeper.rs
+++ b/crates/testbed/src/leases/keeper.rs
@@ -15,13 +15,13 @@
     let (number, found) = plan.part;
     println!("ready");
     let leases = plan.leases_plan(&plan.leases_of_keeper(number))?;
-    let seat = LeaseServerOptions {
+    let options = LeaseServerOptions {
         number: number as u64,
         folder: plan.folder.join(format!("k{number}")),
         found: (found == 1).then_some(0),
     };
     std::thread::spawn(move || {
-        let why = run(&leases, &seat, plan.leases.clock(number - 1));
+        let why = run(&leases, &options, plan.leases.clock(number - 1));
         eprintln!("keeper {number}: {why:?}");
         std::process::exit(2);
     });
--- a/src/main.rs
+++ b/src/main.rs
@@ -63,7 +63,7 @@
         #[arg(long)]
         leases: String,
         #[command(flatten)]
-        seat: LeaseServerOptions,
+        options: LeaseServerOptions,
         /// The least level that is logged.
         #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
         log: LevelFilter,
@@ -77,7 +77,7 @@
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
-        call: AdminCommand,
+        command: AdminCommand,
     },
     /// Print name and version.
     Version,
@@ -101,11 +101,11 @@
             }
             Err(why) => Err(format!("{address}: {why}")),
         },
-        Command::LeaseServer { leases, seat, log, log_form } => {
+        Command::LeaseServer { leases, options, log, log_form } => {
             logger::start(log, log_form);
-            serve_leases(&leases, &seat)
+            serve_leases(&leases, &options)
         }
-        Command::Lease { leases, call } => administer_leases(&leases, &call),
+        Command::Lease { leases, command } => administer_leases(&leases, &command),
         Command::Version => {
             println!("honeyknot {}", env!("CARGO_PKG_VERSION"));
             Ok(())
