--- a/src/lease_client/codec.rs
+++ b/src/lease_client/codec.rs
@@ -1,5 +1,5 @@
 //! Frames on a byte stream: a length of four bytes, big-endian, and a `postcard` payload. The first frame of each side begins with
-//! [`PREAMBLE`] and the protocol version, which every version can read.
+//! `PREAMBLE` and the protocol version, which every version can read.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
