--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -5,14 +5,14 @@
 use honeyknot_balancer::Event;
 use honeyknot_metrics::{Family, Plan as MetricsConfig};
 use tokio::net::TcpListener;
-use tokio::task::LocalSet;
+use tokio::task::{JoinHandle, LocalSet};
 use tracing::info;
 
 use super::connections::listener;
 use super::endpoints::discovery_client::{self, DiscoveryCommand};
 use super::endpoints::{message_latency, shared_health_check};
 use super::lifecycle::config::{Config, OperatorFiles};
-use super::lifecycle::hot_restart::{self, Predecessor, StateDirectory};
+use super::lifecycle::hot_restart::{self, HotRestartError, Predecessor, StateDirectory};
 use super::lifecycle::{graceful_shutdown, reload};
 use super::metrics::exporter;
 use super::timer_wheel::TimerEvent;
@@ -91,19 +91,8 @@
     let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
-    let clients = Rc::new(listeners.clients);
-    let ownership = match listeners.state_directory {
-        Some(directory) => tokio::task::spawn_local(hot_restart::run(
-            relay.clone(),
-            directory,
-            clients,
-            listeners.predecessor,
-        )),
-        None => {
-            listener::start_accepting(&relay, &clients);
-            tokio::task::spawn_local(std::future::pending())
-        }
-    };
+    let ownership =
+        start_accepting(&relay, listeners.clients, listeners.state_directory, listeners.predecessor);
     let endpoint_list_version = relay.borrow().endpoint_list_version;
     info!(target: "relay", name, %listen, endpoint_list_version, "serving");
     tokio::select! {
@@ -137,6 +126,23 @@
     tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
 }
 
+/// Accepts clients, once a predecessor has handed over if there is one; the task ends only if it cannot take over.
+fn start_accepting(
+    relay: &SharedRelay, clients: TcpListener, state_directory: Option<Rc<StateDirectory>>,
+    predecessor: Option<Predecessor>,
+) -> JoinHandle<Result<(), HotRestartError>> {
+    let clients = Rc::new(clients);
+    match state_directory {
+        Some(directory) => {
+            tokio::task::spawn_local(hot_restart::run(relay.clone(), directory, clients, predecessor))
+        }
+        None => {
+            listener::start_accepting(relay, &clients);
+            tokio::task::spawn_local(std::future::pending())
+        }
+    }
+}
+
 /// Fires the timers that are due, of tasks and of the balancer.
 async fn run_timers(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -45,11 +45,11 @@
         let next = next.expect("the watch goes on");
         let answered = timeout(SOON, receive_to_end(relay.client(OPEN).await)).await.expect("an answer");
         assert!(answered.starts_with("BUSY"), "{answered}");
-        let again = timeout(
+        let reopened = timeout(
             Duration::from_secs(2),
             accept_request(&agent, "GET /registry/instances?index=2&wait=125 "),
         );
-        again.await.expect("a watch that fell silent is opened anew");
+        reopened.await.expect("a watch that fell silent is opened anew");
         drop(next);
     });
 }
@@ -67,7 +67,7 @@
         let client = relay.client(OPEN).await;
         let address = late.address;
         respond(watch, "200 OK", &endpoint_list(2, false, &[("s-1", address, "leaving")])).await;
-        let _heard = accept_request(&discovery, "GET /registry/instances?index=2&").await;
+        let _next_watch = accept_request(&discovery, "GET /registry/instances?index=2&").await;
         late.accept_waiting();
         let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up or is given up");
         assert_eq!(got, "", "nothing new after the news");
@@ -80,8 +80,8 @@
 /// A relay without discovery, and its one endpoint, which accepts late.
 async fn with_late_endpoint() -> (Relay, LateListener) {
     let late = LateListener::new();
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let relay = Relay::of(patient(config_value(&[("s-1", late.address, "active")], 256, nowhere))).await;
+    let unreachable = "127.0.0.1:1".parse().expect("an address");
+    let relay = Relay::of(patient(config_value(&[("s-1", late.address, "active")], 256, unreachable))).await;
     (relay, late)
 }
 
@@ -145,7 +145,7 @@
         let (upstream, _) = accept_connection(&first).await;
         let both = [("s-1", first_at, "active"), ("s-2", late.address, "active")];
         respond(watch, "200 OK", &endpoint_list(2, false, &both)).await;
-        let _heard = accept_request(&discovery, "GET /registry/instances?index=2&").await;
+        let _next_watch = accept_request(&discovery, "GET /registry/instances?index=2&").await;
         // The request may have run; the retry starts at once, before the key expires, and connects after that.
         drop(upstream);
         late.wait_for_dial().await;
@@ -162,15 +162,15 @@
 #[test]
 fn a_malformed_answer_of_an_endpoint_ends_the_attempt_and_the_client_gets_one_answer() {
     let endless = "a".repeat(100_000);
-    for spoilt in ["UP\r\n", "UP \r\n", "PONG\r\n", "\r\n", "\u{7}\r\n", "UP r1\n", &endless] {
+    for malformed in ["UP\r\n", "UP \r\n", "PONG\r\n", "\r\n", "\u{7}\r\n", "UP r1\n", &endless] {
         run_case(async {
             let (endpoint, address) = listen().await;
             let relay = Relay::start(&[("s-1", address, "active")], 256).await;
             let client = relay.client(OPEN).await;
             let (mut upstream, _) = accept_connection(&endpoint).await;
-            let _ = upstream.get_mut().write_all(spoilt.as_bytes()).await;
+            let _ = upstream.get_mut().write_all(malformed.as_bytes()).await;
             let answer = timeout(SOON, receive_to_end(client)).await.expect("one final answer");
-            assert!(answer.starts_with("BUSY"), "{spoilt:.20}: {answer}");
+            assert!(answer.starts_with("BUSY"), "{malformed:.20}: {answer}");
         });
     }
 }
@@ -217,12 +217,12 @@
 fn idle_connections_are_answered_when_the_relay_shuts_down() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
-        let mut rests = relay.client("PING\r\n").await;
-        assert_eq!(receive_line(&mut rests).await, "PONG\r\n");
+        let mut idle = relay.client("PING\r\n").await;
+        assert_eq!(receive_line(&mut idle).await, "PONG\r\n");
         let (slow, silent) = (relay.client("OPEN 9b20 7f3a c=st").await, relay.client("").await);
         relay.stop.send(()).expect("a relay that runs");
         let ended = timeout(SOON, async {
-            (receive_to_end(rests).await, receive_to_end(slow).await, receive_to_end(silent).await)
+            (receive_to_end(idle).await, receive_to_end(slow).await, receive_to_end(silent).await)
         });
         let ended = ended.await.expect("all have ended");
         assert_eq!(ended, ("BUSY\r\n".into(), "BUSY\r\n".into(), "BUSY\r\n".into()));
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -278,18 +278,18 @@
         let (endpoint, address) = listen().await;
         spawn_local(slow_endpoint(endpoint));
         let relay = Relay::start(&[("s-1", address, "active")], 100_000).await;
-        let mut standing = Vec::new();
+        let mut established = Vec::new();
         loop {
-            let mut client = relay.client(&open_request(&standing.len().to_string())).await;
+            let mut client = relay.client(&open_request(&established.len().to_string())).await;
             if receive_line(&mut client).await.starts_with("BUSY") {
                 break;
             }
             // A fast answer on the connection does not outweigh the load reports.
             send(&mut client, "answer 1\r\n").await;
-            standing.push(client);
+            established.push(client);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        assert!(!standing.is_empty());
+        assert!(!established.is_empty());
     });
 }
 
