--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -3,12 +3,13 @@
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
 use serde_json::json;
+use tokio::net::TcpSocket;
 
 /// A directory of this test's own, removed with it.
 pub struct ScratchDirectory(pub PathBuf);
@@ -100,9 +101,17 @@
     }
 }
 
-/// Returns an address that nothing listens on.
+/// Returns an address that nothing listens on, reserved until this process ends.
+///
+/// The socket stays bound without listening. The system then gives its port to no other socket that asks for any port,
+/// while a listener that binds this address with `SO_REUSEADDR`, as relays do, may take it.
 pub fn unused_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.set_reuseaddr(true).expect("an option");
+    socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port");
+    let address = socket.local_addr().expect("an address");
+    std::mem::forget(socket);
+    address
 }
 
 /// Sends a request and returns the first line of the answer.
