--- a/src/lease_client/connection.rs
+++ b/src/lease_client/connection.rs
@@ -36,6 +36,8 @@
     pub(super) async fn run(mut self) {
         let Err(error) = self.exchange_frames().await else { return };
         let (server, error) = (self.server, error.to_string());
+        // From here on the loop cannot queue a request that would never be sent.
+        drop(self.frames);
         debug!(target: "lease_client", server, error, "connection to lease server closed");
         let _ = self.events.send(ConnectionEvent::Closed { server, error }).await;
     }
