--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -4,7 +4,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use honeyknot_balancer::Micros;
-use honeyknot_gossip::{DATAGRAM, Dropped, Finding, Found, Neighbors, Peer, Plan, View, witnesses};
+use honeyknot_gossip::{
+    DatagramError, GossipConfig, GossipMember, GossipView, HealthCheckOutcome, HealthObservation,
+    MAX_DATAGRAM_BYTES, MemberId, assigned_probers,
+};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -16,9 +19,9 @@
     SocketAddr::from((Ipv4Addr::new(127, 9, (n / 200) as u8, (n % 200) as u8 + 1), 7500))
 }
 
-fn plan() -> Plan {
+fn plan() -> GossipConfig {
     let text = "fleet test\nport 7500\nseed 127.9.0.1:7500\nseed 127.9.0.2:7500\nseed 127.9.0.3:7500\n";
-    Plan::read("test", text).expect("a sound plan")
+    GossipConfig::read("test", text).expect("a sound plan")
 }
 
 /// What happens to datagrams.
@@ -35,7 +38,7 @@
     now: Micros,
     net: Net,
     rng: Pcg64Mcg,
-    relays: BTreeMap<usize, Neighbors>,
+    relays: BTreeMap<usize, GossipMember>,
     numbers: BTreeMap<SocketAddr, usize>,
     flying: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
     serial: u64,
@@ -61,9 +64,9 @@
     }
 
     fn start(&mut self, n: usize) {
-        let me = Peer { at: address(n), life: self.now };
+        let me = MemberId { address: address(n), incarnation: self.now };
         let all = self.numbers.len();
-        self.relays.insert(n, Neighbors::new(&plan(), me, all, self.rng.next_u64(), self.now));
+        self.relays.insert(n, GossipMember::new(&plan(), me, all, self.rng.next_u64(), self.now));
     }
 
     fn fly(&mut self, from: SocketAddr, out: Vec<(SocketAddr, Vec<u8>)>) {
@@ -94,20 +97,21 @@
                 let Some(n) = self.numbers.get(&to).copied() else { continue };
                 let Some(relay) = self.relays.get_mut(&n) else { continue };
                 let mut out = Vec::new();
-                relay.heard(self.now, from, &bytes, &mut out).expect("all speak the same language");
+                relay.handle_datagram(self.now, from, &bytes, &mut out).expect("all speak the same language");
                 self.fly(to, out);
             }
             for n in self.relays.keys().copied().collect::<Vec<_>>() {
                 let mut out = Vec::new();
-                if let Some(relay) = self.relays.get_mut(&n).filter(|relay| relay.due_at() <= self.now) {
-                    relay.due(self.now, &mut out);
+                if let Some(relay) = self.relays.get_mut(&n).filter(|relay| relay.next_timeout() <= self.now)
+                {
+                    relay.handle_timeout(self.now, &mut out);
                 }
                 self.fly(address(n), out);
             }
         }
     }
 
-    fn view(&self, n: usize) -> View {
+    fn view(&self, n: usize) -> GossipView {
         self.relays[&n].view(self.now, 3)
     }
 
@@ -127,13 +131,19 @@
         self.now - began
     }
 
-    fn say(&mut self, n: usize, findings: Vec<Finding>) {
-        self.relays.get_mut(&n).expect("it lives").say(self.now, findings);
+    fn say(&mut self, n: usize, findings: Vec<HealthObservation>) {
+        self.relays.get_mut(&n).expect("it lives").publish(self.now, findings);
     }
 }
 
-fn finding(card: u32, load: u8) -> Finding {
-    Finding { card, found: Found::Well, load: Some(load), delay_ms: None, age_ms: 0 }
+fn finding(card: u32, load: u8) -> HealthObservation {
+    HealthObservation {
+        endpoint: card,
+        outcome: HealthCheckOutcome::Healthy,
+        load_percent: Some(load),
+        latency_ms: None,
+        age_ms: 0,
+    }
 }
 
 #[test]
@@ -144,7 +154,7 @@
         fleet.bytes = 0;
         fleet.pass(5 * S);
         assert_eq!(fleet.alive(), (relays, relays), "and stays so, {took} us");
-        assert!(fleet.longest <= DATAGRAM);
+        assert!(fleet.longest <= MAX_DATAGRAM_BYTES);
         let each = fleet.bytes / 5 / relays as u64;
         // 27 datagrams a second for words, and the engine's own.
         assert!(each <= 40_000, "{relays} relays: {each} bytes a second each");
@@ -191,8 +201,8 @@
     let mut fleet = Fleet::new(40, 5);
     fleet.until_alive(40, 12 * S);
     let card = 77;
-    let chosen = witnesses(&fleet.view(0).alive, card, 3);
-    let number = |n: usize| Peer { at: address(n), life: 0 }.number();
+    let chosen = assigned_probers(&fleet.view(0).alive, card, 3);
+    let number = |n: usize| MemberId { address: address(n), incarnation: 0 }.number();
     let by: Vec<usize> = (0..40).filter(|n| chosen.contains(&number(*n))).collect();
     assert_eq!(by.len(), 3, "all relays see the same three");
     for (n, load) in by.iter().zip([30, 32, 255]) {
@@ -200,12 +210,12 @@
     }
     fleet.pass(1_500 * MS);
     for n in (0..40).filter(|n| !by.contains(n)) {
-        let joined = fleet.view(n).joined(fleet.now, card, 2 * S).expect("it has heard");
-        let seen = (joined.witnesses, joined.load);
+        let joined = fleet.view(n).aggregated(fleet.now, card, 2 * S).expect("it has heard");
+        let seen = (joined.observations, joined.load);
         assert_eq!(seen, (3, Some(0.32)), "one that lies moves no middle, at relay {n}");
     }
     fleet.pass(3 * S);
-    assert!((0..40).all(|n| fleet.view(n).said(card).is_empty()), "an old word says nothing");
+    assert!((0..40).all(|n| fleet.view(n).observations(card).is_empty()), "an old word says nothing");
 }
 
 /// Guards against a relay that speaks of every card server of the fleet.
@@ -216,7 +226,7 @@
     fleet.say(7, (0..40).map(|card| finding(card, 255)).collect());
     fleet.pass(S);
     let view = fleet.view(20);
-    let moved = (0..40).filter(|card| !view.said(*card).is_empty()).count();
+    let moved = (0..40).filter(|card| !view.observations(*card).is_empty()).count();
     // Five of forty places in each race count.
     assert!(moved <= 12, "it is heard on {moved} of 40 card servers");
 }
@@ -225,21 +235,24 @@
 fn strangers_are_dropped_with_a_word_for_operators() {
     let mut fleet = Fleet::new(2, 7);
     fleet.until_alive(2, 12 * S);
-    let stranger = Plan { fleet: "other".into(), ..plan() };
-    let mut other = Neighbors::new(&stranger, Peer { at: address(5), life: 1 }, 2, 1, START);
+    let stranger = GossipConfig { fleet: "other".into(), ..plan() };
+    let mut other =
+        GossipMember::new(&stranger, MemberId { address: address(5), incarnation: 1 }, 2, 1, START);
     let mut out = Vec::new();
-    other.due(START, &mut out);
+    other.handle_timeout(START, &mut out);
     let (_, bytes) = out.first().expect("it calls its seeds").clone();
     let now = fleet.now;
     let relay = fleet.relays.get_mut(&0).expect("it lives");
-    let mut heard = |bytes: &[u8]| relay.heard(now, address(5), bytes, &mut Vec::new());
+    let mut heard = |bytes: &[u8]| relay.handle_datagram(now, address(5), bytes, &mut Vec::new());
     let of_another = heard(&bytes).expect_err("another fleet");
-    assert!(matches!(of_another, Dropped::Fleet(_)) && of_another.to_string().contains("check `fleet`"));
+    assert!(
+        matches!(of_another, DatagramError::Fleet(_)) && of_another.to_string().contains("check `fleet`")
+    );
     let mut newer = bytes.clone();
     newer[0] = 9;
     assert!(heard(&newer).expect_err("another version").to_string().contains("finish the upgrade"));
-    assert!(matches!(heard(&[0; DATAGRAM + 1]), Err(Dropped::Size(..))));
-    assert!(matches!(heard(&[]), Err(Dropped::Size(..))));
+    assert!(matches!(heard(&[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Size(..))));
+    assert!(matches!(heard(&[]), Err(DatagramError::Size(..))));
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     let ours = honeyknot_envelope();
     for _ in 0..20_000 {
@@ -248,7 +261,7 @@
         if rng.random_bool(0.5) && garbage.len() > 9 {
             garbage[..9].copy_from_slice(&ours);
         }
-        let _ = relay.heard(now, address(5), &garbage, &mut Vec::new());
+        let _ = relay.handle_datagram(now, address(5), &garbage, &mut Vec::new());
     }
     let alive = relay.view(now, 3).alive.len();
     assert!(alive <= 2, "garbage is no neighbour: {alive}");
@@ -256,22 +269,22 @@
 
 /// What stands before each datagram of the tests' fleet.
 fn honeyknot_envelope() -> [u8; 9] {
-    let mut relay = Neighbors::new(&plan(), Peer { at: address(9), life: 1 }, 2, 1, START);
+    let mut relay = GossipMember::new(&plan(), MemberId { address: address(9), incarnation: 1 }, 2, 1, START);
     let mut out = Vec::new();
-    relay.due(START, &mut out);
+    relay.handle_timeout(START, &mut out);
     out[0].1[..9].try_into().expect("nine bytes")
 }
 
 #[test]
 fn the_operators_file_is_checked_whole() {
     let text = "port 80\nseed 10.0.0.1:7500\nseed x\nwitnesses 0\nfoo 1\n";
-    let told = Plan::read("f", text).expect_err("faults").to_string();
+    let told = GossipConfig::read("f", text).expect_err("faults").to_string();
     let faults =
         ["lacks `fleet`", "`port`: `80`", "not a loopback address", "`witnesses`: `0`", "directive `foo`"];
     for what in faults {
         assert!(told.contains(what), "`{what}` is not in {told}");
     }
     let at = SocketAddr::from(([10, 0, 0, 9], 5000));
-    let told = plan().check_listen(at).expect_err("not loopback").to_string();
+    let told = plan().gossip_address(at).expect_err("not loopback").to_string();
     assert!(told.contains("plain-network"), "{told}");
 }
--- a/crates/health-check-budget/src/probes.rs
+++ b/crates/health-check-budget/src/probes.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 use honeyknot_balancer::{LoadReport, Micros, Outcome};
-use honeyknot_gossip::{Finding, Found, View, witnesses};
+use honeyknot_gossip::{GossipView, HealthCheckOutcome, HealthObservation, assigned_probers};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Own {
     asked: Micros,
-    found: Option<(Micros, Found, Figures)>,
+    found: Option<(Micros, HealthCheckOutcome, Figures)>,
 }
 
 /// The budget as one relay keeps it.
@@ -65,22 +65,25 @@
     }
 
     /// Whether this relay is a witness of a card server.
-    fn witness(&mut self, view: &View, card: u32) -> bool {
+    fn witness(&mut self, view: &GossipView, card: u32) -> bool {
         if self.among != view.alive {
             self.duties.clear();
             self.among.clone_from(&view.alive);
         }
         let wanted = self.wanted;
-        *self.duties.entry(card).or_insert_with(|| witnesses(&view.alive, card, wanted).contains(&view.me))
+        *self
+            .duties
+            .entry(card)
+            .or_insert_with(|| assigned_probers(&view.alive, card, wanted).contains(&view.local))
     }
 
     /// Nobody else is there to ask.
-    fn alone(&self, view: &View) -> bool {
+    fn alone(&self, view: &GossipView) -> bool {
         view.alive.len() <= self.wanted
     }
 
     /// The decisions, or another room, want to know how a card server does.
-    pub fn wish(&mut self, now: Micros, view: &View, card: u32) -> Asking {
+    pub fn wish(&mut self, now: Micros, view: &GossipView, card: u32) -> Asking {
         if self.alone(view) {
             return self.ask(now, card);
         }
@@ -92,8 +95,8 @@
                 None => self.ask(now, card),
             };
         }
-        match view.joined(now, card, FRESH).filter(|joined| joined.witnesses >= ENOUGH) {
-            Some(joined) => Asking::Known(outcome(joined.found), report((joined.load, joined.delay_ms))),
+        match view.aggregated(now, card, FRESH).filter(|joined| joined.observations >= ENOUGH) {
+            Some(joined) => Asking::Known(outcome(joined.outcome), report((joined.load, joined.latency_ms))),
             None if self.rng.random_bool((self.wanted as f64 / view.alive.len() as f64).min(1.0)) => {
                 self.ask(now, card)
             }
@@ -108,7 +111,7 @@
     }
 
     /// The card servers out of these that this relay has to ask now, as their witness.
-    pub fn due(&mut self, now: Micros, view: &View, cards: impl Iterator<Item = u32>) -> Vec<u32> {
+    pub fn due(&mut self, now: Micros, view: &GossipView, cards: impl Iterator<Item = u32>) -> Vec<u32> {
         let mut due = Vec::new();
         if self.alone(view) {
             return due;
@@ -126,9 +129,9 @@
     /// A probe of this relay's own has ended.
     pub fn ended(&mut self, now: Micros, card: u32, outcome: Outcome, told: Option<&LoadReport>) {
         let found = match outcome {
-            Outcome::Ok | Outcome::Rejected => Found::Well,
-            Outcome::Error => Found::Ill,
-            Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Found::Silent,
+            Outcome::Ok | Outcome::Rejected => HealthCheckOutcome::Healthy,
+            Outcome::Error => HealthCheckOutcome::Failing,
+            Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => HealthCheckOutcome::Unresponsive,
             // Nobody was asked.
             Outcome::Cancelled | Outcome::NotSent => return,
         };
@@ -138,7 +141,7 @@
     }
 
     /// What this relay has to say of its card servers.
-    pub fn findings(&mut self, now: Micros, view: &View) -> Vec<Finding> {
+    pub fn findings(&mut self, now: Micros, view: &GossipView) -> Vec<HealthObservation> {
         self.own.retain(|_, own| now.saturating_sub(own.asked) < SAID_FOR * 4);
         let own: Vec<(u32, Own)> = self.own.iter().map(|(card, own)| (*card, *own)).collect();
         let mut said = Vec::new();
@@ -148,7 +151,13 @@
             if age < SAID_FOR && self.witness(view, card) {
                 let load = load.map(|load| (load * 100.0).round().clamp(0.0, 255.0) as u8);
                 let delay_ms = delay.map(|ms| ms.round().clamp(0.0, f64::from(u16::MAX)) as u16);
-                said.push(Finding { card, found, load, delay_ms, age_ms: (age / 1_000) as u16 });
+                said.push(HealthObservation {
+                    endpoint: card,
+                    outcome: found,
+                    load_percent: load,
+                    latency_ms: delay_ms,
+                    age_ms: (age / 1_000) as u16,
+                });
             }
         }
         said.sort_by_key(|finding| finding.age_ms);
@@ -156,11 +165,11 @@
     }
 }
 
-fn outcome(found: Found) -> Outcome {
+fn outcome(found: HealthCheckOutcome) -> Outcome {
     match found {
-        Found::Well => Outcome::Ok,
-        Found::Ill => Outcome::Error,
-        Found::Silent => Outcome::Timeout,
+        HealthCheckOutcome::Healthy => Outcome::Ok,
+        HealthCheckOutcome::Failing => Outcome::Error,
+        HealthCheckOutcome::Unresponsive => Outcome::Timeout,
     }
 }
 
--- a/crates/health-check-budget/tests/probes.rs
+++ b/crates/health-check-budget/tests/probes.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use honeyknot_balancer::{LoadReport, Micros, Outcome};
-use honeyknot_gossip::{Neighbors, Peer, Plan, View};
+use honeyknot_gossip::{GossipConfig, GossipMember, GossipView, MemberId};
 use honeyknot_health_check_budget::{Asking, Probes};
 
 const MS: Micros = 1_000;
@@ -16,9 +16,9 @@
 }
 
 struct Relay {
-    neighbors: Neighbors,
+    neighbors: GossipMember,
     probes: Probes,
-    view: View,
+    view: GossipView,
 }
 
 /// Relays with a sound network between them, card servers that answer at once, and a wish at each relay for each card server
@@ -36,12 +36,13 @@
 
 impl Fleet {
     fn new(relays: usize, cards: u32) -> Fleet {
-        let plan = Plan::read("test", "fleet t\nport 7500\nseed 127.9.0.1:7500\nseed 127.9.0.2:7500\n")
-            .expect("a plan");
+        let plan =
+            GossipConfig::read("test", "fleet t\nport 7500\nseed 127.9.0.1:7500\nseed 127.9.0.2:7500\n")
+                .expect("a plan");
         let one = |n: usize| {
-            let me = Peer { at: address(n), life: START };
-            let neighbors = Neighbors::new(&plan, me, relays, n as u64, START);
-            let view = View::alone(START, me.number());
+            let me = MemberId { address: address(n), incarnation: START };
+            let neighbors = GossipMember::new(&plan, me, relays, n as u64, START);
+            let view = GossipView::alone(START, me.number());
             (n, Relay { neighbors, probes: Probes::new(3, n as u64), view })
         };
         let relays = (0..relays).map(one).collect();
@@ -58,13 +59,13 @@
                 let found = self.relays.iter_mut().find(|(n, _)| address(**n) == to);
                 let Some((n, relay)) = found else { continue };
                 let mut out = Vec::new();
-                let _ = relay.neighbors.heard(now, from, &bytes, &mut out);
+                let _ = relay.neighbors.handle_datagram(now, from, &bytes, &mut out);
                 let at = address(*n);
                 self.flying.extend(out.into_iter().map(|(to, bytes)| (at, to, bytes)));
             }
             for (n, relay) in &mut self.relays {
                 let mut out = Vec::new();
-                relay.neighbors.due(now, &mut out);
+                relay.neighbors.handle_timeout(now, &mut out);
                 self.flying.extend(out.into_iter().map(|(to, bytes)| (address(*n), to, bytes)));
                 if round.is_multiple_of(5) {
                     relay.view = relay.neighbors.view(now, 3);
@@ -90,7 +91,7 @@
                     }
                     let findings = relay.probes.findings(now, &relay.view);
                     if !findings.is_empty() {
-                        relay.neighbors.say(now, findings);
+                        relay.neighbors.publish(now, findings);
                     }
                 }
             }
@@ -126,8 +127,8 @@
     let mut fleet = Fleet::new(40, 4);
     fleet.pass(9 * S, true);
     let alive = fleet.relays[&0].view.alive.clone();
-    let gone = honeyknot_gossip::witnesses(&alive, 1, 3);
-    fleet.relays.retain(|_, relay| !gone.contains(&relay.view.me));
+    let gone = honeyknot_gossip::assigned_probers(&alive, 1, 3);
+    fleet.relays.retain(|_, relay| !gone.contains(&relay.view.local));
     assert_eq!(fleet.relays.len(), 37);
     let from = fleet.now;
     fleet.pass(8 * S, true);
@@ -152,16 +153,16 @@
     let mut fleet = Fleet::new(12, 1);
     fleet.pass(9 * S, true);
     let alive = fleet.relays[&0].view.alive.clone();
-    let chosen = honeyknot_gossip::witnesses(&alive, 0, 3);
+    let chosen = honeyknot_gossip::assigned_probers(&alive, 0, 3);
     let other = fleet
         .relays
         .iter()
-        .find(|(_, relay)| !chosen.contains(&relay.view.me))
+        .find(|(_, relay)| !chosen.contains(&relay.view.local))
         .map(|(n, _)| *n)
         .expect("one");
     // All witnesses but one fall silent; what they said ends.
     let silent: Vec<usize> =
-        fleet.relays.iter().filter(|(_, r)| chosen[1..].contains(&r.view.me)).map(|(n, _)| *n).collect();
+        fleet.relays.iter().filter(|(_, r)| chosen[1..].contains(&r.view.local)).map(|(n, _)| *n).collect();
     for n in silent {
         fleet.relays.remove(&n);
     }
@@ -169,7 +170,7 @@
     let now = fleet.now;
     let relay = fleet.relays.get_mut(&other).expect("it lives");
     let view = relay.view.clone();
-    if view.joined(now, 0, 2 * S).is_some_and(|joined| joined.witnesses == 1) {
+    if view.aggregated(now, 0, 2 * S).is_some_and(|joined| joined.observations == 1) {
         let answers: Vec<Asking> = (0..200).map(|_| relay.probes.wish(now, &view, 0)).collect();
         assert!(answers.iter().all(|a| matches!(a, Asking::Ask | Asking::Known(Outcome::Cancelled, None))));
         let asked = answers.iter().filter(|a| **a == Asking::Ask).count();
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,6 +1,6 @@
 //! The neighbourhood on sockets: a thread of its own beside the relay's loop.
 //!
-//! The thread reads and writes datagrams and publishes a [`View`]; the loop takes it with one read-copy-update load and never waits
+//! The thread reads and writes datagrams and publishes a [`GossipView`]; the loop takes it with one read-copy-update load and never waits
 //! for the thread, which may stand still for as long as it likes: views age, and an old one says nothing. What the loop
 //! has found goes to the thread by a queue with a bound; what finds no room is dropped and counted. Nothing is decided here.
 
@@ -11,7 +11,10 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use honeyknot_gossip::{DATAGRAM, Dropped, Finding, Neighbors, NotTrusted, Peer, Plan, View, card_number};
+use honeyknot_gossip::{
+    DatagramError, GossipConfig, GossipMember, GossipView, HealthObservation, MAX_DATAGRAM_BYTES, MemberId,
+    NetworkNotTrusted, endpoint_number,
+};
 use honeyknot_health_check_budget::{Asking, Probes};
 use tracing::{info, warn};
 
@@ -32,7 +35,7 @@
 pub enum Unreachable {
     /// The file allows loopback only.
     #[error(transparent)]
-    NotTrusted(#[from] NotTrusted),
+    NotTrusted(#[from] NetworkNotTrusted),
     /// The socket cannot be had.
     #[error(
         "neighbours cannot be heard at {0} ({1}): free the port, or write another `port` into the file of all relays"
@@ -64,8 +67,8 @@
 
 /// The neighbourhood as the relay's loop holds it. Dropping it says good-bye to the others.
 pub struct GossipHandle {
-    view: Arc<ArcSwap<View>>,
-    say: SyncSender<Vec<Finding>>,
+    view: Arc<ArcSwap<GossipView>>,
+    say: SyncSender<Vec<HealthObservation>>,
     counts: Arc<Counts>,
     probes: Probes,
 }
@@ -73,26 +76,26 @@
 impl GossipHandle {
     /// Enters the neighbourhood.
     pub fn enter(
-        plan: &Plan, listen: SocketAddr, relays: u32, seed: u64,
+        plan: &GossipConfig, listen: SocketAddr, relays: u32, seed: u64,
     ) -> Result<GossipHandle, Unreachable> {
-        let at = plan.check_listen(listen)?;
+        let at = plan.gossip_address(listen)?;
         let told = |why| Unreachable::Socket(at, why);
         let socket = UdpSocket::bind(at).map_err(told)?;
         let clock = Clock::start();
-        let me = Peer { at, life: clock.now() };
-        let first = View::alone(clock.now(), me.number());
+        let me = MemberId { address: at, incarnation: clock.now() };
+        let first = GossipView::alone(clock.now(), me.number());
         let view = Arc::new(ArcSwap::from_pointee(first));
         let counts = Arc::new(Counts::default());
         let (say, said) = sync_channel(QUEUE);
         let (shown, counted, plan_held) = (view.clone(), counts.clone(), plan.clone());
         let run = move || {
-            let neighbors = Neighbors::new(&plan_held, me, relays as usize, seed, clock.now());
-            let wanted = plan_held.witnesses;
+            let neighbors = GossipMember::new(&plan_held, me, relays as usize, seed, clock.now());
+            let wanted = plan_held.probers_per_endpoint;
             Thread { socket, clock, neighbors, said, shown, counted, wanted, told: None }.run();
         };
         std::thread::Builder::new().name("neighbors".into()).spawn(run).map_err(Unreachable::Thread)?;
         info!(target: "neighbors", %at, seeds = plan.seeds.len(), "listening");
-        Ok(GossipHandle { view, say, counts, probes: Probes::new(plan.witnesses, seed) })
+        Ok(GossipHandle { view, say, counts, probes: Probes::new(plan.probers_per_endpoint, seed) })
     }
 
     /// What is counted.
@@ -102,12 +105,12 @@
 
     /// What becomes of the wish to probe a card server.
     pub fn wish(&mut self, now: Micros, server: &EndpointId) -> Asking {
-        self.probes.wish(now, &self.view.load(), card_number(server))
+        self.probes.wish(now, &self.view.load(), endpoint_number(server))
     }
 
     /// A probe has ended.
     pub fn ended(&mut self, now: Micros, server: &EndpointId, outcome: Outcome, report: Option<&LoadReport>) {
-        self.probes.ended(now, card_number(server), outcome, report);
+        self.probes.ended(now, endpoint_number(server), outcome, report);
     }
 
     /// The card servers out of these that are to be asked now, as this relay is their witness. What it found of late is said again.
@@ -115,7 +118,7 @@
         &mut self, now: Micros, servers: impl Iterator<Item = &'a EndpointId>,
     ) -> Vec<EndpointId> {
         let view = self.view.load();
-        let servers: Vec<(u32, &EndpointId)> = servers.map(|id| (card_number(id), id)).collect();
+        let servers: Vec<(u32, &EndpointId)> = servers.map(|id| (endpoint_number(id), id)).collect();
         let due = self.probes.due(now, &view, servers.iter().map(|(card, _)| *card));
         let findings = self.probes.findings(now, &view);
         if !findings.is_empty() && self.say.try_send(findings).is_err() {
@@ -129,9 +132,9 @@
 struct Thread {
     socket: UdpSocket,
     clock: Clock,
-    neighbors: Neighbors,
-    said: Receiver<Vec<Finding>>,
-    shown: Arc<ArcSwap<View>>,
+    neighbors: GossipMember,
+    said: Receiver<Vec<HealthObservation>>,
+    shown: Arc<ArcSwap<GossipView>>,
     counted: Arc<Counts>,
     wanted: usize,
     /// When a dropped datagram was last told of.
@@ -140,26 +143,27 @@
 
 impl Thread {
     fn run(mut self) {
-        let (mut bytes, mut out, mut publish_at) = (vec![0; DATAGRAM + 1], Vec::new(), 0);
+        let (mut bytes, mut out, mut publish_at) = (vec![0; MAX_DATAGRAM_BYTES + 1], Vec::new(), 0);
         loop {
             let now = self.clock.now();
             match self.said.try_recv() {
-                Ok(findings) => self.neighbors.say(now, findings),
+                Ok(findings) => self.neighbors.publish(now, findings),
                 Err(TryRecvError::Empty) => {}
                 Err(TryRecvError::Disconnected) => break,
             }
-            self.neighbors.due(now, &mut out);
+            self.neighbors.handle_timeout(now, &mut out);
             self.send(&mut out);
             if now >= publish_at {
                 publish_at = now + PUBLISH;
                 self.publish(now);
             }
-            let nap = self.neighbors.due_at().min(publish_at).saturating_sub(now).clamp(1_000, NAP_MOST);
+            let nap =
+                self.neighbors.next_timeout().min(publish_at).saturating_sub(now).clamp(1_000, NAP_MOST);
             // It cannot be refused for a time that is not zero.
             let _ = self.socket.set_read_timeout(Some(Duration::from_micros(nap)));
             let Ok((n, from)) = self.socket.recv_from(&mut bytes) else { continue };
             let now = self.clock.now();
-            if let Err(why) = self.neighbors.heard(now, from, &bytes[..n], &mut out) {
+            if let Err(why) = self.neighbors.handle_datagram(now, from, &bytes[..n], &mut out) {
                 self.tell(now, &why);
             }
             self.send(&mut out);
@@ -176,7 +180,7 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, why: &Dropped) {
+    fn tell(&mut self, now: Micros, why: &DatagramError) {
         if self.told.is_none_or(|told| now >= told + TELL) {
             self.told = Some(now);
             warn!(target: "neighbors", %why, "a datagram is dropped");
@@ -184,13 +188,13 @@
     }
 
     fn publish(&self, now: Micros) {
-        let (view, counts) = (self.neighbors.view(now, self.wanted), self.neighbors.counts());
+        let (view, counts) = (self.neighbors.view(now, self.wanted), self.neighbors.counters());
         let shown = [
             (&self.counted.alive, view.alive.len() as u64),
-            (&self.counted.heard, counts.heard),
+            (&self.counted.heard, counts.received),
             (&self.counted.dropped, counts.dropped),
             (&self.counted.stale, counts.stale),
-            (&self.counted.sent, counts.sent),
+            (&self.counted.sent, counts.sent_bytes),
         ];
         shown.iter().for_each(|(count, value)| count.store(*value, Ordering::Relaxed));
         self.shown.store(Arc::new(view));
--- a/src/main.rs
+++ b/src/main.rs
@@ -142,7 +142,7 @@
         println!("sites: spill up to {limit}% of a site, {leave}% of newcomers may leave theirs");
     }
     if let Some(plan) = &config.gossip {
-        let (port, seeds, witnesses) = (plan.port, plan.seeds.len(), plan.witnesses);
+        let (port, seeds, witnesses) = (plan.port, plan.seeds.len(), plan.probers_per_endpoint);
         println!(
             "neighbors: fleet {}, port {port}, {seeds} seeds, {witnesses} witnesses a card server",
             plan.fleet
--- a/src/relay/lifecycle/config/error.rs
+++ b/src/relay/lifecycle/config/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use honeyknot_gossip::NotTrusted;
+use honeyknot_gossip::NetworkNotTrusted;
 use honeyknot_operator_config::Faults;
 
 use crate::settings::SettingsError;
@@ -82,7 +82,7 @@
         /// Path of the file.
         path: String,
         /// The cause.
-        source: NotTrusted,
+        source: NetworkNotTrusted,
     },
 }
 
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -8,7 +8,7 @@
 use std::{fmt, fs};
 
 use honeyknot_balancer::Settings;
-use honeyknot_gossip::Plan as GossipConfig;
+use honeyknot_gossip::GossipConfig;
 use honeyknot_metrics::Plan as MetricsConfig;
 use honeyknot_zone_failover::ZoneFailoverConfig;
 use serde_json::Value;
@@ -116,7 +116,7 @@
         if let Some(file) = &files.neighbors {
             let text = read_operator_file(file)?;
             let parsed = GossipConfig::read(&display(file), &text)?;
-            let network = parsed.check_listen(config.listen);
+            let network = parsed.gossip_address(config.listen);
             network.map_err(|source| LoadConfigError::GossipNetwork { path: display(file), source })?;
             config.gossip = Some(parsed);
         }
--- a/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
+++ b/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
@@ -4,9 +4,8 @@
 use std::net::SocketAddr;
 
 use honeyknot_gossip::{
-    Finding as HealthObservation, Found as HealthCheckOutcome, Joined as AggregatedHealth,
-    Neighbors as GossipMember, Peer as MemberId, Plan as GossipConfig, Said as MemberObservation,
-    View as GossipView,
+    AggregatedHealth, GossipConfig, GossipMember, GossipView, HealthCheckOutcome, HealthObservation,
+    MemberId, MemberObservation,
 };
 
 use super::fixture::{all, one};
@@ -24,19 +23,25 @@
 const ENDPOINTS: [u32; 3] = [0x0102_0304, 77, 4_000_000_000];
 
 pub fn first() -> MemberId {
-    MemberId { at: "127.0.0.1:7101".parse().expect("an address"), life: 1_101 }
+    MemberId { address: "127.0.0.1:7101".parse().expect("an address"), incarnation: 1_101 }
 }
 
 pub fn second() -> MemberId {
-    MemberId { at: "[::1]:7102".parse().expect("an address"), life: 2_202 }
+    MemberId { address: "[::1]:7102".parse().expect("an address"), incarnation: 2_202 }
 }
 
 fn address(member: MemberId) -> SocketAddr {
-    member.at
+    member.address
 }
 
 fn config(seed: SocketAddr) -> GossipConfig {
-    GossipConfig { fleet: "alpha".into(), port: 7_101, seeds: vec![seed], witnesses: PROBERS, plain: false }
+    GossipConfig {
+        fleet: "alpha".into(),
+        port: 7_101,
+        seeds: vec![seed],
+        probers_per_endpoint: PROBERS,
+        plain_network: false,
+    }
 }
 
 /// A member that knows the other only as the address to call first.
@@ -47,15 +52,15 @@
 fn observation(
     endpoint: u32, outcome: HealthCheckOutcome, load: Option<u8>, latency_ms: Option<u16>, age_ms: u16,
 ) -> HealthObservation {
-    HealthObservation { card: endpoint, found: outcome, load, delay_ms: latency_ms, age_ms }
+    HealthObservation { endpoint, outcome, load_percent: load, latency_ms, age_ms }
 }
 
 /// Each outcome, with and without what is reported.
 pub fn observations() -> Vec<HealthObservation> {
     vec![
-        observation(ENDPOINTS[0], HealthCheckOutcome::Well, Some(73), Some(412), 15),
-        observation(ENDPOINTS[1], HealthCheckOutcome::Ill, None, Some(9), 300),
-        observation(ENDPOINTS[2], HealthCheckOutcome::Silent, None, None, 0),
+        observation(ENDPOINTS[0], HealthCheckOutcome::Healthy, Some(73), Some(412), 15),
+        observation(ENDPOINTS[1], HealthCheckOutcome::Failing, None, Some(9), 300),
+        observation(ENDPOINTS[2], HealthCheckOutcome::Unresponsive, None, None, 0),
     ]
 }
 
@@ -63,11 +68,11 @@
 fn observed(
     outcome: HealthCheckOutcome, load: Option<f64>, latency_ms: Option<f64>, age: u64,
 ) -> MemberObservation {
-    MemberObservation { by: first().number(), found: outcome, load, delay_ms: latency_ms, age }
+    MemberObservation { member: first().number(), outcome, load, latency_ms, age }
 }
 
 fn aggregated(outcome: HealthCheckOutcome, load: Option<f64>, latency_ms: Option<f64>) -> AggregatedHealth {
-    AggregatedHealth { witnesses: 1, found: outcome, load, delay_ms: latency_ms }
+    AggregatedHealth { observations: 1, outcome, load, latency_ms }
 }
 
 /// The first member's observations as of [`RECEIVED_MICROS`], which it published at [`START_MICROS`].
@@ -76,36 +81,44 @@
     members.sort_unstable();
     assert_eq!(view.alive, members);
     let [loaded, failing, silent] = ENDPOINTS;
-    let expected = observed(HealthCheckOutcome::Well, Some(0.73), Some(412.0), 1_015_000);
-    assert_eq!(view.said(loaded), [expected]);
-    assert_eq!(view.said(failing), [observed(HealthCheckOutcome::Ill, None, Some(9.0), 1_300_000)]);
-    assert_eq!(view.said(silent), [observed(HealthCheckOutcome::Silent, None, None, 1_000_000)]);
-    let joined = view.joined(RECEIVED_MICROS, loaded, 3_000_000);
-    assert_eq!(joined, Some(aggregated(HealthCheckOutcome::Well, Some(0.73), Some(412.0))));
+    let expected = observed(HealthCheckOutcome::Healthy, Some(0.73), Some(412.0), 1_015_000);
+    assert_eq!(view.observations(loaded), [expected]);
+    assert_eq!(
+        view.observations(failing),
+        [observed(HealthCheckOutcome::Failing, None, Some(9.0), 1_300_000)]
+    );
+    assert_eq!(
+        view.observations(silent),
+        [observed(HealthCheckOutcome::Unresponsive, None, None, 1_000_000)]
+    );
+    let aggregate = view.aggregated(RECEIVED_MICROS, loaded, 3_000_000);
+    assert_eq!(aggregate, Some(aggregated(HealthCheckOutcome::Healthy, Some(0.73), Some(412.0))));
 }
 
 /// Runs two members, the first of which has something to tell. Each datagram passes `carry` on its way.
 pub fn run_members(mut carry: impl FnMut(u64, MemberId, Vec<u8>) -> Vec<u8>) {
     let (mut one, mut other) = (member(first(), second()), member(second(), first()));
-    one.say(START_MICROS, observations());
+    one.publish(START_MICROS, observations());
     loop {
-        let now = one.due_at().min(other.due_at()).max(START_MICROS);
+        let now = one.next_timeout().min(other.next_timeout()).max(START_MICROS);
         if now > END_MICROS {
             return;
         }
         let mut sent = Vec::new();
-        one.due(now, &mut sent);
-        other.due(now, &mut sent);
+        one.handle_timeout(now, &mut sent);
+        other.handle_timeout(now, &mut sent);
         let mut queue = VecDeque::from(sent);
         while let Some((to, bytes)) = queue.pop_front() {
-            let (receiver, from, id) = if to == first().at {
+            let (receiver, from, id) = if to == first().address {
                 (&mut one, second(), first())
             } else {
                 (&mut other, first(), second())
             };
             let bytes = carry(now, id, bytes);
             let mut replies = Vec::new();
-            receiver.heard(now, address(from), &bytes, &mut replies).expect("the datagram is readable");
+            receiver
+                .handle_datagram(now, address(from), &bytes, &mut replies)
+                .expect("the datagram is readable");
             queue.extend(replies);
         }
     }
@@ -115,11 +128,13 @@
 pub fn next_datagrams(received: &[u8]) -> (GossipView, Vec<Vec<u8>>) {
     let mut receiver = member(second(), first());
     let mut sent = Vec::new();
-    receiver.heard(RECEIVED_MICROS, address(first()), received, &mut sent).expect("the datagram is readable");
+    receiver
+        .handle_datagram(RECEIVED_MICROS, address(first()), received, &mut sent)
+        .expect("the datagram is readable");
     let view = receiver.view(RECEIVED_MICROS, PROBERS);
-    while receiver.due_at() <= RECEIVED_MICROS + NEXT_WITHIN_MICROS {
-        let now = receiver.due_at().max(RECEIVED_MICROS);
-        receiver.due(now, &mut sent);
+    while receiver.next_timeout() <= RECEIVED_MICROS + NEXT_WITHIN_MICROS {
+        let now = receiver.next_timeout().max(RECEIVED_MICROS);
+        receiver.handle_timeout(now, &mut sent);
     }
     assert!(sent.iter().all(|(to, _)| *to == address(first())), "it knows nobody else");
     (view, sent.into_iter().map(|(_, bytes)| bytes).collect())
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use honeyknot_gossip::Plan as NeighborsPlan;
+use honeyknot_gossip::GossipConfig;
 use honeyknot_metrics::collectd::Security;
 use honeyknot_metrics::graphite::Paths;
 use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
@@ -21,8 +21,8 @@
     ZoneFailoverConfig::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
 }
 
-fn read_neighbors(file: &str) -> Result<NeighborsPlan, String> {
-    NeighborsPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+fn read_neighbors(file: &str) -> Result<GossipConfig, String> {
+    GossipConfig::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
 }
 
 fn read_metrics(file: &str) -> Result<MetricsPlan, String> {
@@ -116,12 +116,12 @@
 
 #[test]
 fn a_neighbors_file_of_the_previous_version_means_what_it_meant() {
-    let meant = NeighborsPlan {
+    let meant = GossipConfig {
         fleet: "example".into(),
         port: 7500,
         seeds: vec![address("127.0.0.1:7500"), address("127.0.0.2:7500")],
-        witnesses: 3,
-        plain: false,
+        probers_per_endpoint: 3,
+        plain_network: false,
     };
     assert_eq!(read_neighbors("neighbors.conf"), Ok(meant));
 }
@@ -198,7 +198,7 @@
 #[test]
 fn a_plain_network_is_allowed_by_the_same_word_as_before() {
     let neighbors = read_neighbors("neighbors-plain.conf").expect("a sound file");
-    assert!(neighbors.plain);
+    assert!(neighbors.plain_network);
     assert_eq!(neighbors.seeds, [address("192.0.2.1:7500")]);
     let leases = read_leases("leases-plain.conf").expect("a sound file");
     assert_eq!(leases.servers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
