--- a/crates/health-check-budget/tests/probes.rs
+++ b/crates/health-check-budget/tests/probes.rs
@@ -5,7 +5,7 @@
 
 use honeyknot_balancer::{LoadReport, Micros, Outcome};
 use honeyknot_gossip::{GossipConfig, GossipMember, GossipView, MemberId};
-use honeyknot_health_check_budget::{Asking, Probes};
+use honeyknot_health_check_budget::{HealthCheckBudget, HealthCheckDecision};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -17,7 +17,7 @@
 
 struct Relay {
     neighbors: GossipMember,
-    probes: Probes,
+    probes: HealthCheckBudget,
     view: GossipView,
 }
 
@@ -28,7 +28,7 @@
     relays: BTreeMap<usize, Relay>,
     flying: Vec<(SocketAddr, SocketAddr, Vec<u8>)>,
     cards: u32,
-    /// Probes by card server and second.
+    /// HealthCheckBudget by card server and second.
     asked: BTreeMap<(u32, u64), usize>,
     known: usize,
     unknown: usize,
@@ -43,7 +43,7 @@
             let me = MemberId { address: address(n), incarnation: START };
             let neighbors = GossipMember::new(&plan, me, relays, n as u64, START);
             let view = GossipView::alone(START, me.number());
-            (n, Relay { neighbors, probes: Probes::new(3, n as u64), view })
+            (n, Relay { neighbors, probes: HealthCheckBudget::new(3, n as u64), view })
         };
         let relays = (0..relays).map(one).collect();
         let (flying, asked) = Default::default();
@@ -69,16 +69,18 @@
                 self.flying.extend(out.into_iter().map(|(to, bytes)| (address(*n), to, bytes)));
                 if round.is_multiple_of(5) {
                     relay.view = relay.neighbors.view(now, 3);
-                    let due = relay.probes.due(now, &relay.view, 0..cards);
+                    let due = relay.probes.start_due_checks(now, &relay.view, 0..cards);
                     let mut ask: Vec<u32> = due;
                     // Each relay wants to know of each card server once a second, not in step with the others.
                     for card in (0..cards)
                         .filter(|card| (round / 5 + *n as u64 + u64::from(*card)).is_multiple_of(10))
                     {
-                        match relay.probes.wish(now, &relay.view, card) {
-                            Asking::Ask => ask.push(card),
-                            Asking::Known(Outcome::Cancelled, None) => self.unknown += 1,
-                            Asking::Known(outcome, report) => {
+                        match relay.probes.request(now, &relay.view, card) {
+                            HealthCheckDecision::Check => ask.push(card),
+                            HealthCheckDecision::Known { outcome: Outcome::Cancelled, report: None } => {
+                                self.unknown += 1
+                            }
+                            HealthCheckDecision::Known { outcome, report } => {
                                 assert_eq!((outcome, report.and_then(|r| r.load)), (Outcome::Ok, Some(0.4)));
                                 self.known += 1;
                             }
@@ -87,9 +89,9 @@
                     for card in ask {
                         *self.asked.entry((card, now / S)).or_default() += 1;
                         let report = LoadReport { load: Some(0.4), ..LoadReport::default() };
-                        relay.probes.ended(now, card, Outcome::Ok, Some(&report));
+                        relay.probes.check_ended(now, card, Outcome::Ok, Some(&report));
                     }
-                    let findings = relay.probes.findings(now, &relay.view);
+                    let findings = relay.probes.observations(now, &relay.view);
                     if !findings.is_empty() {
                         relay.neighbors.publish(now, findings);
                     }
@@ -171,9 +173,14 @@
     let relay = fleet.relays.get_mut(&other).expect("it lives");
     let view = relay.view.clone();
     if view.aggregated(now, 0, 2 * S).is_some_and(|joined| joined.observations == 1) {
-        let answers: Vec<Asking> = (0..200).map(|_| relay.probes.wish(now, &view, 0)).collect();
-        assert!(answers.iter().all(|a| matches!(a, Asking::Ask | Asking::Known(Outcome::Cancelled, None))));
-        let asked = answers.iter().filter(|a| **a == Asking::Ask).count();
+        let answers: Vec<HealthCheckDecision> =
+            (0..200).map(|_| relay.probes.request(now, &view, 0)).collect();
+        assert!(answers.iter().all(|a| matches!(
+            a,
+            HealthCheckDecision::Check
+                | HealthCheckDecision::Known { outcome: Outcome::Cancelled, report: None }
+        )));
+        let asked = answers.iter().filter(|a| **a == HealthCheckDecision::Check).count();
         assert!((10..=120).contains(&asked), "{asked} of 200 ask, by chance");
     }
 }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -15,7 +15,7 @@
     DatagramError, GossipConfig, GossipMember, GossipView, HealthObservation, MAX_DATAGRAM_BYTES, MemberId,
     NetworkNotTrusted, endpoint_number,
 };
-use honeyknot_health_check_budget::{Asking, Probes};
+use honeyknot_health_check_budget::{HealthCheckBudget, HealthCheckDecision};
 use tracing::{info, warn};
 
 use crate::relay::clock::Clock;
@@ -70,7 +70,7 @@
     view: Arc<ArcSwap<GossipView>>,
     say: SyncSender<Vec<HealthObservation>>,
     counts: Arc<Counts>,
-    probes: Probes,
+    probes: HealthCheckBudget,
 }
 
 impl GossipHandle {
@@ -95,7 +95,12 @@
         };
         std::thread::Builder::new().name("neighbors".into()).spawn(run).map_err(Unreachable::Thread)?;
         info!(target: "neighbors", %at, seeds = plan.seeds.len(), "listening");
-        Ok(GossipHandle { view, say, counts, probes: Probes::new(plan.probers_per_endpoint, seed) })
+        Ok(GossipHandle {
+            view,
+            say,
+            counts,
+            probes: HealthCheckBudget::new(plan.probers_per_endpoint, seed),
+        })
     }
 
     /// What is counted.
@@ -104,13 +109,13 @@
     }
 
     /// What becomes of the wish to probe a card server.
-    pub fn wish(&mut self, now: Micros, server: &EndpointId) -> Asking {
-        self.probes.wish(now, &self.view.load(), endpoint_number(server))
+    pub fn wish(&mut self, now: Micros, server: &EndpointId) -> HealthCheckDecision {
+        self.probes.request(now, &self.view.load(), endpoint_number(server))
     }
 
     /// A probe has ended.
     pub fn ended(&mut self, now: Micros, server: &EndpointId, outcome: Outcome, report: Option<&LoadReport>) {
-        self.probes.ended(now, endpoint_number(server), outcome, report);
+        self.probes.check_ended(now, endpoint_number(server), outcome, report);
     }
 
     /// The card servers out of these that are to be asked now, as this relay is their witness. What it found of late is said again.
@@ -119,8 +124,8 @@
     ) -> Vec<EndpointId> {
         let view = self.view.load();
         let servers: Vec<(u32, &EndpointId)> = servers.map(|id| (endpoint_number(id), id)).collect();
-        let due = self.probes.due(now, &view, servers.iter().map(|(card, _)| *card));
-        let findings = self.probes.findings(now, &view);
+        let due = self.probes.start_due_checks(now, &view, servers.iter().map(|(card, _)| *card));
+        let findings = self.probes.observations(now, &view);
         if !findings.is_empty() && self.say.try_send(findings).is_err() {
             self.counts.unsaid.fetch_add(1, Ordering::Relaxed);
         }
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use honeyknot_balancer::{EndpointId, Event, LoadReport, Micros, Outcome};
-use honeyknot_health_check_budget::Asking;
+use honeyknot_health_check_budget::HealthCheckDecision;
 use tracing::{info, trace};
 
 use super::health_check::HealthCheckCommand;
@@ -21,8 +21,10 @@
     pub(in crate::relay) fn request_health_check(&mut self, endpoint: EndpointId) {
         let now = self.timers.clock.now();
         match self.gossip.as_mut().map(|gossip| gossip.wish(now, &endpoint)) {
-            None | Some(Asking::Ask) => self.send_health_check_command(endpoint, HealthCheckCommand::Check),
-            Some(Asking::Known(outcome, report)) => {
+            None | Some(HealthCheckDecision::Check) => {
+                self.send_health_check_command(endpoint, HealthCheckCommand::Check)
+            }
+            Some(HealthCheckDecision::Known { outcome, report }) => {
                 self.apply_shared_health_check(now, endpoint, outcome, report);
             }
         }
