--- /dev/null
+++ b/src/gossip/counters.rs
@@ -0,0 +1,38 @@
+//! Gossip's counters, shared by the thread and the event loop.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use honeyknot_gossip::GossipCounters;
+
+/// Counters since the start, and the number of living members.
+#[derive(Debug, Default)]
+pub struct SharedGossipCounters {
+    /// Living members, this relay among them.
+    pub alive: AtomicU64,
+    /// Datagrams accepted.
+    pub received: AtomicU64,
+    /// Datagrams dropped.
+    pub dropped: AtomicU64,
+    /// Received states that were not accepted.
+    pub stale: AtomicU64,
+    /// Bytes sent.
+    pub sent_bytes: AtomicU64,
+    /// Batches of observations that found the queue to the thread full.
+    pub unsent: AtomicU64,
+}
+
+impl SharedGossipCounters {
+    /// Stores the thread's counters.
+    pub(super) fn store(&self, alive: usize, counters: GossipCounters) {
+        let values = [
+            (&self.alive, alive as u64),
+            (&self.received, counters.received),
+            (&self.dropped, counters.dropped),
+            (&self.stale, counters.stale),
+            (&self.sent_bytes, counters.sent_bytes),
+        ];
+        for (counter, value) in values {
+            counter.store(value, Ordering::Relaxed);
+        }
+    }
+}
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -20,7 +20,7 @@
     /// Checks an endpoint's health as the balancer requests, or passes on what other relays have observed.
     pub(in crate::relay) fn request_health_check(&mut self, endpoint: EndpointId) {
         let now = self.timers.clock.now();
-        match self.gossip.as_mut().map(|gossip| gossip.wish(now, &endpoint)) {
+        match self.gossip.as_mut().map(|gossip| gossip.request_health_check(now, &endpoint)) {
             None | Some(HealthCheckDecision::Check) => {
                 self.send_health_check_command(endpoint, HealthCheckCommand::Check)
             }
@@ -49,7 +49,7 @@
     ) {
         let now = self.timers.clock.now();
         if let Some(gossip) = &mut self.gossip {
-            gossip.ended(now, endpoint, outcome, report);
+            gossip.health_check_ended(now, endpoint, outcome, report);
         }
     }
 
@@ -57,20 +57,20 @@
     fn start_assigned_health_checks(&mut self) {
         let now = self.timers.clock.now();
         let Some(gossip) = self.gossip.as_mut().filter(|_| !self.shutting_down) else { return };
-        for endpoint in gossip.duties(now, self.endpoints.serving()) {
+        for endpoint in gossip.start_assigned_health_checks(now, self.endpoints.serving()) {
             self.send_health_check_command(endpoint, HealthCheckCommand::Check);
         }
     }
 
     fn log_gossip_counters(&self) {
-        let Some(counts) = self.gossip.as_ref().map(|gossip| gossip.counts()) else { return };
+        let Some(counters) = self.gossip.as_ref().map(|gossip| gossip.counters()) else { return };
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         info!(
             target: "gossip",
-            alive = value(&counts.alive),
-            received = value(&counts.heard),
-            dropped = value(&counts.dropped),
-            unsent = value(&counts.unsaid),
+            alive = value(&counters.alive),
+            received = value(&counters.received),
+            dropped = value(&counters.dropped),
+            unsent = value(&counters.unsent),
             "gossip counters"
         );
     }
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -9,7 +9,7 @@
 use super::lifecycle::config::LoadConfigError;
 use super::lifecycle::hot_restart::HotRestartError;
 use super::lifecycle::signals::SignalError;
-use crate::gossip::Unreachable;
+use crate::gossip::JoinGossipError;
 
 /// Why a relay cannot be made of its configuration.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +19,7 @@
     ZoneFailover(Box<dyn Error + Send + Sync>),
     /// The relay cannot take part in gossip.
     #[error(transparent)]
-    Gossip(#[from] Unreachable),
+    Gossip(#[from] JoinGossipError),
     /// The balancer does not accept the settings.
     #[error("settings: {0}")]
     Settings(#[source] SettingsError),
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -91,7 +91,7 @@
         let zone_failover =
             zone_failover::start(config.zone_failover, &mut settings, &config.names, config.seed, started_at)
                 .map_err(|error| StartError::ZoneFailover(error.into()))?;
-        let join_gossip = |plan| GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed);
+        let join_gossip = |plan| GossipHandle::join(plan, config.listen, settings.fleet_size, config.seed);
         let gossip = config.gossip.as_ref().map(join_gossip).transpose()?;
         let balancer =
             Balancer::new(settings.clone(), config.seed, started_at).map_err(StartError::Settings)?;
