--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -106,7 +106,7 @@
             config.seed,
             started_at,
         )?;
-        let join_gossip = |plan| GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed);
+        let join_gossip = |plan| GossipHandle::join(plan, config.listen, settings.fleet_size, config.seed);
         let gossip = config.gossip.as_ref().map(join_gossip).transpose()?;
         let balancer =
             Balancer::new(settings.clone(), config.seed, started_at).map_err(StartError::Settings)?;
