--- a/crates/metrics/src/collectd.rs
+++ b/crates/metrics/src/collectd.rs
@@ -13,7 +13,7 @@
 use sha1::Sha1;
 use sha2::{Digest, Sha256};
 
-use crate::book::{Point, Reading, Value};
+use crate::registry::{MetricValue, MetricsSnapshot, Sample};
 
 /// The largest packet that is sent: what fits a datagram on Ethernet, as collectd's own default.
 pub const PACKET: usize = 1452;
@@ -100,10 +100,10 @@
 }
 
 /// The type and type instance of a point: `derive` or `gauge`, which every collectd knows, and the series' own name.
-fn identity(point: &Point) -> (&'static str, String) {
+fn identity(point: &Sample) -> (&'static str, String) {
     let kind = match point.value {
-        Value::Total(_) => "derive",
-        Value::Gauge(_) => "gauge",
+        MetricValue::Counter(_) => "derive",
+        MetricValue::Gauge(_) => "gauge",
     };
     let mut name = point.name.to_owned();
     for more in [point.part, point.tag.as_ref().map_or("", |(_, value)| value)] {
@@ -118,7 +118,7 @@
 /// A reading as packets. `instance` tells one life of a relay from the next where its totals do not last: a total that
 /// starts anew is then a series of its own and no fall. `iv` brings 16 random bytes for each encrypted packet.
 pub fn packets(
-    host: &str, instance: &str, reading: &Reading, interval_us: u64, security: &Security,
+    host: &str, instance: &str, reading: &MetricsSnapshot, interval_us: u64, security: &Security,
     mut iv: impl FnMut() -> [u8; 16],
 ) -> Vec<Vec<u8>> {
     let mut head = Vec::new();
@@ -132,8 +132,8 @@
     for point in &reading.points {
         let (kind, name) = identity(point);
         let value: [u8; 8] = match point.value {
-            Value::Total(total) => i64::try_from(total).unwrap_or(i64::MAX).to_be_bytes(),
-            Value::Gauge(gauge) => gauge.to_le_bytes(),
+            MetricValue::Counter(total) => i64::try_from(total).unwrap_or(i64::MAX).to_be_bytes(),
+            MetricValue::Gauge(gauge) => gauge.to_le_bytes(),
         };
         let code = if kind == "derive" { DERIVE } else { GAUGE };
         let mut values = 1u16.to_be_bytes().to_vec();
@@ -204,7 +204,7 @@
 
 /// Why a packet is turned down.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
+pub enum PacketError {
     /// A part's length does not fit, or a string has no end.
     #[error("a part of type {0:#06x} is malformed at byte {1}")]
     Malformed(u16, usize),
@@ -230,33 +230,33 @@
     /// Unix microseconds, rounded to the nearest.
     pub at: u64,
     /// The value.
-    pub value: Value,
+    pub value: MetricValue,
 }
 
 /// Looks up a user's password.
 pub type Passwords<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 /// Reads a packet as a receiver does that asks for protection by the password of a user, if `passwords` is there.
-pub fn read(packet: &[u8], passwords: Option<Passwords>) -> Result<Vec<Received>, Unread> {
+pub fn read(packet: &[u8], passwords: Option<Passwords>) -> Result<Vec<Received>, PacketError> {
     let (kind, body, rest) = next(packet, 0)?;
     let secret = |user: &[u8]| {
         let user = String::from_utf8_lossy(user).into_owned();
-        let password = passwords.and_then(|of| of(&user)).ok_or(Unread::NotGenuine(user.clone()))?;
+        let password = passwords.and_then(|of| of(&user)).ok_or(PacketError::NotGenuine(user.clone()))?;
         Ok((user, password))
     };
     match (kind, passwords) {
         (SIGNATURE, Some(_)) => {
-            let (told, user) = body.split_at_checked(32).ok_or(Unread::Malformed(kind, 0))?;
+            let (told, user) = body.split_at_checked(32).ok_or(PacketError::Malformed(kind, 0))?;
             let (user, password) = secret(user)?;
             let genuine = mac(&user, &password, rest).is_some_and(|mac| mac.verify_slice(told).is_ok());
             if !genuine {
-                return Err(Unread::NotGenuine(user));
+                return Err(PacketError::NotGenuine(user));
             }
             parts(rest)
         }
         (SIGNATURE, None) => parts(rest),
         (ENCRYPTION, Some(_)) => {
-            let short = Unread::Malformed(kind, 0);
+            let short = PacketError::Malformed(kind, 0);
             let (length, body) = body.split_at_checked(2).ok_or(short.clone())?;
             let length = usize::from(u16::from_be_bytes([length[0], length[1]]));
             let (user, body) = body.split_at_checked(length).ok_or(short.clone())?;
@@ -266,26 +266,26 @@
             crypt(&password, &<[u8; 16]>::try_from(iv).map_err(|_| short.clone())?, &mut sealed);
             let (told, content) = sealed.split_at_checked(20).ok_or(short)?;
             if Sha1::digest(content).as_slice() != told {
-                return Err(Unread::NotGenuine(user));
+                return Err(PacketError::NotGenuine(user));
             }
             parts(content)
         }
-        (_, Some(_)) => Err(Unread::Unprotected),
+        (_, Some(_)) => Err(PacketError::Unprotected),
         (_, None) => parts(packet),
     }
 }
 
 /// The first part's type and body, and what follows it.
-fn next(bytes: &[u8], at: usize) -> Result<(u16, &[u8], &[u8]), Unread> {
-    let [a, b, c, d, ..] = *bytes else { return Err(Unread::Malformed(0xffff, at)) };
+fn next(bytes: &[u8], at: usize) -> Result<(u16, &[u8], &[u8]), PacketError> {
+    let [a, b, c, d, ..] = *bytes else { return Err(PacketError::Malformed(0xffff, at)) };
     let (kind, length) = (u16::from_be_bytes([a, b]), usize::from(u16::from_be_bytes([c, d])));
     if length < 4 || length > bytes.len() {
-        return Err(Unread::Malformed(kind, at));
+        return Err(PacketError::Malformed(kind, at));
     }
     Ok((kind, &bytes[4..length], &bytes[length..]))
 }
 
-fn parts(mut bytes: &[u8]) -> Result<Vec<Received>, Unread> {
+fn parts(mut bytes: &[u8]) -> Result<Vec<Received>, PacketError> {
     let whole = bytes.len();
     let mut held = Received {
         host: String::new(),
@@ -293,14 +293,14 @@
         kind: String::new(),
         name: String::new(),
         at: 0,
-        value: Value::Total(0),
+        value: MetricValue::Counter(0),
     };
     let mut found = Vec::new();
     while !bytes.is_empty() {
         let at = whole - bytes.len();
         let (kind, body, rest) = next(bytes, at)?;
         bytes = rest;
-        let bad = Unread::Malformed(kind, at);
+        let bad = PacketError::Malformed(kind, at);
         let text = || {
             let body = body.strip_suffix(&[0]).ok_or(bad.clone())?;
             String::from_utf8(body.to_vec()).map_err(|_| bad.clone())
@@ -324,10 +324,10 @@
                 for (code, value) in codes.iter().zip(values.chunks_exact(8)) {
                     let value = <[u8; 8]>::try_from(value).map_err(|_| bad.clone())?;
                     let value = match *code {
-                        GAUGE => Value::Gauge(f64::from_le_bytes(value)),
-                        DERIVE => {
-                            Value::Total(u64::try_from(i64::from_be_bytes(value)).map_err(|_| bad.clone())?)
-                        }
+                        GAUGE => MetricValue::Gauge(f64::from_le_bytes(value)),
+                        DERIVE => MetricValue::Counter(
+                            u64::try_from(i64::from_be_bytes(value)).map_err(|_| bad.clone())?,
+                        ),
                         _ => return Err(bad),
                     };
                     found.push(Received { value, ..held.clone() });
@@ -340,7 +340,7 @@
 }
 
 /// A reading in the text protocol, as a unixsock or exec plugin takes it: one `PUTVAL` a point.
-pub fn putvals(host: &str, instance: &str, reading: &Reading, interval_us: u64) -> String {
+pub fn putvals(host: &str, instance: &str, reading: &MetricsSnapshot, interval_us: u64) -> String {
     let mut text = String::new();
     let word = |text: &str| {
         let plain = |c: char| if c.is_ascii_alphanumeric() || "._-:".contains(c) { c } else { '_' };
@@ -349,10 +349,10 @@
     for point in &reading.points {
         let (kind, name) = identity(point);
         let value = match point.value {
-            Value::Total(total) => total.to_string(),
-            Value::Gauge(gauge) if gauge.is_finite() => gauge.to_string(),
+            MetricValue::Counter(total) => total.to_string(),
+            MetricValue::Gauge(gauge) if gauge.is_finite() => gauge.to_string(),
             // Undefined, by the protocol.
-            Value::Gauge(_) => "U".to_owned(),
+            MetricValue::Gauge(_) => "U".to_owned(),
         };
         text.push_str(&format!(
             "PUTVAL \"{}/{PLUGIN_NAME}-{}/{kind}-{}\" interval={:.3} {:.3}:{value}\n",
--- a/crates/metrics/src/plan.rs
+++ b/crates/metrics/src/config.rs
@@ -11,9 +11,9 @@
 use crate::graphite::Paths;
 
 /// Graphite's times are whole seconds: of two points within one the last is kept, and a count would be lost.
-const GRAPHITE_LEAST: Duration = Duration::from_secs(1);
+const MIN_GRAPHITE_INTERVAL: Duration = Duration::from_secs(1);
 /// Sinks at the most.
-const SINKS: usize = 16;
+const MAX_EXPORTERS: usize = 16;
 
 /// The protocol of a sink.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 
 /// One sink.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sink {
+pub struct ExporterConfig {
     /// Its name, in the log.
     pub name: String,
     /// What it speaks.
@@ -49,46 +49,48 @@
 
 /// The operators' settings for metrics.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct MetricsConfig {
     /// The sinks.
-    pub sinks: Vec<Sink>,
+    pub exporters: Vec<ExporterConfig>,
     /// The most values of a tag that is open, such as sites.
-    pub cap: usize,
+    pub series_cap: usize,
     /// A folder that lasts, in which totals are kept over the relay's lives; none where there is none.
-    pub state: Option<PathBuf>,
+    pub state_directory: Option<PathBuf>,
 }
 
-impl Plan {
+impl MetricsConfig {
     /// Reads a file's text; `file` is only named in faults. All faults come at once. Key files that it names are read by
     /// `secret`, which brings user and password, or what is wrong with the file.
     pub fn read(
         file: &str, text: &str, secret: impl Fn(&str) -> Result<(String, String), String>,
-    ) -> Result<Plan, Faults> {
+    ) -> Result<MetricsConfig, Faults> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let mut top = Section::file(file, &tree, &faults);
-        let cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(256);
-        let state = top.value("state", units::text()).map(PathBuf::from);
-        let mut sinks: Vec<Sink> = Vec::new();
+        let series_cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(256);
+        let state_directory = top.value("state", units::text()).map(PathBuf::from);
+        let mut exporters: Vec<ExporterConfig> = Vec::new();
         for directive in top.each("sink") {
-            let Some(sink) = read_sink(&top, directive, &secret, state.is_some()) else { continue };
-            if sinks.iter().any(|s| s.name == sink.name) {
-                top.fault(&directive.name, format!("the sink `{}` is given again", sink.name));
+            let Some(exporter) = read_exporter(&top, directive, &secret, state_directory.is_some()) else {
+                continue;
+            };
+            if exporters.iter().any(|other| other.name == exporter.name) {
+                top.fault(&directive.name, format!("the sink `{}` is given again", exporter.name));
             }
-            if sinks.len() == SINKS {
-                top.fault(&directive.name, format!("there are more than {SINKS} sinks"));
+            if exporters.len() == MAX_EXPORTERS {
+                top.fault(&directive.name, format!("there are more than {MAX_EXPORTERS} sinks"));
             }
-            sinks.push(sink);
+            exporters.push(exporter);
         }
         top.finish();
-        Section::faults(faults).map(|()| Plan { sinks, cap, state })
+        Section::faults(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
     }
 }
 
-fn read_sink(
+fn read_exporter(
     top: &Section, directive: &Directive, secret: &impl Fn(&str) -> Result<(String, String), String>,
     lasts: bool,
-) -> Option<Sink> {
+) -> Option<ExporterConfig> {
     let [name] = &directive.words[..] else {
         top.fault(&directive.name, "`sink` takes one word, its name".into());
         return None;
@@ -106,7 +108,7 @@
     let spool = block.value("spool", units::bytes(4 << 20..=1 << 40));
     let fill = block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(20.0);
     let buffer = block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(1 << 20);
-    if (lines.is_some() || pickle.is_some()) && interval < GRAPHITE_LEAST {
+    if (lines.is_some() || pickle.is_some()) && interval < MIN_GRAPHITE_INTERVAL {
         block.fault(
             &directive.name,
             "`interval`: Graphite keeps one point a second; allowed is 1s and more".into(),
@@ -145,5 +147,5 @@
     if spool > 0 && !lasts {
         top.fault(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
     }
-    Some(Sink { name: name.text.clone(), protocol, address, interval, prefix, buffer, spool, fill })
+    Some(ExporterConfig { name: name.text.clone(), protocol, address, interval, prefix, buffer, spool, fill })
 }
--- a/crates/metrics/src/graphite.rs
+++ b/crates/metrics/src/graphite.rs
@@ -5,7 +5,7 @@
 //! (`path;tag=value`; a tag's name is not empty and holds none of `;!^=`, its value is not empty, holds no `;` and does
 //! not begin with `~`).
 
-use crate::book::{Point, Reading, Value};
+use crate::registry::{MetricValue, MetricsSnapshot, Sample};
 
 /// How a point's tag and part are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 /// The path of a point below a prefix of nodes joined by dots.
-pub fn path(prefix: &str, point: &Point, paths: Paths) -> String {
+pub fn path(prefix: &str, point: &Sample, paths: Paths) -> String {
     let prefix: Vec<String> = prefix.split('.').filter(|n| !n.is_empty()).map(node).collect();
     let mut path = prefix.join(".");
     if !path.is_empty() {
@@ -64,16 +64,16 @@
 }
 
 /// A reading as plaintext lines.
-pub fn lines(prefix: &str, reading: &Reading, paths: Paths) -> String {
+pub fn lines(prefix: &str, reading: &MetricsSnapshot, paths: Paths) -> String {
     let at = reading.at / 1_000_000;
     let mut text = String::with_capacity(reading.points.len() * 64);
     for point in &reading.points {
         let path = path(prefix, point, paths);
         match point.value {
-            Value::Total(total) => text.push_str(&format!("{path} {total} {at}\n")),
+            MetricValue::Counter(total) => text.push_str(&format!("{path} {total} {at}\n")),
             // What is no number has no place in a series.
-            Value::Gauge(gauge) if !gauge.is_finite() => {}
-            Value::Gauge(gauge) => text.push_str(&format!("{path} {gauge} {at}\n")),
+            MetricValue::Gauge(gauge) if !gauge.is_finite() => {}
+            MetricValue::Gauge(gauge) => text.push_str(&format!("{path} {gauge} {at}\n")),
         }
     }
     text
@@ -90,15 +90,17 @@
 }
 
 /// A reading as pickled lists, each with its length before it.
-pub fn pickles(prefix: &str, reading: &Reading, paths: Paths) -> Result<Vec<Vec<u8>>, serde_pickle::Error> {
+pub fn pickles(
+    prefix: &str, reading: &MetricsSnapshot, paths: Paths,
+) -> Result<Vec<Vec<u8>>, serde_pickle::Error> {
     let at = (reading.at / 1_000_000) as i64;
     let points: Vec<Pickled> = reading
         .points
         .iter()
         .filter_map(|point| {
             let value = match point.value {
-                Value::Total(total) => total as f64,
-                Value::Gauge(gauge) => gauge,
+                MetricValue::Counter(total) => total as f64,
+                MetricValue::Gauge(gauge) => gauge,
             };
             value.is_finite().then(|| (path(prefix, point, paths), (at, value)))
         })
--- a/crates/metrics/src/state.rs
+++ b/crates/metrics/src/stored.rs
@@ -20,7 +20,7 @@
 
 /// A total by its names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Total {
+pub struct CounterState {
     /// The family's name.
     pub name: String,
     /// The tag's value; empty where there is no tag.
@@ -31,7 +31,7 @@
 
 /// A histogram by its name: how often each recorded value was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct HistogramState {
     /// The family's name.
     pub name: String,
     /// Values and their counts.
@@ -40,7 +40,7 @@
 
 /// All that lasts of a book. Gauges are of the moment and do not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct StoredMetrics {
     /// The relay's name: a snapshot of another relay is not taken.
     pub relay: String,
     /// When it was taken, in Unix microseconds.
@@ -48,14 +48,14 @@
     /// Lives of the relay so far.
     pub lives: u64,
     /// The totals.
-    pub totals: Vec<Total>,
+    pub counters: Vec<CounterState>,
     /// The histograms.
-    pub spreads: Vec<Spread>,
+    pub histograms: Vec<HistogramState>,
 }
 
 /// Why bytes are no snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unsound {
+pub enum SnapshotError {
     /// They are too few, or more than the head tells.
     #[error("the snapshot has {0} bytes where {1} belong")]
     Length(usize, usize),
@@ -81,14 +81,14 @@
     sum.digest()
 }
 
-impl State {
+impl StoredMetrics {
     /// The snapshot's bytes.
-    pub fn encode(&self) -> Result<Vec<u8>, Unsound> {
-        let told = |e: &dyn std::fmt::Display| Unsound::Record(e.to_string());
+    pub fn encode(&self) -> Result<Vec<u8>, SnapshotError> {
+        let told = |e: &dyn std::fmt::Display| SnapshotError::Record(e.to_string());
         let record = postcard::to_allocvec(self).map_err(|e| told(&e))?;
         let body = zstd::bulk::compress(&record, LEVEL).map_err(|e| told(&e))?;
         if record.len() > LARGEST || body.len() > LARGEST {
-            return Err(Unsound::Record(format!("it is larger than {LARGEST} bytes")));
+            return Err(SnapshotError::Record(format!("it is larger than {LARGEST} bytes")));
         }
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_le_bytes());
@@ -99,26 +99,27 @@
     }
 
     /// Reads a snapshot's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<State, Unsound> {
+    pub fn decode(bytes: &[u8]) -> Result<StoredMetrics, SnapshotError> {
         let Some((head, body)) = bytes.split_at_checked(HEAD) else {
-            return Err(Unsound::Length(bytes.len(), HEAD));
+            return Err(SnapshotError::Length(bytes.len(), HEAD));
         };
         if &head[..8] != MAGIC {
-            return Err(Unsound::Magic);
+            return Err(SnapshotError::Magic);
         }
         let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (version, length) = (word(8), word(12) as usize);
         if body.len() != length {
-            return Err(Unsound::Length(bytes.len(), HEAD.saturating_add(length)));
+            return Err(SnapshotError::Length(bytes.len(), HEAD.saturating_add(length)));
         }
         let told = u64::from(word(16)) | u64::from(word(20)) << 32;
         if sum(version, body) != told {
-            return Err(Unsound::Sum);
+            return Err(SnapshotError::Sum);
         }
         if version != VERSION {
-            return Err(Unsound::Version(version));
+            return Err(SnapshotError::Version(version));
         }
-        let record = zstd::bulk::decompress(body, LARGEST).map_err(|e| Unsound::Record(e.to_string()))?;
-        postcard::from_bytes(&record).map_err(|e| Unsound::Record(e.to_string()))
+        let record =
+            zstd::bulk::decompress(body, LARGEST).map_err(|e| SnapshotError::Record(e.to_string()))?;
+        postcard::from_bytes(&record).map_err(|e| SnapshotError::Record(e.to_string()))
     }
 }
--- a/crates/metrics/tests/formats.rs
+++ b/crates/metrics/tests/formats.rs
@@ -1,25 +1,25 @@
-//! The formats byte by byte, the book's bounds, and random bytes against the reader.
+//! The formats byte by byte, the metrics's bounds, and random bytes against the reader.
 
-use honeyknot_metrics::book::{OTHERS, Point, Reading, Value};
-use honeyknot_metrics::collectd::{PACKET, Security, Unread, packets, putvals, read};
+use honeyknot_metrics::collectd::{PACKET, PacketError, Security, packets, putvals, read};
+use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
 use honeyknot_metrics::graphite::{Paths, lines, pickles, read_pickle};
-use honeyknot_metrics::names::{Family, Kind, NAMES};
-use honeyknot_metrics::state::State;
-use honeyknot_metrics::{Book, collectd};
+use honeyknot_metrics::registry::{MetricValue, MetricsSnapshot, OTHERS, Sample};
+use honeyknot_metrics::stored::StoredMetrics;
+use honeyknot_metrics::{MetricsRegistry, collectd};
 use proptest::prelude::*;
 
-fn point(name: &'static str, tag: Option<(&'static str, &str)>, value: Value) -> Point {
-    Point { name, part: "", tag: tag.map(|(n, v)| (n, v.to_owned())), value }
+fn point(name: &'static str, tag: Option<(&'static str, &str)>, value: MetricValue) -> Sample {
+    Sample { name, part: "", tag: tag.map(|(n, v)| (n, v.to_owned())), value }
 }
 
-fn reading(points: Vec<Point>) -> Reading {
-    Reading { at: 1_700_000_000_500_000, points }
+fn reading(points: Vec<Sample>) -> MetricsSnapshot {
+    MetricsSnapshot { at: 1_700_000_000_500_000, points }
 }
 
-fn sample() -> Reading {
+fn sample() -> MetricsSnapshot {
     reading(vec![
-        point("refused", Some(("reason", "site limit")), Value::Total(7)),
-        point("sessions", None, Value::Gauge(2.5)),
+        point("refused", Some(("reason", "site limit")), MetricValue::Counter(7)),
+        point("sessions", None, MetricValue::Gauge(2.5)),
     ])
 }
 
@@ -30,11 +30,11 @@
     let tagged = "edge.refused;reason=site_limit 7 1700000000\nedge.sessions 2.5 1700000000\n";
     assert_eq!(lines("edge", &sample(), Paths::Tags), tagged);
     let odd = reading(vec![
-        point("x", Some(("site", "~a;b\nc.d")), Value::Gauge(f64::NAN)),
-        point("y", Some(("site", "~a;b\nc.d")), Value::Total(1)),
+        point("x", Some(("site", "~a;b\nc.d")), MetricValue::Gauge(f64::NAN)),
+        point("y", Some(("site", "~a;b\nc.d")), MetricValue::Counter(1)),
     ]);
     assert_eq!(lines("", &odd, Paths::Tags), "y;site=_a_b_c.d 1 1700000000\n");
-    let long = reading(vec![point("y", Some(("site", &"é".repeat(400))), Value::Total(1))]);
+    let long = reading(vec![point("y", Some(("site", &"é".repeat(400))), MetricValue::Counter(1))]);
     assert!(lines("", &long, Paths::Tags).len() < 270);
 }
 
@@ -48,7 +48,7 @@
         ("edge.sessions".to_owned(), (1_700_000_000, 2.5)),
     ];
     assert_eq!(list, expected);
-    let many = reading(vec![point("y", None, Value::Total(1)); 1_201]);
+    let many = reading(vec![point("y", None, MetricValue::Counter(1)); 1_201]);
     assert_eq!(pickles("", &many, Paths::Nodes).expect("pickles").len(), 3);
 }
 
@@ -88,10 +88,10 @@
         assert_eq!(found.len(), 2);
         assert_eq!(
             (found[0].at, found[0].value, found[1].value),
-            (sample().at, Value::Total(7), Value::Gauge(2.5))
+            (sample().at, MetricValue::Counter(7), MetricValue::Gauge(2.5))
         );
         let wrong = |_: &str| Some("other".to_owned());
-        assert_eq!(read(&packet, Some(&wrong)), Err(Unread::NotGenuine("edge".into())));
+        assert_eq!(read(&packet, Some(&wrong)), Err(PacketError::NotGenuine("edge".into())));
         for bit in 0..packet.len() * 8 {
             let mut torn = packet.clone();
             torn[bit / 8] ^= 1 << (bit % 8);
@@ -100,19 +100,25 @@
         }
     }
     let bare = packets("h", "i", &sample(), 10_000_000, &Security::None, || [0; 16]).remove(0);
-    assert_eq!(read(&bare, Some(&user)), Err(Unread::Unprotected));
+    assert_eq!(read(&bare, Some(&user)), Err(PacketError::Unprotected));
 }
 
 #[test]
 fn packets_stay_within_the_size_and_lose_nothing() {
-    let many: Vec<Point> =
-        (0..10_000).map(|n| point("placed", Some(("site", &format!("site-{n}"))), Value::Total(n))).collect();
+    let many: Vec<Sample> = (0..10_000)
+        .map(|n| point("placed", Some(("site", &format!("site-{n}"))), MetricValue::Counter(n)))
+        .collect();
     let security = Security::Encrypt { user: "edge".into(), password: "secret".into() };
     let packets = packets("host", "life", &reading(many), 10_000_000, &security, || [3; 16]);
     assert!(packets.iter().all(|p| p.len() <= PACKET));
     let found: Vec<_> = packets.iter().flat_map(|p| read(p, Some(&user)).expect("a packet")).collect();
     assert_eq!(found.len(), 10_000);
-    assert!(found.iter().enumerate().all(|(n, f)| f.value == Value::Total(n as u64) && f.kind == "derive"));
+    assert!(
+        found
+            .iter()
+            .enumerate()
+            .all(|(n, f)| f.value == MetricValue::Counter(n as u64) && f.kind == "derive")
+    );
 }
 
 #[test]
@@ -125,49 +131,55 @@
 
 #[test]
 fn a_book_counts_and_its_open_tags_are_bounded() {
-    let mut book = Book::new(3);
-    book.count(Family::Refused, "site_limit");
-    book.count(Family::Refused, "no such reason");
-    book.add(Family::Refused, 99, 1);
-    book.set(Family::Sessions, 4.0);
-    (1..=1_000).for_each(|us| book.record(Family::Setup, us));
-    (0..10_000).for_each(|n| book.add_open(Family::Placed, &format!("site-{n}"), 1));
-    let reading = book.read(5);
+    let mut metrics = MetricsRegistry::new(3);
+    metrics.increment(MetricFamily::RequestsRejected, "site_limit");
+    metrics.increment(MetricFamily::RequestsRejected, "no such reason");
+    metrics.add(MetricFamily::RequestsRejected, 99, 1);
+    metrics.set(MetricFamily::EstablishedConnections, 4.0);
+    (1..=1_000).for_each(|us| metrics.record(MetricFamily::SetupLatency, us));
+    (0..10_000).for_each(|n| metrics.add_dynamic(MetricFamily::AttemptsByZone, &format!("site-{n}"), 1));
+    let reading = metrics.snapshot(5);
     let value = |name: &str, part: &str, tag: &str| {
-        let found = |p: &&Point| {
+        let found = |p: &&Sample| {
             p.name == name && p.part == part && p.tag.as_ref().map_or("", |(_, value)| value) == tag
         };
         reading.points.iter().find(found).map(|p| p.value)
     };
-    assert_eq!(value("refused", "", "site_limit"), Some(Value::Total(1)));
-    assert_eq!(value("refused", "", "closing"), Some(Value::Total(0)));
-    assert_eq!(value("sessions", "", ""), Some(Value::Gauge(4.0)));
-    assert_eq!(value("setup", "count", ""), Some(Value::Total(1_000)));
-    assert!(matches!(value("setup", "p99", ""), Some(Value::Gauge(us)) if (980.0..=1_000.0).contains(&us)));
+    assert_eq!(value("refused", "", "site_limit"), Some(MetricValue::Counter(1)));
+    assert_eq!(value("refused", "", "closing"), Some(MetricValue::Counter(0)));
+    assert_eq!(value("sessions", "", ""), Some(MetricValue::Gauge(4.0)));
+    assert_eq!(value("setup", "count", ""), Some(MetricValue::Counter(1_000)));
+    assert!(
+        matches!(value("setup", "p99", ""), Some(MetricValue::Gauge(us)) if (980.0..=1_000.0).contains(&us))
+    );
     assert_eq!(value("message", "p99", ""), None);
-    assert_eq!(value("placed", "", OTHERS), Some(Value::Total(9_997)));
+    assert_eq!(value("placed", "", OTHERS), Some(MetricValue::Counter(9_997)));
     assert!(reading.points.len() < 100);
 }
 
 #[test]
 fn names_are_of_one_form_and_differ() {
-    for (place, name) in NAMES.iter().enumerate() {
+    for (place, name) in METRIC_FAMILIES.iter().enumerate() {
         let plain =
             |text: &str| text.chars().all(|c| c.is_ascii_lowercase() || c == '_' || c.is_ascii_digit());
         assert!(plain(name.name) && name.values.iter().all(|v| plain(v)) && plain(name.tag), "{}", name.name);
-        assert!(NAMES[..place].iter().all(|other| other.name != name.name), "{}", name.name);
-        assert!(!name.help.is_empty() && (name.tag.is_empty() || name.kind == Kind::Total), "{}", name.name);
+        assert!(METRIC_FAMILIES[..place].iter().all(|other| other.name != name.name), "{}", name.name);
+        assert!(
+            !name.help.is_empty() && (name.tag.is_empty() || name.kind == MetricKind::Counter),
+            "{}",
+            name.name
+        );
     }
-    assert_eq!(Family::LoopLag.name().name, "loop_lag");
+    assert_eq!(MetricFamily::TimerLag.descriptor().name, "loop_lag");
 }
 
 #[test]
 fn the_operators_table_is_the_codes() {
     let page = include_str!("../../../docs/operate/metrics.md");
     let told: Vec<&str> = page.lines().skip_while(|l| !l.starts_with("| name | kind")).skip(2).collect();
-    let row = |name: &honeyknot_metrics::names::Name| {
+    let row = |name: &honeyknot_metrics::families::MetricDescriptor| {
         let values: Vec<String> = name.values.iter().map(|v| format!("`{v}`")).collect();
-        let kind = format!("{:?}", name.kind).to_lowercase();
+        let kind = name.kind.as_str();
         format!(
             "| `{}` | {kind} | {} | {} | {} | {} |",
             name.name,
@@ -177,62 +189,64 @@
             name.help
         )
     };
-    let code: Vec<String> = NAMES.iter().map(row).collect();
+    let code: Vec<String> = METRIC_FAMILIES.iter().map(row).collect();
     assert_eq!(told, code);
 }
 
 #[test]
 fn counts_since_a_reading_add_up_to_the_totals() {
-    let mut book = Book::new(3);
-    book.add(Family::Served, 0, 5);
-    let first = book.read(1);
-    book.add(Family::Served, 0, 2);
-    book.add_open(Family::Placed, "tema", 1);
-    let second = book.read(2);
-    let grown = |later: &Reading, earlier: Option<&Reading>, name: &str| {
+    let mut metrics = MetricsRegistry::new(3);
+    metrics.add(MetricFamily::Established, 0, 5);
+    let first = metrics.snapshot(1);
+    metrics.add(MetricFamily::Established, 0, 2);
+    metrics.add_dynamic(MetricFamily::AttemptsByZone, "tema", 1);
+    let second = metrics.snapshot(2);
+    let grown = |later: &MetricsSnapshot, earlier: Option<&MetricsSnapshot>, name: &str| {
         let point = later.since(earlier).points.into_iter().find(|p| p.name == name);
         point.map(|p| p.value)
     };
-    assert_eq!(grown(&first, None, "served"), Some(Value::Total(5)));
-    assert_eq!(grown(&second, Some(&first), "served"), Some(Value::Total(2)));
-    assert_eq!(grown(&second, Some(&first), "placed"), Some(Value::Total(1)));
+    assert_eq!(grown(&first, None, "served"), Some(MetricValue::Counter(5)));
+    assert_eq!(grown(&second, Some(&first), "served"), Some(MetricValue::Counter(2)));
+    assert_eq!(grown(&second, Some(&first), "placed"), Some(MetricValue::Counter(1)));
 }
 
-fn counted() -> Book {
-    let mut book = Book::new(3);
-    book.count(Family::Refused, "closing");
-    book.add(Family::Served, 0, 1 << 40);
-    ["tema", "kasoa", "accra", "ho"].iter().for_each(|site| book.add_open(Family::Placed, site, 2));
-    (1..=5_000).for_each(|us| book.record(Family::Setup, us));
-    book
+fn counted() -> MetricsRegistry {
+    let mut metrics = MetricsRegistry::new(3);
+    metrics.increment(MetricFamily::RequestsRejected, "closing");
+    metrics.add(MetricFamily::Established, 0, 1 << 40);
+    ["tema", "kasoa", "accra", "ho"]
+        .iter()
+        .for_each(|site| metrics.add_dynamic(MetricFamily::AttemptsByZone, site, 2));
+    (1..=5_000).for_each(|us| metrics.record(MetricFamily::SetupLatency, us));
+    metrics
 }
 
 #[test]
 fn a_book_comes_back_from_its_snapshot_and_counts_on() {
-    let state = counted().state("n0", 7, 3);
-    let read = State::decode(&state.encode().expect("a snapshot")).expect("a sound snapshot");
+    let state = counted().stored("n0", 7, 3);
+    let read = StoredMetrics::decode(&state.encode().expect("a snapshot")).expect("a sound snapshot");
     assert_eq!(read, state);
-    let mut again = Book::new(3);
+    let mut again = MetricsRegistry::new(3);
     assert_eq!(again.restore(&read), 0);
-    assert_eq!(again.read(9).points, counted().read(9).points);
+    assert_eq!(again.snapshot(9).points, counted().snapshot(9).points);
     let mut known = state.clone();
-    known.totals[0].name = "no_such_name".to_owned();
-    assert_eq!(Book::new(3).restore(&known), 1);
+    known.counters[0].name = "no_such_name".to_owned();
+    assert_eq!(MetricsRegistry::new(3).restore(&known), 1);
 }
 
 #[test]
 fn a_snapshot_that_is_cut_or_has_any_bit_flipped_is_recognised() {
-    let bytes = counted().state("n0", 7, 3).encode().expect("a snapshot");
+    let bytes = counted().stored("n0", 7, 3).encode().expect("a snapshot");
     for cut in 0..bytes.len() {
-        assert!(State::decode(&bytes[..cut]).is_err(), "cut at {cut}");
+        assert!(StoredMetrics::decode(&bytes[..cut]).is_err(), "cut at {cut}");
     }
     for bit in 0..bytes.len() * 8 {
         let mut torn = bytes.clone();
         torn[bit / 8] ^= 1 << (bit % 8);
-        assert!(State::decode(&torn).is_err(), "bit {bit}");
+        assert!(StoredMetrics::decode(&torn).is_err(), "bit {bit}");
     }
     let longer = [&bytes[..], &[0]].concat();
-    assert!(State::decode(&longer).is_err());
+    assert!(StoredMetrics::decode(&longer).is_err());
 }
 
 proptest! {
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 
 use honeyknot_metrics::collectd;
-use honeyknot_metrics::names::NAMES;
-use honeyknot_metrics::state::State;
-use honeyknot_metrics::{Value, graphite};
+use honeyknot_metrics::families::METRIC_FAMILIES;
+use honeyknot_metrics::stored::StoredMetrics;
+use honeyknot_metrics::{MetricValue, graphite};
 
 use crate::relay::lifecycle::config::read_key_file;
 
@@ -39,18 +39,18 @@
 }
 
 fn names() -> String {
-    let line = |n: &honeyknot_metrics::names::Name| {
-        let kind = format!("{:?}", n.kind).to_lowercase();
+    let line = |n: &honeyknot_metrics::families::MetricDescriptor| {
+        let kind = n.kind.as_str();
         format!("{}\t{kind}\t{}\t{}\t{}\t{}\n", n.name, n.unit, n.tag, n.values.join(","), n.help)
     };
-    NAMES.iter().map(line).collect()
+    METRIC_FAMILIES.iter().map(line).collect()
 }
 
 fn decode(file: &Path, key: Option<&str>) -> Result<String, String> {
     let told = |why: String| format!("{}: {why}", file.display());
     let bytes = std::fs::read(file).map_err(|e| told(e.to_string()))?;
-    if bytes.starts_with(honeyknot_metrics::state::MAGIC) {
-        let state = State::decode(&bytes).map_err(|e| told(e.to_string()))?;
+    if bytes.starts_with(honeyknot_metrics::stored::MAGIC) {
+        let state = StoredMetrics::decode(&bytes).map_err(|e| told(e.to_string()))?;
         return Ok(snapshot(&state));
     }
     if let Some(points) = graphite::read_pickle(&bytes) {
@@ -62,8 +62,8 @@
     let values = collectd::read(&bytes, passwords).map_err(|e| told(e.to_string()))?;
     let line = |v: &collectd::Received| {
         let value = match v.value {
-            Value::Total(total) => total.to_string(),
-            Value::Gauge(gauge) => gauge.to_string(),
+            MetricValue::Counter(total) => total.to_string(),
+            MetricValue::Gauge(gauge) => gauge.to_string(),
         };
         let at = v.at as f64 / 1e6;
         format!("{}/{}-{}/{}-{} {value} {at:.3}\n", v.host, collectd::PLUGIN_NAME, v.instance, v.kind, v.name)
@@ -71,16 +71,16 @@
     Ok(values.iter().map(line).collect())
 }
 
-fn snapshot(state: &State) -> String {
+fn snapshot(state: &StoredMetrics) -> String {
     let mut text = format!("relay {} at {:.3}, life {}\n", state.relay, state.at as f64 / 1e6, state.lives);
-    for total in &state.totals {
+    for total in &state.counters {
         let tag = if total.value.is_empty() { String::new() } else { format!(" {}", total.value) };
         text.push_str(&format!("{}{tag} {}\n", total.name, total.total));
     }
-    for spread in &state.spreads {
-        let count: u64 = spread.counts.iter().map(|(_, count)| count).sum();
-        let most = spread.counts.last().map_or(0, |(value, _)| *value);
-        text.push_str(&format!("{} {count} values up to {most}\n", spread.name));
+    for histogram_state in &state.histograms {
+        let count: u64 = histogram_state.counts.iter().map(|(_, count)| count).sum();
+        let most = histogram_state.counts.last().map_or(0, |(value, _)| *value);
+        text.push_str(&format!("{} {count} values up to {most}\n", histogram_state.name));
     }
     text
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -149,6 +149,6 @@
         );
     }
     if let Some(plan) = &config.metrics {
-        plan.sinks.iter().for_each(|sink| println!("metrics: sink {} at {}", sink.name, sink.address));
+        plan.exporters.iter().for_each(|sink| println!("metrics: sink {} at {}", sink.name, sink.address));
     }
 }
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -1,7 +1,7 @@
 //! Carries out the balancer's actions.
 
 use honeyknot_balancer::{Action, AttemptId, EndpointId, Event, Micros, Outcome, RequestId};
-use honeyknot_metrics::Family;
+use honeyknot_metrics::MetricFamily;
 use tracing::info;
 
 use super::connection_table::CurrentAttempt;
@@ -21,7 +21,7 @@
                 self.send_command(id, ConnectionCommand::Fail);
             }
             Action::Migrate(id) => {
-                self.update_metrics(|book| book.count(Family::Moves, "decisions"));
+                self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "decisions"));
                 self.send_command(id, ConnectionCommand::Migrate);
             }
             Action::Cancel { id, attempt } => self.send_command(id, ConnectionCommand::Cancel(attempt)),
--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -4,7 +4,7 @@
     AffinityGroup, AttemptId, ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome, Request,
     RequestId, SessionKey, ZoneSet,
 };
-use honeyknot_metrics::Family;
+use honeyknot_metrics::MetricFamily;
 use honeyknot_zone_failover::ZoneDecision;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
@@ -24,7 +24,7 @@
     pub fn request_connection(&mut self, open: &OpenRequest) -> Option<RegisteredConnection> {
         let mut request = self.build_request(open)?;
         let registered = self.register_connection(&request);
-        self.update_metrics(|book| book.add(Family::Requests, 0, 1));
+        self.update_metrics(|metrics| metrics.add(MetricFamily::Requests, 0, 1));
         match self.zone_decision(&request) {
             ZoneDecision::Allow(zones) => {
                 request.allowed_zones = zones;
@@ -166,7 +166,7 @@
     /// A message of the client was answered after this time.
     pub fn message_latency_measured(&mut self, id: RequestId, latency: Micros) {
         if let Some(endpoint) = self.endpoint_of(id) {
-            self.update_metrics(|book| book.record(Family::Message, latency));
+            self.update_metrics(|metrics| metrics.record(MetricFamily::MessageLatency, latency));
             self.note_message_latency(endpoint, latency as f64 / 1e3, LatencySource::ClientLine);
         }
     }
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -6,7 +6,7 @@
 use honeyknot_balancer::maintenance::UnknownEndpoint;
 use honeyknot_balancer::{Endpoint, EndpointId, EndpointState, EndpointUpdate, Event};
 use honeyknot_discovery::DiscoveryErrorKind;
-use honeyknot_metrics::Family;
+use honeyknot_metrics::MetricFamily;
 use tracing::{info, warn};
 
 use super::discovery_client::{DiscoveryCommand, DiscoveryError, EndpointListUpdate};
@@ -39,7 +39,7 @@
         let is_full = list.full;
         let is_unchanged = list.endpoints.is_empty() && list.version == self.endpoint_list_version;
         let outcome = if is_unchanged { "quiet" } else { "news" };
-        self.update_metrics(|metrics| metrics.count(Family::RollCalls, outcome));
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::DiscoveryRequests, outcome));
         let endpoints = self.record_endpoint_list(list);
         let update = if is_full { EndpointUpdate::Full(endpoints) } else { EndpointUpdate::Delta(endpoints) };
         self.apply_endpoint_update(update);
@@ -71,7 +71,7 @@
                 started_drains += u64::from(endpoint.state == EndpointState::Draining);
             }
         }
-        self.update_metrics(|metrics| metrics.add(Family::Drains, 0, started_drains));
+        self.update_metrics(|metrics| metrics.add(MetricFamily::EndpointDrains, 0, started_drains));
         if is_full {
             self.drain_unlisted_endpoints(&endpoints);
         }
@@ -134,8 +134,8 @@
             warn!(target: "discovery", %error, "discovery does not respond");
         }
         self.update_metrics(|metrics| {
-            metrics.add(Family::RollFailures, 0, 1);
-            metrics.count(Family::RollCalls, outcome_tag(error.kind()));
+            metrics.add(MetricFamily::DiscoveryFailures, 0, 1);
+            metrics.increment(MetricFamily::DiscoveryRequests, outcome_tag(error.kind()));
         });
         self.handle_event(Event::EndpointsUpdated {
             version: self.endpoint_list_version,
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -3,7 +3,7 @@
 use honeyknot_balancer::{
     EndpointId, EndpointUpdate, Micros, Outcome, Request, RequestId, Settings, ZoneId, ZoneSet,
 };
-use honeyknot_metrics::Family;
+use honeyknot_metrics::MetricFamily;
 use honeyknot_zone_failover::{
     EndpointSignal, ZoneAction, ZoneDecision, ZoneEvent, ZoneFailover, ZoneFailoverConfig, ZoneFailoverError,
     ZoneFailoverSetup,
@@ -114,7 +114,7 @@
     fn carry_out_zone_action(&mut self, action: ZoneAction) {
         match action {
             ZoneAction::MigrateConnection(id) => {
-                self.update_metrics(|metrics| metrics.count(Family::Moves, "site"));
+                self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "site"));
                 self.send_command(id, ConnectionCommand::Migrate);
             }
             ZoneAction::CheckHealth(endpoint) => {
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -9,7 +9,7 @@
 
 use honeyknot_balancer::Settings;
 use honeyknot_gossip::Plan as GossipConfig;
-use honeyknot_metrics::Plan as MetricsConfig;
+use honeyknot_metrics::MetricsConfig;
 use honeyknot_zone_failover::ZoneFailoverConfig;
 use serde_json::Value;
 
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 
 use honeyknot_balancer::{Micros, RequestId};
-use honeyknot_metrics::Family;
+use honeyknot_metrics::MetricFamily;
 use tokio::signal::unix::SignalKind;
 use tracing::info;
 
@@ -90,7 +90,7 @@
         return;
     }
     for id in established.iter().take(migrations_due(established.len(), time_left)) {
-        relay.update_metrics(|book| book.count(Family::Moves, "restart"));
+        relay.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "restart"));
         relay.send_command(*id, ConnectionCommand::Migrate);
     }
 }
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -1,4 +1,4 @@
-//! Sinks of metrics: each is a task that reads the book at its interval and sends what it must when its sink takes it.
+//! Sinks of metrics: each is a task that reads the metrics at its interval and sends what it must when its sink takes it.
 //!
 //! Nothing here can hold up the relay: what waits is bounded in bytes, in memory and on disk, the oldest makes room and is
 //! counted, and a write that the sink does not take is left until it does.
@@ -8,8 +8,8 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::time::Duration;
 
-use honeyknot_metrics::plan::{Plan, Protocol, Sink};
-use honeyknot_metrics::{Family, Reading, collectd, graphite};
+use honeyknot_metrics::config::{ExporterConfig, MetricsConfig, Protocol};
+use honeyknot_metrics::{MetricFamily, MetricsSnapshot, collectd, graphite};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::net::{TcpStream, UdpSocket};
@@ -100,7 +100,7 @@
 }
 
 impl Link {
-    fn failed(&mut self, sink: &Sink, why: &io::Error) {
+    fn failed(&mut self, sink: &ExporterConfig, why: &io::Error) {
         if self.failures == 0 {
             warn!(target: "metrics", sink = sink.name, %why, "the sink takes no data");
         }
@@ -111,7 +111,7 @@
         self.line = None;
     }
 
-    fn stands(&mut self, sink: &Sink, line: Line, held: Option<DescriptorPermit>) {
+    fn stands(&mut self, sink: &ExporterConfig, line: Line, held: Option<DescriptorPermit>) {
         if std::mem::take(&mut self.failures) > 0 {
             info!(target: "metrics", sink = sink.name, "the sink is reached again");
         }
@@ -123,24 +123,24 @@
 pub struct Feed {
     queue: Queue,
     /// The reading that was told last.
-    before: Option<Reading>,
+    before: Option<MetricsSnapshot>,
     /// The second that was told last.
     second: u64,
 }
 
 /// A sink that is being fed.
 pub struct Running {
-    sink: Sink,
+    sink: ExporterConfig,
     stop: oneshot::Sender<()>,
     task: JoinHandle<Feed>,
 }
 
 /// Feeds the sinks that a plan names, and no others. One that stays as it is is not touched; one that has changed goes on
 /// where it was, with what still waits for it.
-pub fn run(relay: &SharedRelay, plan: &Plan, name: &str) {
+pub fn run(relay: &SharedRelay, plan: &MetricsConfig, name: &str) {
     let mut old = std::mem::take(&mut relay.borrow_mut().exporters);
     let mut running = BTreeMap::new();
-    for sink in &plan.sinks {
+    for sink in &plan.exporters {
         let carried = match old.remove(&sink.name) {
             Some(same) if same.sink == *sink => {
                 running.insert(sink.name.clone(), same);
@@ -158,7 +158,7 @@
 
 impl Running {
     /// Has the task end as soon as it can; what it leaves comes out of it.
-    fn stop(self) -> (Sink, JoinHandle<Feed>) {
+    fn stop(self) -> (ExporterConfig, JoinHandle<Feed>) {
         // A task that has ended by itself hears nothing and is done.
         let _ = self.stop.send(());
         (self.sink, self.task)
@@ -166,7 +166,9 @@
 }
 
 /// What a sink begins with: nothing, or what the one before it under its name has left.
-async fn take_over(relay: &SharedRelay, sink: &Sink, carried: Option<(Sink, JoinHandle<Feed>)>) -> Feed {
+async fn take_over(
+    relay: &SharedRelay, sink: &ExporterConfig, carried: Option<(ExporterConfig, JoinHandle<Feed>)>,
+) -> Feed {
     let most = sink.buffer as usize;
     // Guards against a second that the life before this one has told already.
     let second = relay.borrow().timers.clock.now() / 1_000_000 + 1;
@@ -180,15 +182,15 @@
     }
     // Frames of another form cannot be sent on; what they told is counted as dropped.
     let dropped = left.queue.frames.iter().map(|(_, points)| points).sum();
-    relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, dropped));
+    relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, dropped));
     (fresh.before, fresh.second) = (left.before, left.second.max(second));
     fresh
 }
 
 /// Feeds a sink until it is stopped.
 async fn feed(
-    relay: SharedRelay, sink: Sink, name: String, carried: Option<(Sink, JoinHandle<Feed>)>,
-    mut stop: oneshot::Receiver<()>,
+    relay: SharedRelay, sink: ExporterConfig, name: String,
+    carried: Option<(ExporterConfig, JoinHandle<Feed>)>, mut stop: oneshot::Receiver<()>,
 ) -> Feed {
     let Feed { mut queue, mut before, mut second } = take_over(&relay, &sink, carried).await;
     let mut waiting = Waiting::open(&relay, &sink).await;
@@ -282,16 +284,19 @@
 /// Graphite is told what totals grew by, where they die with the relay, and under a second of its own. Guards against two
 /// readings that fall within one second, as ticks come a little early or late: a store that keeps one point a second
 /// would lose the first one's counts.
-fn told(sink: &Sink, reading: &Reading, before: Option<&Reading>, lasts: bool, second: &mut u64) -> Reading {
+fn told(
+    sink: &ExporterConfig, reading: &MetricsSnapshot, before: Option<&MetricsSnapshot>, lasts: bool,
+    second: &mut u64,
+) -> MetricsSnapshot {
     if matches!(sink.protocol, Protocol::Collectd(_)) {
         return reading.clone();
     }
     *second = (reading.at / 1_000_000).max(*second + 1);
     let told = if lasts { reading.clone() } else { reading.since(before) };
-    Reading { at: reading.at.max(*second * 1_000_000), ..told }
+    MetricsSnapshot { at: reading.at.max(*second * 1_000_000), ..told }
 }
 
-async fn dial(sink: &Sink) -> io::Result<Line> {
+async fn dial(sink: &ExporterConfig) -> io::Result<Line> {
     match sink.protocol {
         Protocol::GraphiteLines(_) | Protocol::GraphitePickle(_) => {
             let late = |_| io::Error::other("no connection in time");
@@ -335,7 +340,9 @@
 }
 
 /// A reading as frames, with the points that each holds.
-fn encode(sink: &Sink, name: &str, reading: &Reading, rng: &mut StdRng) -> Vec<(Vec<u8>, u64)> {
+fn encode(
+    sink: &ExporterConfig, name: &str, reading: &MetricsSnapshot, rng: &mut StdRng,
+) -> Vec<(Vec<u8>, u64)> {
     let prefix = format!("{}.{}", sink.prefix, name.replace('.', "_"));
     let points = reading.points.len() as u64;
     match &sink.protocol {
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use honeyknot_metrics::state::State;
+use honeyknot_metrics::stored::StoredMetrics;
 use tracing::warn;
 
 /// Snapshots that are kept.
@@ -27,7 +27,7 @@
 impl Folder {
     /// Takes the folder, made if it is missing, and the newest sound snapshot in it. Unsound ones, and those of another
     /// relay, are told of and passed over. Errors say why the folder cannot be used.
-    pub fn open(path: &Path, relay: &str) -> Result<(Folder, Option<State>), String> {
+    pub fn open(path: &Path, relay: &str) -> Result<(Folder, Option<StoredMetrics>), String> {
         let told = |e: io::Error| format!("{}: {e}", path.display());
         fs::create_dir_all(path).map_err(told)?;
         let lock = File::create(path.join("lock")).map_err(told)?;
@@ -88,13 +88,13 @@
     Ok(found)
 }
 
-fn read(file: &Path) -> Result<State, String> {
+fn read(file: &Path) -> Result<StoredMetrics, String> {
     let size = fs::metadata(file).map_err(|e| e.to_string())?.len();
     if size > LARGEST {
         return Err(format!("it has {size} bytes"));
     }
     let bytes = fs::read(file).map_err(|e| e.to_string())?;
-    State::decode(&bytes).map_err(|e| e.to_string())
+    StoredMetrics::decode(&bytes).map_err(|e| e.to_string())
 }
 
 fn write(path: &Path, number: u64, bytes: &[u8]) -> io::Result<()> {
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -1,9 +1,9 @@
-//! What the relay counts: plain calls from where things happen into its [`Book`], if there is one.
+//! What the relay counts: plain calls from where things happen into its [`MetricsRegistry`], if there is one.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use honeyknot_metrics::{Book, Family, Plan, Reading};
+use honeyknot_metrics::{MetricFamily, MetricsConfig, MetricsRegistry, MetricsSnapshot};
 use serde_json::json;
 use tracing::{info, warn};
 
@@ -30,15 +30,20 @@
 /// Values of an open tag where no operator file says how many there may be.
 const CAP: usize = 256;
 /// The families whose tag is the class.
-const BY_CLASS: [Family; 4] = [Family::Succeeded, Family::Declined, Family::Aborted, Family::Forwards];
+const BY_CLASS: [MetricFamily; 4] = [
+    MetricFamily::ConnectionsSucceeded,
+    MetricFamily::ConnectionsRejected,
+    MetricFamily::ConnectionsAborted,
+    MetricFamily::AttemptsForwarded,
+];
 
-/// A relay's book, in which all classes stand from the start.
-pub fn open(plan: &Option<Plan>, names: &NameTable) -> Book {
-    let mut book = Book::new(plan.as_ref().map_or(CAP, |plan| plan.cap));
+/// A relay's metrics, in which all classes stand from the start.
+pub fn open(plan: &Option<MetricsConfig>, names: &NameTable) -> MetricsRegistry {
+    let mut metrics = MetricsRegistry::new(plan.as_ref().map_or(CAP, |plan| plan.series_cap));
     for class in names.classes() {
-        BY_CLASS.iter().for_each(|family| book.open(*family, class));
+        BY_CLASS.iter().for_each(|family| metrics.register_dynamic(*family, class));
     }
-    book
+    metrics
 }
 
 /// How a connection that asked for a session was answered.
@@ -67,12 +72,12 @@
     let (write, at) = {
         let mut relay = relay.borrow_mut();
         let now = relay.timers.clock.now();
-        let Relay { metrics: book, persistent_counters: lasting, .. } = &mut *relay;
+        let Relay { metrics, persistent_counters: lasting, .. } = &mut *relay;
         let Some(lasting) = lasting else { return true };
         if lasting.saved >= upto {
             return true;
         }
-        let bytes = book.state(&lasting.relay, now, lasting.lives).encode();
+        let bytes = metrics.stored(&lasting.relay, now, lasting.lives).encode();
         (bytes.map(|bytes| lasting.folder.write(bytes)).map_err(io::Error::other), now)
     };
     let wrote = match write {
@@ -125,16 +130,16 @@
     }
 
     /// Counts something.
-    pub(in crate::relay) fn update_metrics(&mut self, count: impl FnOnce(&mut Book)) {
+    pub(in crate::relay) fn update_metrics(&mut self, count: impl FnOnce(&mut MetricsRegistry)) {
         count(&mut self.metrics);
     }
 
     /// The one answer to a connection whose class is known.
     pub(in crate::relay) fn record_answer(&mut self, class: Option<ClassId>, answer: Answer) {
         let family = match answer {
-            Answer::Up => Family::Succeeded,
-            Answer::Busy => Family::Declined,
-            Answer::Failed => Family::Aborted,
+            Answer::Up => MetricFamily::ConnectionsSucceeded,
+            Answer::Busy => MetricFamily::ConnectionsRejected,
+            Answer::Failed => MetricFamily::ConnectionsAborted,
         };
         self.record_class(class, family);
     }
@@ -146,71 +151,73 @@
 
     /// A head was written whole to a card server.
     pub fn record_forwarded(&mut self, head: &OpenRequest) {
-        self.record_class(self.class(head), Family::Forwards);
+        self.record_class(self.class(head), MetricFamily::AttemptsForwarded);
     }
 
     fn class(&self, head: &OpenRequest) -> Option<ClassId> {
         self.names.class(head.class()?)
     }
 
-    fn record_class(&mut self, class: Option<ClassId>, family: Family) {
+    fn record_class(&mut self, class: Option<ClassId>, family: MetricFamily) {
         if let Some(name) = class.and_then(|class| self.names.classes().get(class.0)) {
-            self.metrics.add_open(family, name, 1);
+            self.metrics.add_dynamic(family, name, 1);
         }
     }
 
     /// A request was answered `BUSY`, for one of the reasons in the table of names.
     pub fn record_rejected(&mut self, reason: &'static str, took: Option<Micros>) {
-        self.update_metrics(|book| {
-            book.count(Family::Refused, reason);
-            took.iter().for_each(|us| book.record(Family::Refusal, *us));
+        self.update_metrics(|metrics| {
+            metrics.increment(MetricFamily::RequestsRejected, reason);
+            took.iter().for_each(|us| metrics.record(MetricFamily::RejectionLatency, *us));
         });
     }
 
     /// A request was answered `ERR`, for one of the causes in the table of names.
     pub fn record_failed(&mut self, cause: &'static str) {
-        self.update_metrics(|book| book.count(Family::Failed, cause));
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::RequestsFailed, cause));
     }
 
     pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, server: &EndpointId) {
         let site = self.endpoints.zone(server).and_then(|zone| self.names.zones().get(zone.0));
-        self.metrics.add(Family::Retries, 0, u64::from(attempt.0 > 0));
-        self.metrics.add_open(Family::Placed, site.map_or("none", String::as_str), 1);
+        self.metrics.add(MetricFamily::Retries, 0, u64::from(attempt.0 > 0));
+        self.metrics.add_dynamic(MetricFamily::AttemptsByZone, site.map_or("none", String::as_str), 1);
     }
 
     pub(in crate::relay) fn record_established(&mut self, took: Micros) {
-        self.update_metrics(|book| {
-            book.count(Family::Attempts, "up");
-            book.add(Family::Served, 0, 1);
-            book.record(Family::Setup, took);
+        self.update_metrics(|metrics| {
+            metrics.increment(MetricFamily::Attempts, "up");
+            metrics.add(MetricFamily::Established, 0, 1);
+            metrics.record(MetricFamily::SetupLatency, took);
         });
     }
 
     /// An attempt has ended without a session.
     pub(in crate::relay) fn record_attempt_ended(&mut self, outcome: Outcome) {
-        self.update_metrics(|book| book.count(Family::Attempts, outcome_word(outcome)));
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::Attempts, outcome_word(outcome)));
     }
 
     /// A session that stood has ended, in one of the ways in the table of names.
     pub fn record_connection_ended(&mut self, how: &'static str) {
-        self.update_metrics(|book| book.count(Family::Ended, how));
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::ConnectionsEnded, how));
     }
 
     /// Bytes of a session were passed on, to its client or to its card server.
     pub fn record_bytes(&mut self, to_client: bool, count: usize) {
-        self.update_metrics(|book| book.add(Family::Bytes, usize::from(!to_client), count as u64));
+        self.update_metrics(|metrics| {
+            metrics.add(MetricFamily::BytesRelayed, usize::from(!to_client), count as u64)
+        });
     }
 
     /// A session was moved as its card server said nothing any more.
     pub fn record_silent_migration(&mut self) {
-        self.update_metrics(|book| book.count(Family::Moves, "silent"));
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "silent"));
     }
 
     pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, took: Micros) {
         let word = if outcome == Outcome::Ok { "ok" } else { outcome_word(outcome) };
-        self.update_metrics(|book| {
-            book.count(Family::Probes, word);
-            book.record(Family::Probe, took);
+        self.update_metrics(|metrics| {
+            metrics.increment(MetricFamily::HealthChecks, word);
+            metrics.record(MetricFamily::HealthCheckLatency, took);
         });
     }
 
@@ -226,7 +233,7 @@
         let results: serde_json::Map<_, _> = classes.iter().map(of_class).collect();
         json!({
             "results": results,
-            "forwards": classes.iter().map(|class| count(Family::Forwards, class)).sum::<u64>(),
+            "forwards": classes.iter().map(|class| count(MetricFamily::AttemptsForwarded, class)).sum::<u64>(),
             "outstanding": self.open_ids.count(),
             "discovered": self.maintenance.endpoint_count(),
             "ejected": self.maintenance.count_excluded(self.balancer.ejected_endpoints()),
@@ -240,22 +247,22 @@
         .to_string()
     }
 
-    /// What the book holds now, with the gauges of this moment.
-    pub fn metrics_snapshot(&mut self) -> Reading {
+    /// What the metrics holds now, with the gauges of this moment.
+    pub fn metrics_snapshot(&mut self) -> MetricsSnapshot {
         let now = self.timers.clock.now();
         let (standing, asking) = self.open_connections();
         let (descriptors, crowd, version) =
             (self.descriptors_in_use.get(), self.idle_connections.len(), self.endpoint_list_version);
         let (started, heard) = (self.started_at, self.discovery_answered_at);
-        let book = &mut self.metrics;
-        let mut set = |family, value: f64| book.set(family, value);
-        set(Family::Sessions, standing.len() as f64);
-        set(Family::Asking, asking as f64);
-        set(Family::Descriptors, descriptors as f64);
-        set(Family::Crowd, crowd as f64);
-        set(Family::RollVersion, version as f64);
-        set(Family::RollAge, now.saturating_sub(heard) as f64 / 1e6);
-        set(Family::Started, (started / 1_000_000) as f64);
-        book.read(now)
+        let metrics = &mut self.metrics;
+        let mut set = |family, value: f64| metrics.set(family, value);
+        set(MetricFamily::EstablishedConnections, standing.len() as f64);
+        set(MetricFamily::PendingRequests, asking as f64);
+        set(MetricFamily::DescriptorsInUse, descriptors as f64);
+        set(MetricFamily::IdleConnections, crowd as f64);
+        set(MetricFamily::EndpointListVersion, version as f64);
+        set(MetricFamily::DiscoveryAge, now.saturating_sub(heard) as f64 / 1e6);
+        set(MetricFamily::StartedAt, (started / 1_000_000) as f64);
+        metrics.snapshot(now)
     }
 }
--- a/src/relay/metrics/spool.rs
+++ b/src/relay/metrics/spool.rs
@@ -9,14 +9,14 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use honeyknot_metrics::records::{self, Record};
+use honeyknot_metrics::spool_record::{self, Record};
 
 use super::persistent_counters::numbered;
 
 /// A segment is closed when it is as large as this.
 const SEGMENT: u64 = 1 << 20;
 /// The largest segment that is read: one record beyond the limit above.
-const LARGEST: u64 = SEGMENT + (records::LARGEST + records::HEAD) as u64;
+const LARGEST: u64 = SEGMENT + (spool_record::LARGEST + spool_record::HEAD) as u64;
 
 /// A segment on disk.
 struct Segment {
@@ -60,7 +60,7 @@
         let (mut segments, mut torn) = (VecDeque::new(), Vec::new());
         for (_, path) in found {
             let bytes = read(&path)?;
-            let (sound, _, points) = records::sound(&bytes);
+            let (sound, _, points) = spool_record::sound(&bytes);
             if sound < bytes.len() {
                 OpenOptions::new().write(true).open(&path)?.set_len(sound as u64)?;
                 torn.push(Torn { path: path.clone(), sound: sound as u64, size: bytes.len() as u64 });
@@ -88,7 +88,7 @@
     /// Appends a frame and syncs it; how many older points had to make room, segment by segment.
     pub fn append(&mut self, frame: &[u8], points: u32) -> io::Result<u64> {
         let record =
-            records::encode(frame, points).ok_or_else(|| io::Error::other("a frame is too large"))?;
+            spool_record::encode(frame, points).ok_or_else(|| io::Error::other("a frame is too large"))?;
         let size = record.len() as u64;
         let full = self.segments.back().is_none_or(|s| s.size + size > SEGMENT);
         if full || self.open.is_none() {
@@ -136,7 +136,7 @@
             if at >= self.head.len() {
                 self.head = read(&segment.path)?;
             }
-            if let Some(record) = self.head.get(at..).and_then(records::first) {
+            if let Some(record) = self.head.get(at..).and_then(spool_record::first) {
                 return Ok(Some(record));
             }
             // Damaged since it was written: what follows in this segment cannot be told apart.
@@ -252,7 +252,7 @@
     #[test]
     fn a_torn_tail_is_cut_off_at_any_byte_and_a_flipped_bit_never_passes() {
         let whole: Vec<Vec<u8>> =
-            (0..3).map(|n| records::encode(&frame(n, 40), 1).expect("a record")).collect();
+            (0..3).map(|n| spool_record::encode(&frame(n, 40), 1).expect("a record")).collect();
         let bytes = whole.concat();
         let ends: Vec<usize> = whole
             .iter()
@@ -262,14 +262,14 @@
             })
             .collect();
         for cut in 0..bytes.len() {
-            let (sound, count, _) = records::sound(&bytes[..cut]);
+            let (sound, count, _) = spool_record::sound(&bytes[..cut]);
             assert_eq!(count, ends.iter().filter(|end| **end <= cut).count());
             assert!(sound <= cut);
         }
         for bit in 0..bytes.len() * 8 {
             let mut torn = bytes.clone();
             torn[bit / 8] ^= 1 << (bit % 8);
-            assert!(records::sound(&torn).1 < 3, "bit {bit}");
+            assert!(spool_record::sound(&torn).1 < 3, "bit {bit}");
         }
         let folder = Folder::new("torn");
         fs::create_dir_all(&folder.0).expect("a folder");
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use honeyknot_metrics::Family;
-use honeyknot_metrics::plan::Sink;
-use honeyknot_metrics::records::Record;
+use honeyknot_metrics::MetricFamily;
+use honeyknot_metrics::config::ExporterConfig;
+use honeyknot_metrics::spool_record::Record;
 use tokio::task::spawn_blocking;
 use tracing::{info, warn};
 
@@ -22,7 +22,7 @@
 
 impl Waiting {
     /// A sink's spool, if it has one; one that cannot be opened is told of and done without.
-    pub async fn open(relay: &SharedRelay, sink: &Sink) -> Waiting {
+    pub async fn open(relay: &SharedRelay, sink: &ExporterConfig) -> Waiting {
         let mut waiting = Waiting { spool: None, filling: None, trouble: false };
         let folder = relay.borrow().spool_directory(&sink.name).filter(|_| sink.spool > 0);
         let Some(folder) = folder else { return waiting };
@@ -57,10 +57,12 @@
     }
 
     /// Puts frames away; what cannot be kept is counted as dropped.
-    pub async fn put(&mut self, relay: &SharedRelay, sink: &Sink, frames: Vec<(Vec<u8>, u64)>) {
+    pub async fn put(&mut self, relay: &SharedRelay, sink: &ExporterConfig, frames: Vec<(Vec<u8>, u64)>) {
         let points: u64 = frames.iter().map(|(_, points)| points).sum();
         let Some(spool) = self.spool.clone().filter(|_| !frames.is_empty()) else {
-            return relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, points));
+            return relay
+                .borrow_mut()
+                .update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, points));
         };
         let wrote = run(move || {
             let mut spool = spool.lock().unwrap_or_else(PoisonError::into_inner);
@@ -81,7 +83,7 @@
             None => self.trouble = false,
             Some(_) => {}
         }
-        relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, dropped));
+        relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, dropped));
     }
 
     /// The oldest frame that waits; it is on its way from now on.
@@ -93,7 +95,7 @@
             Ok((record, spool.take_damaged()))
         });
         let (record, damaged) = found.await.ok()?;
-        relay.borrow_mut().update_metrics(|book| book.add(Family::Dropped, 0, damaged));
+        relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, damaged));
         let record = record?;
         let frame = (record.frame.clone(), u64::from(record.points));
         self.filling = Some(record);
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use honeyknot_balancer::Event;
-use honeyknot_metrics::{Family, Plan as MetricsConfig};
+use honeyknot_metrics::{MetricFamily, MetricsConfig};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use tracing::info;
@@ -117,7 +117,7 @@
 }
 
 fn start_metrics(relay: &SharedRelay, config: &MetricsConfig, relay_name: &str) {
-    if let Some(folder) = &config.state {
+    if let Some(folder) = &config.state_directory {
         relay.borrow_mut().restore_counters(folder, relay_name);
     }
     exporter::run(relay, config, relay_name);
@@ -141,7 +141,7 @@
     let timers = relay.borrow().timers.clone();
     loop {
         let lag = timers.wait().await;
-        relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
+        relay.borrow_mut().update_metrics(|metrics| metrics.record(MetricFamily::TimerLag, lag));
         for event in timers.take_due() {
             match event {
                 TimerEvent::Wake(task) => task.wake(),
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -6,7 +6,7 @@
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
 use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
-use honeyknot_metrics::Book;
+use honeyknot_metrics::MetricsRegistry;
 use honeyknot_zone_failover::ZoneFailover;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tracing::trace;
@@ -54,7 +54,7 @@
     pub(in crate::relay) zone_failover: Option<ZoneFailover>,
     /// Gossip with other relays, where operators have switched it on.
     pub(in crate::relay) gossip: Option<GossipHandle>,
-    pub(in crate::relay) metrics: Book,
+    pub(in crate::relay) metrics: MetricsRegistry,
     /// Where counters outlast the process, if anywhere.
     pub(in crate::relay) persistent_counters: Option<recorder::Lasting>,
     /// The running exporters, by name.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -72,7 +72,8 @@
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
-    let state = honeyknot_metrics::Book::new(1).state("n0", 5_000_000, 2).encode().expect("a snapshot");
+    let state =
+        honeyknot_metrics::MetricsRegistry::new(1).stored("n0", 5_000_000, 2).encode().expect("a snapshot");
     let file = folder.0.join("state");
     fs::write(&file, &state).expect("a file");
     let output = run(&["metrics", "decode", &file.display().to_string()]);
@@ -83,7 +84,7 @@
     let packet = honeyknot_metrics::collectd::packets(
         "n0",
         "relay",
-        &honeyknot_metrics::Book::new(1).read(5_000_000),
+        &honeyknot_metrics::MetricsRegistry::new(1).snapshot(5_000_000),
         1_000_000,
         &honeyknot_metrics::collectd::Security::None,
         || [0; 16],
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -2,13 +2,13 @@
 
 use std::fs;
 
-use honeyknot_metrics::book::{Reading as Sample, Value as SampleValue};
 use honeyknot_metrics::collectd::{self, Received, Security};
+use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
 use honeyknot_metrics::graphite::{self, Paths};
-use honeyknot_metrics::names::{Family as MetricFamily, Kind as MetricKind, NAMES as METRIC_FAMILIES};
-use honeyknot_metrics::records;
-use honeyknot_metrics::state::{Spread as HistogramState, State as PersistentCounters, Total as Counter};
-use honeyknot_metrics::{Book as MetricsRegistry, Plan as MetricsPlan};
+use honeyknot_metrics::registry::{MetricValue, MetricsSnapshot};
+use honeyknot_metrics::spool_record;
+use honeyknot_metrics::stored::{CounterState, HistogramState, StoredMetrics};
+use honeyknot_metrics::{MetricsConfig, MetricsRegistry};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpListener;
 
@@ -35,26 +35,26 @@
 fn registry() -> MetricsRegistry {
     let mut registry = MetricsRegistry::new(SERIES_CAP);
     registry.add(MetricFamily::Requests, 0, 9_007_199_254_740_993);
-    registry.count(MetricFamily::Refused, "closing");
+    registry.increment(MetricFamily::RequestsRejected, "closing");
     registry.add(MetricFamily::Attempts, 0, 3);
-    registry.add_open(MetricFamily::Placed, "tema", 4);
-    registry.add_open(MetricFamily::Placed, "kasoa east", 2);
-    registry.add_open(MetricFamily::Placed, "accra-north", 7);
-    registry.set(MetricFamily::Sessions, 12.0);
-    registry.set(MetricFamily::RollAge, 1.5);
+    registry.add_dynamic(MetricFamily::AttemptsByZone, "tema", 4);
+    registry.add_dynamic(MetricFamily::AttemptsByZone, "kasoa east", 2);
+    registry.add_dynamic(MetricFamily::AttemptsByZone, "accra-north", 7);
+    registry.set(MetricFamily::EstablishedConnections, 12.0);
+    registry.set(MetricFamily::DiscoveryAge, 1.5);
     for us in [900, 1_500, 1_500, 250_000] {
-        registry.record(MetricFamily::Setup, us);
+        registry.record(MetricFamily::SetupLatency, us);
     }
     registry
 }
 
-fn sample() -> Sample {
-    registry().read(TAKEN_AT)
+fn sample() -> MetricsSnapshot {
+    registry().snapshot(TAKEN_AT)
 }
 
 fn kind_word(kind: MetricKind) -> &'static str {
     match kind {
-        MetricKind::Total => "total",
+        MetricKind::Counter => "total",
         MetricKind::Gauge => "gauge",
         MetricKind::Histogram => "histogram",
     }
@@ -114,7 +114,7 @@
         kind: "derive".into(),
         name: "requests".into(),
         at: TAKEN_AT,
-        value: SampleValue::Total(9_007_199_254_740_993),
+        value: MetricValue::Counter(9_007_199_254_740_993),
     }
 }
 
@@ -147,8 +147,8 @@
     assert_eq!(text, fixture_text("collectd-putval.txt"));
 }
 
-fn counter(name: &str, value: &str, total: u64) -> Counter {
-    Counter { name: name.into(), value: value.into(), total }
+fn counter(name: &str, value: &str, total: u64) -> CounterState {
+    CounterState { name: name.into(), value: value.into(), total }
 }
 
 fn histogram(name: &str, counts: &[(u64, u64)]) -> HistogramState {
@@ -156,12 +156,12 @@
 }
 
 /// What the snapshot of the fixtures says.
-fn persistent_counters() -> PersistentCounters {
-    PersistentCounters {
+fn persistent_counters() -> StoredMetrics {
+    StoredMetrics {
         relay: "n0".into(),
         at: TAKEN_AT,
         lives: 3,
-        totals: vec![
+        counters: vec![
             counter("requests", "", 9_007_199_254_740_993),
             counter("refused", "closing", 1),
             counter("attempts", "up", 3),
@@ -169,7 +169,7 @@
             counter("placed", "others", 7),
             counter("placed", "tema", 4),
         ],
-        spreads: vec![
+        histograms: vec![
             histogram("setup", &[(903, 1), (1_503, 2), (250_879, 1)]),
             histogram("refusal", &[]),
             histogram("message", &[]),
@@ -182,7 +182,7 @@
 #[test]
 fn persistent_counters_of_the_previous_version_are_read_and_written_unchanged() {
     let bytes = fixture(SNAPSHOT);
-    let counters = PersistentCounters::decode(&bytes).expect("a sound snapshot");
+    let counters = StoredMetrics::decode(&bytes).expect("a sound snapshot");
     assert_eq!(counters, persistent_counters());
     assert_eq!(counters.encode().expect("a snapshot"), bytes);
 }
@@ -190,10 +190,10 @@
 #[test]
 fn a_registry_is_restored_from_persistent_counters_of_the_previous_version_and_saved_unchanged() {
     let bytes = fixture(SNAPSHOT);
-    let counters = PersistentCounters::decode(&bytes).expect("a sound snapshot");
+    let counters = StoredMetrics::decode(&bytes).expect("a sound snapshot");
     let mut registry = MetricsRegistry::new(SERIES_CAP);
     assert_eq!(registry.restore(&counters), 0);
-    assert_eq!(registry.state("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
+    assert_eq!(registry.stored("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
 }
 
 /// The frames of the fixture's segment and the points that each holds.
@@ -207,12 +207,12 @@
 #[test]
 fn a_spool_segment_of_the_previous_version_is_read_and_written_unchanged() {
     let bytes = fixture(SEGMENT);
-    assert_eq!(records::sound(&bytes), (bytes.len(), 2, 3));
+    assert_eq!(spool_record::sound(&bytes), (bytes.len(), 2, 3));
     let (mut at, mut written) = (0, Vec::new());
     for (frame, points) in spooled_frames() {
-        let record = records::first(&bytes[at..]).expect("a sound record");
+        let record = spool_record::first(&bytes[at..]).expect("a sound record");
         assert_eq!((&record.frame[..], record.points), (frame, points));
-        written.extend(records::encode(&record.frame, record.points).expect("a record"));
+        written.extend(spool_record::encode(&record.frame, record.points).expect("a record"));
         at += record.size;
     }
     assert_eq!(written, bytes);
@@ -247,7 +247,7 @@
             "state {}\nsink main.sink {{\n  graphite {at}\n  interval 1s\n  spool 4MiB\n}}\n",
             scratch.0.display()
         );
-        let plan = MetricsPlan::read("metrics.conf", &text, |_| Err("no key file".into()));
+        let plan = MetricsConfig::read("metrics.conf", &text, |_| Err("no key file".into()));
         let mut config = config(&[], 256, address("127.0.0.1:1")).expect("a sound configuration");
         config.metrics = Some(plan.expect("a sound file"));
         let _relay = start_relay(config, None).await;
@@ -264,7 +264,7 @@
         assert_eq!(total("honeyknot.n0.placed.site.tema "), "4");
         assert!(scratch.0.join("state-0000000000000008.snap").exists());
         let next = fs::read(scratch.0.join("state-0000000000000008.snap")).expect("a snapshot");
-        let next = PersistentCounters::decode(&next).expect("a sound snapshot");
+        let next = StoredMetrics::decode(&next).expect("a sound snapshot");
         assert_eq!((next.relay.as_str(), next.lives), ("n0", 4));
     });
 }
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -5,8 +5,8 @@
 
 use honeyknot_gossip::Plan as NeighborsPlan;
 use honeyknot_metrics::collectd::Security;
+use honeyknot_metrics::config::{ExporterConfig, MetricsConfig, Protocol};
 use honeyknot_metrics::graphite::Paths;
-use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_zone_failover::{RetryAfterRange, ZoneFailoverConfig};
 
@@ -25,9 +25,9 @@
     NeighborsPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
 }
 
-fn read_metrics(file: &str) -> Result<MetricsPlan, String> {
+fn read_metrics(file: &str) -> Result<MetricsConfig, String> {
     let no_key = |_: &str| Err("no key file".to_owned());
-    MetricsPlan::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
+    MetricsConfig::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
 }
 
 fn read_leases(file: &str) -> Result<LeaseConfig, String> {
@@ -126,8 +126,8 @@
     assert_eq!(read_neighbors("neighbors.conf"), Ok(meant));
 }
 
-fn sink(name: &str, protocol: Protocol, at: &str) -> Sink {
-    Sink {
+fn sink(name: &str, protocol: Protocol, at: &str) -> ExporterConfig {
+    ExporterConfig {
         name: name.into(),
         protocol,
         address: address(at),
@@ -146,19 +146,19 @@
         sink("graphite", Protocol::GraphiteLines(Paths::Nodes), "127.0.0.1:2003"),
         sink("collectd", Protocol::Collectd(Security::None), "127.0.0.1:25826"),
     ];
-    assert_eq!(plan.sinks, meant);
-    assert_eq!((plan.cap, plan.state), (64, None));
+    assert_eq!(plan.exporters, meant);
+    assert_eq!((plan.series_cap, plan.state_directory), (64, None));
 }
 
 #[test]
 fn a_metrics_file_with_every_directive_changed_means_what_it_meant() {
     let text = fixture_text("metrics-all.conf");
     let key = |file: &str| Ok((format!("user of {file}"), "secret".to_owned()));
-    let plan = MetricsPlan::read("metrics-all.conf", &text, key).expect("a sound file");
+    let plan = MetricsConfig::read("metrics-all.conf", &text, key).expect("a sound file");
     let security = |file: &str| (format!("user of {file}"), "secret".to_owned());
     let (signer, encrypter) = (security("sign.key"), security("encrypt.key"));
     let meant = [
-        Sink {
+        ExporterConfig {
             interval: Duration::from_secs(2),
             prefix: "edge".into(),
             buffer: 8 << 10,
@@ -177,8 +177,8 @@
             "127.0.0.1:25827",
         ),
     ];
-    assert_eq!(plan.sinks, meant);
-    assert_eq!((plan.cap, plan.state), (9, Some("counts".into())));
+    assert_eq!(plan.exporters, meant);
+    assert_eq!((plan.series_cap, plan.state_directory), (9, Some("counts".into())));
 }
 
 #[test]
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use honeyknot_metrics::book::Value;
 use honeyknot_metrics::collectd::read;
+use honeyknot_metrics::registry::MetricValue;
 use process::{Relay, ScratchDirectory, config, first_answer, unused_address};
 
 /// A Graphite that hands on every line it gets.
@@ -117,7 +117,7 @@
         let count = sink.recv(&mut packet).expect("a packet");
         assert!(read(&packet[..count], Some(&wrong)).is_err());
         let values = read(&packet[..count], Some(&password)).expect("a genuine packet");
-        if values.iter().any(|v| v.name == "refused-decisions" && v.value == Value::Total(1)) {
+        if values.iter().any(|v| v.name == "refused-decisions" && v.value == MetricValue::Counter(1)) {
             assert!(values.iter().all(|v| v.host == "n0"));
             return;
         }
