--- a/src/admin/ask.rs
+++ b/src/admin/client.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 /// An answer is due within a second; a relay that takes this long does not answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest answer that is read.
-const LONGEST: u64 = 1 << 20;
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// Makes one call and returns the whole answer.
-pub fn ask(at: SocketAddr, words: &[String]) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
+pub fn send_command(at: SocketAddr, words: &[String]) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&at, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
     stream.write_all(format!("{}\n", words.join(" ")).as_bytes())?;
     let mut answer = String::new();
-    stream.take(LONGEST).read_to_string(&mut answer)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer)?;
     match answer.is_empty() {
         true => Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the relay closed without an answer")),
         false => Ok(answer),
@@ -24,6 +24,6 @@
 }
 
 /// Whether an answer is none of `NO`.
-pub fn agrees(answer: &str) -> bool {
+pub fn is_accepted(answer: &str) -> bool {
     !answer.starts_with("NO")
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,10 +1,10 @@
 //! The operators' address: one call a connection, one answer, close.
 //!
-//! It decides nothing and counts nothing: calls are parsed in [`call`], and whoever serves answers them as a [`Desk`]. It
+//! It decides nothing and counts nothing: calls are parsed in [`call`], and whoever serves answers them as a [`AdminService`]. It
 //! does not know the relay's hub.
 
-pub mod ask;
-pub mod call;
+pub mod client;
+pub mod command;
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -18,7 +18,7 @@
 
 use crate::relay::connections::graceful_close;
 use crate::relay::timer_wheel::Timers;
-use call::{Bad, Call};
+use command::{AdminCommand, AdminCommandError};
 use honeyknot_balancer::Micros;
 
 /// Callers at a time. Their descriptors are kept out of what sessions and the crowd may hold.
@@ -33,23 +33,23 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// Whoever serves, as operators see it.
-pub trait Desk: Clone + 'static {
+pub trait AdminService: Clone + 'static {
     /// Its clock and wheel.
     fn timers(&self) -> Rc<Timers>;
     /// All figures, as one line of JSON.
     fn figures(&self) -> String;
     /// Whether it serves, or why not.
-    fn can_serve(&self) -> Result<(), String>;
+    fn check_ready(&self) -> Result<(), String>;
     /// Takes a card server out by hand, or puts it back. When this resolves, it holds.
-    fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>>;
+    fn set_maintenance(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>>;
 }
 
 /// Who holds a connection, by age; ended callers are taken out when the next one comes.
 type Callers = VecDeque<(AbortHandle, Micros)>;
 
 /// Answers calls until the relay ends.
-pub async fn serve(desk: impl Desk, listener: TcpListener) {
-    let timers = desk.timers();
+pub async fn serve(service: impl AdminService, listener: TcpListener) {
+    let timers = service.timers();
     let mut callers = Callers::default();
     loop {
         let stream = match listener.accept().await {
@@ -68,7 +68,7 @@
             timers.sleep_until(since + NEW).await;
             task.abort();
         }
-        let task = tokio::task::spawn_local(answer(desk.clone(), stream));
+        let task = tokio::task::spawn_local(answer(service.clone(), stream));
         callers.push_back((task.abort_handle(), timers.clock.now()));
         // It is read before another can take its place.
         tokio::task::yield_now().await;
@@ -76,17 +76,17 @@
 }
 
 /// One caller: its call, the answer, the end.
-async fn answer(desk: impl Desk, mut stream: TcpStream) {
-    let timers = desk.timers();
+async fn answer(service: impl AdminService, mut stream: TcpStream) {
+    let timers = service.timers();
     let _ = stream.set_nodelay(true);
-    let mut bytes = Vec::with_capacity(call::LONGEST);
+    let mut bytes = Vec::with_capacity(command::MAX_COMMAND_BYTES);
     let call = tokio::select! {
         call = read(&mut stream, &mut bytes) => call,
-        () = timers.sleep(PATIENCE) => Some(Err(Bad::CutShort)),
+        () = timers.sleep(PATIENCE) => Some(Err(AdminCommandError::Incomplete)),
     };
     let Some(call) = call else { return };
     let answer = match call {
-        Ok(call) => carry_out(&desk, call).await,
+        Ok(call) => carry_out(&service, call).await,
         Err(why) => format!("NO {why}\n"),
     };
     // Callers get the line ends that they use.
@@ -102,25 +102,27 @@
 }
 
 /// Reads one call; none if the caller left without a word.
-async fn read(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Result<Call, Bad>> {
+async fn read(
+    stream: &mut TcpStream, bytes: &mut Vec<u8>,
+) -> Option<Result<AdminCommand, AdminCommandError>> {
     loop {
-        if let Some(call) = call::take(bytes) {
+        if let Some(call) = command::parse_buffered(bytes) {
             return Some(call);
         }
         match stream.read_buf(bytes).await {
-            Ok(0) if !bytes.is_empty() => return Some(Err(Bad::CutShort)),
+            Ok(0) if !bytes.is_empty() => return Some(Err(AdminCommandError::Incomplete)),
             Ok(0) | Err(_) => return None,
             Ok(_) => {}
         }
     }
 }
 
-async fn carry_out(desk: &impl Desk, call: Call) -> String {
+async fn carry_out(service: &impl AdminService, call: AdminCommand) -> String {
     let done = match call {
-        Call::Stats => return format!("{}\nEND\n", desk.figures()),
-        Call::Status => desk.can_serve(),
-        Call::MaintOn(id) => desk.by_hand(id, true).await,
-        Call::MaintOff(id) => desk.by_hand(id, false).await,
+        AdminCommand::Stats => return format!("{}\nEND\n", service.figures()),
+        AdminCommand::Status => service.check_ready(),
+        AdminCommand::MaintOn(id) => service.set_maintenance(id, true).await,
+        AdminCommand::MaintOff(id) => service.set_maintenance(id, false).await,
     };
     match done {
         Ok(()) => "YES\n".to_owned(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use honeyknot_relay::admin::ask;
+use honeyknot_relay::admin::client;
 use honeyknot_relay::inspect::{self, Show};
 use honeyknot_relay::lease_client::admin_commands::{self, AdminCommand};
 use honeyknot_relay::lease_client::config::LeaseConfig;
@@ -94,10 +94,10 @@
             config.map(|config| describe(&config))
         }
         Command::Metrics { show } => inspect::show(&show),
-        Command::Admin { address, words } => match ask::ask(address, &words) {
+        Command::Admin { address, words } => match client::send_command(address, &words) {
             Ok(answer) => {
                 print!("{answer}");
-                return if ask::agrees(&answer) { ExitCode::SUCCESS } else { ExitCode::from(1) };
+                return if client::is_accepted(&answer) { ExitCode::SUCCESS } else { ExitCode::from(1) };
             }
             Err(why) => Err(format!("{address}: {why}")),
         },
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -7,6 +7,7 @@
 use super::connection_table::CurrentAttempt;
 use super::endpoints::discovery_client::DiscoveryCommand;
 use super::endpoints::health_check::{self, HealthCheckCommand};
+use super::metrics::labels::{FailureCause, RejectionReason};
 use super::{AttemptRequest, ConnectionCommand, Relay};
 
 impl Relay {
@@ -17,7 +18,7 @@
             }
             Action::Reject { id, retry_after } => self.reject(id, retry_after),
             Action::Fail(id) => {
-                self.record_failed("decisions");
+                self.record_failed(FailureCause::Balancer);
                 self.send_command(id, ConnectionCommand::Fail);
             }
             Action::Migrate(id) => {
@@ -42,7 +43,7 @@
     fn reject(&mut self, id: RequestId, retry_after: Micros) {
         let requested_at = self.connections.get(id).map(|entry| entry.requested_at);
         let elapsed = requested_at.map(|at| self.timers.clock.now().saturating_sub(at));
-        self.record_rejected("decisions", elapsed);
+        self.record_rejected(RejectionReason::Balancer, elapsed);
         self.send_command(id, ConnectionCommand::Reject(retry_after));
     }
 
--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -11,7 +11,8 @@
 use super::connection_table::{ConnectionEntry, CurrentAttempt};
 use super::connections::protocol::OpenRequest;
 use super::endpoints::message_latency::LatencySource;
-use super::metrics::recorder::Answer;
+use super::metrics::labels::RejectionReason;
+use super::metrics::recorder::RequestResult;
 use super::{ConnectionCommand, Relay};
 
 /// A registered connection: its id, and the queue of its commands.
@@ -32,7 +33,7 @@
             }
             // Without an allowed zone there is nothing to route, so the balancer does not hear of the request.
             ZoneDecision::Reject { retry_after } => {
-                self.record_rejected("site_limit", Some(0));
+                self.record_rejected(RejectionReason::ZoneLimit, Some(0));
                 self.send_command(request.id, ConnectionCommand::Reject(retry_after));
             }
         }
@@ -43,7 +44,7 @@
     pub fn adopt_connection(
         &mut self, open: &OpenRequest, endpoint: EndpointId,
     ) -> Option<RegisteredConnection> {
-        self.record_unregistered_answer(open, Answer::Up);
+        self.record_unregistered_result(open, RequestResult::Established);
         self.restore_connection(open, endpoint)
     }
 
@@ -105,7 +106,7 @@
         entry.established = true;
         let Some(attempt) = entry.attempt.clone() else { return };
         let (requested_at, class) = (entry.requested_at, entry.class);
-        self.record_answer(Some(class), Answer::Up);
+        self.record_request_result(Some(class), RequestResult::Established);
         let setup_time = self.timers.clock.now().saturating_sub(requested_at);
         self.record_established(setup_time);
         let CurrentAttempt { id: attempt, endpoint, started_at } = attempt;
@@ -131,9 +132,9 @@
     }
 
     /// The client of a connection that is not established gets its answer.
-    pub fn request_answered(&mut self, id: RequestId, answer: Answer) {
+    pub fn request_answered(&mut self, id: RequestId, answer: RequestResult) {
         let class = self.connections.get(id).map(|entry| entry.class);
-        self.record_answer(class, answer);
+        self.record_request_result(class, answer);
     }
 
     /// The connection's task ends; its attempt is settled, and its client's request unless it was `answered`.
@@ -141,7 +142,7 @@
         let Some(entry) = self.connections.get(id) else { return };
         let (attempt_under_way, class) = (entry.attempt.is_some(), entry.class);
         if !answered && !entry.established {
-            self.record_answer(Some(class), Answer::Failed);
+            self.record_request_result(Some(class), RequestResult::Failed);
             self.handle_event(Event::ClientLeft(id));
         }
         if attempt_under_way {
--- a/src/relay/connections/admission.rs
+++ b/src/relay/connections/admission.rs
@@ -1,9 +1,9 @@
 //! Valid requests that have no entry in the relay's table yet, and their rejection.
 
 use super::client_stream::ClientStream;
-use super::metric_labels::RejectionReason;
 use super::protocol::{self, MICROS_PER_MILLISECOND, OpenRequest};
-use crate::relay::metrics::recorder::Answer;
+use crate::relay::metrics::labels::RejectionReason;
+use crate::relay::metrics::recorder::RequestResult;
 use crate::relay::{ConnectionIdGuard, SharedRelay};
 
 /// A valid request whose connection id is reserved.
@@ -18,8 +18,8 @@
 pub(super) async fn reject(
     relay: &SharedRelay, downstream: ClientStream, request: &OpenRequest, reason: RejectionReason,
 ) {
-    relay.borrow_mut().record_rejected(reason.label(), None);
-    relay.borrow_mut().record_unregistered_answer(request, Answer::Busy);
+    relay.borrow_mut().record_rejected(reason, None);
+    relay.borrow_mut().record_unregistered_result(request, RequestResult::Rejected);
     let line = protocol::encode_rejected(retry_after_ms(relay));
     downstream.close_with(&line).await;
 }
--- a/src/relay/connections/adoption.rs
+++ b/src/relay/connections/adoption.rs
@@ -8,9 +8,9 @@
 use super::client_stream::{ClientActivity, ClientStream};
 use super::connection_guard::ConnectionGuard;
 use super::established::{AcceptedConnection, EstablishedConnection};
-use super::metric_labels::RejectionReason;
 use super::protocol::{self, OpenRequest};
-use crate::relay::metrics::recorder::Answer;
+use crate::relay::metrics::labels::RejectionReason;
+use crate::relay::metrics::recorder::RequestResult;
 use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
 /// Pause between two attempts to connect to the endpoint.
@@ -49,7 +49,7 @@
             // First, so that nothing is forwarded for a client that has left.
             activity = self.downstream.left_or_overflowed() => match activity {
                 ClientActivity::Left => {
-                    self.relay.borrow_mut().record_unregistered_answer(&self.request, Answer::Failed);
+                    self.relay.borrow_mut().record_unregistered_result(&self.request, RequestResult::Failed);
                     return None;
                 }
                 ClientActivity::SentData => None,
@@ -58,7 +58,7 @@
             () = timers.sleep_until(deadline) => None,
         };
         let Some(upstream) = upstream else {
-            self.relay.borrow_mut().record_unregistered_answer(&self.request, Answer::Failed);
+            self.relay.borrow_mut().record_unregistered_result(&self.request, RequestResult::Failed);
             self.downstream.close_with(protocol::FAILED).await;
             return None;
         };
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -7,7 +7,7 @@
 use super::client_stream::ClientStream;
 use super::connection_guard::{ConnectionGuard, Reservations};
 use super::line_relay::{ConnectionEnd, LineRelay};
-use super::metric_labels::connection_end_label;
+use super::metric_labels::connection_end_reason;
 use super::protocol::{LastLine, OpenRequest};
 use super::streams::Streams;
 use super::transfer::ConnectionTransfer;
@@ -65,9 +65,9 @@
     pub(super) async fn run(mut self) -> FinalState {
         let end = self.lines.run(&mut self.commands).await;
         let outcome = outcome_of(end, self.lines.last_line());
-        let end_label = connection_end_label(end, self.lines.last_line());
+        let end_reason = connection_end_reason(end, self.lines.last_line());
         let endpoint = self.relay.borrow().endpoint_of(self.guard.id);
-        self.relay.borrow_mut().record_connection_ended(end_label);
+        self.relay.borrow_mut().record_connection_ended(end_reason);
         if end == ConnectionEnd::EndpointSilent {
             self.relay.borrow_mut().record_silent_migration();
         }
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -7,10 +7,10 @@
 use super::admission::ValidRequest;
 use super::client_stream::ClientStream;
 use super::idle::IdleSlot;
-use super::metric_labels::FailureCause;
 use super::protocol::{self, OpenRequest, ProtocolError};
 use crate::relay::SharedRelay;
-use crate::relay::metrics::recorder::Answer;
+use crate::relay::metrics::labels::FailureCause;
+use crate::relay::metrics::recorder::RequestResult;
 
 /// How long a connection may stay idle, however many bytes or `PING` it sends.
 ///
@@ -49,7 +49,7 @@
             Ok(Handshake::Left) => None,
             Err(error) => {
                 debug!(target: "client", %error, "request rejected");
-                self.relay.borrow_mut().record_failed(FailureCause::ProtocolError.label());
+                self.relay.borrow_mut().record_failed(FailureCause::ProtocolError);
                 self.answer_and_close(protocol::FAILED).await;
                 None
             }
@@ -62,7 +62,7 @@
         let Some(connection_id) = reserved else {
             let error = "connection id already open, or unknown class";
             debug!(target: "client", error, "request rejected");
-            self.relay.borrow_mut().record_unregistered_answer(&request, Answer::Failed);
+            self.relay.borrow_mut().record_unregistered_result(&request, RequestResult::Failed);
             self.answer_and_close(protocol::FAILED).await;
             return None;
         };
--- a/src/relay/connections/line_relay.rs
+++ b/src/relay/connections/line_relay.rs
@@ -14,6 +14,7 @@
 use super::silence_detector::SilenceDetector;
 use super::streams::{SideClosed, Streams, write_available};
 use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
+use crate::relay::metrics::labels::Direction;
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{ConnectionCommand, SharedRelay};
 
@@ -268,7 +269,7 @@
             self.load = Some(load);
             self.relay.borrow_mut().connection_load_reported(self.id, load);
         }
-        self.relay.borrow_mut().record_bytes(true, bytes.len());
+        self.relay.borrow_mut().record_bytes(Direction::ToDownstream, bytes.len());
         self.to_downstream.push(bytes);
     }
 
@@ -278,7 +279,7 @@
         match self.streams.downstream.try_read_buf(&mut self.to_upstream) {
             Ok(0) => self.downstream_closed = Some(SideClosed { kind: CloseKind::Graceful, at: now }),
             Ok(count) => {
-                self.relay.borrow_mut().record_bytes(false, count);
+                self.relay.borrow_mut().record_bytes(Direction::ToUpstream, count);
                 self.silence.client_sent(now);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -11,9 +11,9 @@
 use super::client_stream::{ClientActivity, ClientStream};
 use super::connection_guard::ConnectionGuard;
 use super::established::{AcceptedConnection, EstablishedConnection};
-use super::metric_labels::{FailureCause, RejectionReason};
 use super::protocol::{self, MICROS_PER_MILLISECOND, OpenRequest};
-use crate::relay::metrics::recorder::Answer;
+use crate::relay::metrics::labels::{FailureCause, RejectionReason};
+use crate::relay::metrics::recorder::RequestResult;
 use crate::relay::{AttemptRequest, ConnectionCommand, ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
 /// A connection that waits for an endpoint to accept it.
@@ -44,7 +44,7 @@
     /// The connection is established.
     Established(UpstreamStream),
     /// Send the client a last line.
-    Answer(Vec<u8>, Answer),
+    Answer(Vec<u8>, RequestResult),
     /// The client has left.
     Close,
 }
@@ -126,7 +126,7 @@
             }
             AttemptEnd::Result(AttemptResult::Completed(answer)) => {
                 self.request_settled(Outcome::Ok);
-                Step::Answer(answer.into(), Answer::Failed)
+                Step::Answer(answer.into(), RequestResult::Failed)
             }
             AttemptEnd::ClientLeft => Step::Close,
             AttemptEnd::Answer(command) => {
@@ -160,7 +160,7 @@
                 activity = self.downstream.activity() => return match activity {
                     ClientActivity::Left => AttemptEnd::ClientLeft,
                     ClientActivity::SentData => {
-                        self.relay.borrow_mut().record_failed(FailureCause::DataBeforeAnswer.label());
+                        self.relay.borrow_mut().record_failed(FailureCause::DataBeforeAnswer);
                         AttemptEnd::Answer(ConnectionCommand::Fail)
                     }
                 },
@@ -186,7 +186,7 @@
     /// Tells the balancer that the relay answers by itself, for this cause.
     fn abandon(&self, cause: FailureCause) -> ConnectionCommand {
         self.relay.borrow_mut().connection_closed(self.guard.id, false);
-        self.relay.borrow_mut().record_failed(cause.label());
+        self.relay.borrow_mut().record_failed(cause);
         ConnectionCommand::Fail
     }
 
@@ -204,7 +204,7 @@
         EstablishedConnection::new(accepted, upstream)
     }
 
-    async fn answer_and_close(self, line: &[u8], answer: Answer) {
+    async fn answer_and_close(self, line: &[u8], answer: RequestResult) {
         self.relay.borrow_mut().request_answered(self.guard.id, answer);
         self.guard.release_answered();
         self.downstream.close_with(line).await;
@@ -226,8 +226,8 @@
         // Rounded up: a client that retries too early is rejected again.
         ConnectionCommand::Reject(retry_after) => Step::Answer(
             protocol::encode_rejected(retry_after.div_ceil(MICROS_PER_MILLISECOND)),
-            Answer::Busy,
+            RequestResult::Rejected,
         ),
-        _ => Step::Answer(protocol::FAILED.to_vec(), Answer::Failed),
+        _ => Step::Answer(protocol::FAILED.to_vec(), RequestResult::Failed),
     }
 }
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 
 use super::hot_restart::{self, MaintenanceChange};
-use crate::admin::Desk;
+use crate::admin::AdminService;
 use crate::relay::SharedRelay;
 use crate::relay::timer_wheel::Timers;
 
-impl Desk for SharedRelay {
+impl AdminService for SharedRelay {
     fn timers(&self) -> Rc<Timers> {
         self.borrow().timers.clone()
     }
@@ -17,11 +17,11 @@
         self.borrow().figures()
     }
 
-    fn can_serve(&self) -> Result<(), String> {
+    fn check_ready(&self) -> Result<(), String> {
         self.borrow().check_ready().map_err(|reason| reason.to_string())
     }
 
-    fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
+    fn set_maintenance(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
         let relay = self.clone();
         async move {
             let changed = hot_restart::set_maintenance(&relay, &id, MaintenanceChange::of(out)).await;
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -19,7 +19,7 @@
 use tracing::{info, warn};
 
 use super::recorder;
-use super::spool_queue::Waiting;
+use super::spool_queue::SpoolQueue;
 use crate::relay::{DescriptorPermit, SharedRelay};
 
 /// Readings that wait in memory where there is a spool: older ones wait on disk.
@@ -120,7 +120,7 @@
 }
 
 /// What a sink's task leaves to the one that follows it.
-pub struct Feed {
+pub struct ExporterState {
     queue: Queue,
     /// The reading that was told last.
     before: Option<MetricsSnapshot>,
@@ -129,10 +129,10 @@
 }
 
 /// A sink that is being fed.
-pub struct Running {
+pub struct Exporter {
     sink: ExporterConfig,
     stop: oneshot::Sender<()>,
-    task: JoinHandle<Feed>,
+    task: JoinHandle<ExporterState>,
 }
 
 /// Feeds the sinks that a plan names, and no others. One that stays as it is is not touched; one that has changed goes on
@@ -146,19 +146,19 @@
                 running.insert(sink.name.clone(), same);
                 continue;
             }
-            changed => changed.map(Running::stop),
+            changed => changed.map(Exporter::stop),
         };
         let (stop, stopped) = oneshot::channel();
         let task = spawn_local(feed(relay.clone(), sink.clone(), name.to_owned(), carried, stopped));
-        running.insert(sink.name.clone(), Running { sink: sink.clone(), stop, task });
+        running.insert(sink.name.clone(), Exporter { sink: sink.clone(), stop, task });
     }
     old.into_values().for_each(|gone| drop(gone.stop()));
     relay.borrow_mut().exporters = running;
 }
 
-impl Running {
+impl Exporter {
     /// Has the task end as soon as it can; what it leaves comes out of it.
-    fn stop(self) -> (ExporterConfig, JoinHandle<Feed>) {
+    fn stop(self) -> (ExporterConfig, JoinHandle<ExporterState>) {
         // A task that has ended by itself hears nothing and is done.
         let _ = self.stop.send(());
         (self.sink, self.task)
@@ -167,13 +167,16 @@
 
 /// What a sink begins with: nothing, or what the one before it under its name has left.
 async fn take_over(
-    relay: &SharedRelay, sink: &ExporterConfig, carried: Option<(ExporterConfig, JoinHandle<Feed>)>,
-) -> Feed {
+    relay: &SharedRelay, sink: &ExporterConfig, carried: Option<(ExporterConfig, JoinHandle<ExporterState>)>,
+) -> ExporterState {
     let most = sink.buffer as usize;
     // Guards against a second that the life before this one has told already.
     let second = relay.borrow().timers.clock.now() / 1_000_000 + 1;
-    let mut fresh =
-        Feed { queue: Queue { frames: VecDeque::new(), bytes: 0, most, written: 0 }, before: None, second };
+    let mut fresh = ExporterState {
+        queue: Queue { frames: VecDeque::new(), bytes: 0, most, written: 0 },
+        before: None,
+        second,
+    };
     let Some((old, task)) = carried else { return fresh };
     let Ok(mut left) = task.await else { return fresh };
     (left.queue.most, left.queue.written) = (most, 0);
@@ -190,10 +193,10 @@
 /// Feeds a sink until it is stopped.
 async fn feed(
     relay: SharedRelay, sink: ExporterConfig, name: String,
-    carried: Option<(ExporterConfig, JoinHandle<Feed>)>, mut stop: oneshot::Receiver<()>,
-) -> Feed {
-    let Feed { mut queue, mut before, mut second } = take_over(&relay, &sink, carried).await;
-    let mut waiting = Waiting::open(&relay, &sink).await;
+    carried: Option<(ExporterConfig, JoinHandle<ExporterState>)>, mut stop: oneshot::Receiver<()>,
+) -> ExporterState {
+    let ExporterState { mut queue, mut before, mut second } = take_over(&relay, &sink, carried).await;
+    let mut waiting = SpoolQueue::open(&relay, &sink).await;
     let mut ticks = interval_at(Instant::now() + sink.interval, sink.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let now = Instant::now();
@@ -209,7 +212,7 @@
                     queue.written = 0;
                     queue.bytes -= queue.frames.pop_front().map_or(0, |(frame, _)| frame.len());
                 }
-                return Feed { queue, before, second };
+                return ExporterState { queue, before, second };
             }
             _ = ticks.tick() => {
                 let reading = relay.borrow_mut().metrics_snapshot();
--- /dev/null
+++ b/src/relay/metrics/labels.rs
@@ -0,0 +1,128 @@
+//! Values of metric tags that the relay records.
+
+use honeyknot_balancer::Outcome;
+
+/// Why a request was rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::relay) enum RejectionReason {
+    /// The balancer rejected it.
+    Balancer,
+    /// The limit of the endpoints' zone is reached.
+    ZoneLimit,
+    /// The relay shuts down.
+    ShuttingDown,
+    /// The maximum number of open requests is reached.
+    MaxOpenRequests,
+    /// No descriptor is free.
+    Descriptors,
+}
+
+impl RejectionReason {
+    /// Returns the value of the tag `reason`.
+    pub(in crate::relay) fn label(self) -> &'static str {
+        match self {
+            RejectionReason::Balancer => "decisions",
+            RejectionReason::ZoneLimit => "site_limit",
+            RejectionReason::ShuttingDown => "closing",
+            RejectionReason::MaxOpenRequests => "capacity",
+            RejectionReason::Descriptors => "descriptors",
+        }
+    }
+}
+
+/// Why a request failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::relay) enum FailureCause {
+    /// The balancer gave the request up.
+    Balancer,
+    /// The request is not valid by the line protocol.
+    ProtocolError,
+    /// The client sent data before its request was answered.
+    DataBeforeAnswer,
+    /// The request was not answered in time.
+    Overdue,
+}
+
+impl FailureCause {
+    /// Returns the value of the tag `cause`.
+    pub(in crate::relay) fn label(self) -> &'static str {
+        match self {
+            FailureCause::Balancer => "decisions",
+            FailureCause::ProtocolError => "malformed",
+            FailureCause::DataBeforeAnswer => "spoke",
+            FailureCause::Overdue => "late",
+        }
+    }
+}
+
+/// How an established connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::relay) enum ConnectionEndReason {
+    /// The endpoint closed it after its last line was complete.
+    Completed,
+    /// The client closed or reset it.
+    Client,
+    /// The endpoint closed it while a line was outstanding.
+    Endpoint,
+    /// The endpoint reset it.
+    EndpointReset,
+    /// It was migrated.
+    Migrated,
+    /// It was transferred to another process.
+    Transferred,
+}
+
+impl ConnectionEndReason {
+    /// Returns the value of the tag `how`.
+    pub(in crate::relay) fn label(self) -> &'static str {
+        match self {
+            ConnectionEndReason::Completed => "served",
+            ConnectionEndReason::Client => "client",
+            ConnectionEndReason::Endpoint => "server",
+            ConnectionEndReason::EndpointReset => "reset",
+            ConnectionEndReason::Migrated => "moved",
+            ConnectionEndReason::Transferred => "passed",
+        }
+    }
+}
+
+/// The direction in which bytes of a connection are relayed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::relay) enum Direction {
+    /// From the endpoint to the client.
+    ToDownstream,
+    /// From the client to the endpoint.
+    ToUpstream,
+}
+
+impl Direction {
+    /// Returns the index of the direction's value of the tag `way` in its metric family.
+    pub(in crate::relay) fn index(self) -> usize {
+        match self {
+            Direction::ToDownstream => 0,
+            Direction::ToUpstream => 1,
+        }
+    }
+}
+
+/// Returns the value of the tag `outcome` of an attempt.
+pub(in crate::relay) fn attempt_outcome_label(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "served",
+        Outcome::Error => "error",
+        Outcome::Rejected => "full",
+        Outcome::Timeout => "timeout",
+        Outcome::ConnectFailed => "connect_failed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NotSent => "moot",
+    }
+}
+
+/// Returns the value of the tag `outcome` of a health check.
+pub(in crate::relay) fn health_check_outcome_label(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        other => attempt_outcome_label(other),
+    }
+}
--- a/src/relay/metrics/mod.rs
+++ b/src/relay/metrics/mod.rs
@@ -3,6 +3,7 @@
 //! In come plain calls from where things happen; out go readings. Nothing here acts on a figure.
 
 pub(in crate::relay) mod exporter;
+pub(in crate::relay) mod labels;
 pub(in crate::relay) mod persistent_counters;
 pub(in crate::relay) mod recorder;
 pub(in crate::relay) mod spool;
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -7,25 +7,15 @@
 use serde_json::json;
 use tracing::{info, warn};
 
+use super::labels::{
+    ConnectionEndReason, Direction, FailureCause, RejectionReason, attempt_outcome_label,
+    health_check_outcome_label,
+};
 use super::persistent_counters::Folder;
 use crate::relay::connections::protocol::OpenRequest;
 use crate::relay::{Relay, SharedRelay};
 use crate::settings::NameTable;
-use honeyknot_balancer::*;
-
-/// The tag's value of an outcome.
-fn outcome_word(outcome: Outcome) -> &'static str {
-    match outcome {
-        Outcome::Ok => "served",
-        Outcome::Error => "error",
-        Outcome::Rejected => "full",
-        Outcome::Timeout => "timeout",
-        Outcome::ConnectFailed => "connect_failed",
-        Outcome::Reset => "reset",
-        Outcome::Cancelled => "cancelled",
-        Outcome::NotSent => "moot",
-    }
-}
+use honeyknot_balancer::{AttemptId, ClassId, EndpointId, Micros, Outcome};
 
 /// Values of an open tag where no operator file says how many there may be.
 const CAP: usize = 256;
@@ -48,17 +38,17 @@
 
 /// How a connection that asked for a session was answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum RequestResult {
     /// The card server's `UP`.
-    Up,
+    Established,
     /// `BUSY`.
-    Busy,
+    Rejected,
     /// Anything else, or nothing as the client left first.
     Failed,
 }
 
 /// What keeps the counts over the relay's lives.
-pub struct Lasting {
+pub struct PersistentCounters {
     folder: Folder,
     relay: String,
     lives: u64,
@@ -113,7 +103,8 @@
                 let unknown = state.map_or(0, |s| self.metrics.restore(&s));
                 info!(target: "metrics", lives, unknown, "counts are kept");
                 let relay = name.to_owned();
-                self.persistent_counters = Some(Lasting { folder, relay, lives, saved: 0, trouble: false });
+                self.persistent_counters =
+                    Some(PersistentCounters { folder, relay, lives, saved: 0, trouble: false });
             }
             Err(why) => warn!(target: "metrics", why, "counts will not outlast this relay"),
         }
@@ -135,22 +126,22 @@
     }
 
     /// The one answer to a connection whose class is known.
-    pub(in crate::relay) fn record_answer(&mut self, class: Option<ClassId>, answer: Answer) {
+    pub(in crate::relay) fn record_request_result(&mut self, class: Option<ClassId>, answer: RequestResult) {
         let family = match answer {
-            Answer::Up => MetricFamily::ConnectionsSucceeded,
-            Answer::Busy => MetricFamily::ConnectionsRejected,
-            Answer::Failed => MetricFamily::ConnectionsAborted,
+            RequestResult::Established => MetricFamily::ConnectionsSucceeded,
+            RequestResult::Rejected => MetricFamily::ConnectionsRejected,
+            RequestResult::Failed => MetricFamily::ConnectionsAborted,
         };
         self.record_class(class, family);
     }
 
     /// The one answer to a connection that never took a seat.
-    pub fn record_unregistered_answer(&mut self, head: &OpenRequest, answer: Answer) {
-        self.record_answer(self.class(head), answer);
+    pub(in crate::relay) fn record_unregistered_result(&mut self, head: &OpenRequest, answer: RequestResult) {
+        self.record_request_result(self.class(head), answer);
     }
 
     /// A head was written whole to a card server.
-    pub fn record_forwarded(&mut self, head: &OpenRequest) {
+    pub(in crate::relay) fn record_forwarded(&mut self, head: &OpenRequest) {
         self.record_class(self.class(head), MetricFamily::AttemptsForwarded);
     }
 
@@ -165,16 +156,16 @@
     }
 
     /// A request was answered `BUSY`, for one of the reasons in the table of names.
-    pub fn record_rejected(&mut self, reason: &'static str, took: Option<Micros>) {
+    pub(in crate::relay) fn record_rejected(&mut self, reason: RejectionReason, took: Option<Micros>) {
         self.update_metrics(|metrics| {
-            metrics.increment(MetricFamily::RequestsRejected, reason);
+            metrics.increment(MetricFamily::RequestsRejected, reason.label());
             took.iter().for_each(|us| metrics.record(MetricFamily::RejectionLatency, *us));
         });
     }
 
     /// A request was answered `ERR`, for one of the causes in the table of names.
-    pub fn record_failed(&mut self, cause: &'static str) {
-        self.update_metrics(|metrics| metrics.increment(MetricFamily::RequestsFailed, cause));
+    pub(in crate::relay) fn record_failed(&mut self, cause: FailureCause) {
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::RequestsFailed, cause.label()));
     }
 
     pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, server: &EndpointId) {
@@ -193,30 +184,31 @@
 
     /// An attempt has ended without a session.
     pub(in crate::relay) fn record_attempt_ended(&mut self, outcome: Outcome) {
-        self.update_metrics(|metrics| metrics.increment(MetricFamily::Attempts, outcome_word(outcome)));
+        self.update_metrics(|metrics| {
+            metrics.increment(MetricFamily::Attempts, attempt_outcome_label(outcome))
+        });
     }
 
     /// A session that stood has ended, in one of the ways in the table of names.
-    pub fn record_connection_ended(&mut self, how: &'static str) {
-        self.update_metrics(|metrics| metrics.increment(MetricFamily::ConnectionsEnded, how));
+    pub(in crate::relay) fn record_connection_ended(&mut self, reason: ConnectionEndReason) {
+        self.update_metrics(|metrics| metrics.increment(MetricFamily::ConnectionsEnded, reason.label()));
     }
 
     /// Bytes of a session were passed on, to its client or to its card server.
-    pub fn record_bytes(&mut self, to_client: bool, count: usize) {
+    pub(in crate::relay) fn record_bytes(&mut self, direction: Direction, count: usize) {
         self.update_metrics(|metrics| {
-            metrics.add(MetricFamily::BytesRelayed, usize::from(!to_client), count as u64)
+            metrics.add(MetricFamily::BytesRelayed, direction.index(), count as u64)
         });
     }
 
     /// A session was moved as its card server said nothing any more.
-    pub fn record_silent_migration(&mut self) {
+    pub(in crate::relay) fn record_silent_migration(&mut self) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "silent"));
     }
 
     pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, took: Micros) {
-        let word = if outcome == Outcome::Ok { "ok" } else { outcome_word(outcome) };
         self.update_metrics(|metrics| {
-            metrics.increment(MetricFamily::HealthChecks, word);
+            metrics.increment(MetricFamily::HealthChecks, health_check_outcome_label(outcome));
             metrics.record(MetricFamily::HealthCheckLatency, took);
         });
     }
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -13,17 +13,17 @@
 use crate::relay::SharedRelay;
 
 /// A sink's spool, and the record of it that is on its way.
-pub struct Waiting {
+pub struct SpoolQueue {
     spool: Option<Arc<Mutex<Spool>>>,
     /// The record whose frame is in the queue.
     pub filling: Option<Record>,
     trouble: bool,
 }
 
-impl Waiting {
+impl SpoolQueue {
     /// A sink's spool, if it has one; one that cannot be opened is told of and done without.
-    pub async fn open(relay: &SharedRelay, sink: &ExporterConfig) -> Waiting {
-        let mut waiting = Waiting { spool: None, filling: None, trouble: false };
+    pub async fn open(relay: &SharedRelay, sink: &ExporterConfig) -> SpoolQueue {
+        let mut waiting = SpoolQueue { spool: None, filling: None, trouble: false };
         let folder = relay.borrow().spool_directory(&sink.name).filter(|_| sink.spool > 0);
         let Some(folder) = folder else { return waiting };
         let most = sink.spool;
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -56,9 +56,9 @@
     pub(in crate::relay) gossip: Option<GossipHandle>,
     pub(in crate::relay) metrics: MetricsRegistry,
     /// Where counters outlast the process, if anywhere.
-    pub(in crate::relay) persistent_counters: Option<recorder::Lasting>,
+    pub(in crate::relay) persistent_counters: Option<recorder::PersistentCounters>,
     /// The running exporters, by name.
-    pub(in crate::relay) exporters: BTreeMap<String, exporter::Running>,
+    pub(in crate::relay) exporters: BTreeMap<String, exporter::Exporter>,
     pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
     /// When discovery last answered.
     pub(in crate::relay) discovery_answered_at: Micros,
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use honeyknot_relay::admin::call::{self, Bad, Call};
+use honeyknot_relay::admin::command::{self, AdminCommand, AdminCommandError};
 use honeyknot_relay::relay::lifecycle::config::Config;
 use loopback::{
     OPEN, Relay, accept_connection, config, config_text, listen, open_request, receive_line, receive_to_end,
@@ -207,40 +207,40 @@
         name in 0..4usize, id in "[!-~]{1,40}", spaces in " {0,3}", end in "\r?\n", extra in "[ -~]{0,9}",
     ) {
         let (line, wanted) = match name {
-            0 => ("status".to_owned(), Call::Status),
-            1 => ("stats".to_owned(), Call::Stats),
-            2 => (format!("maint-on {id}"), Call::MaintOn(id)),
-            _ => (format!("maint-off {id}"), Call::MaintOff(id)),
+            0 => ("status".to_owned(), AdminCommand::Status),
+            1 => ("stats".to_owned(), AdminCommand::Stats),
+            2 => (format!("maint-on {id}"), AdminCommand::MaintOn(id)),
+            _ => (format!("maint-off {id}"), AdminCommand::MaintOff(id)),
         };
         let line = format!("{spaces}{line}{spaces}{end}");
         for cut in 0..line.len() {
-            prop_assert_eq!(call::take(&line.as_bytes()[..cut]), None);
+            prop_assert_eq!(command::parse_buffered(&line.as_bytes()[..cut]), None);
         }
-        prop_assert_eq!(call::take(format!("{line}{extra}").as_bytes()), Some(Ok(wanted)));
+        prop_assert_eq!(command::parse_buffered(format!("{line}{extra}").as_bytes()), Some(Ok(wanted)));
     }
 
     /// Garbage is never a call that changes something, never waits beyond the bound, and never ends the relay.
     #[test]
     fn garbage_is_no_call(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let taken = call::take(&bytes);
-        let whole = bytes.len() >= call::LONGEST || bytes.contains(&b'\n');
+        let taken = command::parse_buffered(&bytes);
+        let whole = bytes.len() >= command::MAX_COMMAND_BYTES || bytes.contains(&b'\n');
         prop_assert_eq!(taken.is_some(), whole);
-        prop_assert!(!matches!(taken, Some(Ok(Call::MaintOn(_) | Call::MaintOff(_)))));
+        prop_assert!(!matches!(taken, Some(Ok(AdminCommand::MaintOn(_) | AdminCommand::MaintOff(_)))));
     }
 }
 
 #[test]
 fn what_is_wrong_with_a_call_is_told() {
     let told = [
-        (&b"\r\n"[..], Bad::Empty),
-        (b"status x\n", Bad::Surplus),
-        (b"maint-on\n", Bad::NoId),
-        (b"maint-off s-1 s-2\n", Bad::Surplus),
-        (b"stat\n", Bad::Unknown),
-        (b"st\xffatus\n", Bad::NotPlain),
-        (&[b' '; call::LONGEST], Bad::TooLong),
+        (&b"\r\n"[..], AdminCommandError::Empty),
+        (b"status x\n", AdminCommandError::ExtraWords),
+        (b"maint-on\n", AdminCommandError::MissingId),
+        (b"maint-off s-1 s-2\n", AdminCommandError::ExtraWords),
+        (b"stat\n", AdminCommandError::UnknownCommand),
+        (b"st\xffatus\n", AdminCommandError::NotAscii),
+        (&[b' '; command::MAX_COMMAND_BYTES], AdminCommandError::TooLong),
     ];
     for (bytes, why) in told {
-        assert_eq!(call::take(bytes), Some(Err(why)), "{bytes:?}");
+        assert_eq!(command::parse_buffered(bytes), Some(Err(why)), "{bytes:?}");
     }
 }
--- a/tests/compatibility/relay/admin.rs
+++ b/tests/compatibility/relay/admin.rs
@@ -1,7 +1,7 @@
 //! Operators' commands on the admin address, their answers, and the keys of the figures.
 
 use honeyknot_discovery::DiscoveryState;
-use honeyknot_relay::admin::call::{self, Call as AdminCommand};
+use honeyknot_relay::admin::command::{self, AdminCommand};
 use serde_json::Value;
 
 use super::loopback::{Relay, listen, run_case};
@@ -17,7 +17,8 @@
 #[test]
 fn each_admin_command_of_the_previous_version_is_understood() {
     let bytes = fixture(COMMANDS);
-    let commands: Vec<_> = bytes.split_inclusive(|byte| *byte == b'\n').map(call::take).collect();
+    let commands: Vec<_> =
+        bytes.split_inclusive(|byte| *byte == b'\n').map(command::parse_buffered).collect();
     let understood = [
         AdminCommand::Status,
         AdminCommand::Stats,
