--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -7,7 +7,7 @@
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
 use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
-use honeyknot_metrics::Book;
+use honeyknot_metrics::MetricsRegistry;
 use honeyknot_zone_failover::ZoneFailover;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tracing::trace;
@@ -55,11 +55,11 @@
     pub(in crate::relay) zone_failover: Option<ZoneFailover>,
     /// Gossip with other relays, where operators have switched it on.
     pub(in crate::relay) gossip: Option<GossipHandle>,
-    pub(in crate::relay) metrics: Book,
+    pub(in crate::relay) metrics: MetricsRegistry,
     /// Where counters outlast the process, if anywhere.
-    pub(in crate::relay) persistent_counters: Option<recorder::Lasting>,
+    pub(in crate::relay) persistent_counters: Option<recorder::PersistentCounters>,
     /// The running exporters, by name.
-    pub(in crate::relay) exporters: BTreeMap<String, exporter::Running>,
+    pub(in crate::relay) exporters: BTreeMap<String, exporter::Exporter>,
     pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
     /// When discovery last answered.
     pub(in crate::relay) discovery_answered_at: Micros,
