--- a/crates/testbed/src/commands/arguments.rs
+++ b/crates/testbed/src/commands/arguments.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use honeyknot_testbed::day::Day;
-use honeyknot_testbed::scenario::Scenario;
-use honeyknot_testbed::world::Size;
+use honeyknot_testbed::emulators::environment::Size;
+use honeyknot_testbed::scenarios::run::Day;
+use honeyknot_testbed::scenarios::scenario::Scenario;
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
 /// The operator file for the default environment: 16 endpoints of 4 sites.
--- a/crates/testbed/src/commands/live_view.rs
+++ b/crates/testbed/src/commands/live_view.rs
@@ -2,7 +2,7 @@
 
 use std::io::IsTerminal;
 
-use honeyknot_testbed::world::World;
+use honeyknot_testbed::emulators::environment::World;
 
 /// Without a terminal a line is printed once in so many calls.
 const CALLS_PER_LINE: usize = 8;
--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use honeyknot_testbed::day::SPILL_SLACK;
-use honeyknot_testbed::simulated::{Outcome as Figures, Simulation, simulate};
+use honeyknot_testbed::scenarios::run::SPILL_SLACK;
+use honeyknot_testbed::scenarios::simulation::{Outcome as Figures, Simulation, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
 use super::Outcome;
--- a/crates/testbed/src/commands/site.rs
+++ b/crates/testbed/src/commands/site.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use clap::Args;
-use honeyknot_testbed::day::play;
-use honeyknot_testbed::scenario::Scenario;
-use honeyknot_testbed::world::World;
+use honeyknot_testbed::emulators::environment::World;
+use honeyknot_testbed::scenarios::run::play;
+use honeyknot_testbed::scenarios::scenario::Scenario;
 
 use super::arguments::{EnvironmentArgs, parse_duration};
 use super::site_report::print_summary;
--- a/crates/testbed/src/commands/try_environment.rs
+++ b/crates/testbed/src/commands/try_environment.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use honeyknot_testbed::day::play;
-use honeyknot_testbed::scenario::Scenario;
+use honeyknot_testbed::scenarios::run::play;
+use honeyknot_testbed::scenarios::scenario::Scenario;
 
 use super::arguments::{EnvironmentArgs, parse_duration};
 use super::live_view::LiveView;
--- a/crates/testbed/src/world/clients.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::{Life, Shared, World};
+use super::environment::{Life, Shared, World};
 
 /// How long a client waits for an answer, and how much longer the books do.
 const PATIENCE: Duration = Duration::from_millis(1_200);
--- a/crates/testbed/src/world/roll.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -8,9 +8,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-use super::Shared;
-use crate::asked::{Query, query};
-use crate::model::Micros;
+use super::environment::Shared;
+use crate::emulators::endpoint_model::Micros;
+use crate::emulators::protocol::{Query, query};
 
 /// A line of the roll.
 #[derive(Clone, Debug)]
--- a/crates/testbed/src/world/cards.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -8,9 +8,9 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::{Life, Shared};
-use crate::asked::{deck, figure, first_line};
-use crate::model::{Held, Micros, Opened};
+use super::environment::{Life, Shared};
+use crate::emulators::endpoint_model::{Held, Micros, Opened};
+use crate::emulators::protocol::{deck, figure, first_line};
 
 /// Nothing new may be sent to a card server later than this after the news of its drain: the rule's 500 ms and the
 /// 50 ms that sockets are given.
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -1,12 +1,6 @@
 //! A world on loopback: card servers, the roll, a front layer, clients, and relays as real processes. Everything but
 //! the relays lives in one thread of this process and shares [`World`]; each part can be made to fail on command.
 
-pub mod cards;
-pub mod clients;
-pub mod front;
-pub mod relays;
-pub mod roll;
-
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,10 +11,10 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::watch;
 
-use crate::books::{ClientBook, FleetBook};
-use crate::model::{CardModel, Make, Micros};
-use front::Front;
-use roll::Roll;
+use super::discovery::{self, Roll};
+use super::front_proxy::Front;
+use crate::emulators::endpoint_model::{CardModel, Make, Micros};
+use crate::report::observations::{ClientBook, FleetBook};
 
 /// How large a world is.
 #[derive(Clone, Debug)]
@@ -237,7 +231,7 @@
         let mut entries = Vec::new();
         for server in servers {
             let card = &self.cards[*server];
-            entries.push(roll::Entry {
+            entries.push(discovery::Entry {
                 server: *server,
                 id: card.id.clone(),
                 site: self.size.sites[card.site].clone(),
--- a/crates/testbed/src/asked.rs
+++ b/crates/testbed/src/emulators/protocol.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use crate::model::Report;
+use crate::emulators::endpoint_model::Report;
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/src/world/relays.rs
+++ b/crates/testbed/src/emulators/relay_process.rs
@@ -12,7 +12,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-use super::{COLD, Shared};
+use super::environment::{COLD, Shared};
 
 /// What starts relays.
 pub struct Starter {
--- a/crates/testbed/src/fleet/cards.rs
+++ b/crates/testbed/src/fleet/cards.rs
@@ -12,8 +12,8 @@
 
 use super::Plan;
 use super::book::{Book, Seen};
-use crate::asked::{deck, first_line};
-use crate::model::{CardModel, Held, Make, Opened};
+use crate::emulators::endpoint_model::{CardModel, Held, Make, Opened};
+use crate::emulators::protocol::{deck, first_line};
 
 /// Usual sessions that fill a card server at the least; more where the clients are many.
 const CAPACITY: f64 = 30.0;
--- a/crates/testbed/src/fleet/list.rs
+++ b/crates/testbed/src/fleet/list.rs
@@ -14,7 +14,7 @@
 
 use super::book::{Asked, Book, End, Seen};
 use super::{Held, Plan, VERSION};
-use crate::asked::{Query, query};
+use crate::emulators::protocol::{Query, query};
 
 /// A call that has waited longer than this is turned away ...
 const TOO_LONG: u64 = 2_000_000;
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -15,7 +15,7 @@
 
 use super::book::{Book, Seen};
 use super::{Plan, list, send};
-use crate::world::relays::settings;
+use crate::emulators::relay_process::settings;
 
 /// How often it is looked whether a relay has ended by itself.
 const LOOK: Duration = Duration::from_millis(100);
--- /dev/null
+++ b/crates/testbed/src/report/mod.rs
@@ -0,0 +1,3 @@
+//! What clients and endpoints have seen, and the verdict on it.
+
+pub mod observations;
--- a/crates/testbed/src/books.rs
+++ b/crates/testbed/src/report/observations.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::model::Micros;
+use crate::emulators::endpoint_model::Micros;
 
 /// What clients have seen.
 #[derive(Clone, Debug, Default, Serialize)]
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/scenarios/run.rs
@@ -12,10 +12,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, interval, sleep, sleep_until};
 
-use crate::books::{ClientBook, FleetBook};
-use crate::scenario::{Scenario, Step};
-use crate::world::relays::{Starter, program};
-use crate::world::{Life, Shared, Size, World, cards, clients, roll};
+use crate::emulators::environment::{Life, Shared, Size, World};
+use crate::emulators::relay_process::{Starter, program};
+use crate::emulators::{client, discovery, endpoint};
+use crate::report::observations::{ClientBook, FleetBook};
+use crate::scenarios::scenario::{Scenario, Step};
 
 /// How often the books are added up.
 const OBSERVE: Duration = Duration::from_millis(250);
@@ -139,10 +140,10 @@
     std::fs::create_dir_all(&place).map_err(|e| format!("{}: {e}", place.display()))?;
     let starter = Rc::new(Starter::new(&world, program, &place, day.sites.clone()));
     for server in 0..day.size.servers {
-        cards::start(&world, server);
+        endpoint::start(&world, server);
     }
     for relay in 0..day.size.relays {
-        let told = roll::serve(world.clone(), relay).await;
+        let told = discovery::serve(world.clone(), relay).await;
         told.map_err(|e| format!("the roll at {}: {e}", world.borrow().roll_address(relay)))?;
     }
     let relays: Relays = Rc::default();
@@ -152,7 +153,7 @@
         world.borrow_mut().front.believe(relay, true);
     }
     for site in 0..day.size.sites.len() {
-        spawn_local(clients::arrive(world.clone(), site));
+        spawn_local(client::arrive(world.clone(), site));
     }
     let (steps, length) = day.scenario.steps();
     world.borrow_mut().others.retain(|site| !steps.iter().any(|(_, step)| step.loses(*site)));
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/scenarios/simulation.rs
@@ -21,9 +21,9 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-use crate::model::{CardModel, Held, Make, Opened};
-use crate::scenario::{Scenario, Step};
-use crate::world::{COLD, DECK_COST};
+use crate::emulators::endpoint_model::{CardModel, Held, Make, Opened};
+use crate::emulators::environment::{COLD, DECK_COST};
+use crate::scenarios::scenario::{Scenario, Step};
 
 /// The virtual clock's step.
 const STEP: Micros = 50_000;
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use honeyknot_testbed::day::{Day, Report, play};
-use honeyknot_testbed::scenario::Scenario;
-use honeyknot_testbed::simulated::{Outcome, Simulation, simulate};
-use honeyknot_testbed::world::Size;
+use honeyknot_testbed::emulators::environment::Size;
+use honeyknot_testbed::scenarios::run::{Day, Report, play};
+use honeyknot_testbed::scenarios::scenario::Scenario;
+use honeyknot_testbed::scenarios::simulation::{Outcome, Simulation, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
 fn size() -> Size {
@@ -69,7 +69,7 @@
     for scenario in all {
         for seed in 0..4 {
             let o = simulate(&simulation(scenario, seed)).expect("a day");
-            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::day::SPILL_SLACK, "{o:?}");
+            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::scenarios::run::SPILL_SLACK, "{o:?}");
             assert_eq!(o.servers_pushed_over, 0, "{o:?}");
             assert!(o.worst_moves_per_s <= 12, "{o:?}");
         }
