--- a/crates/testbed/src/commands/arguments.rs
+++ b/crates/testbed/src/commands/arguments.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use honeyknot_testbed::emulators::environment::Size;
-use honeyknot_testbed::scenarios::run::Day;
+use honeyknot_testbed::emulators::environment::EnvironmentSize;
+use honeyknot_testbed::scenarios::run::ScenarioRun;
 use honeyknot_testbed::scenarios::scenario::Scenario;
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
@@ -61,28 +61,30 @@
     ///
     /// # Errors
     /// A value is out of range, or the operator file cannot be read or has faults.
-    pub(crate) fn scenario_run(&self, scenario: Scenario, folder: &Path) -> Result<Day, String> {
+    pub(crate) fn scenario_run(&self, scenario: Scenario, folder: &Path) -> Result<ScenarioRun, String> {
         let sites: Vec<String> = SITES.map(str::to_owned).to_vec();
-        let rate = self.clients_per_second;
-        if !(rate > 0.0 && rate <= MAX_CLIENTS_PER_SECOND) {
-            return Err(format!("--rate {rate}: allowed is above 0 and up to {MAX_CLIENTS_PER_SECOND}"));
+        let clients_per_second = self.clients_per_second;
+        if !(clients_per_second > 0.0 && clients_per_second <= MAX_CLIENTS_PER_SECOND) {
+            return Err(format!(
+                "--rate {clients_per_second}: allowed is above 0 and up to {MAX_CLIENTS_PER_SECOND}"
+            ));
         }
         let file = self.read_sites_file(folder)?;
         let config = ZoneFailoverConfig::read(&file.path.display().to_string(), &file.text, &sites)
             .map_err(|errors| errors.to_string())?;
-        let groups = (rate * MEAN_CONNECTION_S / CONNECTIONS_PER_AFFINITY_GROUP) as u64;
-        Ok(Day {
-            size: Size {
+        let groups = (clients_per_second * MEAN_CONNECTION_S / CONNECTIONS_PER_AFFINITY_GROUP) as u64;
+        Ok(ScenarioRun {
+            size: EnvironmentSize {
                 sites,
-                servers: usize::from(self.endpoints),
+                endpoints: usize::from(self.endpoints),
                 relays: usize::from(self.relays),
-                rate,
-                life_s: MEAN_CONNECTION_S,
-                decks: groups.max(MIN_AFFINITY_GROUPS),
+                clients_per_second,
+                mean_connection_s: MEAN_CONNECTION_S,
+                affinity_groups: groups.max(MIN_AFFINITY_GROUPS),
             },
             scenario,
             seed: self.seed,
-            sites: (self.sites == Switch::On).then_some(file.path),
+            sites_file: (self.sites == Switch::On).then_some(file.path),
             spill_limit: config.spill_limit,
             length: None,
             logs: None,
--- a/crates/testbed/src/commands/live_view.rs
+++ b/crates/testbed/src/commands/live_view.rs
@@ -2,7 +2,7 @@
 
 use std::io::IsTerminal;
 
-use honeyknot_testbed::emulators::environment::World;
+use honeyknot_testbed::emulators::environment::Environment;
 
 /// Without a terminal a line is printed once in so many calls.
 const CALLS_PER_LINE: usize = 8;
@@ -19,64 +19,64 @@
 
 impl LiveView {
     /// Prints the present state of the environment.
-    pub(super) fn show(&mut self, world: &World) {
+    pub(super) fn show(&mut self, environment: &Environment) {
         self.calls += 1;
         if std::io::stdout().is_terminal() {
-            self.draw_table(world);
+            self.draw_table(environment);
         } else {
-            self.print_events(world);
+            self.print_events(environment);
             if self.calls.is_multiple_of(CALLS_PER_LINE) {
-                print_line(world);
+                print_line(environment);
             }
         }
     }
 
-    fn print_events(&mut self, world: &World) {
-        for (at, text) in &world.events[self.printed_events..] {
+    fn print_events(&mut self, environment: &Environment) {
+        for (at, text) in &environment.events[self.printed_events..] {
             println!("{:>5.1} s  ** {text}", *at as f64 / 1e6);
         }
-        self.printed_events = world.events.len();
+        self.printed_events = environment.events.len();
     }
 
-    fn draw_table(&mut self, world: &World) {
+    fn draw_table(&mut self, environment: &Environment) {
         let mut text = String::new();
         if self.drawn_lines > 0 {
             text.push_str(&format!("\x1b[{}A\x1b[J", self.drawn_lines));
         }
-        let lines = table(world);
+        let lines = table(environment);
         self.drawn_lines = lines.len();
         text.push_str(&lines.join("\n"));
         println!("{text}");
     }
 }
 
-fn elapsed_s(world: &World) -> f64 {
-    (world.now() - world.began) as f64 / 1e6
+fn elapsed_s(environment: &Environment) -> f64 {
+    (environment.now() - environment.began) as f64 / 1e6
 }
 
-fn print_line(world: &World) {
-    let sites: Vec<String> = (0..world.size.sites.len())
+fn print_line(environment: &Environment) {
+    let sites: Vec<String> = (0..environment.size.sites.len())
         .map(|site| {
-            let state = world.site_line(site);
-            format!("{} {}up/{}", world.size.sites[site], state.up, state.sessions)
+            let state = environment.site_state(site);
+            format!("{} {}up/{}", environment.size.sites[site], state.serving, state.connections)
         })
         .collect();
-    let clients = &world.clients;
+    let clients = &environment.client_observations;
     println!(
         "{:>5.1} s  {}  served {} refused {} failed {} moved {}",
-        elapsed_s(world),
+        elapsed_s(environment),
         sites.join("  "),
         clients.served,
-        clients.refused,
+        clients.rejected,
         clients.failed,
-        clients.moves
+        clients.migrations
     );
 }
 
-fn table(world: &World) -> Vec<String> {
+fn table(environment: &Environment) -> Vec<String> {
     let mut lines = vec![format!(
         "{:>5.1} s   {:<13}{:>4}{:>8}{:>6}{:>10}{:>8}{:>9}",
-        elapsed_s(world),
+        elapsed_s(environment),
         "site",
         "up",
         "silent",
@@ -85,32 +85,32 @@
         "load",
         "foreign"
     )];
-    lines.extend((0..world.size.sites.len()).map(|site| site_row(world, site)));
-    let clients = &world.clients;
+    lines.extend((0..environment.size.sites.len()).map(|site| site_row(environment, site)));
+    let clients = &environment.client_observations;
     lines.push(format!(
         "          {} want a session; {} served, {} refused, {} failed, {} moved",
-        world.wanting.iter().sum::<u64>(),
+        environment.wanting_clients.iter().sum::<u64>(),
         clients.served,
-        clients.refused,
+        clients.rejected,
         clients.failed,
-        clients.moves
+        clients.migrations
     ));
-    let recent = world.events.iter().rev().take(RECENT_EVENTS).rev();
+    let recent = environment.events.iter().rev().take(RECENT_EVENTS).rev();
     lines.extend(recent.map(|(at, text)| format!("{:>5.1} s   {text}", *at as f64 / 1e6)));
     lines
 }
 
-fn site_row(world: &World, site: usize) -> String {
-    let state = world.site_line(site);
+fn site_row(environment: &Environment, site: usize) -> String {
+    let state = environment.site_state(site);
     let percent = |load: f64| if state.capacity > 0.0 { load / state.capacity * 100.0 } else { 0.0 };
     format!(
         "          {:<13}{:>4}{:>8}{:>6}{:>10}{:>7.0}%{:>8.0}%",
-        world.size.sites[site],
-        state.up,
+        environment.size.sites[site],
+        state.serving,
         state.silent,
         state.dead,
-        state.sessions,
-        percent(state.held),
+        state.connections,
+        percent(state.load),
         percent(state.foreign)
     )
 }
--- a/crates/testbed/src/commands/process_run.rs
+++ b/crates/testbed/src/commands/process_run.rs
@@ -23,7 +23,7 @@
 impl ProcessRunArgs {
     /// Returns the relay's program: the one that was named, or the one beside this program.
     pub(crate) fn program(&self) -> Result<PathBuf, String> {
-        self.program.clone().map_or_else(honeyknot_testbed::emulators::relay_process::program, Ok)
+        self.program.clone().map_or_else(honeyknot_testbed::emulators::relay_process::relay_program, Ok)
     }
 
     /// Returns the folder of the run's event logs: the one that was named, created where it is missing, or `default`.
--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use honeyknot_testbed::scenarios::run::SPILL_SLACK;
-use honeyknot_testbed::scenarios::simulation::{Outcome as Figures, Simulation, simulate};
+use honeyknot_testbed::scenarios::simulation::{Simulation, SimulationReport as Figures, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
 use super::Outcome;
@@ -22,7 +22,7 @@
 /// An argument does not fit a simulated environment, or the simulation cannot be done.
 pub(super) fn run(args: &SiteArgs) -> Result<Outcome, String> {
     let simulation = simulation(args)?;
-    let config = simulation.plan.clone();
+    let config = simulation.config.clone();
     let figures = simulate(&simulation)?;
     let held = limits_held(&figures, &config);
     if args.json {
@@ -49,49 +49,53 @@
     }
     Ok(Simulation {
         sites,
-        servers: endpoints,
+        endpoints,
         relays,
         load: args.load,
         scenario: args.scenario,
-        plan: ZoneFailoverConfig {
+        config: ZoneFailoverConfig {
             connection_load: 0.03,
             affinity_group_cost: 3.0,
             leave_limit: 0.8,
             ..ZoneFailoverConfig::default()
         },
         seed: environment.seed,
-        news: MAX_UPDATE_DELAY,
+        max_update_delay: MAX_UPDATE_DELAY,
     })
 }
 
 /// Returns whether spill, slow start and the pace of migrations stayed within their limits.
 fn limits_held(figures: &Figures, config: &ZoneFailoverConfig) -> bool {
     let mean = config.migrations_per_second;
-    let paced = figures.worst_moves_per_s as f64 <= mean + MIGRATION_DEVIATIONS * mean.sqrt();
-    figures.worst_spill <= config.spill_limit + SPILL_SLACK && figures.servers_pushed_over == 0 && paced
+    let paced = figures.max_migrations_per_second as f64 <= mean + MIGRATION_DEVIATIONS * mean.sqrt();
+    figures.worst_spill <= config.spill_limit + SPILL_SLACK && figures.endpoints_collapsed == 0 && paced
 }
 
 fn print_figures(figures: &Figures, spill_limit: f64) {
     println!(
         "{} sites, {} card servers, {} relays, {} sessions at most",
-        figures.sites, figures.servers, figures.relays, figures.most_sessions
+        figures.sites, figures.endpoints, figures.relays, figures.max_connections
     );
-    println!("{} asked: {} served, {} refused", figures.clients_asked, figures.served, figures.refused);
+    println!("{} asked: {} served, {} refused", figures.clients_asked, figures.served, figures.rejected);
     println!(
         "worst spill {:.1}% (limit {:.0}%); {:.2} times a returning server's capacity, {} fell over",
         figures.worst_spill * 100.0,
         spill_limit * 100.0,
         figures.worst_return_multiple,
-        figures.servers_pushed_over
+        figures.endpoints_collapsed
     );
     println!(
         "{} moves, {} in the worst second; {:.1}% of wanted seconds well served",
-        figures.moves,
-        figures.worst_moves_per_s,
+        figures.migrations,
+        figures.max_migrations_per_second,
         figures.well_served * 100.0
     );
     println!(
         "a newcomer's decision took {} ns (p50), {} ns (p99); {:.0} s in {:.1} s, {} MiB at the most",
-        figures.ask_p50_ns, figures.ask_p99_ns, figures.simulated_s, figures.wall_s, figures.peak_mib
+        figures.decision_p50_ns,
+        figures.decision_p99_ns,
+        figures.simulated_s,
+        figures.wall_s,
+        figures.peak_mib
     );
 }
--- a/crates/testbed/src/commands/site.rs
+++ b/crates/testbed/src/commands/site.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use honeyknot_testbed::emulators::environment::World;
-use honeyknot_testbed::scenarios::run::play;
+use honeyknot_testbed::emulators::environment::Environment;
+use honeyknot_testbed::scenarios::run::run_scenario;
 use honeyknot_testbed::scenarios::scenario::Scenario;
 
 use super::arguments::{EnvironmentArgs, parse_duration};
@@ -50,13 +50,13 @@
     let mut scenario_run = args.environment.scenario_run(args.scenario, folder)?;
     (scenario_run.length, scenario_run.logs) = (args.length, args.logs);
     let mut printed = 0;
-    let print_events = |world: &World| {
-        for (at, text) in &world.events[printed..] {
+    let print_events = |environment: &Environment| {
+        for (at, text) in &environment.events[printed..] {
             eprintln!("{:>5.1} s  {text}", *at as f64 / 1e6);
         }
-        printed = world.events.len();
+        printed = environment.events.len();
     };
-    let report = play(&scenario_run, print_events, interrupted()).await?;
+    let report = run_scenario(&scenario_run, print_events, interrupted()).await?;
     if args.json {
         println!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?);
     } else {
--- a/crates/testbed/src/commands/site_report.rs
+++ b/crates/testbed/src/commands/site_report.rs
@@ -4,12 +4,12 @@
 
 /// Prints the figures of a report and the rules that were broken.
 pub(super) fn print_summary(report: &Report) {
-    let (clients, fleet) = (&report.clients, &report.fleet);
+    let (clients, endpoints) = (&report.client_observations, &report.endpoint_observations);
     println!(
         "{} clients asked: {} served, {} refused, {} failed, {} unanswered, {} answered twice, {} lost with a relay",
         clients.clients_asked,
         clients.served,
-        clients.refused,
+        clients.rejected,
         clients.failed,
         clients.unanswered,
         clients.double_answers,
@@ -17,21 +17,24 @@
     );
     println!(
         "{} attempts at card servers: {} overlapping, {} late to a draining one; {} cold ones fell over",
-        fleet.attempts, fleet.overlapping_attempts, fleet.late_sends_to_draining, fleet.servers_pushed_over
+        endpoints.attempts,
+        endpoints.overlapping_attempts,
+        endpoints.late_sends_to_draining,
+        endpoints.endpoints_collapsed
     );
     println!(
         "{} moves, {} in the worst second; worst spill {:.1}% at {} (limit {:.0}%); {:.2} times a returning server's capacity",
-        clients.moves,
-        clients.worst_moves_per_s,
-        fleet.worst_spill * 100.0,
-        if fleet.worst_spill_site.is_empty() { "none" } else { &fleet.worst_spill_site },
+        clients.migrations,
+        clients.max_migrations_per_second,
+        endpoints.worst_spill * 100.0,
+        if endpoints.worst_spill_site.is_empty() { "none" } else { &endpoints.worst_spill_site },
         report.spill_limit * 100.0,
-        fleet.worst_return_multiple
+        endpoints.worst_return_multiple
     );
     println!(
         "{:.1}% of wanted seconds well served, {:.1}% for clients of other sites; capacity allowed {:.1}%",
         report.well_served * 100.0,
-        report.well_served_others * 100.0,
+        report.well_served_unaffected * 100.0,
         report.ceiling * 100.0
     );
     match report.broken.is_empty() {
--- a/crates/testbed/src/commands/try_environment.rs
+++ b/crates/testbed/src/commands/try_environment.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use honeyknot_testbed::scenarios::run::play;
+use honeyknot_testbed::scenarios::run::run_scenario;
 use honeyknot_testbed::scenarios::scenario::Scenario;
 
 use super::arguments::{EnvironmentArgs, parse_duration};
@@ -35,7 +35,7 @@
     );
     println!("tema is lost after 4 s and comes back after 10 s. Ctrl-C ends it.");
     let mut view = LiveView::default();
-    let report = play(&scenario_run, |world| view.show(world), interrupted()).await?;
+    let report = run_scenario(&scenario_run, |environment| view.show(environment), interrupted()).await?;
     println!();
     print_summary(&report);
     Ok(Outcome::from_held(report.broken.is_empty()))
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -1,4 +1,4 @@
-//! The server roll over HTTP, with watches; it learns of things as late as the scenario says.
+//! The endpoint list over HTTP, with watches; it learns of things as late as the scenario says.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-use super::environment::Shared;
+use super::environment::SharedEnvironment;
 use crate::emulators::endpoint_model::Micros;
-use crate::emulators::protocol::{Query, query};
+use crate::emulators::protocol::{DiscoveryRequest, read_request};
 
-/// A line of the roll.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// The card server's number.
-    pub server: usize,
+pub struct EndpointEntry {
+    /// The endpoint's number.
+    pub index: usize,
     /// Its id.
     pub id: String,
     /// Its site's name.
@@ -29,53 +29,53 @@
     pub state: &'static str,
 }
 
-/// The roll, and what each relay has been told of it.
-pub struct Roll {
+/// Discovery, and what each relay has been told of it.
+pub struct EmulatedDiscovery {
     version: watch::Sender<u64>,
-    entries: BTreeMap<usize, Entry>,
+    entries: BTreeMap<usize, EndpointEntry>,
     changed: BTreeMap<usize, u64>,
-    /// When a relay was told that a card server leaves or has left.
-    told: BTreeMap<(usize, usize), Micros>,
+    /// When a relay was told that an endpoint leaves or has left.
+    notified_at: BTreeMap<(usize, usize), Micros>,
     /// It does not answer.
     pub down: bool,
 }
 
-impl Default for Roll {
-    fn default() -> Roll {
-        let (entries, changed, told) = Default::default();
-        Roll { version: watch::Sender::new(0), entries, changed, told, down: false }
+impl Default for EmulatedDiscovery {
+    fn default() -> EmulatedDiscovery {
+        let (entries, changed, notified_at) = Default::default();
+        EmulatedDiscovery { version: watch::Sender::new(0), entries, changed, notified_at, down: false }
     }
 }
 
-impl Roll {
+impl EmulatedDiscovery {
     /// Changes some lines, in one version.
-    pub fn change(&mut self, entries: Vec<Entry>) {
+    pub fn change(&mut self, entries: Vec<EndpointEntry>) {
         let version = *self.version.borrow() + 1;
         for entry in entries {
-            self.changed.insert(entry.server, version);
-            self.entries.insert(entry.server, entry);
+            self.changed.insert(entry.index, version);
+            self.entries.insert(entry.index, entry);
         }
         self.version.send_replace(version);
     }
 
-    /// When a relay was told that a card server takes nothing new; none if it does.
-    pub fn told(&self, relay: usize, server: usize) -> Option<Micros> {
-        self.told.get(&(relay, server)).copied()
+    /// When a relay was told that an endpoint takes nothing new; none if it does.
+    pub fn notified_at(&self, relay: usize, index: usize) -> Option<Micros> {
+        self.notified_at.get(&(relay, index)).copied()
     }
 
     /// Forgets what a relay was told: it has started anew.
-    pub fn forget(&mut self, relay: usize) {
-        self.told.retain(|(r, _), _| *r != relay);
+    pub fn forget_relay(&mut self, relay: usize) {
+        self.notified_at.retain(|(r, _), _| *r != relay);
     }
 
-    /// The whole roll, or what has changed since a version, as one relay sees it.
+    /// The whole endpoint list, or what has changed since a version, as one relay sees it.
     pub fn list(&self, since: Option<u64>, address: impl Fn(usize) -> String) -> serde_json::Value {
-        let new = |server: &usize| since.is_none_or(|since| self.changed[server] > since);
-        let shown = self.entries.values().filter(|e| new(&e.server));
+        let new = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
+        let shown = self.entries.values().filter(|e| new(&e.index));
         let shown = shown.filter(|e| since.is_some() || e.state != "left");
         let servers: Vec<_> = shown
             .map(|e| {
-                json!({"id": e.id, "addr": address(e.server), "zone": e.site, "kind": "m", "cell": 0,
+                json!({"id": e.id, "addr": address(e.index), "zone": e.site, "kind": "m", "cell": 0,
                     "state": e.state, "weight": e.weight, "started_ms": e.started_ms})
             })
             .collect();
@@ -83,48 +83,50 @@
     }
 
     /// The answer has been written to a relay: what it tells counts as told.
-    fn note_told(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
+    fn record_notified(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
         for entry in self.entries.values() {
-            let changed = self.changed[&entry.server];
+            let changed = self.changed[&entry.index];
             if changed > upto || since.is_some_and(|since| changed <= since) {
                 continue;
             }
-            let key = (relay, entry.server);
+            let key = (relay, entry.index);
             match entry.state {
-                "active" => drop(self.told.remove(&key)),
-                _ => drop(self.told.entry(key).or_insert(now)),
+                "active" => drop(self.notified_at.remove(&key)),
+                _ => drop(self.notified_at.entry(key).or_insert(now)),
             }
         }
     }
 }
 
-/// Serves the roll to one relay.
-pub async fn serve(world: Shared, relay: usize) -> std::io::Result<()> {
-    let address = world.borrow().roll_address(relay);
+/// Serves discovery to one relay.
+pub async fn serve(environment: SharedEnvironment, relay: usize) -> std::io::Result<()> {
+    let address = environment.borrow().discovery_address(relay);
     let listener = TcpListener::bind(address).await?;
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(answer(world.clone(), relay, stream));
+            spawn_local(answer(environment.clone(), relay, stream));
         }
     });
     Ok(())
 }
 
-async fn answer(world: Shared, relay: usize, stream: TcpStream) {
+async fn answer(environment: SharedEnvironment, relay: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
-    while let Some(Query { since, wait }) = query(&mut stream).await {
-        let mut version = world.borrow().roll.version.subscribe();
+    while let Some(DiscoveryRequest { since, wait }) = read_request(&mut stream).await {
+        let mut version = environment.borrow().discovery.version.subscribe();
         if let Some(since) = since {
             let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)).await;
         }
-        if world.borrow().roll.down {
+        if environment.borrow().discovery.down {
             return;
         }
         let (body, upto) = {
-            let world = world.borrow();
-            let upto = *world.roll.version.borrow();
-            let list = world.roll.list(since, |server| world.card_address(server, relay).to_string());
+            let environment = environment.borrow();
+            let upto = *environment.discovery.version.borrow();
+            let list = environment
+                .discovery
+                .list(since, |index| environment.endpoint_address(index, relay).to_string());
             (list.to_string(), upto)
         };
         let text = format!(
@@ -134,8 +136,8 @@
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
-        let mut world = world.borrow_mut();
-        let now = world.now();
-        world.roll.note_told(relay, since, upto, now);
+        let mut environment = environment.borrow_mut();
+        let now = environment.now();
+        environment.discovery.record_notified(relay, since, upto, now);
     }
 }
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -1,4 +1,4 @@
-//! The card servers' sockets: heads, lines, probes, and ways to fail.
+//! The endpoints' sockets: opening lines, lines, health checks, and ways to fail.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::environment::{Life, Shared};
-use crate::emulators::endpoint_model::{Held, Micros, Opened};
-use crate::emulators::protocol::{deck, figure, first_line};
+use super::environment::{ProcessState, SharedEnvironment};
+use crate::emulators::endpoint_model::{Admission, ConnectionLoad, Micros};
+use crate::emulators::protocol::{affinity_group, attribute, read_opening_line};
 
-/// Nothing new may be sent to a card server later than this after the news of its drain: the rule's 500 ms and the
+/// Nothing new may be sent to an endpoint later than this after the notice of its drain: the rule's 500 ms and the
 /// 50 ms that sockets are given.
 const DRAIN_GRACE: Micros = 550_000;
-/// Work a second of a usual session, in the unit that `LOAD` tells.
-const USUAL_LOAD: f64 = 58_000.0;
+/// Work a second of a usual connection, in the unit that `LOAD` tells.
+const USUAL_LOAD_PER_SECOND: f64 = 58_000.0;
 /// How long a set-up takes.
-const SETUP: Duration = Duration::from_millis(8);
+const SETUP_TIME: Duration = Duration::from_millis(8);
 
-/// Starts a card server's listeners, one for each relay.
-pub fn start(world: &Shared, server: usize) {
-    let relays = world.borrow().size.relays;
+/// Starts an endpoint's listeners, one for each relay.
+pub fn start(environment: &SharedEnvironment, index: usize) {
+    let relays = environment.borrow().size.relays;
     for relay in 0..relays {
-        let address = world.borrow().card_address(server, relay);
-        spawn_local(listen(world.clone(), server, relay, address));
+        let address = environment.borrow().endpoint_address(index, relay);
+        spawn_local(listen(environment.clone(), index, relay, address));
     }
 }
 
-async fn listen(world: Shared, server: usize, relay: usize, address: SocketAddr) {
-    let mut life = world.borrow().cards[server].life.subscribe();
+async fn listen(environment: SharedEnvironment, index: usize, relay: usize, address: SocketAddr) {
+    let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
     loop {
-        if *life.borrow_and_update() != Life::Up {
-            if life.changed().await.is_err() {
+        if *process_state.borrow_and_update() != ProcessState::Serving {
+            if process_state.changed().await.is_err() {
                 return;
             }
             continue;
@@ -41,29 +41,29 @@
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
             Err(e) => {
-                world.borrow_mut().event(format!("{address}: {e}"));
+                environment.borrow_mut().event(format!("{address}: {e}"));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
         loop {
-            let state = *life.borrow_and_update();
+            let state = *process_state.borrow_and_update();
             match state {
-                Life::Dead => break,
+                ProcessState::Dead => break,
                 // The kernel still takes connections; nobody ever speaks.
-                Life::Silent => {
-                    if life.changed().await.is_err() {
+                ProcessState::Silent => {
+                    if process_state.changed().await.is_err() {
                         return;
                     }
-                    if *life.borrow() == Life::Up {
+                    if *process_state.borrow() == ProcessState::Serving {
                         break;
                     }
                 }
-                Life::Up => tokio::select! {
+                ProcessState::Serving => tokio::select! {
                     biased;
-                    changed = life.changed() => if changed.is_err() { return },
+                    changed = process_state.changed() => if changed.is_err() { return },
                     came = listener.accept() => if let Ok((stream, _)) = came {
-                        spawn_local(serve(world.clone(), server, relay, stream));
+                        spawn_local(serve(environment.clone(), index, relay, stream));
                     },
                 },
             }
@@ -71,93 +71,98 @@
     }
 }
 
-/// A connection: it is served while the card server lives, then reset, or held silently until it is back.
-async fn serve(world: Shared, server: usize, relay: usize, stream: TcpStream) {
+/// A connection: it is served while the endpoint lives, then reset, or held silently until it is back.
+async fn serve(environment: SharedEnvironment, index: usize, relay: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let mut life = world.borrow().cards[server].life.subscribe();
+    let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
     let mut stream = BufReader::new(stream);
-    let mut seat = Seat { world: world.clone(), server, request: None, session: None };
+    let mut guard =
+        ConnectionGuard { environment: environment.clone(), index, request: None, connection: None };
     tokio::select! {
         biased;
-        _ = life.wait_for(|life| *life != Life::Up) => {}
-        () = talk(&world, server, relay, &mut stream, &mut seat) => return,
+        _ = process_state.wait_for(|process_state| *process_state != ProcessState::Serving) => {}
+        () = serve_stream(&environment, index, relay, &mut stream, &mut guard) => return,
     }
-    drop(seat);
-    let _ = life.wait_for(|life| *life != Life::Silent).await;
+    drop(guard);
+    let _ = process_state.wait_for(|process_state| *process_state != ProcessState::Silent).await;
     let _ = stream.get_ref().set_zero_linger();
 }
 
-/// What a connection holds in the books.
-struct Seat {
-    world: Shared,
-    server: usize,
+/// What a connection holds in the observations.
+struct ConnectionGuard {
+    environment: SharedEnvironment,
+    index: usize,
     /// The request whose attempt is out.
     request: Option<String>,
-    session: Option<u64>,
+    connection: Option<u64>,
 }
 
-impl Seat {
+impl ConnectionGuard {
     fn answered(&mut self) {
         if let Some(request) = self.request.take()
-            && let Some((_, out)) = self.world.borrow_mut().attempts.get_mut(&request)
+            && let Some((_, out)) = self.environment.borrow_mut().attempts.get_mut(&request)
         {
             *out = out.saturating_sub(1);
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.answered();
-        if let Some(session) = self.session {
-            self.world.borrow_mut().cards[self.server].model.close(session);
+        if let Some(serve_connection) = self.connection {
+            self.environment.borrow_mut().endpoints[self.index].model.close(serve_connection);
         }
     }
 }
 
-async fn talk(
-    world: &Shared, server: usize, relay: usize, stream: &mut BufReader<TcpStream>, seat: &mut Seat,
+async fn serve_stream(
+    environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
+    guard: &mut ConnectionGuard,
 ) {
-    let probe = || {
-        let mut world = world.borrow_mut();
-        let now = world.now();
-        world.fleet.probes += 1;
-        world.cards[server].model.report(now)
+    let health_check = || {
+        let mut environment = environment.borrow_mut();
+        let now = environment.now();
+        environment.endpoint_observations.health_checks += 1;
+        environment.endpoints[index].model.report(now)
     };
-    if let Some((id, figures)) = first_line(stream, probe).await {
-        session(world, server, relay, stream, seat, &id, &figures).await;
+    if let Some((id, attributes)) = read_opening_line(stream, health_check).await {
+        serve_connection(environment, index, relay, stream, guard, &id, &attributes).await;
     }
 }
 
-async fn session(
-    world: &Shared, server: usize, relay: usize, stream: &mut BufReader<TcpStream>, seat: &mut Seat,
-    id: &str, figures: &str,
+async fn serve_connection(
+    environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
+    guard: &mut ConnectionGuard, id: &str, attributes: &str,
 ) {
-    note_attempt(world, server, relay, id);
-    seat.request = Some(id.to_owned());
-    sleep(SETUP).await;
-    let load: f64 = figure(figures, "w").and_then(|w| w.parse().ok()).unwrap_or(1.0);
-    let deck = deck(figures);
-    let (opened, number, mut drains) = {
-        let mut world = world.borrow_mut();
-        let (now, number, from) = (world.now(), world.next_session(), world.front.site_of(relay));
-        let card = &mut world.cards[server];
-        let drains = card.drains.subscribe();
-        let foreign = card.site != from;
-        let opened = match *drains.borrow() {
-            true => Opened::Busy,
-            false => card.model.open(now, number, Held { load, deck, foreign, from }),
+    record_attempt(environment, index, relay, id);
+    guard.request = Some(id.to_owned());
+    sleep(SETUP_TIME).await;
+    let load: f64 = attribute(attributes, "w").and_then(|w| w.parse().ok()).unwrap_or(1.0);
+    let affinity_group = affinity_group(attributes);
+    let (admission, number, mut draining) = {
+        let mut environment = environment.borrow_mut();
+        let (now, number, relay_site) =
+            (environment.now(), environment.next_connection_number(), environment.front_proxy.site_of(relay));
+        let endpoint = &mut environment.endpoints[index];
+        let draining = endpoint.draining.subscribe();
+        let foreign = endpoint.site != relay_site;
+        let admission = match *draining.borrow() {
+            true => Admission::Rejected,
+            false => {
+                endpoint.model.open(now, number, ConnectionLoad { load, affinity_group, foreign, relay_site })
+            }
         };
-        (opened, number, drains)
+        (admission, number, draining)
     };
-    if opened == Opened::Busy {
+    if admission == Admission::Rejected {
         let _ = stream.write_all(b"BUSY\r\n").await;
-        seat.answered();
+        guard.answered();
         return;
     }
-    seat.session = Some(number);
-    let up = format!("UP r-{server}-{number}\r\nLOAD {:.1}\r\n", load * USUAL_LOAD);
-    seat.answered();
+    guard.connection = Some(number);
+    let up = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * USUAL_LOAD_PER_SECOND);
+    guard.answered();
     if stream.write_all(up.as_bytes()).await.is_err() {
         return;
     }
@@ -166,7 +171,7 @@
         line.clear();
         tokio::select! {
             biased;
-            _ = drains.wait_for(|drains| *drains) => {
+            _ = draining.wait_for(|draining| *draining) => {
                 let _ = stream.write_all(b"MOVE\r\n").await;
                 return;
             }
@@ -182,19 +187,20 @@
     }
 }
 
-/// Enters a head in the books.
-fn note_attempt(world: &Shared, server: usize, relay: usize, id: &str) {
-    let mut world = world.borrow_mut();
-    let now = world.now();
-    world.fleet.attempts += 1;
-    let tries = world.attempts.entry(id.to_owned()).or_default();
-    tries.0 += 1;
-    tries.1 += 1;
-    let (count, out) = *tries;
-    world.fleet.most_attempts = world.fleet.most_attempts.max(count);
-    world.fleet.overlapping_attempts += u64::from(out > 1);
-    let told = world.roll.told(relay, server);
-    if told.is_some_and(|told| now > told + DRAIN_GRACE) {
-        world.fleet.late_sends_to_draining += 1;
+/// Enters an opening line in the observations.
+fn record_attempt(environment: &SharedEnvironment, index: usize, relay: usize, id: &str) {
+    let mut environment = environment.borrow_mut();
+    let now = environment.now();
+    environment.endpoint_observations.attempts += 1;
+    let attempts = environment.attempts.entry(id.to_owned()).or_default();
+    attempts.0 += 1;
+    attempts.1 += 1;
+    let (count, out) = *attempts;
+    environment.endpoint_observations.max_attempts =
+        environment.endpoint_observations.max_attempts.max(count);
+    environment.endpoint_observations.overlapping_attempts += u64::from(out > 1);
+    let notified_at = environment.discovery.notified_at(relay, index);
+    if notified_at.is_some_and(|notified_at| now > notified_at + DRAIN_GRACE) {
+        environment.endpoint_observations.late_sends_to_draining += 1;
     }
 }
--- a/crates/testbed/src/emulators/endpoint_model.rs
+++ b/crates/testbed/src/emulators/endpoint_model.rs
@@ -1,69 +1,69 @@
-//! The model of a card server: what it can do, what it holds, when it falls over. Pure: time is passed in.
+//! The model of an endpoint: what it can do, what it holds, when it collapses. Pure: time is passed in.
 //!
-//! Loads are in usual sessions: a card server of capacity 40 is full with 40 sessions of usual load, each deck that is
-//! held there counting as some sessions more. All times are Unix microseconds.
+//! Loads are in usual connections: an endpoint of capacity 40 is full with 40 connections of usual load, each affinity group that is
+//! held there counting as some connections more. All times are Unix microseconds.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// Microseconds.
 pub type Micros = u64;
 
-/// What a cold card server falls over at: this multiple of its present capacity ...
-pub const FALL_MULTIPLE: f64 = 3.0;
+/// What a cold endpoint collapses at: this multiple of its present capacity ...
+pub const COLLAPSE_MULTIPLE: f64 = 3.0;
 /// ... within this.
-pub const FALL_WINDOW: Micros = 2_000_000;
-/// Work that never fells a card server, however cold: a few sessions at once are chance.
-const FALL_LEAST: f64 = 4.0;
+pub const COLLAPSE_WINDOW: Micros = 2_000_000;
+/// Work that never fells an endpoint, however cold: a few connections at once are chance.
+const MIN_COLLAPSE_WORK: f64 = 4.0;
 /// Load over capacity at which messages begin to be late, and at which all of them are.
-const LATE_FROM: f64 = 0.85;
-const LATE_ALL: f64 = 1.15;
-/// Load over capacity at which newcomers are turned away.
-const FULL: f64 = 1.5;
+const FIRST_LATE_LOAD: f64 = 0.85;
+const ALL_LATE_LOAD: f64 = 1.15;
+/// Load over capacity at which new connections are rejected.
+const REJECT_LOAD: f64 = 1.5;
 
-/// How a card server is made.
+/// How an endpoint is made.
 #[derive(Clone, Debug)]
-pub struct Make {
-    /// Its size in the roll.
+pub struct EndpointParameters {
+    /// Its size in discovery.
     pub weight: f64,
-    /// Usual sessions that fill it once it is warm.
+    /// Usual connections that fill it once it is warm.
     pub capacity: f64,
     /// The part of its capacity that it starts with.
-    pub cold_from: f64,
+    pub cold_capacity_fraction: f64,
     /// The time that it takes to warm up evenly.
-    pub cold: Micros,
-    /// What each deck costs that it holds, in usual sessions.
-    pub deck_cost: f64,
+    pub warm_up: Micros,
+    /// What each affinity group costs that it holds, in usual connections.
+    pub affinity_group_cost: f64,
     /// How often its load reports are refreshed.
-    pub report_every: Micros,
+    pub report_interval: Micros,
     /// How late reports are.
-    pub report_late: Micros,
+    pub report_delay: Micros,
 }
 
-/// A session as its card server holds it.
+/// A connection as its endpoint holds it.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// Its load in usual sessions.
+pub struct ConnectionLoad {
+    /// Its load in usual connections.
     pub load: f64,
-    /// Its deck.
-    pub deck: u64,
+    /// Its affinity group.
+    pub affinity_group: u64,
     /// It came by a relay of another site.
     pub foreign: bool,
     /// The site of that relay.
-    pub from: usize,
+    pub relay_site: usize,
 }
 
-/// What became of a newcomer.
+/// What became of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum Admission {
     /// It stands.
-    Up,
-    /// It is turned away.
-    Busy,
+    Accepted,
+    /// It is rejected.
+    Rejected,
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// The part of its cores in use.
     pub util: f64,
     /// Milliseconds of work a message takes.
@@ -72,39 +72,39 @@
     pub x0: f64,
 }
 
-/// A card server.
+/// An endpoint.
 #[derive(Clone, Debug)]
-pub struct CardModel {
-    make: Make,
+pub struct EndpointModel {
+    parameters: EndpointParameters,
     started: Micros,
-    sessions: BTreeMap<u64, Held>,
-    decks: BTreeMap<u64, (u32, u32)>,
+    connections: BTreeMap<u64, ConnectionLoad>,
+    affinity_groups: BTreeMap<u64, (u32, u32)>,
     load: f64,
-    sent: VecDeque<(Micros, f64)>,
-    fallen: bool,
-    worst_multiple: f64,
-    reports: VecDeque<(Micros, Report)>,
+    recent_work: VecDeque<(Micros, f64)>,
+    collapsed: bool,
+    max_rate_multiple: f64,
+    reports: VecDeque<(Micros, LoadReport)>,
 }
 
-impl CardModel {
-    /// A card server that has just started, or long ago (`started` 0).
-    pub fn new(make: Make, started: Micros) -> CardModel {
-        CardModel {
-            make,
+impl EndpointModel {
+    /// An endpoint that has just started, or long ago (`started` 0).
+    pub fn new(parameters: EndpointParameters, started: Micros) -> EndpointModel {
+        EndpointModel {
+            parameters,
             started,
-            sessions: BTreeMap::new(),
-            decks: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            affinity_groups: BTreeMap::new(),
             load: 0.0,
-            sent: VecDeque::new(),
-            fallen: false,
-            worst_multiple: 0.0,
+            recent_work: VecDeque::new(),
+            collapsed: false,
+            max_rate_multiple: 0.0,
             reports: VecDeque::new(),
         }
     }
 
     /// How it is made.
-    pub fn make(&self) -> &Make {
-        &self.make
+    pub fn parameters(&self) -> &EndpointParameters {
+        &self.parameters
     }
 
     /// When it started; 0 is long ago.
@@ -113,119 +113,121 @@
     }
 
     /// The part of its capacity that it has now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn warm_fraction(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= self.make.cold {
+        if self.started == 0 || age >= self.parameters.warm_up {
             return 1.0;
         }
-        self.make.cold_from + (1.0 - self.make.cold_from) * age as f64 / self.make.cold as f64
+        self.parameters.cold_capacity_fraction
+            + (1.0 - self.parameters.cold_capacity_fraction) * age as f64 / self.parameters.warm_up as f64
     }
 
-    /// Usual sessions that it can carry now.
+    /// Usual connections that it can carry now.
     pub fn capacity(&self, now: Micros) -> f64 {
-        if self.fallen { 0.0 } else { self.make.capacity * self.warmth(now) }
+        if self.collapsed { 0.0 } else { self.parameters.capacity * self.warm_fraction(now) }
     }
 
-    /// What it holds, decks included, in usual sessions.
-    pub fn held(&self) -> f64 {
-        self.load + self.decks.len() as f64 * self.make.deck_cost
+    /// What it holds, affinity groups included, in usual connections.
+    pub fn total_load(&self) -> f64 {
+        self.load + self.affinity_groups.len() as f64 * self.parameters.affinity_group_cost
     }
 
-    /// What sessions of other sites hold: their load, and the decks that no other session here has.
-    pub fn foreign(&self) -> f64 {
-        let load: f64 = self.sessions.values().filter(|s| s.foreign).map(|s| s.load).sum();
-        let decks = self.decks.values().filter(|(all, foreign)| all == foreign).count();
-        load + decks as f64 * self.make.deck_cost
+    /// What connections of other sites hold: their load, and the affinity groups that no other connection here has.
+    pub fn foreign_load(&self) -> f64 {
+        let load: f64 = self.connections.values().filter(|s| s.foreign).map(|s| s.load).sum();
+        let affinity_groups = self.affinity_groups.values().filter(|(all, foreign)| all == foreign).count();
+        load + affinity_groups as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Sessions of relays of each site, by the site's number.
-    pub fn sessions_from(&self, site: usize) -> usize {
-        self.sessions.values().filter(|s| s.from == site).count()
+    /// Connections of relays of each site, by the site's number.
+    pub fn connections_from(&self, site: usize) -> usize {
+        self.connections.values().filter(|s| s.relay_site == site).count()
     }
 
-    /// Sessions held.
-    pub fn sessions(&self) -> usize {
-        self.sessions.len()
+    /// Connections held.
+    pub fn connections(&self) -> usize {
+        self.connections.len()
     }
 
     /// Load asked over what it can do.
     pub fn x0(&self, now: Micros) -> f64 {
-        self.held() / self.capacity(now).max(1e-9)
+        self.total_load() / self.capacity(now).max(1e-9)
     }
 
     /// The share of messages that it answers in time.
-    pub fn in_time(&self, now: Micros) -> f64 {
-        if self.fallen {
+    pub fn in_time_fraction(&self, now: Micros) -> f64 {
+        if self.collapsed {
             return 0.0;
         }
-        ((LATE_ALL - self.x0(now)) / (LATE_ALL - LATE_FROM)).clamp(0.0, 1.0)
+        ((ALL_LATE_LOAD - self.x0(now)) / (ALL_LATE_LOAD - FIRST_LATE_LOAD)).clamp(0.0, 1.0)
     }
 
-    /// A newcomer's head has come. Every one of them is work that was sent, whether it stands or not.
-    pub fn open(&mut self, now: Micros, id: u64, held: Held) -> Opened {
-        if self.fallen {
-            return Opened::Busy;
+    /// A new connection's opening line has come. Every one of them is work that was sent, whether it stands or not.
+    pub fn open(&mut self, now: Micros, id: u64, connection: ConnectionLoad) -> Admission {
+        if self.collapsed {
+            return Admission::Rejected;
         }
-        self.count_work(now, held.load);
-        if self.fallen || self.x0(now) >= FULL {
-            return Opened::Busy;
+        self.record_work(now, connection.load);
+        if self.collapsed || self.x0(now) >= REJECT_LOAD {
+            return Admission::Rejected;
         }
-        let deck = self.decks.entry(held.deck).or_default();
-        deck.0 += 1;
-        deck.1 += u32::from(held.foreign);
-        self.load += held.load;
-        self.sessions.insert(id, held);
-        Opened::Up
+        let affinity_group = self.affinity_groups.entry(connection.affinity_group).or_default();
+        affinity_group.0 += 1;
+        affinity_group.1 += u32::from(connection.foreign);
+        self.load += connection.load;
+        self.connections.insert(id, connection);
+        Admission::Accepted
     }
 
-    /// The rule on cold card servers: the work sent within the window against present capacity, which is the rate of
-    /// new sessions that fills it over its warm-up, times its warmth.
-    fn count_work(&mut self, now: Micros, load: f64) {
-        if self.warmth(now) >= 1.0 {
+    /// The rule on cold endpoints: the work sent within the window against present capacity, which is the rate of
+    /// new connections that fills it over its warm-up, times its warmth.
+    fn record_work(&mut self, now: Micros, load: f64) {
+        if self.warm_fraction(now) >= 1.0 {
             return;
         }
-        self.sent.push_back((now, load));
-        while self.sent.front().is_some_and(|(at, _)| at + FALL_WINDOW <= now) {
-            self.sent.pop_front();
+        self.recent_work.push_back((now, load));
+        while self.recent_work.front().is_some_and(|(at, _)| at + COLLAPSE_WINDOW <= now) {
+            self.recent_work.pop_front();
         }
-        let sent: f64 = self.sent.iter().map(|(_, load)| load).sum();
-        let pace = self.make.capacity / (self.make.cold as f64 / 1e6) * self.warmth(now);
-        let multiple = sent / (pace * FALL_WINDOW as f64 / 1e6);
-        self.worst_multiple = self.worst_multiple.max(multiple);
-        self.fallen |= sent > FALL_LEAST && multiple > FALL_MULTIPLE;
+        let recent_work: f64 = self.recent_work.iter().map(|(_, load)| load).sum();
+        let pace =
+            self.parameters.capacity / (self.parameters.warm_up as f64 / 1e6) * self.warm_fraction(now);
+        let multiple = recent_work / (pace * COLLAPSE_WINDOW as f64 / 1e6);
+        self.max_rate_multiple = self.max_rate_multiple.max(multiple);
+        self.collapsed |= recent_work > MIN_COLLAPSE_WORK && multiple > COLLAPSE_MULTIPLE;
     }
 
     /// The largest multiple of its present capacity that it was sent while it was cold.
-    pub fn worst_multiple(&self) -> f64 {
-        self.worst_multiple
+    pub fn max_rate_multiple(&self) -> f64 {
+        self.max_rate_multiple
     }
 
-    /// Whether it has fallen over: it stays down.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has collapsed: it stays down.
+    pub fn collapsed(&self) -> bool {
+        self.collapsed
     }
 
-    /// A session has ended.
+    /// A connection has ended.
     pub fn close(&mut self, id: u64) {
-        let Some(held) = self.sessions.remove(&id) else { return };
-        self.load = if self.sessions.is_empty() { 0.0 } else { self.load - held.load };
-        if let Some(deck) = self.decks.get_mut(&held.deck) {
-            deck.0 -= 1;
-            deck.1 -= u32::from(held.foreign);
-            if deck.0 == 0 {
-                self.decks.remove(&held.deck);
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.load = if self.connections.is_empty() { 0.0 } else { self.load - connection.load };
+        if let Some(affinity_group) = self.affinity_groups.get_mut(&connection.affinity_group) {
+            affinity_group.0 -= 1;
+            affinity_group.1 -= u32::from(connection.foreign);
+            if affinity_group.0 == 0 {
+                self.affinity_groups.remove(&connection.affinity_group);
             }
         }
     }
 
-    /// The report that a probe gets: refreshed now and then, and late.
-    pub fn report(&mut self, now: Micros) -> Report {
-        if self.reports.back().is_none_or(|(at, _)| now >= at + self.make.report_every) {
+    /// The report that a health check gets: refreshed now and then, and late.
+    pub fn report(&mut self, now: Micros) -> LoadReport {
+        if self.reports.back().is_none_or(|(at, _)| now >= at + self.parameters.report_interval) {
             let x0 = self.x0(now).min(99.0);
             let latency_ms = 4.0 / (1.05 - x0.min(1.0)) + (x0 - 1.0).max(0.0) * 400.0;
-            self.reports.push_back((now, Report { util: x0.min(1.0), latency_ms, x0 }));
+            self.reports.push_back((now, LoadReport { util: x0.min(1.0), latency_ms, x0 }));
         }
-        let due = |at: Micros| at + self.make.report_late <= now;
+        let due = |at: Micros| at + self.parameters.report_delay <= now;
         while self.reports.len() > 1 && due(self.reports[1].0) {
             self.reports.pop_front();
         }
@@ -237,54 +239,56 @@
 mod tests {
     use super::*;
 
-    fn make() -> Make {
-        Make {
+    fn parameters() -> EndpointParameters {
+        EndpointParameters {
             weight: 1.0,
             capacity: 36.0,
-            cold_from: 0.5,
-            cold: 9_000_000,
-            deck_cost: 3.0,
-            report_every: 500_000,
-            report_late: 300_000,
+            cold_capacity_fraction: 0.5,
+            warm_up: 9_000_000,
+            affinity_group_cost: 3.0,
+            report_interval: 500_000,
+            report_delay: 300_000,
         }
     }
 
-    fn held(deck: u64, foreign: bool) -> Held {
-        Held { load: 1.0, deck, foreign, from: 0 }
+    fn connection(affinity_group: u64, foreign: bool) -> ConnectionLoad {
+        ConnectionLoad { load: 1.0, affinity_group, foreign, relay_site: 0 }
     }
 
     #[test]
-    fn decks_are_paid_for_once_and_foreign_load_is_told_apart() {
-        let mut server = CardModel::new(make(), 0);
-        for (id, deck, foreign) in [(1, 7, true), (2, 7, false), (3, 8, true), (4, 8, true)] {
-            assert_eq!(server.open(1, id, held(deck, foreign)), Opened::Up);
+    fn affinity_group_cost_counts_once_and_foreign_load_is_separate() {
+        let mut server = EndpointModel::new(parameters(), 0);
+        for (id, affinity_group, foreign) in [(1, 7, true), (2, 7, false), (3, 8, true), (4, 8, true)] {
+            assert_eq!(server.open(1, id, connection(affinity_group, foreign)), Admission::Accepted);
         }
-        assert_eq!((server.held(), server.foreign()), (10.0, 6.0));
+        assert_eq!((server.total_load(), server.foreign_load()), (10.0, 6.0));
         server.close(2);
-        assert_eq!(server.foreign(), 9.0);
+        assert_eq!(server.foreign_load(), 9.0);
         (1..=4).for_each(|id| server.close(id));
-        assert_eq!((server.held(), server.foreign(), server.sessions()), (0.0, 0.0, 0));
+        assert_eq!((server.total_load(), server.foreign_load(), server.connections()), (0.0, 0.0, 0));
     }
 
     #[test]
-    fn a_cold_server_falls_over_at_three_times_its_pace_and_a_warm_one_does_not() {
-        // It fills at 4 sessions a second times its warmth of a half: 4 in 2 s, and 12 are too many.
+    fn cold_endpoint_collapses_at_three_times_its_rate_and_warm_one_does_not() {
+        // It fills at 4 connections a second times its warmth of a half: 4 in 2 s, and 12 are too many.
         let start = 1_000_000_000;
-        let mut cold = CardModel::new(make(), start);
-        let stood = (0..20).filter(|id| cold.open(start, *id, held(1, false)) == Opened::Up).count();
-        assert_eq!((stood, cold.fallen()), (12, true));
-        let mut warm = CardModel::new(make(), 0);
-        assert!((0..20).all(|id| warm.open(start, id, held(1, false)) == Opened::Up));
-        let mut slow = CardModel::new(make(), start);
+        let mut warm_up = EndpointModel::new(parameters(), start);
+        let stood = (0..20)
+            .filter(|id| warm_up.open(start, *id, connection(1, false)) == Admission::Accepted)
+            .count();
+        assert_eq!((stood, warm_up.collapsed()), (12, true));
+        let mut warm = EndpointModel::new(parameters(), 0);
+        assert!((0..20).all(|id| warm.open(start, id, connection(1, false)) == Admission::Accepted));
+        let mut slow = EndpointModel::new(parameters(), start);
         let at = |id: u64| start + id * 250_000;
-        assert!((0..20).all(|id| slow.open(at(id), id, held(1, false)) == Opened::Up));
+        assert!((0..20).all(|id| slow.open(at(id), id, connection(1, false)) == Admission::Accepted));
     }
 
     #[test]
-    fn reports_are_late() {
-        let mut server = CardModel::new(make(), 0);
+    fn load_report_is_delayed() {
+        let mut server = EndpointModel::new(parameters(), 0);
         assert_eq!(server.report(1_000_000).x0, 0.0);
-        assert!((0..9).all(|id| server.open(1_000_000, id, held(1, false)) == Opened::Up));
+        assert!((0..9).all(|id| server.open(1_000_000, id, connection(1, false)) == Admission::Accepted));
         assert_eq!(server.report(1_400_000).x0, 0.0);
         assert_eq!(server.report(1_600_000).x0, 0.0);
         assert!(server.report(1_950_000).x0 > 0.3);
--- a/crates/testbed/src/emulators/protocol.rs
+++ b/crates/testbed/src/emulators/protocol.rs
@@ -1,23 +1,23 @@
-//! What all stand-ins of discovery and of card servers read, and what card servers say of themselves.
+//! What all stand-ins of discovery and of endpoints read, and what endpoints say of themselves.
 
 use std::time::Duration;
 
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use crate::emulators::endpoint_model::Report;
+use crate::emulators::endpoint_model::LoadReport;
 
-/// A call to discovery.
+/// A request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Query {
+pub struct DiscoveryRequest {
     /// Changes are asked for from this version on; else the whole list.
     pub since: Option<u64>,
     /// How long it may wait for them.
     pub wait: Duration,
 }
 
-/// Reads the next call off a connection; none at its end.
-pub async fn query(stream: &mut BufReader<TcpStream>) -> Option<Query> {
+/// Reads the next request from a connection; none at its end.
+pub async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<DiscoveryRequest> {
     let mut head = String::new();
     loop {
         let before = head.len();
@@ -34,13 +34,13 @@
         query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name)?.1.parse().ok()
     };
     let wait = Duration::from_millis(number("wait").unwrap_or(0).min(60_000));
-    Some(Query { since: number("index"), wait })
+    Some(DiscoveryRequest { since: number("index"), wait })
 }
 
-/// Answers pings and probes on a connection to a card server until a session's first line comes: its id and figures; none where the
+/// Answers pings and health checks on a connection to an endpoint until a connection's first line comes: its id and attributes; none where the
 /// connection ends before.
-pub async fn first_line(
-    stream: &mut BufReader<TcpStream>, mut report: impl FnMut() -> Report,
+pub async fn read_opening_line(
+    stream: &mut BufReader<TcpStream>, mut report: impl FnMut() -> LoadReport,
 ) -> Option<(String, String)> {
     let mut line = String::new();
     loop {
@@ -51,26 +51,26 @@
         }
         let answer = match line.trim_end().split(' ').collect::<Vec<_>>()[..] {
             ["PING"] => "PONG\r\n".to_owned(),
-            ["STATS"] => probed(&report()),
-            ["OPEN", id, _, figures] => return Some((id.to_owned(), figures.to_owned())),
+            ["STATS"] => load_report_line(&report()),
+            ["OPEN", id, _, attributes] => return Some((id.to_owned(), attributes.to_owned())),
             _ => "SYNTAX\r\n".to_owned(),
         };
         stream.write_all(answer.as_bytes()).await.ok()?;
     }
 }
 
-/// A card server's answer to a probe.
-fn probed(report: &Report) -> String {
-    let Report { util, latency_ms, x0 } = report;
+/// An endpoint's answer to a health check.
+fn load_report_line(report: &LoadReport) -> String {
+    let LoadReport { util, latency_ms, x0 } = report;
     format!("PONG util={util:.3},latency_ms={latency_ms:.1},x0={x0:.3}\r\n")
 }
 
-/// A figure of a session's first line.
-pub fn figure<'a>(figures: &'a str, name: &str) -> Option<&'a str> {
-    figures.split(',').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+/// A figure of a connection's first line.
+pub fn attribute<'a>(attributes: &'a str, name: &str) -> Option<&'a str> {
+    attributes.split(',').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
-/// The deck that a session's first line names; 0 where it names none.
-pub fn deck(figures: &str) -> u64 {
-    figure(figures, "g").and_then(|g| u64::from_str_radix(g, 16).ok()).unwrap_or(0)
+/// The affinity group that a connection's first line names; 0 where it names none.
+pub fn affinity_group(attributes: &str) -> u64 {
+    attribute(attributes, "g").and_then(|g| u64::from_str_radix(g, 16).ok()).unwrap_or(0)
 }
--- a/crates/testbed/src/emulators/relay_process.rs
+++ b/crates/testbed/src/emulators/relay_process.rs
@@ -12,20 +12,20 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-use super::environment::{COLD, Shared};
+use super::environment::{MAX_WARM_UP, SharedEnvironment};
 
 /// What starts relays.
-pub struct Starter {
+pub struct RelayLauncher {
     program: PathBuf,
     folder: PathBuf,
     /// The operator file for sites; none where that part is off.
     sites: Option<PathBuf>,
-    /// What the roll said when the world began: all that a relay knows when it comes back.
-    known: Vec<Value>,
+    /// What discovery said when the environment began: all that a relay knows when it comes back.
+    initial_endpoints: Vec<Value>,
 }
 
 /// Where the relay's program is: beside this one.
-pub fn program() -> Result<PathBuf, String> {
+pub fn relay_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program's place is unknown: {e}"))?;
     let folders = own.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("honeyknot-relay")).find(|p| p.is_file());
@@ -39,7 +39,7 @@
 }
 
 /// The settings of a relay of this number, of a fleet of so many, as the platform tells them.
-pub fn settings(relays: usize, me: usize, site: &str, sites: &[String]) -> Value {
+pub fn relay_settings(relays: usize, me: usize, site: &str, sites: &[String]) -> Value {
     json!({
         "family": "conn", "discovery": "on_request", "fleetSize": relays, "me": me,
         "zone": site, "zones": sites, "weights": "nominal", "roundUs": 5000,
@@ -50,42 +50,50 @@
             "aimUs": 300_000, "hardLimitUs": 1_200_000, "stream": true, "worth": 1.0}],
         "permissions": {"probing": true, "maxAttempts": 6, "connectTimeoutUs": 250_000,
             "retryAfter": true, "maxRetryAfterUs": 600_000, "idleCloseUs": 30_000_000, "mayCancel": true},
-        "rules": {"startCapacity": 0.32, "coldUs": COLD, "overloadFactor": 3.0, "fallUs": 2_000_000,
+        "rules": {"startCapacity": 0.32, "coldUs": MAX_WARM_UP, "overloadFactor": 3.0, "fallUs": 2_000_000,
             "graceToAnswerUs": 20_000, "stopSendingWithinUs": 500_000, "mustAskInUs": 10_000_000},
         "tariffs": {"crossZone": 0.2, "moves": 0.008, "probe": 0.0032, "waste": 0.3}})
 }
 
-impl Starter {
+impl RelayLauncher {
     /// Relays of `program` that keep their files in `folder`.
-    pub fn new(world: &Shared, program: PathBuf, folder: &Path, sites: Option<PathBuf>) -> Starter {
-        let world = world.borrow();
-        let known = (0..world.size.relays)
-            .map(|relay| world.roll.list(None, |server| world.card_address(server, relay).to_string()))
+    pub fn new(
+        environment: &SharedEnvironment, program: PathBuf, folder: &Path, sites: Option<PathBuf>,
+    ) -> RelayLauncher {
+        let environment = environment.borrow();
+        let initial_endpoints = (0..environment.size.relays)
+            .map(|relay| {
+                environment
+                    .discovery
+                    .list(None, |endpoint| environment.endpoint_address(endpoint, relay).to_string())
+            })
             .collect();
-        Starter { program, folder: folder.to_owned(), sites, known }
+        RelayLauncher { program, folder: folder.to_owned(), sites, initial_endpoints }
     }
 
-    fn config(&self, world: &Shared, relay: usize, life: u32) -> Value {
-        let world = world.borrow();
-        let site = &world.size.sites[world.front.site_of(relay)];
+    fn config(&self, environment: &SharedEnvironment, relay: usize, incarnation: u32) -> Value {
+        let environment = environment.borrow();
+        let site = &environment.size.sites[environment.front_proxy.site_of(relay)];
         json!({
             "name": format!("n{relay}"),
-            "listen": world.relay_address(relay).to_string(),
-            "discovery": world.roll_address(relay).to_string(),
-            "seed": format!("{:x}", world.seed() ^ (relay as u64) << 32 ^ u64::from(life)),
+            "listen": environment.relay_address(relay).to_string(),
+            "discovery": environment.discovery_address(relay).to_string(),
+            "seed": format!("{:x}", environment.seed() ^ (relay as u64) << 32 ^ u64::from(incarnation)),
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 4096},
-            "known": self.known[relay],
-            "settings": settings(world.size.relays, relay, site, &world.size.sites),
+            "known": self.initial_endpoints[relay],
+            "settings": relay_settings(environment.size.relays, relay, site, &environment.size.sites),
         })
     }
 
     /// Starts a relay and waits until it answers. Its log goes to a file in the folder.
-    pub async fn start(&self, world: &Shared, relay: usize, life: u32) -> Result<Child, String> {
+    pub async fn start(
+        &self, environment: &SharedEnvironment, relay: usize, incarnation: u32,
+    ) -> Result<Child, String> {
         let path = self.folder.join(format!("n{relay}.json"));
-        let log = self.folder.join(format!("n{relay}-{life}.log"));
-        let told = |e: io::Error| format!("{}: {e}", path.display());
-        std::fs::write(&path, self.config(world, relay, life).to_string()).map_err(told)?;
-        world.borrow_mut().roll.forget(relay);
+        let log = self.folder.join(format!("n{relay}-{incarnation}.log"));
+        let describe = |e: io::Error| format!("{}: {e}", path.display());
+        std::fs::write(&path, self.config(environment, relay, incarnation).to_string()).map_err(describe)?;
+        environment.borrow_mut().discovery.forget_relay(relay);
         let mut command = Command::new(&self.program);
         command.arg("serve").env("EDGE_CONFIG", &path).stdin(Stdio::null()).kill_on_drop(true);
         for name in ["EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "HONEYKNOT_SITES", "HONEYKNOT_NEIGHBORS"] {
@@ -94,10 +102,10 @@
         if let Some(sites) = &self.sites {
             command.arg("--sites").arg(sites);
         }
-        let file = File::create(&log).map_err(told)?;
-        command.stdout(file.try_clone().map_err(told)?).stderr(file);
+        let file = File::create(&log).map_err(describe)?;
+        command.stdout(file.try_clone().map_err(describe)?).stderr(file);
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
-        let address = world.borrow().relay_address(relay);
+        let address = environment.borrow().relay_address(relay);
         for _ in 0..250 {
             if let Ok(Some(status)) = child.try_wait() {
                 let text = std::fs::read_to_string(&log).unwrap_or_default();
@@ -120,5 +128,5 @@
         stream.read_line(&mut line).await?;
         io::Result::Ok(line == "PONG\r\n")
     };
-    timeout(Duration::from_millis(300), ask).await.is_ok_and(|told| told.unwrap_or(false))
+    timeout(Duration::from_millis(300), ask).await.is_ok_and(|describe| describe.unwrap_or(false))
 }
--- a/crates/testbed/src/fleet/cards.rs
+++ b/crates/testbed/src/fleet/cards.rs
@@ -12,8 +12,8 @@
 
 use super::Plan;
 use super::book::{Book, Seen};
-use crate::emulators::endpoint_model::{CardModel, Held, Make, Opened};
-use crate::emulators::protocol::{deck, first_line};
+use crate::emulators::endpoint_model::{Admission, ConnectionLoad, EndpointModel, EndpointParameters};
+use crate::emulators::protocol::{affinity_group, read_opening_line};
 
 /// Usual sessions that fill a card server at the least; more where the clients are many.
 const CAPACITY: f64 = 30.0;
@@ -32,7 +32,7 @@
 
 struct Card {
     s: usize,
-    model: CardModel,
+    model: EndpointModel,
     open: usize,
     book: Book,
     sessions: u64,
@@ -50,17 +50,17 @@
     let sessions = (plan.relays * plan.clients) as f64;
     let capacity = (sessions / plan.cards as f64 / LOAD).max(CAPACITY);
     for s in (0..plan.cards).filter(|s| s % parts == part) {
-        let make = Make {
+        let make = EndpointParameters {
             weight: 1.0,
             capacity,
-            cold_from: COLD_FROM,
-            cold: COLD,
-            deck_cost: 3.0,
-            report_every: 500_000,
-            report_late: 0,
+            cold_capacity_fraction: COLD_FROM,
+            warm_up: COLD,
+            affinity_group_cost: 3.0,
+            report_interval: 500_000,
+            report_delay: 0,
         };
         let started = if plan.cold_cards { super::now() } else { super::now() - 2 * COLD };
-        let model = CardModel::new(make, started);
+        let model = EndpointModel::new(make, started);
         let card = Card { s, model, open: 0, book: book.clone(), sessions: 0, drains: false };
         let card = Rc::new(RefCell::new(card));
         let at = plan.card(s);
@@ -82,7 +82,7 @@
             for card in &entered {
                 let card = card.borrow();
                 let (s, open, x0) = (card.s, card.open, card.model.x0(super::now()));
-                let (worst, fallen) = (card.model.worst_multiple(), card.model.fallen());
+                let (worst, fallen) = (card.model.max_rate_multiple(), card.model.collapsed());
                 card.book.enter(Seen::Card { s, open, x0, worst, fallen });
             }
         }
@@ -140,7 +140,7 @@
         card.book.enter(Seen::Probe { s: card.s });
         card.model.report(super::now())
     };
-    if let Some((id, figures)) = first_line(&mut stream, probe).await {
+    if let Some((id, figures)) = read_opening_line(&mut stream, probe).await {
         session(&mut seat, &mut stream, &id, &figures).await;
     }
 }
@@ -153,24 +153,24 @@
     }
     seat.out = Some(id.to_owned());
     sleep(SETUP).await;
-    let deck = deck(figures);
+    let affinity_group = affinity_group(figures);
     let opened = {
         let mut card = card.borrow_mut();
         card.sessions += 1;
         let number = card.sessions;
-        let held = Held { load: 1.0, deck, foreign: false, from: 0 };
+        let held = ConnectionLoad { load: 1.0, affinity_group, foreign: false, relay_site: 0 };
         match card.drains {
-            true => Opened::Busy,
+            true => Admission::Rejected,
             false => {
                 let opened = card.model.open(super::now(), number, held);
-                if opened != Opened::Busy {
+                if opened != Admission::Rejected {
                     seat.session = Some(number);
                 }
                 opened
             }
         }
     };
-    if opened == Opened::Busy {
+    if opened == Admission::Rejected {
         let _ = stream.write_all(b"BUSY\r\n").await;
         return seat.answered(false);
     }
--- a/crates/testbed/src/fleet/list.rs
+++ b/crates/testbed/src/fleet/list.rs
@@ -14,7 +14,7 @@
 
 use super::book::{Asked, Book, End, Seen};
 use super::{Held, Plan, VERSION};
-use crate::emulators::protocol::{Query, query};
+use crate::emulators::protocol::{DiscoveryRequest, read_request};
 
 /// A call that has waited longer than this is turned away ...
 const TOO_LONG: u64 = 2_000_000;
@@ -222,7 +222,7 @@
 async fn serve(service: Shared, wake: Rc<Notify>, relay: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
-    while let Some(Query { since, wait }) = query(&mut stream).await {
+    while let Some(DiscoveryRequest { since, wait }) = read_request(&mut stream).await {
         let gone = Rc::new(Cell::new(false));
         let ask = async {
             let mut version = service.borrow().version.subscribe();
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -15,7 +15,7 @@
 
 use super::book::{Book, Seen};
 use super::{Plan, list, send};
-use crate::emulators::relay_process::settings;
+use crate::emulators::relay_process::relay_settings;
 
 /// How often it is looked whether a relay has ended by itself.
 const LOOK: Duration = Duration::from_millis(100);
@@ -132,7 +132,7 @@
             "seed": format!("{:x}", plan.seed ^ (n as u64) << 32 ^ *life),
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 1024},
             "known": list::known(plan, n),
-            "settings": settings(plan.told, n, "z", &["z".to_owned()]),
+            "settings": relay_settings(plan.told, n, "z", &["z".to_owned()]),
         });
         let path = plan.folder.join(format!("n{n}.json"));
         let told = |e: std::io::Error| format!("{}: {e}", path.display());
