--- /dev/null
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -0,0 +1,206 @@
+//! The endpoints' sockets: opening lines, lines, health checks, and ways to fail.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use super::environment::{ProcessState, SharedEnvironment};
+use crate::emulators::endpoint_model::{Admission, ConnectionLoad, Micros};
+use crate::emulators::protocol::{affinity_group, attribute, read_opening_line};
+
+/// Nothing new may be sent to an endpoint later than this after the notice of its drain: the rule's 500 ms and the
+/// 50 ms that sockets are given.
+const DRAIN_GRACE: Micros = 550_000;
+/// Work a second of a usual connection, in the unit that `LOAD` tells.
+const USUAL_LOAD_PER_SECOND: f64 = 58_000.0;
+/// How long a set-up takes.
+const SETUP_TIME: Duration = Duration::from_millis(8);
+
+/// Starts an endpoint's listeners, one for each relay.
+pub fn start(environment: &SharedEnvironment, index: usize) {
+    let relays = environment.borrow().size.relays;
+    for relay in 0..relays {
+        let address = environment.borrow().endpoint_address(index, relay);
+        spawn_local(listen(environment.clone(), index, relay, address));
+    }
+}
+
+async fn listen(environment: SharedEnvironment, index: usize, relay: usize, address: SocketAddr) {
+    let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
+    loop {
+        if *process_state.borrow_and_update() != ProcessState::Serving {
+            if process_state.changed().await.is_err() {
+                return;
+            }
+            continue;
+        }
+        let listener = match TcpListener::bind(address).await {
+            Ok(listener) => listener,
+            Err(e) => {
+                environment.borrow_mut().event(format!("{address}: {e}"));
+                sleep(Duration::from_millis(50)).await;
+                continue;
+            }
+        };
+        loop {
+            let state = *process_state.borrow_and_update();
+            match state {
+                ProcessState::Dead => break,
+                // The kernel still takes connections; nobody ever speaks.
+                ProcessState::Silent => {
+                    if process_state.changed().await.is_err() {
+                        return;
+                    }
+                    if *process_state.borrow() == ProcessState::Serving {
+                        break;
+                    }
+                }
+                ProcessState::Serving => tokio::select! {
+                    biased;
+                    changed = process_state.changed() => if changed.is_err() { return },
+                    came = listener.accept() => if let Ok((stream, _)) = came {
+                        spawn_local(serve(environment.clone(), index, relay, stream));
+                    },
+                },
+            }
+        }
+    }
+}
+
+/// A connection: it is served while the endpoint lives, then reset, or held silently until it is back.
+async fn serve(environment: SharedEnvironment, index: usize, relay: usize, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
+    let mut stream = BufReader::new(stream);
+    let mut guard =
+        ConnectionGuard { environment: environment.clone(), index, request: None, connection: None };
+    tokio::select! {
+        biased;
+        _ = process_state.wait_for(|process_state| *process_state != ProcessState::Serving) => {}
+        () = serve_stream(&environment, index, relay, &mut stream, &mut guard) => return,
+    }
+    drop(guard);
+    let _ = process_state.wait_for(|process_state| *process_state != ProcessState::Silent).await;
+    let _ = stream.get_ref().set_zero_linger();
+}
+
+/// What a connection holds in the observations.
+struct ConnectionGuard {
+    environment: SharedEnvironment,
+    index: usize,
+    /// The request whose attempt is out.
+    request: Option<String>,
+    connection: Option<u64>,
+}
+
+impl ConnectionGuard {
+    fn answered(&mut self) {
+        if let Some(request) = self.request.take()
+            && let Some((_, out)) = self.environment.borrow_mut().attempts.get_mut(&request)
+        {
+            *out = out.saturating_sub(1);
+        }
+    }
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.answered();
+        if let Some(serve_connection) = self.connection {
+            self.environment.borrow_mut().endpoints[self.index].model.close(serve_connection);
+        }
+    }
+}
+
+async fn serve_stream(
+    environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
+    guard: &mut ConnectionGuard,
+) {
+    let health_check = || {
+        let mut environment = environment.borrow_mut();
+        let now = environment.now();
+        environment.endpoint_observations.health_checks += 1;
+        environment.endpoints[index].model.report(now)
+    };
+    if let Some((id, attributes)) = read_opening_line(stream, health_check).await {
+        serve_connection(environment, index, relay, stream, guard, &id, &attributes).await;
+    }
+}
+
+async fn serve_connection(
+    environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
+    guard: &mut ConnectionGuard, id: &str, attributes: &str,
+) {
+    record_attempt(environment, index, relay, id);
+    guard.request = Some(id.to_owned());
+    sleep(SETUP_TIME).await;
+    let load: f64 = attribute(attributes, "w").and_then(|w| w.parse().ok()).unwrap_or(1.0);
+    let affinity_group = affinity_group(attributes);
+    let (admission, number, mut draining) = {
+        let mut environment = environment.borrow_mut();
+        let (now, number, relay_site) =
+            (environment.now(), environment.next_connection_number(), environment.front_proxy.site_of(relay));
+        let endpoint = &mut environment.endpoints[index];
+        let draining = endpoint.draining.subscribe();
+        let foreign = endpoint.site != relay_site;
+        let admission = match *draining.borrow() {
+            true => Admission::Rejected,
+            false => {
+                endpoint.model.open(now, number, ConnectionLoad { load, affinity_group, foreign, relay_site })
+            }
+        };
+        (admission, number, draining)
+    };
+    if admission == Admission::Rejected {
+        let _ = stream.write_all(b"BUSY\r\n").await;
+        guard.answered();
+        return;
+    }
+    guard.connection = Some(number);
+    let up = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * USUAL_LOAD_PER_SECOND);
+    guard.answered();
+    if stream.write_all(up.as_bytes()).await.is_err() {
+        return;
+    }
+    let mut line = String::new();
+    loop {
+        line.clear();
+        tokio::select! {
+            biased;
+            _ = draining.wait_for(|draining| *draining) => {
+                let _ = stream.write_all(b"MOVE\r\n").await;
+                return;
+            }
+            read = stream.read_line(&mut line) => match read {
+                Ok(n) if n > 0 => {
+                    if stream.write_all(b"OK\r\n").await.is_err() {
+                        return;
+                    }
+                }
+                _ => return,
+            }
+        }
+    }
+}
+
+/// Enters an opening line in the observations.
+fn record_attempt(environment: &SharedEnvironment, index: usize, relay: usize, id: &str) {
+    let mut environment = environment.borrow_mut();
+    let now = environment.now();
+    environment.endpoint_observations.attempts += 1;
+    let attempts = environment.attempts.entry(id.to_owned()).or_default();
+    attempts.0 += 1;
+    attempts.1 += 1;
+    let (count, out) = *attempts;
+    environment.endpoint_observations.max_attempts =
+        environment.endpoint_observations.max_attempts.max(count);
+    environment.endpoint_observations.overlapping_attempts += u64::from(out > 1);
+    let notified_at = environment.discovery.notified_at(relay, index);
+    if notified_at.is_some_and(|notified_at| now > notified_at + DRAIN_GRACE) {
+        environment.endpoint_observations.late_sends_to_draining += 1;
+    }
+}
