--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,7 @@
 #![doc = include_str!("../README.md")]
 
 pub mod admin;
+pub mod config_summary;
 pub mod gossip;
 pub mod inspect;
 pub mod lease_client;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,27 @@
 //! The relay's command line.
 
+use std::error::Error;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand};
+use clap::{Args, Parser, Subcommand};
 use honeyknot_relay::admin::client;
+use honeyknot_relay::config_summary;
 use honeyknot_relay::inspect::{self, Show};
 use honeyknot_relay::lease_client::admin_commands::{self, AdminCommand};
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_relay::lease_server::{self, LeaseServerOptions};
 use honeyknot_relay::logger::{self, Form};
-use honeyknot_relay::relay::{
-    self,
-    lifecycle::config::{Config, OperatorFiles},
-};
+use honeyknot_relay::relay;
+use honeyknot_relay::relay::lifecycle::config::{Config, OperatorFiles};
 use tracing::level_filters::LevelFilter;
 
-/// Relay for the long-lived study sessions of the `accra-study` deployment.
+/// Exit status of an admin command that the relay has rejected.
+const REJECTED: u8 = 1;
+/// Exit status of a command that failed.
+const FAILED: u8 = 2;
+
+/// Relay for long-lived connections.
 #[derive(Parser)]
 #[command(version, display_name = "honeyknot")]
 struct Cli {
@@ -24,56 +29,65 @@
     command: Command,
 }
 
+/// What and how to log.
+#[derive(Args)]
+struct LogOptions {
+    /// The lowest level that is logged: error, warn, info, debug, or trace (all events and actions of the balancer).
+    #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
+    log: LevelFilter,
+    /// How records are written.
+    #[arg(long, value_enum, default_value = "text", env = "HONEYKNOT_LOG_FORM")]
+    log_form: Form,
+}
+
+impl LogOptions {
+    fn start(&self) {
+        logger::start(self.log, self.log_form);
+    }
+}
+
 #[derive(Subcommand)]
 enum Command {
     /// Serve until SIGTERM. The configuration is the file that EDGE_CONFIG names.
     Serve {
-        /// The least level that is logged: error, warn, info, debug, or trace (all that the decisions hear and want).
-        #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
-        log: LevelFilter,
-        /// How records are written.
-        #[arg(long, value_enum, default_value = "text", env = "HONEYKNOT_LOG_FORM")]
-        log_form: Form,
+        #[command(flatten)]
+        log: LogOptions,
         #[command(flatten)]
         files: OperatorFiles,
     },
-    /// Read the configuration as `serve` would and say what it tells.
+    /// Read the configuration as `serve` would and print a summary.
     CheckConfig {
         #[command(flatten)]
         files: OperatorFiles,
     },
-    /// Show the names of all series, or captured packets and snapshots of metrics.
+    /// List the names of all metrics, or print captured packets and snapshots of metrics.
     Metrics {
         #[command(subcommand)]
         show: Show,
     },
-    /// Make an operators' call and print the answer; the exit status is 1 for a `NO`, 2 if nobody answers.
+    /// Send an admin command and print the answer; the exit status is 1 for a `NO`, 2 if nobody answers.
     #[command(alias = "call")]
     Admin {
-        /// Where the relay listens for operators.
+        /// The relay's admin address.
         address: SocketAddr,
-        /// The call: status, stats, maint-on ID or maint-off ID.
+        /// The command: status, stats, maint-on ID or maint-off ID.
         #[arg(required = true)]
         words: Vec<String>,
     },
-    /// Keep leases, as one of three, five or seven that agree, until SIGTERM.
+    /// Run a lease server, one replica of three, five or seven, until SIGTERM.
     #[command(alias = "keeper")]
     LeaseServer {
-        /// The operators' file: the keepers and the terms of leases.
+        /// The operators' file: the lease servers and the parameters of leases.
         #[arg(long)]
         leases: String,
         #[command(flatten)]
         options: LeaseServerOptions,
-        /// The least level that is logged.
-        #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
-        log: LevelFilter,
-        /// How records are written.
-        #[arg(long, value_enum, default_value = "text", env = "HONEYKNOT_LOG_FORM")]
-        log_form: Form,
+        #[command(flatten)]
+        log: LogOptions,
     },
-    /// Ask the keepers who holds what, or take a lease away.
+    /// Ask the lease servers who holds which lease, or revoke one.
     Lease {
-        /// The operators' file: the keepers and the terms of leases.
+        /// The operators' file: the lease servers and the parameters of leases.
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
@@ -84,71 +98,33 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve { log, log_form, files } => {
-            logger::start(log, log_form);
-            relay::serve(files).map_err(|error| error.to_string())
-        }
-        Command::CheckConfig { files } => {
-            let config = Config::from_environment(&files).map_err(|error| error.to_string());
-            config.map(|config| describe(&config))
-        }
-        Command::Metrics { show } => inspect::show(&show),
-        Command::Admin { address, words } => match client::send_command(address, &words) {
-            Ok(answer) => {
-                print!("{answer}");
-                return if client::is_accepted(&answer) { ExitCode::SUCCESS } else { ExitCode::from(1) };
-            }
-            Err(why) => Err(format!("{address}: {why}")),
-        },
-        Command::LeaseServer { leases, options, log, log_form } => {
-            logger::start(log, log_form);
-            serve_leases(&leases, &options)
-        }
-        Command::Lease { leases, command } => administer_leases(&leases, &command),
-        Command::Version => {
-            println!("honeyknot {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+    run(Cli::parse().command).unwrap_or_else(|error| {
+        eprintln!("honeyknot: {error}");
+        ExitCode::from(FAILED)
+    })
+}
+
+fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+    match command {
+        Command::Serve { log, files } => {
+            log.start();
+            relay::serve(files)?;
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("honeyknot: {why}");
-            ExitCode::from(2)
+        Command::CheckConfig { files } => config_summary::print(&Config::from_environment(&files)?),
+        Command::Metrics { show } => inspect::show(&show)?,
+        Command::Admin { address, words } => return send_admin_command(address, &words),
+        Command::LeaseServer { leases, options, log } => {
+            log.start();
+            lease_server::serve(&LeaseConfig::load(&leases)?, &options)?;
         }
+        Command::Lease { leases, command } => admin_commands::run(&LeaseConfig::load(&leases)?, &command)?,
+        Command::Version => println!("honeyknot {}", env!("CARGO_PKG_VERSION")),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn serve_leases(file: &str, options: &LeaseServerOptions) -> Result<(), String> {
-    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
-    lease_server::serve(&config, options).map_err(|error| error.to_string())
-}
-
-fn administer_leases(file: &str, command: &AdminCommand) -> Result<(), String> {
-    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
-    admin_commands::run(&config, command).map_err(|error| error.to_string())
-}
-
-fn describe(config: &Config) {
-    println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
-    let known = config.known_endpoints.as_ref().map_or(0, |k| k.endpoints.len());
-    println!("{} descriptors, {known} card servers known", config.max_descriptors);
-    if let Some(admin) = config.admin {
-        println!("operators call at {admin}");
-    }
-    if let Some(plan) = &config.zone_failover {
-        let (limit, leave) = (plan.spill_limit * 100.0, plan.leave_limit * 100.0);
-        println!("sites: spill up to {limit}% of a site, {leave}% of newcomers may leave theirs");
-    }
-    if let Some(plan) = &config.gossip {
-        let (port, seeds, witnesses) = (plan.port, plan.seeds.len(), plan.probers_per_endpoint);
-        println!(
-            "neighbors: fleet {}, port {port}, {seeds} seeds, {witnesses} witnesses a card server",
-            plan.fleet
-        );
-    }
-    if let Some(plan) = &config.metrics {
-        plan.exporters.iter().for_each(|sink| println!("metrics: sink {} at {}", sink.name, sink.address));
-    }
+fn send_admin_command(address: SocketAddr, words: &[String]) -> Result<ExitCode, Box<dyn Error>> {
+    let answer = client::send_command(address, words).map_err(|error| format!("{address}: {error}"))?;
+    print!("{answer}");
+    Ok(if client::is_accepted(&answer) { ExitCode::SUCCESS } else { ExitCode::from(REJECTED) })
 }
