--- a/crates/gossip/src/datagram.rs
+++ b/crates/gossip/src/datagram.rs
@@ -11,21 +11,50 @@
 /// Version of the format. Members drop datagrams of other versions.
 const VERSION: u8 = 1;
 
+/// A datagram to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// Address of the receiver.
+    pub to: SocketAddr,
+    /// The datagram's content.
+    pub bytes: Vec<u8>,
+}
+
 /// Why a datagram was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
     /// The datagram is too short or too long, or the member knows as many members as it may.
-    #[error("a datagram of {0} bytes from {1}: check what else sends to this port")]
-    Size(usize, SocketAddr),
+    #[error("a datagram of {length} bytes from {from}: check what else sends to this port")]
+    Size {
+        /// Length in bytes.
+        length: usize,
+        /// The sender.
+        from: SocketAddr,
+    },
     /// The sender uses another version of the format.
-    #[error("{1} speaks version {0} of the neighbours' language, this relay {VERSION}: finish the upgrade")]
-    Version(u8, SocketAddr),
+    #[error(
+        "{from} speaks version {version} of the neighbours' language, this relay {VERSION}: finish the upgrade"
+    )]
+    Version {
+        /// The sender's version.
+        version: u8,
+        /// The sender.
+        from: SocketAddr,
+    },
     /// The sender belongs to another fleet.
-    #[error("{0} is of another fleet: check `fleet` and the seeds in both files")]
-    Fleet(SocketAddr),
+    #[error("{from} is of another fleet: check `fleet` and the seeds in both files")]
+    Fleet {
+        /// The sender.
+        from: SocketAddr,
+    },
     /// The engine could not decode the message.
-    #[error("{1} sent what cannot be read ({0}): check what else sends to this port")]
-    Undecodable(String, SocketAddr),
+    #[error("{from} sent what cannot be read ({reason}): check what else sends to this port")]
+    Undecodable {
+        /// The engine's error.
+        reason: String,
+        /// The sender.
+        from: SocketAddr,
+    },
 }
 
 /// Adds and checks the envelope of one fleet's datagrams.
@@ -55,13 +84,13 @@
     /// If the length is out of range, or the version or the fleet is another.
     pub(crate) fn unwrap(self, datagram: &[u8], from: SocketAddr) -> Result<&[u8], DatagramError> {
         if datagram.len() <= ENVELOPE_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
-            return Err(DatagramError::Size(datagram.len(), from));
+            return Err(DatagramError::Size { length: datagram.len(), from });
         }
         if datagram[0] != VERSION {
-            return Err(DatagramError::Version(datagram[0], from));
+            return Err(DatagramError::Version { version: datagram[0], from });
         }
         if datagram[1..ENVELOPE_BYTES] != self.fleet_hash.to_le_bytes() {
-            return Err(DatagramError::Fleet(from));
+            return Err(DatagramError::Fleet { from });
         }
         Ok(&datagram[ENVELOPE_BYTES..])
     }
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::broadcast::{SharedMemberStates, StateReceiver};
 use crate::config::GossipConfig;
 use crate::counters::GossipCounters;
-use crate::datagram::{DatagramError, Envelope};
+use crate::datagram::{DatagramError, Envelope, OutgoingDatagram};
 use crate::engine_runtime::{EngineRuntime, EngineTimers};
 use crate::engine_settings::{
     MAX_MEMBERS, SEED_INTERVAL_MICROS, SEED_INTERVAL_WHEN_ALONE_MICROS, engine_config,
@@ -78,7 +78,7 @@
     }
 
     /// Handles the timers that have expired. Datagrams to send are appended to `datagrams`.
-    pub fn handle_timeout(&mut self, now: Micros, datagrams: &mut Vec<(SocketAddr, Vec<u8>)>) {
+    pub fn handle_timeout(&mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>) {
         self.set_time(now);
         let first_new = datagrams.len();
         while let Some(timer) = self.timers.pop_expired(now) {
@@ -95,7 +95,7 @@
     /// # Errors
     /// If the datagram is dropped.
     pub fn handle_datagram(
-        &mut self, now: Micros, from: SocketAddr, bytes: &[u8], datagrams: &mut Vec<(SocketAddr, Vec<u8>)>,
+        &mut self, now: Micros, from: SocketAddr, bytes: &[u8], datagrams: &mut Vec<OutgoingDatagram>,
     ) -> Result<(), DatagramError> {
         self.set_time(now);
         let first_new = datagrams.len();
@@ -127,7 +127,7 @@
     }
 
     /// Leaves the fleet, so that the others need not detect it.
-    pub fn leave(&mut self, now: Micros, datagrams: &mut Vec<(SocketAddr, Vec<u8>)>) {
+    pub fn leave(&mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>) {
         self.call_engine(now, datagrams, |engine, runtime| engine.leave_cluster(runtime));
     }
 
@@ -147,11 +147,11 @@
     }
 
     fn receive(
-        &mut self, now: Micros, from: SocketAddr, bytes: &[u8], datagrams: &mut Vec<(SocketAddr, Vec<u8>)>,
+        &mut self, now: Micros, from: SocketAddr, bytes: &[u8], datagrams: &mut Vec<OutgoingDatagram>,
     ) -> Result<(), DatagramError> {
         let message = self.envelope.unwrap(bytes, from)?;
         if self.engine.iter_membership_state().len() >= MAX_MEMBERS {
-            return Err(DatagramError::Size(bytes.len(), from));
+            return Err(DatagramError::Size { length: bytes.len(), from });
         }
         let mut result = Ok(());
         self.call_engine(now, datagrams, |engine, runtime| {
@@ -161,11 +161,11 @@
         match result {
             // A late answer, to a probe or an incarnation of this member that has ended, is no fault.
             Ok(()) | Err(foca::Error::DataFromOurselves | foca::Error::NotConnected) => Ok(()),
-            Err(error) => Err(DatagramError::Undecodable(error.to_string(), from)),
+            Err(error) => Err(DatagramError::Undecodable { reason: error.to_string(), from }),
         }
     }
 
-    fn announce_to_seeds(&mut self, now: Micros, datagrams: &mut Vec<(SocketAddr, Vec<u8>)>) {
+    fn announce_to_seeds(&mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>) {
         let alone = self.engine.num_members() == 0;
         self.announce_at = now + if alone { SEED_INTERVAL_WHEN_ALONE_MICROS } else { SEED_INTERVAL_MICROS };
         for address in self.seeds.clone() {
@@ -180,7 +180,7 @@
     }
 
     fn call_engine(
-        &mut self, now: Micros, datagrams: &mut Vec<(SocketAddr, Vec<u8>)>,
+        &mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>,
         call: impl FnOnce(&mut Engine, &mut EngineRuntime) -> Result<(), foca::Error>,
     ) {
         let mut runtime = EngineRuntime { now, envelope: self.envelope, timers: &mut self.timers, datagrams };
@@ -188,7 +188,7 @@
         let _ = call(&mut self.engine, &mut runtime);
     }
 
-    fn count_sent(&mut self, datagrams: &[(SocketAddr, Vec<u8>)]) {
-        self.counters.sent_bytes += datagrams.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
+    fn count_sent(&mut self, datagrams: &[OutgoingDatagram]) {
+        self.counters.sent_bytes += datagrams.iter().map(|datagram| datagram.bytes.len() as u64).sum::<u64>();
     }
 }
--- a/crates/gossip/src/engine_runtime.rs
+++ b/crates/gossip/src/engine_runtime.rs
@@ -2,13 +2,12 @@
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use foca::Timer;
 use honeyknot_balancer::Micros;
 
-use crate::datagram::Envelope;
+use crate::datagram::{Envelope, OutgoingDatagram};
 use crate::member_id::MemberId;
 
 /// A timer of the engine, ordered by its deadline and then by its start.
@@ -68,14 +67,15 @@
     pub(crate) now: Micros,
     pub(crate) envelope: Envelope,
     pub(crate) timers: &'a mut EngineTimers,
-    pub(crate) datagrams: &'a mut Vec<(SocketAddr, Vec<u8>)>,
+    pub(crate) datagrams: &'a mut Vec<OutgoingDatagram>,
 }
 
 impl foca::Runtime<MemberId> for EngineRuntime<'_> {
     fn notify(&mut self, _: foca::Notification<'_, MemberId>) {}
 
     fn send_to(&mut self, to: MemberId, message: &[u8]) {
-        self.datagrams.push((to.address, self.envelope.wrap(message)));
+        let datagram = OutgoingDatagram { to: to.address, bytes: self.envelope.wrap(message) };
+        self.datagrams.push(datagram);
     }
 
     fn submit_after(&mut self, timer: Timer<MemberId>, after: Duration) {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -33,7 +33,7 @@
 pub use assignment::{assigned_probers, endpoint_number};
 pub use config::{GossipConfig, NetworkNotTrusted};
 pub use counters::GossipCounters;
-pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES, OutgoingDatagram};
 pub use engine::GossipMember;
 pub use engine_settings::MAX_MEMBERS;
 pub use member_id::MemberId;
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use honeyknot_gossip::{
     DatagramError, GossipConfig, GossipMember, HealthCheckOutcome, HealthObservation, MAX_DATAGRAM_BYTES,
-    MemberId, assigned_probers,
+    MemberId, OutgoingDatagram, assigned_probers,
 };
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
 }
 
 /// The first datagrams of a member that announces itself to the seeds.
-fn announcements(config: &GossipConfig, index: usize) -> Vec<(SocketAddr, Vec<u8>)> {
+fn announcements(config: &GossipConfig, index: usize) -> Vec<OutgoingDatagram> {
     let id = MemberId { address: address(index), incarnation: 1 };
     let mut datagrams = Vec::new();
     GossipMember::new(config, id, 2, 1, START).handle_timeout(START, &mut datagrams);
@@ -128,19 +128,19 @@
 fn datagrams_of_another_fleet_version_or_length_are_dropped_with_a_remedy() {
     let mut fleet = fleet_of(2, 7);
     let other_fleet = GossipConfig { fleet: "other".into(), ..config() };
-    let (_, bytes) = announcements(&other_fleet, 5).swap_remove(0);
+    let bytes = announcements(&other_fleet, 5).swap_remove(0).bytes;
     let now = fleet.now;
     let member = fleet.members.get_mut(&0).expect("the member is alive");
     let mut receive = |bytes: &[u8]| member.handle_datagram(now, address(5), bytes, &mut Vec::new());
     let error = receive(&bytes).expect_err("another fleet");
-    assert!(matches!(error, DatagramError::Fleet(_)));
+    assert!(matches!(error, DatagramError::Fleet { .. }));
     assert!(error.to_string().contains("check `fleet`"));
     let mut other_version = bytes;
     other_version[0] = 9;
     let error = receive(&other_version).expect_err("another version");
     assert!(error.to_string().contains("finish the upgrade"));
-    assert!(matches!(receive(&[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Size(..))));
-    assert!(matches!(receive(&[]), Err(DatagramError::Size(..))));
+    assert!(matches!(receive(&[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Size { .. })));
+    assert!(matches!(receive(&[]), Err(DatagramError::Size { .. })));
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let mut fleet = fleet_of(2, 7);
     let now = fleet.now;
     let member = fleet.members.get_mut(&0).expect("the member is alive");
-    let (_, announcement) = announcements(&config(), 9).swap_remove(0);
+    let announcement = announcements(&config(), 9).swap_remove(0).bytes;
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     for _ in 0..20_000 {
         let mut bytes = vec![0; rng.random_range(0..200)];
--- a/crates/gossip/tests/support/mod.rs
+++ b/crates/gossip/tests/support/mod.rs
@@ -4,7 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use honeyknot_balancer::Micros;
-use honeyknot_gossip::{GossipConfig, GossipMember, GossipView, HealthObservation, MemberId};
+use honeyknot_gossip::{
+    GossipConfig, GossipMember, GossipView, HealthObservation, MemberId, OutgoingDatagram,
+};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -157,8 +159,8 @@
         }
     }
 
-    fn send(&mut self, from: SocketAddr, datagrams: Vec<(SocketAddr, Vec<u8>)>) {
-        for (to, bytes) in datagrams {
+    fn send(&mut self, from: SocketAddr, datagrams: Vec<OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
             self.sent_bytes += bytes.len() as u64;
             self.longest_datagram = self.longest_datagram.max(bytes.len());
             if self.is_cut_off(from, to) || self.rng.random_bool(self.network.loss) {
--- a/crates/health-check-budget/tests/support/mod.rs
+++ b/crates/health-check-budget/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use honeyknot_balancer::{LoadReport, Micros, Outcome};
-use honeyknot_gossip::{GossipConfig, GossipMember, GossipView, MemberId};
+use honeyknot_gossip::{GossipConfig, GossipMember, GossipView, MemberId, OutgoingDatagram};
 use honeyknot_health_check_budget::{HealthCheckBudget, HealthCheckDecision};
 
 /// A millisecond, in microseconds.
@@ -142,9 +142,9 @@
         self.send(address(index), datagrams);
     }
 
-    fn send(&mut self, from: SocketAddr, datagrams: Vec<(SocketAddr, Vec<u8>)>) {
-        let datagrams = datagrams.into_iter().map(|(to, bytes)| DatagramInFlight { from, to, bytes });
-        self.in_flight.extend(datagrams);
+    fn send(&mut self, from: SocketAddr, datagrams: Vec<OutgoingDatagram>) {
+        let in_flight = |OutgoingDatagram { to, bytes }| DatagramInFlight { from, to, bytes };
+        self.in_flight.extend(datagrams.into_iter().map(in_flight));
     }
 
     /// Makes the assigned checks that are due and the requested ones, and publishes what they found.
--- a/src/gossip/thread.rs
+++ b/src/gossip/thread.rs
@@ -1,13 +1,15 @@
 //! The thread that owns the socket and the member.
 
-use std::net::{SocketAddr, UdpSocket};
+use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use honeyknot_balancer::Micros;
-use honeyknot_gossip::{DatagramError, GossipMember, GossipView, HealthObservation, MAX_DATAGRAM_BYTES};
+use honeyknot_gossip::{
+    DatagramError, GossipMember, GossipView, HealthObservation, MAX_DATAGRAM_BYTES, OutgoingDatagram,
+};
 use tracing::warn;
 
 use super::counters::SharedGossipCounters;
@@ -65,7 +67,7 @@
     }
 
     /// Waits for a datagram for about `timeout` microseconds and handles it.
-    fn receive(&mut self, timeout: Micros, buffer: &mut [u8], datagrams: &mut Vec<(SocketAddr, Vec<u8>)>) {
+    fn receive(&mut self, timeout: Micros, buffer: &mut [u8], datagrams: &mut Vec<OutgoingDatagram>) {
         let timeout = timeout.clamp(MIN_RECEIVE_TIMEOUT_MICROS, MAX_RECEIVE_TIMEOUT_MICROS);
         // The only error is that of a zero timeout.
         let _ = self.socket.set_read_timeout(Some(Duration::from_micros(timeout)));
@@ -78,9 +80,9 @@
     }
 
     /// Sends datagrams. One that the system refuses counts as lost.
-    fn send(&self, datagrams: &mut Vec<(SocketAddr, Vec<u8>)>) {
-        for (to, bytes) in datagrams.drain(..) {
-            let _ = self.socket.send_to(&bytes, to);
+    fn send(&self, datagrams: &mut Vec<OutgoingDatagram>) {
+        for datagram in datagrams.drain(..) {
+            let _ = self.socket.send_to(&datagram.bytes, datagram.to);
         }
     }
 
--- a/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
+++ b/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
@@ -5,7 +5,7 @@
 
 use honeyknot_gossip::{
     AggregatedHealth, GossipConfig, GossipMember, GossipView, HealthCheckOutcome, HealthObservation,
-    MemberId, MemberObservation,
+    MemberId, MemberObservation, OutgoingDatagram,
 };
 
 use super::fixture::{all, one};
@@ -108,7 +108,7 @@
         one.handle_timeout(now, &mut sent);
         other.handle_timeout(now, &mut sent);
         let mut queue = VecDeque::from(sent);
-        while let Some((to, bytes)) = queue.pop_front() {
+        while let Some(OutgoingDatagram { to, bytes }) = queue.pop_front() {
             let (receiver, from, id) = if to == first().address {
                 (&mut one, second(), first())
             } else {
@@ -136,8 +136,8 @@
         let now = receiver.next_timeout().max(RECEIVED_MICROS);
         receiver.handle_timeout(now, &mut sent);
     }
-    assert!(sent.iter().all(|(to, _)| *to == address(first())), "it knows nobody else");
-    (view, sent.into_iter().map(|(_, bytes)| bytes).collect())
+    assert!(sent.iter().all(|datagram| datagram.to == address(first())), "it knows nobody else");
+    (view, sent.into_iter().map(|datagram| datagram.bytes).collect())
 }
 
 #[test]
