--- a/crates/metrics/src/spool_record.rs
+++ b/crates/metrics/src/spool_record.rs
@@ -1,69 +1,81 @@
-//! Records of a spool: frames that wait on disk for a sink, each whole or recognised as torn.
+//! Records of a spool: export frames on disk, each recognised as valid or torn.
 //!
-//! A record is a head of [`HEAD`] bytes (the body's length, the frame's points and the XXH3 sum of both and the body, integers
-//! little-endian) and a body, the frame compressed with zstd. A segment is a row of records. What follows the first
-//! record that is not sound is a torn tail: it was being written when the relay died.
+//! A record is a header of [`HEADER_BYTES`] bytes (the body's length, the frame's number of samples and the XXH3 checksum of
+//! both and the body, integers little-endian) and a body, the frame compressed with zstd. A segment is a sequence of
+//! records. What follows its first invalid record is a torn tail, which was being written when the process ended.
 
 use xxhash_rust::xxh3::Xxh3;
 
 /// Bytes before a record's body.
-pub const HEAD: usize = 4 + 4 + 8;
-/// The largest frame.
-pub const LARGEST: usize = 8 << 20;
-/// Compression: lines are much alike.
-const LEVEL: i32 = 3;
+pub const HEADER_BYTES: usize = 4 + 4 + 8;
+/// The largest frame in bytes.
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
+/// The zstd compression level.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// A frame and the points that it holds.
+/// A frame and the number of samples in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// What the sink is sent.
+    /// The bytes that the exporter sends.
     pub frame: Vec<u8>,
-    /// How many points that is.
-    pub points: u32,
+    /// The samples in the frame.
+    pub samples: u32,
     /// Bytes that the record takes in its segment.
-    pub size: usize,
+    pub size_bytes: usize,
 }
 
-fn sum(length: u32, points: u32, body: &[u8]) -> u64 {
-    let mut sum = Xxh3::new();
-    sum.update(&length.to_le_bytes());
-    sum.update(&points.to_le_bytes());
-    sum.update(body);
-    sum.digest()
+/// The valid records at the beginning of a segment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ValidPrefix {
+    /// Their length in bytes.
+    pub bytes: usize,
+    /// Their number.
+    pub records: usize,
+    /// The samples in them.
+    pub samples: u64,
 }
 
-/// A frame as a record's bytes; none if it is larger than [`LARGEST`] or cannot be compressed.
-pub fn encode(frame: &[u8], points: u32) -> Option<Vec<u8>> {
-    let body = zstd::bulk::compress(frame, LEVEL).ok().filter(|_| frame.len() <= LARGEST)?;
+fn checksum(length: u32, samples: u32, body: &[u8]) -> u64 {
+    let mut hasher = Xxh3::new();
+    hasher.update(&length.to_le_bytes());
+    hasher.update(&samples.to_le_bytes());
+    hasher.update(body);
+    hasher.digest()
+}
+
+/// Encodes a frame as a record; none if it is larger than [`MAX_FRAME_BYTES`] or cannot be compressed.
+pub fn encode(frame: &[u8], samples: u32) -> Option<Vec<u8>> {
+    let body =
+        zstd::bulk::compress(frame, COMPRESSION_LEVEL).ok().filter(|_| frame.len() <= MAX_FRAME_BYTES)?;
     let length = u32::try_from(body.len()).ok()?;
     let mut bytes = length.to_le_bytes().to_vec();
-    bytes.extend(points.to_le_bytes());
-    bytes.extend(sum(length, points, &body).to_le_bytes());
+    bytes.extend(samples.to_le_bytes());
+    bytes.extend(checksum(length, samples, &body).to_le_bytes());
     bytes.extend(body);
     Some(bytes)
 }
 
-/// The first record of some bytes; none where they end, are torn, or are no records.
-pub fn first(bytes: &[u8]) -> Option<Record> {
-    let (head, rest) = bytes.split_at_checked(HEAD)?;
-    let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let (length, points) = (word(0), word(4));
-    let told = u64::from(word(8)) | u64::from(word(12)) << 32;
+/// Decodes the first record of some bytes; none where they end, are torn or are not a record.
+pub fn decode_first(bytes: &[u8]) -> Option<Record> {
+    let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
+    let word = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    let (length, samples) = (word(0), word(4));
+    let expected = u64::from(word(8)) | u64::from(word(12)) << 32;
     let body = rest.get(..length as usize)?;
-    if sum(length, points, body) != told {
+    if checksum(length, samples, body) != expected {
         return None;
     }
-    let frame = zstd::bulk::decompress(body, LARGEST).ok()?;
-    Some(Record { frame, points, size: HEAD + body.len() })
+    let frame = zstd::bulk::decompress(body, MAX_FRAME_BYTES).ok()?;
+    Some(Record { frame, samples, size_bytes: HEADER_BYTES + body.len() })
 }
 
-/// The length of the sound records at the beginning of some bytes, how many they are and their points.
-pub fn sound(bytes: &[u8]) -> (usize, usize, u64) {
-    let (mut at, mut count, mut points) = (0, 0, 0);
-    while let Some(record) = first(&bytes[at..]) {
-        at += record.size;
-        count += 1;
-        points += u64::from(record.points);
+/// Measures the valid records at the beginning of some bytes.
+pub fn valid_prefix(bytes: &[u8]) -> ValidPrefix {
+    let mut prefix = ValidPrefix::default();
+    while let Some(record) = decode_first(&bytes[prefix.bytes..]) {
+        prefix.bytes += record.size_bytes;
+        prefix.records += 1;
+        prefix.samples += u64::from(record.samples);
     }
-    (at, count, points)
+    prefix
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -37,7 +37,7 @@
     /// Its clock and wheel.
     fn timers(&self) -> Rc<Timers>;
     /// All figures, as one line of JSON.
-    fn figures(&self) -> String;
+    fn stats(&self) -> String;
     /// Whether it serves, or why not.
     fn check_ready(&self) -> Result<(), String>;
     /// Takes a card server out by hand, or puts it back. When this resolves, it holds.
@@ -119,7 +119,7 @@
 
 async fn carry_out(service: &impl AdminService, call: AdminCommand) -> String {
     let done = match call {
-        AdminCommand::Stats => return format!("{}\nEND\n", service.figures()),
+        AdminCommand::Stats => return format!("{}\nEND\n", service.stats()),
         AdminCommand::Status => service.check_ready(),
         AdminCommand::MaintOn(id) => service.set_maintenance(id, true).await,
         AdminCommand::MaintOff(id) => service.set_maintenance(id, false).await,
--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -132,7 +132,7 @@
     }
 
     /// The client of a connection that is not established gets its answer.
-    pub fn request_answered(&mut self, id: RequestId, answer: RequestResult) {
+    pub(in crate::relay) fn request_answered(&mut self, id: RequestId, answer: RequestResult) {
         let class = self.connections.get(id).map(|entry| entry.class);
         self.record_request_result(class, answer);
     }
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -13,8 +13,8 @@
         self.borrow().timers.clone()
     }
 
-    fn figures(&self) -> String {
-        self.borrow().figures()
+    fn stats(&self) -> String {
+        self.borrow().stats()
     }
 
     fn check_ready(&self) -> Result<(), String> {
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -46,6 +46,6 @@
     );
     relay.borrow_mut().reconfigure(config);
     if let Some(metrics) = &config.metrics {
-        exporter::run(relay, metrics, &config.name);
+        exporter::apply_config(relay, metrics, &config.name);
     }
 }
--- /dev/null
+++ b/src/relay/metrics/export_format.rs
@@ -0,0 +1,84 @@
+//! Snapshots as an exporter sends them.
+
+use honeyknot_metrics::config::{ExporterConfig, Protocol};
+use honeyknot_metrics::{MetricsSnapshot, collectd, graphite};
+use rand::Rng;
+use rand::rngs::StdRng;
+
+use super::frame_queue::Frame;
+
+const MICROS_PER_SECOND: u64 = 1_000_000;
+/// The plugin instance of all series at collectd.
+const COLLECTD_INSTANCE: &str = "relay";
+
+/// Whether counters outlast the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CounterLifetime {
+    /// They are restored from disk.
+    Persistent,
+    /// They start at zero with the process.
+    Process,
+}
+
+/// The snapshot that was exported last.
+#[derive(Debug)]
+pub(super) struct ExportHistory {
+    pub(super) last_snapshot: Option<MetricsSnapshot>,
+    /// The Unix second of the last export to Graphite.
+    pub(super) last_second: u64,
+}
+
+/// Returns the snapshot as it is exported.
+///
+/// collectd gets it unchanged. Graphite gets increments where counters end with the process, and each snapshot has a second
+/// of its own, as Graphite stores one value a second.
+pub(super) fn exported_snapshot(
+    config: &ExporterConfig, snapshot: &MetricsSnapshot, lifetime: CounterLifetime,
+    history: &mut ExportHistory,
+) -> MetricsSnapshot {
+    if matches!(config.protocol, Protocol::Collectd(_)) {
+        return snapshot.clone();
+    }
+    history.last_second = (snapshot.at / MICROS_PER_SECOND).max(history.last_second + 1);
+    let exported = match lifetime {
+        CounterLifetime::Persistent => snapshot.clone(),
+        CounterLifetime::Process => snapshot.since(history.last_snapshot.as_ref()),
+    };
+    MetricsSnapshot { at: snapshot.at.max(history.last_second * MICROS_PER_SECOND), ..exported }
+}
+
+/// Encodes a snapshot as frames of the exporter's protocol.
+pub(super) fn encode(
+    config: &ExporterConfig, relay_name: &str, snapshot: &MetricsSnapshot, rng: &mut StdRng,
+) -> Vec<Frame> {
+    let prefix = format!("{}.{}", config.prefix, relay_name.replace('.', "_"));
+    let samples = snapshot.points.len() as u64;
+    match &config.protocol {
+        Protocol::GraphiteLines(paths) => {
+            let text = graphite::lines(&prefix, snapshot, *paths);
+            vec![Frame { bytes: text.into_bytes(), samples }]
+        }
+        Protocol::GraphitePickle(paths) => {
+            into_frames(graphite::pickles(&prefix, snapshot, *paths).unwrap_or_default(), samples)
+        }
+        Protocol::Collectd(security) => {
+            let interval = config.interval.as_micros() as u64;
+            let initialization_vector = || rng.random();
+            let packets = collectd::packets(
+                relay_name,
+                COLLECTD_INSTANCE,
+                snapshot,
+                interval,
+                security,
+                initialization_vector,
+            );
+            into_frames(packets, samples)
+        }
+    }
+}
+
+/// Divides the samples evenly among the frames.
+fn into_frames(encoded: Vec<Vec<u8>>, samples: u64) -> Vec<Frame> {
+    let samples = samples / encoded.len().max(1) as u64;
+    encoded.into_iter().map(|bytes| Frame { bytes, samples }).collect()
+}
--- a/src/relay/metrics/mod.rs
+++ b/src/relay/metrics/mod.rs
@@ -1,10 +1,15 @@
-//! What is counted, and who gets it: the book, counts that last, sinks, and readings that wait for them.
+//! Metrics of the relay: recording, counters that outlast the process, exporters and their spools.
 //!
-//! In come plain calls from where things happen; out go readings. Nothing here acts on a figure.
+//! The relay records events by plain calls; exporters read snapshots. Nothing here acts on a metric.
 
+mod export_format;
 pub(in crate::relay) mod exporter;
+mod exporter_connection;
+mod frame_queue;
 pub(in crate::relay) mod labels;
 pub(in crate::relay) mod persistent_counters;
 pub(in crate::relay) mod recorder;
-pub(in crate::relay) mod spool;
-pub(in crate::relay) mod spool_queue;
+mod snapshot_directory;
+pub mod spool;
+mod spool_queue;
+mod stats;
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -1,113 +1,121 @@
-//! A folder in which the relay's counts outlast it.
+//! Counters that outlast the process.
 //!
-//! Snapshots are written beside and renamed, the folder synced after it; the last two are kept, and the newest sound one
-//! counts. What was counted after it dies with the relay: so no reading may leave before a snapshot that holds it is
-//! on disk, or totals would fall at the receivers.
+//! What was counted after the last snapshot ends with the process, so a snapshot is saved before its values are exported:
+//! otherwise counters would seem to fall.
 
-use std::fs::{self, File, TryLockError};
-use std::io::{self, Write};
+use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
 
-use honeyknot_metrics::stored::StoredMetrics;
-use tracing::warn;
+use honeyknot_balancer::Micros;
+use honeyknot_metrics::stored::SnapshotError;
+use tracing::{info, warn};
 
-/// Snapshots that are kept.
-const KEPT: usize = 2;
-/// The largest file that is read as a snapshot.
-const LARGEST: u64 = 32 << 20;
+use super::snapshot_directory::SnapshotDirectory;
+use crate::relay::{Relay, SharedRelay};
 
-/// The folder, held by this process alone while it lives.
-pub struct Folder {
-    path: Arc<PathBuf>,
-    _lock: File,
-    next: u64,
+/// Why the counters were not saved.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum SaveError {
+    /// They cannot be encoded.
+    #[error(transparent)]
+    Encode(#[from] SnapshotError),
+    /// The file system refused it.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The blocking task was cancelled or panicked.
+    #[error(transparent)]
+    Task(#[from] tokio::task::JoinError),
 }
 
-impl Folder {
-    /// Takes the folder, made if it is missing, and the newest sound snapshot in it. Unsound ones, and those of another
-    /// relay, are told of and passed over. Errors say why the folder cannot be used.
-    pub fn open(path: &Path, relay: &str) -> Result<(Folder, Option<StoredMetrics>), String> {
-        let told = |e: io::Error| format!("{}: {e}", path.display());
-        fs::create_dir_all(path).map_err(told)?;
-        let lock = File::create(path.join("lock")).map_err(told)?;
-        lock.try_lock().map_err(|e| match e {
-            TryLockError::WouldBlock => format!("{}: another relay uses this folder", path.display()),
-            TryLockError::Error(e) => told(e),
-        })?;
-        for left in numbered(path, "state-", ".tmp").map_err(told)? {
-            // Written when an earlier life was killed; it was never a snapshot.
-            let _ = fs::remove_file(left.1);
-        }
-        let mut found = numbered(path, "state-", ".snap").map_err(told)?;
-        let next = found.last().map_or(1, |(number, _)| number + 1);
-        let mut state = None;
-        while let Some((_, file)) = found.pop() {
-            match read(&file) {
-                Ok(read) if read.relay == relay => {
-                    state = Some(read);
-                    break;
-                }
-                Ok(read) => {
-                    warn!(target: "metrics", file = %file.display(), of = read.relay, "a snapshot of another relay");
+/// Where and up to when counters are saved.
+#[derive(Debug)]
+pub(in crate::relay) struct PersistentCounters {
+    directory: SnapshotDirectory,
+    relay_name: String,
+    /// The number of this process among those that used the directory, from 1.
+    incarnation: u64,
+    /// All that was counted until then is saved.
+    saved_at: Micros,
+    save_failing: bool,
+}
+
+impl PersistentCounters {
+    /// Logs when saving begins or ceases to fail.
+    fn record_save(&mut self, result: &Result<(), SaveError>, snapshot_at: Micros) {
+        match result {
+            Ok(()) => {
+                self.saved_at = self.saved_at.max(snapshot_at);
+                if std::mem::take(&mut self.save_failing) {
+                    info!(target: "metrics", "saving persistent counters recovered");
                 }
-                Err(why) => {
-                    warn!(target: "metrics", file = %file.display(), why, "a snapshot is passed over")
+            }
+            Err(error) => {
+                if !std::mem::replace(&mut self.save_failing, true) {
+                    warn!(target: "metrics", %error, "saving persistent counters failed, exports are paused");
                 }
             }
         }
-        Ok((Folder { path: Arc::new(path.to_owned()), _lock: lock, next }, state))
     }
+}
 
-    /// Where a sink's spool is.
-    pub fn spool(&self, sink: &str) -> PathBuf {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
-        self.path.join(format!("spool-{}", sink.chars().map(plain).collect::<String>()))
+/// Saves what was counted up to a time; does nothing if that is saved, or if no counters are persistent.
+///
+/// # Errors
+///
+/// If the counters cannot be encoded or written.
+pub(super) async fn save(relay: &SharedRelay, up_to: Micros) -> Result<(), SaveError> {
+    let (write, snapshot_at) = {
+        let mut relay = relay.borrow_mut();
+        let now = relay.timers.clock.now();
+        let Relay { metrics, persistent_counters, .. } = &mut *relay;
+        let Some(counters) = persistent_counters else { return Ok(()) };
+        if counters.saved_at >= up_to {
+            return Ok(());
+        }
+        let encoded = metrics.stored(&counters.relay_name, now, counters.incarnation).encode();
+        (encoded.map(|bytes| counters.directory.write(bytes)), now)
+    };
+    let result = match write {
+        Ok(write) => run_blocking(write).await,
+        Err(error) => Err(error.into()),
+    };
+    if let Some(counters) = &mut relay.borrow_mut().persistent_counters {
+        counters.record_save(&result, snapshot_at);
     }
+    result
+}
 
-    /// A write of a snapshot's bytes, to be run where it may block.
-    pub fn write(&mut self, bytes: Vec<u8>) -> impl FnOnce() -> io::Result<()> + Send + 'static {
-        let (path, number) = (self.path.clone(), self.next);
-        self.next += 1;
-        move || write(&path, number, &bytes)
-    }
+async fn run_blocking(write: impl FnOnce() -> io::Result<()> + Send + 'static) -> Result<(), SaveError> {
+    Ok(tokio::task::spawn_blocking(write).await??)
 }
 
-/// A folder's files that are named by a number between a beginning and an ending, the lowest first.
-pub fn numbered(path: &Path, beginning: &str, ending: &str) -> io::Result<Vec<(u64, PathBuf)>> {
-    let mut found = Vec::new();
-    for entry in fs::read_dir(path)? {
-        let file = entry?.path();
-        let name = file.file_name().and_then(|n| n.to_str()).unwrap_or_default();
-        let number = name.strip_prefix(beginning).and_then(|n| n.strip_suffix(ending));
-        if let Some(number) = number.and_then(|n| n.parse().ok()) {
-            found.push((number, file));
+impl Relay {
+    /// Restores the counters saved in a directory; without one that can be used, counters end with the process.
+    pub(in crate::relay) fn restore_counters(&mut self, path: &Path, relay_name: &str) {
+        match SnapshotDirectory::open(path, relay_name) {
+            Ok((directory, stored)) => {
+                let incarnation = stored.as_ref().map_or(1, |stored| stored.lives + 1);
+                let unknown_metrics = stored.map_or(0, |stored| self.metrics.restore(&stored));
+                info!(target: "metrics", incarnation, unknown_metrics, "persistent counters restored");
+                self.persistent_counters = Some(PersistentCounters {
+                    directory,
+                    relay_name: relay_name.to_owned(),
+                    incarnation,
+                    saved_at: 0,
+                    save_failing: false,
+                });
+            }
+            Err(error) => warn!(target: "metrics", %error, "persistent counters unavailable"),
         }
     }
-    found.sort();
-    Ok(found)
-}
 
-fn read(file: &Path) -> Result<StoredMetrics, String> {
-    let size = fs::metadata(file).map_err(|e| e.to_string())?.len();
-    if size > LARGEST {
-        return Err(format!("it has {size} bytes"));
+    /// Returns the directory of an exporter's spool, if counters are persistent.
+    pub(super) fn spool_directory(&self, exporter: &str) -> Option<PathBuf> {
+        self.persistent_counters.as_ref().map(|counters| counters.directory.spool_directory(exporter))
     }
-    let bytes = fs::read(file).map_err(|e| e.to_string())?;
-    StoredMetrics::decode(&bytes).map_err(|e| e.to_string())
-}
 
-fn write(path: &Path, number: u64, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.join(format!("state-{number:016}.tmp"));
-    let mut file = File::create(&beside)?;
-    file.write_all(bytes)?;
-    file.sync_all()?;
-    fs::rename(&beside, path.join(format!("state-{number:016}.snap")))?;
-    File::open(path)?.sync_all()?;
-    let found = numbered(path, "state-", ".snap")?;
-    for (_, old) in found.iter().rev().skip(KEPT) {
-        // One that cannot be removed now is removed after the next.
-        let _ = fs::remove_file(old);
+    /// Returns whether counters outlast the process.
+    pub(super) fn counters_persist(&self) -> bool {
+        self.persistent_counters.is_some()
     }
-    Ok(())
 }
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -1,133 +1,56 @@
-//! What the relay counts: plain calls from where things happen into its [`MetricsRegistry`], if there is one.
+//! Records the relay's events in its [`MetricsRegistry`].
 
-use std::io;
-use std::path::{Path, PathBuf};
-
-use honeyknot_metrics::{MetricFamily, MetricsConfig, MetricsRegistry, MetricsSnapshot};
-use serde_json::json;
-use tracing::{info, warn};
+use honeyknot_balancer::{AttemptId, ClassId, EndpointId, Micros, Outcome};
+use honeyknot_metrics::{MetricFamily, MetricsConfig, MetricsRegistry};
 
 use super::labels::{
     ConnectionEndReason, Direction, FailureCause, RejectionReason, attempt_outcome_label,
     health_check_outcome_label,
 };
-use super::persistent_counters::Folder;
+use crate::relay::Relay;
 use crate::relay::connections::protocol::OpenRequest;
-use crate::relay::{Relay, SharedRelay};
 use crate::settings::NameTable;
-use honeyknot_balancer::{AttemptId, ClassId, EndpointId, Micros, Outcome};
 
-/// Values of an open tag where no operator file says how many there may be.
-const CAP: usize = 256;
-/// The families whose tag is the class.
-const BY_CLASS: [MetricFamily; 4] = [
+/// The largest number of values of a dynamic tag without an operator file.
+const DEFAULT_SERIES_CAP: usize = 256;
+/// The metric families by class.
+pub(super) const CLASS_FAMILIES: [MetricFamily; 4] = [
     MetricFamily::ConnectionsSucceeded,
     MetricFamily::ConnectionsRejected,
     MetricFamily::ConnectionsAborted,
     MetricFamily::AttemptsForwarded,
 ];
 
-/// A relay's metrics, in which all classes stand from the start.
-pub fn open(plan: &Option<MetricsConfig>, names: &NameTable) -> MetricsRegistry {
-    let mut metrics = MetricsRegistry::new(plan.as_ref().map_or(CAP, |plan| plan.series_cap));
+/// Creates a relay's registry with a series for each class.
+pub(in crate::relay) fn new_registry(config: &Option<MetricsConfig>, names: &NameTable) -> MetricsRegistry {
+    let mut metrics =
+        MetricsRegistry::new(config.as_ref().map_or(DEFAULT_SERIES_CAP, |config| config.series_cap));
     for class in names.classes() {
-        BY_CLASS.iter().for_each(|family| metrics.register_dynamic(*family, class));
+        CLASS_FAMILIES.iter().for_each(|family| metrics.register_dynamic(*family, class));
     }
     metrics
 }
 
-/// How a connection that asked for a session was answered.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestResult {
-    /// The card server's `UP`.
+/// How a request was answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::relay) enum RequestResult {
+    /// With the endpoint's `UP`.
     Established,
-    /// `BUSY`.
+    /// With `BUSY`.
     Rejected,
-    /// Anything else, or nothing as the client left first.
+    /// With another answer, or with none as the client left first.
     Failed,
 }
 
-/// What keeps the counts over the relay's lives.
-pub struct PersistentCounters {
-    folder: Folder,
-    relay: String,
-    lives: u64,
-    /// All that was counted up to here is on disk.
-    saved: Micros,
-    trouble: bool,
-}
-
-/// Has all that was counted up to a time on disk before it returns; true if it is, or if nothing is to last.
-pub async fn save(relay: &SharedRelay, upto: Micros) -> bool {
-    let (write, at) = {
-        let mut relay = relay.borrow_mut();
-        let now = relay.timers.clock.now();
-        let Relay { metrics, persistent_counters: lasting, .. } = &mut *relay;
-        let Some(lasting) = lasting else { return true };
-        if lasting.saved >= upto {
-            return true;
-        }
-        let bytes = metrics.stored(&lasting.relay, now, lasting.lives).encode();
-        (bytes.map(|bytes| lasting.folder.write(bytes)).map_err(io::Error::other), now)
-    };
-    let wrote = match write {
-        Ok(write) => tokio::task::spawn_blocking(write).await.map_err(io::Error::other).flatten(),
-        Err(e) => Err(e),
-    };
-    let mut relay = relay.borrow_mut();
-    let Some(lasting) = &mut relay.persistent_counters else { return true };
-    match &wrote {
-        Ok(()) => {
-            lasting.saved = lasting.saved.max(at);
-            if std::mem::take(&mut lasting.trouble) {
-                info!(target: "metrics", "counts can be kept again");
-            }
-        }
-        // Told once: a disk that is full stays so for long.
-        Err(why) => {
-            if !std::mem::replace(&mut lasting.trouble, true) {
-                warn!(target: "metrics", %why, "counts cannot be kept: sinks get nothing until they can");
-            }
-        }
-    }
-    wrote.is_ok()
-}
-
 impl Relay {
-    /// Takes up what earlier lives of this relay have counted. A folder that cannot be used is told of, and the counts
-    /// of this life then die with it.
-    pub(in crate::relay) fn restore_counters(&mut self, path: &Path, name: &str) {
-        match Folder::open(path, name) {
-            Ok((folder, state)) => {
-                let lives = state.as_ref().map_or(1, |s| s.lives + 1);
-                let unknown = state.map_or(0, |s| self.metrics.restore(&s));
-                info!(target: "metrics", lives, unknown, "counts are kept");
-                let relay = name.to_owned();
-                self.persistent_counters =
-                    Some(PersistentCounters { folder, relay, lives, saved: 0, trouble: false });
-            }
-            Err(why) => warn!(target: "metrics", why, "counts will not outlast this relay"),
-        }
+    /// Updates the registry.
+    pub(in crate::relay) fn update_metrics(&mut self, update: impl FnOnce(&mut MetricsRegistry)) {
+        update(&mut self.metrics);
     }
 
-    /// Where a sink's spool is, if anything lasts.
-    pub fn spool_directory(&self, sink: &str) -> Option<PathBuf> {
-        self.persistent_counters.as_ref().map(|lasting| lasting.folder.spool(sink))
-    }
-
-    /// Whether totals last over the relay's lives.
-    pub fn counters_persist(&self) -> bool {
-        self.persistent_counters.is_some()
-    }
-
-    /// Counts something.
-    pub(in crate::relay) fn update_metrics(&mut self, count: impl FnOnce(&mut MetricsRegistry)) {
-        count(&mut self.metrics);
-    }
-
-    /// The one answer to a connection whose class is known.
-    pub(in crate::relay) fn record_request_result(&mut self, class: Option<ClassId>, answer: RequestResult) {
-        let family = match answer {
+    /// Records the answer to a request by its class.
+    pub(in crate::relay) fn record_request_result(&mut self, class: Option<ClassId>, result: RequestResult) {
+        let family = match result {
             RequestResult::Established => MetricFamily::ConnectionsSucceeded,
             RequestResult::Rejected => MetricFamily::ConnectionsRejected,
             RequestResult::Failed => MetricFamily::ConnectionsAborted,
@@ -135,18 +58,20 @@
         self.record_class(class, family);
     }
 
-    /// The one answer to a connection that never took a seat.
-    pub(in crate::relay) fn record_unregistered_result(&mut self, head: &OpenRequest, answer: RequestResult) {
-        self.record_request_result(self.class(head), answer);
+    /// Records the answer to a request that was never registered.
+    pub(in crate::relay) fn record_unregistered_result(
+        &mut self, request: &OpenRequest, result: RequestResult,
+    ) {
+        self.record_request_result(self.class(request), result);
     }
 
-    /// A head was written whole to a card server.
-    pub(in crate::relay) fn record_forwarded(&mut self, head: &OpenRequest) {
-        self.record_class(self.class(head), MetricFamily::AttemptsForwarded);
+    /// Records that a request was written completely to an endpoint.
+    pub(in crate::relay) fn record_forwarded(&mut self, request: &OpenRequest) {
+        self.record_class(self.class(request), MetricFamily::AttemptsForwarded);
     }
 
-    fn class(&self, head: &OpenRequest) -> Option<ClassId> {
-        self.names.class(head.class()?)
+    fn class(&self, request: &OpenRequest) -> Option<ClassId> {
+        self.names.class(request.class()?)
     }
 
     fn record_class(&mut self, class: Option<ClassId>, family: MetricFamily) {
@@ -155,106 +80,64 @@
         }
     }
 
-    /// A request was answered `BUSY`, for one of the reasons in the table of names.
-    pub(in crate::relay) fn record_rejected(&mut self, reason: RejectionReason, took: Option<Micros>) {
+    /// Records that a request was answered `BUSY`, with its time to the answer.
+    pub(in crate::relay) fn record_rejected(&mut self, reason: RejectionReason, latency: Option<Micros>) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::RequestsRejected, reason.label());
-            took.iter().for_each(|us| metrics.record(MetricFamily::RejectionLatency, *us));
+            latency.iter().for_each(|us| metrics.record(MetricFamily::RejectionLatency, *us));
         });
     }
 
-    /// A request was answered `ERR`, for one of the causes in the table of names.
+    /// Records that a request was answered `ERR`.
     pub(in crate::relay) fn record_failed(&mut self, cause: FailureCause) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::RequestsFailed, cause.label()));
     }
 
-    pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, server: &EndpointId) {
-        let site = self.endpoints.zone(server).and_then(|zone| self.names.zones().get(zone.0));
+    /// Records the start of an attempt by the endpoint's zone.
+    pub(in crate::relay) fn record_attempt_started(&mut self, attempt: AttemptId, endpoint: &EndpointId) {
+        let zone = self.endpoints.zone(endpoint).and_then(|zone| self.names.zones().get(zone.0));
         self.metrics.add(MetricFamily::Retries, 0, u64::from(attempt.0 > 0));
-        self.metrics.add_dynamic(MetricFamily::AttemptsByZone, site.map_or("none", String::as_str), 1);
+        self.metrics.add_dynamic(MetricFamily::AttemptsByZone, zone.map_or("none", String::as_str), 1);
     }
 
-    pub(in crate::relay) fn record_established(&mut self, took: Micros) {
+    /// Records an established connection and its setup latency.
+    pub(in crate::relay) fn record_established(&mut self, latency: Micros) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::Attempts, "up");
             metrics.add(MetricFamily::Established, 0, 1);
-            metrics.record(MetricFamily::SetupLatency, took);
+            metrics.record(MetricFamily::SetupLatency, latency);
         });
     }
 
-    /// An attempt has ended without a session.
+    /// Records the end of an attempt that established no connection.
     pub(in crate::relay) fn record_attempt_ended(&mut self, outcome: Outcome) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::Attempts, attempt_outcome_label(outcome))
         });
     }
 
-    /// A session that stood has ended, in one of the ways in the table of names.
+    /// Records the end of an established connection.
     pub(in crate::relay) fn record_connection_ended(&mut self, reason: ConnectionEndReason) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::ConnectionsEnded, reason.label()));
     }
 
-    /// Bytes of a session were passed on, to its client or to its card server.
+    /// Records relayed bytes of a connection.
     pub(in crate::relay) fn record_bytes(&mut self, direction: Direction, count: usize) {
         self.update_metrics(|metrics| {
             metrics.add(MetricFamily::BytesRelayed, direction.index(), count as u64)
         });
     }
 
-    /// A session was moved as its card server said nothing any more.
+    /// Records a migration because the endpoint was silent.
     pub(in crate::relay) fn record_silent_migration(&mut self) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "silent"));
     }
 
-    pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, took: Micros) {
+    /// Records a health check and its duration.
+    pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, latency: Micros) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::HealthChecks, health_check_outcome_label(outcome));
-            metrics.record(MetricFamily::HealthCheckLatency, took);
+            metrics.record(MetricFamily::HealthCheckLatency, latency);
         });
     }
-
-    /// The figures that operators ask for, as one line of JSON.
-    pub fn figures(&self) -> String {
-        let count = |family, class: &String| self.metrics.own_total(family, class);
-        let of_class = |class: &String| {
-            let [succeeded, declined, aborted, forwards] = BY_CLASS.map(|family| count(family, class));
-            let held = json!({"succeeded": succeeded, "declined": declined, "aborted": aborted, "forwards": forwards});
-            (class.clone(), held)
-        };
-        let classes = self.names.classes();
-        let results: serde_json::Map<_, _> = classes.iter().map(of_class).collect();
-        json!({
-            "results": results,
-            "forwards": classes.iter().map(|class| count(MetricFamily::AttemptsForwarded, class)).sum::<u64>(),
-            "outstanding": self.open_ids.count(),
-            "discovered": self.maintenance.endpoint_count(),
-            "ejected": self.maintenance.count_excluded(self.balancer.ejected_endpoints()),
-            "list": {
-                "state": self.list_state.as_str(),
-                "version": self.endpoint_list_version,
-                "answered": self.has_discovery_answered(),
-                "heard_ms_ago": self.timers.clock.now().saturating_sub(self.discovery_answered_at) / 1_000,
-            },
-        })
-        .to_string()
-    }
-
-    /// What the metrics holds now, with the gauges of this moment.
-    pub fn metrics_snapshot(&mut self) -> MetricsSnapshot {
-        let now = self.timers.clock.now();
-        let (standing, asking) = self.open_connections();
-        let (descriptors, crowd, version) =
-            (self.descriptors_in_use.get(), self.idle_connections.len(), self.endpoint_list_version);
-        let (started, heard) = (self.started_at, self.discovery_answered_at);
-        let metrics = &mut self.metrics;
-        let mut set = |family, value: f64| metrics.set(family, value);
-        set(MetricFamily::EstablishedConnections, standing.len() as f64);
-        set(MetricFamily::PendingRequests, asking as f64);
-        set(MetricFamily::DescriptorsInUse, descriptors as f64);
-        set(MetricFamily::IdleConnections, crowd as f64);
-        set(MetricFamily::EndpointListVersion, version as f64);
-        set(MetricFamily::DiscoveryAge, now.saturating_sub(heard) as f64 / 1e6);
-        set(MetricFamily::StartedAt, (started / 1_000_000) as f64);
-        metrics.snapshot(now)
-    }
 }
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -1,7 +1,6 @@
-//! What waits for a sink on disk, as the sink's task uses it: calls that block are made on a thread that may.
+//! An exporter's spool, as its task uses it: blocking calls run on the blocking thread pool.
 
-use std::io;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use honeyknot_metrics::MetricFamily;
 use honeyknot_metrics::config::ExporterConfig;
@@ -9,109 +8,136 @@
 use tokio::task::spawn_blocking;
 use tracing::{info, warn};
 
-use super::spool::Spool;
+use super::frame_queue::Frame;
+use super::spool::{Spool, SpoolError};
 use crate::relay::SharedRelay;
 
-/// A sink's spool, and the record of it that is on its way.
-pub struct SpoolQueue {
+/// A spool, and the record of it that is being sent.
+#[derive(Debug)]
+pub(super) struct SpoolQueue {
     spool: Option<Arc<Mutex<Spool>>>,
-    /// The record whose frame is in the queue.
-    pub filling: Option<Record>,
-    trouble: bool,
+    /// The record whose frame is in the memory queue.
+    pub(super) in_flight: Option<Record>,
+    write_failing: bool,
+}
+
+/// What came of storing frames.
+#[derive(Debug)]
+struct StoreResult {
+    dropped_samples: u64,
+    last_error: Option<SpoolError>,
 }
 
 impl SpoolQueue {
-    /// A sink's spool, if it has one; one that cannot be opened is told of and done without.
-    pub async fn open(relay: &SharedRelay, sink: &ExporterConfig) -> SpoolQueue {
-        let mut waiting = SpoolQueue { spool: None, filling: None, trouble: false };
-        let folder = relay.borrow().spool_directory(&sink.name).filter(|_| sink.spool > 0);
-        let Some(folder) = folder else { return waiting };
-        let most = sink.spool;
-        match run(move || Spool::open(&folder, most)).await {
-            Ok((spool, torn)) => {
-                for torn in torn {
-                    let (file, sound, size) = (torn.path.display(), torn.sound, torn.size);
-                    warn!(target: "metrics", sink = sink.name, %file, sound, size, "a torn tail was cut off");
+    /// Opens an exporter's spool if one is configured; without one that can be opened, frames wait in memory alone.
+    pub(super) async fn open(relay: &SharedRelay, config: &ExporterConfig) -> SpoolQueue {
+        let mut queue = SpoolQueue { spool: None, in_flight: None, write_failing: false };
+        let directory = relay.borrow().spool_directory(&config.name).filter(|_| config.spool > 0);
+        let Some(directory) = directory else { return queue };
+        let max_bytes = config.spool;
+        match run_blocking(move || Spool::open(&directory, max_bytes)).await {
+            Ok((spool, torn_segments)) => {
+                for torn in torn_segments {
+                    let (path, valid_bytes, size_bytes) =
+                        (torn.path.display(), torn.valid_bytes, torn.size_bytes);
+                    warn!(
+                        target: "metrics", exporter = config.name, %path, valid_bytes, size_bytes,
+                        "torn spool segment truncated"
+                    );
                 }
                 if !spool.is_empty() {
-                    info!(target: "metrics", sink = sink.name, bytes = spool.bytes(), "readings wait on disk");
+                    let bytes = spool.bytes();
+                    info!(target: "metrics", exporter = config.name, bytes, "spooled snapshots pending");
                 }
-                waiting.spool = Some(Arc::new(Mutex::new(spool)));
-            }
-            Err(why) => {
-                warn!(target: "metrics", sink = sink.name, %why, "no spool: readings wait in memory alone")
+                queue.spool = Some(Arc::new(Mutex::new(spool)));
             }
+            Err(error) => warn!(target: "metrics", exporter = config.name, %error, "spool unavailable"),
         }
-        waiting
+        queue
     }
 
-    /// Whether there is a spool.
-    pub fn lasts(&self) -> bool {
+    /// Returns whether there is a spool.
+    pub(super) fn is_enabled(&self) -> bool {
         self.spool.is_some()
     }
 
-    /// Whether something waits that is not on its way.
-    pub fn has_more(&self) -> bool {
-        let held = self.spool.as_ref().map(|spool| spool.lock().unwrap_or_else(PoisonError::into_inner));
-        self.filling.is_none() && held.is_some_and(|spool| !spool.is_empty())
+    /// Returns whether a frame waits that is not being sent.
+    pub(super) fn has_more(&self) -> bool {
+        let spool = self.spool.as_deref().map(lock);
+        self.in_flight.is_none() && spool.is_some_and(|spool| !spool.is_empty())
     }
 
-    /// Puts frames away; what cannot be kept is counted as dropped.
-    pub async fn put(&mut self, relay: &SharedRelay, sink: &ExporterConfig, frames: Vec<(Vec<u8>, u64)>) {
-        let points: u64 = frames.iter().map(|(_, points)| points).sum();
+    /// Stores frames; the samples of those that cannot be stored are counted as dropped.
+    pub(super) async fn store(&mut self, relay: &SharedRelay, config: &ExporterConfig, frames: Vec<Frame>) {
+        let samples: u64 = frames.iter().map(|frame| frame.samples).sum();
         let Some(spool) = self.spool.clone().filter(|_| !frames.is_empty()) else {
-            return relay
-                .borrow_mut()
-                .update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, points));
+            return record_dropped(relay, samples);
         };
-        let wrote = run(move || {
-            let mut spool = spool.lock().unwrap_or_else(PoisonError::into_inner);
-            let (mut dropped, mut failed) = (0, None);
-            for (frame, points) in frames {
-                match spool.append(&frame, u32::try_from(points).unwrap_or(u32::MAX)) {
-                    Ok(older) => dropped += older,
-                    Err(e) => (dropped, failed) = (dropped + points, Some(e)),
-                }
+        let stored = run_blocking(move || Ok(append_all(&mut lock(&spool), frames))).await;
+        let StoreResult { dropped_samples, last_error } =
+            stored.unwrap_or_else(|error| StoreResult { dropped_samples: samples, last_error: Some(error) });
+        match last_error {
+            Some(error) if !std::mem::replace(&mut self.write_failing, true) => {
+                warn!(
+                    target: "metrics", exporter = config.name, %error,
+                    "writing to the spool failed, snapshots are dropped"
+                );
             }
-            Ok((dropped, failed))
-        });
-        let (dropped, failed) = wrote.await.unwrap_or_else(|e| (points, Some(e)));
-        match failed {
-            Some(why) if !std::mem::replace(&mut self.trouble, true) => {
-                warn!(target: "metrics", sink = sink.name, %why, "the spool takes nothing: readings are dropped");
-            }
-            None => self.trouble = false,
+            None => self.write_failing = false,
             Some(_) => {}
         }
-        relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, dropped));
+        record_dropped(relay, dropped_samples);
     }
 
-    /// The oldest frame that waits; it is on its way from now on.
-    pub async fn take(&mut self, relay: &SharedRelay) -> Option<(Vec<u8>, u64)> {
+    /// Returns the oldest frame of the spool, which counts as being sent from now on.
+    pub(super) async fn take_first(&mut self, relay: &SharedRelay) -> Option<Frame> {
         let spool = self.spool.clone()?;
-        let found = run(move || {
-            let mut spool = spool.lock().unwrap_or_else(PoisonError::into_inner);
+        let found = run_blocking(move || {
+            let mut spool = lock(&spool);
             let record = spool.first()?;
-            Ok((record, spool.take_damaged()))
+            Ok((record, spool.take_lost_samples()))
         });
-        let (record, damaged) = found.await.ok()?;
-        relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, damaged));
+        let (record, lost_samples) = found.await.ok()?;
+        record_dropped(relay, lost_samples);
         let record = record?;
-        let frame = (record.frame.clone(), u64::from(record.points));
-        self.filling = Some(record);
+        let frame = Frame { bytes: record.frame.clone(), samples: u64::from(record.samples) };
+        self.in_flight = Some(record);
         Some(frame)
     }
 
-    /// The frame that was on its way has been sent.
-    pub async fn sent(&mut self) {
-        let (Some(spool), Some(record)) = (self.spool.clone(), self.filling.take()) else { return };
-        let noted = run(move || spool.lock().unwrap_or_else(PoisonError::into_inner).sent(&record));
-        // What cannot be noted is sent again, with the time that it had.
-        let _ = noted.await;
+    /// Marks the frame that was being sent as sent.
+    pub(super) async fn mark_sent(&mut self) {
+        let (Some(spool), Some(record)) = (self.spool.clone(), self.in_flight.take()) else { return };
+        let marked = run_blocking(move || lock(&spool).mark_sent(&record));
+        // A frame that cannot be marked is sent again with its original timestamp.
+        let _ = marked.await;
     }
 }
 
-/// Runs what may block where it may.
-async fn run<T: Send + 'static>(what: impl FnOnce() -> io::Result<T> + Send + 'static) -> io::Result<T> {
-    spawn_blocking(what).await.map_err(io::Error::other).flatten()
+fn append_all(spool: &mut Spool, frames: Vec<Frame>) -> StoreResult {
+    let mut result = StoreResult { dropped_samples: 0, last_error: None };
+    for Frame { bytes, samples } in frames {
+        match spool.append(&bytes, u32::try_from(samples).unwrap_or(u32::MAX)) {
+            Ok(dropped) => result.dropped_samples += dropped,
+            Err(error) => {
+                result.dropped_samples += samples;
+                result.last_error = Some(error);
+            }
+        }
+    }
+    result
+}
+
+fn record_dropped(relay: &SharedRelay, samples: u64) {
+    relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, samples));
+}
+
+fn lock(spool: &Mutex<Spool>) -> MutexGuard<'_, Spool> {
+    spool.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+async fn run_blocking<T: Send + 'static>(
+    call: impl FnOnce() -> Result<T, SpoolError> + Send + 'static,
+) -> Result<T, SpoolError> {
+    spawn_blocking(call).await?
 }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -120,7 +120,7 @@
     if let Some(folder) = &config.state_directory {
         relay.borrow_mut().restore_counters(folder, relay_name);
     }
-    exporter::run(relay, config, relay_name);
+    exporter::apply_config(relay, config, relay_name);
 }
 
 /// Starts the tasks that run as long as the relay.
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -22,6 +22,7 @@
 use super::error::StartError;
 use super::lifecycle::config::Config;
 use super::lifecycle::hot_restart::ListenerOwnership;
+use super::metrics::persistent_counters::PersistentCounters;
 use super::metrics::{exporter, recorder};
 use super::timer_wheel::Timers;
 use crate::gossip::GossipHandle;
@@ -56,7 +57,7 @@
     pub(in crate::relay) gossip: Option<GossipHandle>,
     pub(in crate::relay) metrics: MetricsRegistry,
     /// Where counters outlast the process, if anywhere.
-    pub(in crate::relay) persistent_counters: Option<recorder::PersistentCounters>,
+    pub(in crate::relay) persistent_counters: Option<PersistentCounters>,
     /// The running exporters, by name.
     pub(in crate::relay) exporters: BTreeMap<String, exporter::Exporter>,
     pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
@@ -106,7 +107,7 @@
         let relay = Rc::new_cyclic(|weak_self| {
             RefCell::new(Relay {
                 timers,
-                metrics: recorder::open(&config.metrics, &config.names),
+                metrics: recorder::new_registry(&config.metrics, &config.names),
                 names: config.names,
                 balancer,
                 events: VecDeque::new(),
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -6,7 +6,7 @@
 use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
 use honeyknot_metrics::graphite::{self, Paths};
 use honeyknot_metrics::registry::{MetricValue, MetricsSnapshot};
-use honeyknot_metrics::spool_record;
+use honeyknot_metrics::spool_record::{self, ValidPrefix};
 use honeyknot_metrics::stored::{CounterState, HistogramState, StoredMetrics};
 use honeyknot_metrics::{MetricsConfig, MetricsRegistry};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -207,13 +207,16 @@
 #[test]
 fn a_spool_segment_of_the_previous_version_is_read_and_written_unchanged() {
     let bytes = fixture(SEGMENT);
-    assert_eq!(spool_record::sound(&bytes), (bytes.len(), 2, 3));
+    assert_eq!(
+        spool_record::valid_prefix(&bytes),
+        ValidPrefix { bytes: bytes.len(), records: 2, samples: 3 }
+    );
     let (mut at, mut written) = (0, Vec::new());
     for (frame, points) in spooled_frames() {
-        let record = spool_record::first(&bytes[at..]).expect("a sound record");
-        assert_eq!((&record.frame[..], record.points), (frame, points));
-        written.extend(spool_record::encode(&record.frame, record.points).expect("a record"));
-        at += record.size;
+        let record = spool_record::decode_first(&bytes[at..]).expect("a sound record");
+        assert_eq!((&record.frame[..], record.samples), (frame, points));
+        written.extend(spool_record::encode(&record.frame, record.samples).expect("a record"));
+        at += record.size_bytes;
     }
     assert_eq!(written, bytes);
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -85,7 +85,7 @@
             sum += 1.0;
         }
         store.reaches(REFUSED, sum);
-        relay.wait_for_log("the sink takes no data");
+        relay.wait_for_log("exporter failed");
         relay.child.kill().expect("a kill");
         relay.child.wait().expect("an end");
     }
@@ -154,7 +154,7 @@
     let (mut last, mut told) = (BTreeMap::new(), 0.0);
     for life in 0..4 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
-        relay.wait_for_log("counts are kept");
+        relay.wait_for_log("persistent counters restored");
         if life == 1 {
             // A second relay with the same folder serves without it.
             let other = folder.write("other.json", &process::config(unused_address()));
@@ -205,7 +205,7 @@
     for _ in 0..3 {
         assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     }
-    relay.wait_for_log("the sink takes no data");
+    relay.wait_for_log("exporter failed");
     std::thread::sleep(Duration::from_millis(1_200));
     folder.write("metrics.conf", &text(sink.local_addr().expect("an address")));
     relay.send_sighup();
@@ -243,7 +243,7 @@
     let sink = TcpListener::bind(at).expect("the sink's port");
     let got = graphite(sink);
     let relay = Relay::start(&folder, &config, "log-2", &["--metrics", &plan]);
-    relay.wait_for_log("readings wait on disk");
+    relay.wait_for_log("spooled snapshots pending");
     let (mut seen, mut most) = (BTreeMap::new(), 0.0f64);
     let until = Instant::now() + Duration::from_secs(30);
     while seen.len() < 6 || most < asked - 1.0 {
@@ -274,7 +274,7 @@
     let plan = folder.write("metrics.conf", &text).display().to_string();
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     let relay = Relay::start(&folder, &config, "log", &["--metrics", &plan]);
-    relay.wait_for_log("counts will not outlast this relay");
+    relay.wait_for_log("persistent counters unavailable");
     assert!(first_answer(listen, HEAD).starts_with("BUSY"));
     store.reaches(REFUSED, 1.0);
 }
