--- a/crates/metrics/src/config.rs
+++ b/crates/metrics/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operators say about sinks: the file `metrics.conf`, and its checks.
+//! The operator file `metrics.conf`: exporters, and where counters are kept.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -8,72 +8,83 @@
 use honeyknot_operator_config::{Directive, Faults, Section, parse, units};
 
 use crate::collectd::Security;
-use crate::graphite::Paths;
+use crate::graphite::PathStyle;
 
-/// Graphite's times are whole seconds: of two points within one the last is kept, and a count would be lost.
+/// The shortest interval at Graphite, which stores one value a second.
 const MIN_GRAPHITE_INTERVAL: Duration = Duration::from_secs(1);
-/// Sinks at the most.
+/// The largest number of exporters.
 const MAX_EXPORTERS: usize = 16;
+const DEFAULT_SERIES_CAP: usize = 256;
+const DEFAULT_INTERVAL: Duration = Duration::from_secs(10);
+const DEFAULT_PREFIX: &str = "honeyknot";
+const DEFAULT_BUFFER_BYTES: u64 = 1 << 20;
+/// Frames a second.
+const DEFAULT_FILL_RATE: f64 = 20.0;
 
-/// The protocol of a sink.
+/// A user and a password.
+type Credentials = (String, String);
+
+/// The protocol of an exporter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Protocol {
     /// Graphite's plaintext over TCP.
-    GraphiteLines(Paths),
+    GraphiteLines(PathStyle),
     /// Graphite's pickles over TCP.
-    GraphitePickle(Paths),
+    GraphitePickle(PathStyle),
     /// collectd's binary protocol over UDP.
     Collectd(Security),
 }
 
-/// One sink.
+/// One exporter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExporterConfig {
-    /// Its name, in the log.
+    /// The name.
     pub name: String,
-    /// What it speaks.
+    /// The protocol.
     pub protocol: Protocol,
-    /// Where it is.
+    /// The receiver's address.
     pub address: SocketAddr,
-    /// How often it gets a reading.
+    /// The time between two snapshots.
     pub interval: Duration,
-    /// The nodes before all series of Graphite, the relay's name after them.
+    /// The nodes before the relay's name in Graphite's paths.
     pub prefix: String,
-    /// The most bytes that wait for it in memory; the oldest readings make room.
+    /// The largest number of bytes that wait in memory.
     pub buffer: u64,
-    /// The most bytes that wait for it on disk, below the folder that lasts; 0 is none.
+    /// The largest number of bytes that wait on disk; 0 is no spool.
     pub spool: u64,
-    /// Readings a second that are sent from there once it is back.
+    /// Frames a second that are sent from the spool.
     pub fill: f64,
 }
 
-/// The operators' settings for metrics.
+/// The operators' configuration of metrics.
 #[derive(Clone, Debug)]
 pub struct MetricsConfig {
-    /// The sinks.
+    /// The exporters.
     pub exporters: Vec<ExporterConfig>,
-    /// The most values of a tag that is open, such as sites.
+    /// The largest number of values of a dynamic tag.
     pub series_cap: usize,
-    /// A folder that lasts, in which totals are kept over the relay's lives; none where there is none.
+    /// The directory in which counters are kept over processes, if any.
     pub state_directory: Option<PathBuf>,
 }
 
 impl MetricsConfig {
-    /// Reads a file's text; `file` is only named in faults. All faults come at once. Key files that it names are read by
-    /// `secret`, which brings user and password, or what is wrong with the file.
+    /// Reads a file's text; `file` is its name in errors. `read_key` reads a key file that the text names.
+    ///
+    /// # Errors
+    ///
+    /// All errors of the file together.
     pub fn read(
-        file: &str, text: &str, secret: impl Fn(&str) -> Result<(String, String), String>,
+        file: &str, text: &str, read_key: impl Fn(&str) -> Result<Credentials, String>,
     ) -> Result<MetricsConfig, Faults> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let mut top = Section::file(file, &tree, &faults);
-        let series_cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(256);
+        let series_cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(DEFAULT_SERIES_CAP);
         let state_directory = top.value("state", units::text()).map(PathBuf::from);
         let mut exporters: Vec<ExporterConfig> = Vec::new();
         for directive in top.each("sink") {
-            let Some(exporter) = read_exporter(&top, directive, &secret, state_directory.is_some()) else {
-                continue;
-            };
+            let exporter = read_exporter(&top, directive, &read_key, state_directory.is_some());
+            let Some(exporter) = exporter else { continue };
             if exporters.iter().any(|other| other.name == exporter.name) {
                 top.fault(&directive.name, format!("the sink `{}` is given again", exporter.name));
             }
@@ -87,64 +98,93 @@
     }
 }
 
+/// The directives that name a protocol and what belongs to it.
+struct ProtocolDirectives {
+    graphite: Option<SocketAddr>,
+    graphite_pickle: Option<SocketAddr>,
+    collectd: Option<SocketAddr>,
+    path_style: PathStyle,
+    sign: Option<Credentials>,
+    encrypt: Option<Credentials>,
+}
+
+impl ProtocolDirectives {
+    fn read(block: &mut Section, read_key: &impl Fn(&str) -> Result<Credentials, String>) -> Self {
+        let graphite = block.value("graphite", units::address());
+        let graphite_pickle = block.value("graphite-pickle", units::address());
+        let collectd = block.value("collectd", units::address());
+        let tags = block.value("tags", units::flag()).unwrap_or(false);
+        let path_style = if tags { PathStyle::Tags } else { PathStyle::Nodes };
+        let sign = block.value("sign", read_key);
+        let encrypt = block.value("encrypt", read_key);
+        ProtocolDirectives { graphite, graphite_pickle, collectd, path_style, sign, encrypt }
+    }
+
+    fn check(&self, block: &Section, directive: &Directive, interval: Duration) {
+        let graphite = self.graphite.is_some() || self.graphite_pickle.is_some();
+        if graphite && interval < MIN_GRAPHITE_INTERVAL {
+            block.fault(
+                &directive.name,
+                "`interval`: Graphite keeps one point a second; allowed is 1s and more".into(),
+            );
+        }
+        let (signed, encrypted) = (self.sign.is_some(), self.encrypt.is_some());
+        if (signed || encrypted) && self.collectd.is_none() || signed && encrypted {
+            block.fault(&directive.name, "`sign` or `encrypt`, one of them, goes with `collectd`".into());
+        }
+    }
+
+    /// Returns the one protocol and its address; none, and an error in the file, if there is not exactly one.
+    fn into_protocol(self, top: &Section, directive: &Directive) -> Option<(Protocol, SocketAddr)> {
+        let security = match (self.sign, self.encrypt) {
+            (Some((user, password)), _) => Security::Sign { user, password },
+            (None, Some((user, password))) => Security::Encrypt { user, password },
+            (None, None) => Security::None,
+        };
+        let path_style = self.path_style;
+        let given = [
+            self.graphite.map(|address| (Protocol::GraphiteLines(path_style), address)),
+            self.graphite_pickle.map(|address| (Protocol::GraphitePickle(path_style), address)),
+            self.collectd.map(|address| (Protocol::Collectd(security), address)),
+        ];
+        let mut given = given.into_iter().flatten();
+        match (given.next(), given.next()) {
+            (Some(only), None) => Some(only),
+            (None, _) => {
+                let what =
+                    "a sink needs one of `graphite`, `graphite-pickle` or `collectd`, with its address";
+                top.fault(&directive.name, what.into());
+                None
+            }
+            (Some(_), Some(_)) => {
+                top.fault(&directive.name, "a sink speaks one protocol; this one names several".into());
+                None
+            }
+        }
+    }
+}
+
 fn read_exporter(
-    top: &Section, directive: &Directive, secret: &impl Fn(&str) -> Result<(String, String), String>,
-    lasts: bool,
+    top: &Section, directive: &Directive, read_key: &impl Fn(&str) -> Result<Credentials, String>,
+    has_state_directory: bool,
 ) -> Option<ExporterConfig> {
     let [name] = &directive.words[..] else {
         top.fault(&directive.name, "`sink` takes one word, its name".into());
         return None;
     };
     let mut block = top.block(directive);
-    let lines = block.value("graphite", units::address());
-    let pickle = block.value("graphite-pickle", units::address());
-    let collectd = block.value("collectd", units::address());
-    let tags = block.value("tags", units::flag()).unwrap_or(false);
-    let sign = block.value("sign", secret);
-    let encrypt = block.value("encrypt", secret);
+    let protocol = ProtocolDirectives::read(&mut block, read_key);
     let interval = units::duration(Duration::from_millis(100)..=Duration::from_secs(3600));
-    let interval = block.value("interval", interval).unwrap_or(Duration::from_secs(10));
-    let prefix = block.value("prefix", units::text()).unwrap_or_else(|| "honeyknot".to_owned());
+    let interval = block.value("interval", interval).unwrap_or(DEFAULT_INTERVAL);
+    let prefix = block.value("prefix", units::text()).unwrap_or_else(|| DEFAULT_PREFIX.to_owned());
     let spool = block.value("spool", units::bytes(4 << 20..=1 << 40));
-    let fill = block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(20.0);
-    let buffer = block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(1 << 20);
-    if (lines.is_some() || pickle.is_some()) && interval < MIN_GRAPHITE_INTERVAL {
-        block.fault(
-            &directive.name,
-            "`interval`: Graphite keeps one point a second; allowed is 1s and more".into(),
-        );
-    }
-    let protected = sign.is_some() || encrypt.is_some();
-    if protected && collectd.is_none() || sign.is_some() && encrypt.is_some() {
-        block.fault(&directive.name, "`sign` or `encrypt`, one of them, goes with `collectd`".into());
-    }
-    let paths = if tags { Paths::Tags } else { Paths::Nodes };
-    let security = match (sign, encrypt) {
-        (Some((user, password)), _) => Security::Sign { user, password },
-        (None, Some((user, password))) => Security::Encrypt { user, password },
-        (None, None) => Security::None,
-    };
+    let fill = block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(DEFAULT_FILL_RATE);
+    let buffer = block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(DEFAULT_BUFFER_BYTES);
+    protocol.check(&block, directive, interval);
     block.finish();
-    let found = [
-        lines.map(|at| (Protocol::GraphiteLines(paths), at)),
-        pickle.map(|at| (Protocol::GraphitePickle(paths), at)),
-        collectd.map(|at| (Protocol::Collectd(security), at)),
-    ];
-    let mut found = found.into_iter().flatten();
-    let (protocol, address) = match (found.next(), found.next()) {
-        (Some(one), None) => one,
-        (None, _) => {
-            let what = "a sink needs one of `graphite`, `graphite-pickle` or `collectd`, with its address";
-            top.fault(&directive.name, what.into());
-            return None;
-        }
-        (Some(_), Some(_)) => {
-            top.fault(&directive.name, "a sink speaks one protocol; this one names several".into());
-            return None;
-        }
-    };
+    let (protocol, address) = protocol.into_protocol(top, directive)?;
     let spool = spool.unwrap_or(0);
-    if spool > 0 && !lasts {
+    if spool > 0 && !has_state_directory {
         top.fault(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
     }
     Some(ExporterConfig { name: name.text.clone(), protocol, address, interval, prefix, buffer, spool, fill })
--- a/crates/metrics/src/families.rs
+++ b/crates/metrics/src/families.rs
@@ -1,36 +1,36 @@
-//! The names of all series, in one table: `docs/operate/metrics.md` lists the same, and a test compares them.
+//! The table of metric families. `docs/operate/metrics.md` lists the same, and a test compares them.
 
-/// What a series is.
+/// The kind of a metric family.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// A total that only grows, over all lives of the relay where its state lasts.
+    /// A total that only grows, over all processes of a relay whose counters are persistent.
     Counter,
-    /// A value now.
+    /// A current value.
     Gauge,
-    /// A distribution, told by its count and some quantiles.
+    /// A distribution, exported as its count and some quantiles.
     Histogram,
 }
 
-/// A family of series.
+/// The description of a metric family.
 #[derive(Clone, Copy, Debug)]
 pub struct MetricDescriptor {
-    /// Its name: lower case, words joined by `_`.
+    /// The name: lower case, words joined by `_`.
     pub name: &'static str,
-    /// What it is.
+    /// The kind.
     pub kind: MetricKind,
     /// The unit of its values.
     pub unit: &'static str,
     /// The tag by which its series differ; empty where there is one.
     pub tag: &'static str,
-    /// The values of that tag; empty where they are sites or card servers, known only as the relay runs.
+    /// The values of that tag; empty where it is dynamic: its values are zones or classes, known when the relay runs.
     pub values: &'static [&'static str],
-    /// What it tells.
+    /// The meaning, for operators.
     pub help: &'static str,
 }
 
-macro_rules! names {
+macro_rules! metric_families {
     ($($id:ident = $name:literal, $kind:ident, $unit:literal, $tag:literal, [$($value:literal),*], $help:literal;)*) => {
-        /// The families, each at the place of its [`MetricFamily`].
+        /// The descriptors, each at the index of its [`MetricFamily`].
         pub const METRIC_FAMILIES: &[MetricDescriptor] = &[$(MetricDescriptor {
             name: $name,
             kind: MetricKind::$kind,
@@ -40,7 +40,7 @@
             help: $help,
         }),*];
 
-        /// A family of series, named in code.
+        /// A metric family.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(usize)]
         pub enum MetricFamily {
@@ -49,7 +49,7 @@
     };
 }
 
-names! {
+metric_families! {
     Requests = "requests", Counter, "requests", "", [], "Heads of sessions that were understood";
     Established = "served", Counter, "requests", "", [], "Sessions that came up";
     RequestsRejected = "refused", Counter, "requests", "reason",
@@ -93,7 +93,7 @@
 }
 
 impl MetricKind {
-    /// The kind's word in `metrics names` and in the operators' table.
+    /// Returns the kind's name in `metrics names` and in the operators' table.
     pub fn as_str(self) -> &'static str {
         match self {
             MetricKind::Counter => "total",
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,18 +1,22 @@
 #![forbid(unsafe_code)]
-//! What a relay counts, and how that is told to Graphite and collectd.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+//! Metrics of a relay and their formats at Graphite and collectd.
 //!
-//! [`MetricsRegistry`] holds totals, gauges and histograms; the relay's thread adds to it by plain calls that allocate nothing
-//! once a series exists. A [`MetricsSnapshot`] is what it held at a point in time. [`graphite`] and [`collectd`] turn readings
-//! into bytes by the published formats. [`MetricsConfig`] is what the operators say about sinks. Nothing here opens a socket, reads a clock or a file.
+//! [`MetricsRegistry`] holds counters, gauges and histograms; updating it allocates nothing once a series exists. A
+//! [`MetricsSnapshot`] is its state at a point in time. [`graphite`] and [`collectd`] encode snapshots in the published formats,
+//! [`StoredMetrics`](stored::StoredMetrics) and [`spool_record`] are the forms on disk. [`MetricsConfig`] is the operator file.
+//! Nothing here opens a socket, reads a clock or a file.
 
 pub mod collectd;
 pub mod config;
 pub mod families;
 pub mod graphite;
 pub mod registry;
+pub mod snapshot;
 pub mod spool_record;
 pub mod stored;
 
 pub use config::MetricsConfig;
 pub use families::MetricFamily;
-pub use registry::{MetricValue, MetricsRegistry, MetricsSnapshot, Sample};
+pub use registry::MetricsRegistry;
+pub use snapshot::{MetricValue, MetricsSnapshot, Sample};
--- a/crates/metrics/tests/formats.rs
+++ b/crates/metrics/tests/formats.rs
@@ -1,23 +1,23 @@
 //! The formats byte by byte, the metrics's bounds, and random bytes against the reader.
 
-use honeyknot_metrics::collectd::{PACKET, PacketError, Security, packets, putvals, read};
+use honeyknot_metrics::collectd::{MAX_PACKET_BYTES, PacketError, Security, packets, putvals, read};
 use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
-use honeyknot_metrics::graphite::{Paths, lines, pickles, read_pickle};
-use honeyknot_metrics::registry::{MetricValue, MetricsSnapshot, OTHERS, Sample};
+use honeyknot_metrics::graphite::{PathStyle, lines, pickles, read_pickle};
+use honeyknot_metrics::registry::OTHERS;
 use honeyknot_metrics::stored::StoredMetrics;
-use honeyknot_metrics::{MetricsRegistry, collectd};
+use honeyknot_metrics::{MetricValue, MetricsRegistry, MetricsSnapshot, Sample, collectd};
 use proptest::prelude::*;
 
 fn point(name: &'static str, tag: Option<(&'static str, &str)>, value: MetricValue) -> Sample {
-    Sample { name, part: "", tag: tag.map(|(n, v)| (n, v.to_owned())), value }
+    Sample { name, statistic: "", tag: tag.map(|(n, v)| (n, v.to_owned())), value }
 }
 
-fn reading(points: Vec<Sample>) -> MetricsSnapshot {
-    MetricsSnapshot { at: 1_700_000_000_500_000, points }
+fn snapshot(samples: Vec<Sample>) -> MetricsSnapshot {
+    MetricsSnapshot { timestamp: 1_700_000_000_500_000, samples }
 }
 
 fn sample() -> MetricsSnapshot {
-    reading(vec![
+    snapshot(vec![
         point("refused", Some(("reason", "site limit")), MetricValue::Counter(7)),
         point("sessions", None, MetricValue::Gauge(2.5)),
     ])
@@ -26,21 +26,21 @@
 #[test]
 fn graphite_lines_are_paths_values_and_seconds() {
     let plain = "edge.n_1.refused.reason.site_limit 7 1700000000\nedge.n_1.sessions 2.5 1700000000\n";
-    assert_eq!(lines("edge.n 1.", &sample(), Paths::Nodes), plain);
+    assert_eq!(lines("edge.n 1.", &sample(), PathStyle::Nodes), plain);
     let tagged = "edge.refused;reason=site_limit 7 1700000000\nedge.sessions 2.5 1700000000\n";
-    assert_eq!(lines("edge", &sample(), Paths::Tags), tagged);
-    let odd = reading(vec![
+    assert_eq!(lines("edge", &sample(), PathStyle::Tags), tagged);
+    let odd = snapshot(vec![
         point("x", Some(("site", "~a;b\nc.d")), MetricValue::Gauge(f64::NAN)),
         point("y", Some(("site", "~a;b\nc.d")), MetricValue::Counter(1)),
     ]);
-    assert_eq!(lines("", &odd, Paths::Tags), "y;site=_a_b_c.d 1 1700000000\n");
-    let long = reading(vec![point("y", Some(("site", &"é".repeat(400))), MetricValue::Counter(1))]);
-    assert!(lines("", &long, Paths::Tags).len() < 270);
+    assert_eq!(lines("", &odd, PathStyle::Tags), "y;site=_a_b_c.d 1 1700000000\n");
+    let long = snapshot(vec![point("y", Some(("site", &"é".repeat(400))), MetricValue::Counter(1))]);
+    assert!(lines("", &long, PathStyle::Tags).len() < 270);
 }
 
 #[test]
 fn graphite_pickles_have_their_length_before_them_and_are_bounded() {
-    let frames = pickles("edge", &sample(), Paths::Nodes).expect("a pickle");
+    let frames = pickles("edge", &sample(), PathStyle::Nodes).expect("a pickle");
     assert_eq!(&frames[0][4..6], b"\x80\x02");
     let list = read_pickle(&frames[0]).expect("a list");
     let expected = [
@@ -48,8 +48,8 @@
         ("edge.sessions".to_owned(), (1_700_000_000, 2.5)),
     ];
     assert_eq!(list, expected);
-    let many = reading(vec![point("y", None, MetricValue::Counter(1)); 1_201]);
-    assert_eq!(pickles("", &many, Paths::Nodes).expect("pickles").len(), 3);
+    let many = snapshot(vec![point("y", None, MetricValue::Counter(1)); 1_201]);
+    assert_eq!(pickles("", &many, PathStyle::Nodes).expect("pickles").len(), 3);
 }
 
 #[test]
@@ -87,8 +87,8 @@
         let found = read(&packet, Some(&user)).expect("a genuine packet");
         assert_eq!(found.len(), 2);
         assert_eq!(
-            (found[0].at, found[0].value, found[1].value),
-            (sample().at, MetricValue::Counter(7), MetricValue::Gauge(2.5))
+            (found[0].timestamp, found[0].value, found[1].value),
+            (sample().timestamp, MetricValue::Counter(7), MetricValue::Gauge(2.5))
         );
         let wrong = |_: &str| Some("other".to_owned());
         assert_eq!(read(&packet, Some(&wrong)), Err(PacketError::NotGenuine("edge".into())));
@@ -109,8 +109,8 @@
         .map(|n| point("placed", Some(("site", &format!("site-{n}"))), MetricValue::Counter(n)))
         .collect();
     let security = Security::Encrypt { user: "edge".into(), password: "secret".into() };
-    let packets = packets("host", "life", &reading(many), 10_000_000, &security, || [3; 16]);
-    assert!(packets.iter().all(|p| p.len() <= PACKET));
+    let packets = packets("host", "life", &snapshot(many), 10_000_000, &security, || [3; 16]);
+    assert!(packets.iter().all(|p| p.len() <= MAX_PACKET_BYTES));
     let found: Vec<_> = packets.iter().flat_map(|p| read(p, Some(&user)).expect("a packet")).collect();
     assert_eq!(found.len(), 10_000);
     assert!(
@@ -138,12 +138,12 @@
     metrics.set(MetricFamily::EstablishedConnections, 4.0);
     (1..=1_000).for_each(|us| metrics.record(MetricFamily::SetupLatency, us));
     (0..10_000).for_each(|n| metrics.add_dynamic(MetricFamily::AttemptsByZone, &format!("site-{n}"), 1));
-    let reading = metrics.snapshot(5);
+    let snapshot = metrics.snapshot(5);
     let value = |name: &str, part: &str, tag: &str| {
         let found = |p: &&Sample| {
-            p.name == name && p.part == part && p.tag.as_ref().map_or("", |(_, value)| value) == tag
+            p.name == name && p.statistic == part && p.tag.as_ref().map_or("", |(_, value)| value) == tag
         };
-        reading.points.iter().find(found).map(|p| p.value)
+        snapshot.samples.iter().find(found).map(|p| p.value)
     };
     assert_eq!(value("refused", "", "site_limit"), Some(MetricValue::Counter(1)));
     assert_eq!(value("refused", "", "closing"), Some(MetricValue::Counter(0)));
@@ -154,7 +154,7 @@
     );
     assert_eq!(value("message", "p99", ""), None);
     assert_eq!(value("placed", "", OTHERS), Some(MetricValue::Counter(9_997)));
-    assert!(reading.points.len() < 100);
+    assert!(snapshot.samples.len() < 100);
 }
 
 #[test]
@@ -202,7 +202,7 @@
     metrics.add_dynamic(MetricFamily::AttemptsByZone, "tema", 1);
     let second = metrics.snapshot(2);
     let grown = |later: &MetricsSnapshot, earlier: Option<&MetricsSnapshot>, name: &str| {
-        let point = later.since(earlier).points.into_iter().find(|p| p.name == name);
+        let point = later.since(earlier).samples.into_iter().find(|p| p.name == name);
         point.map(|p| p.value)
     };
     assert_eq!(grown(&first, None, "served"), Some(MetricValue::Counter(5)));
@@ -228,7 +228,7 @@
     assert_eq!(read, state);
     let mut again = MetricsRegistry::new(3);
     assert_eq!(again.restore(&read), 0);
-    assert_eq!(again.snapshot(9).points, counted().snapshot(9).points);
+    assert_eq!(again.snapshot(9).samples, counted().snapshot(9).samples);
     let mut known = state.clone();
     known.counters[0].name = "no_such_name".to_owned();
     assert_eq!(MetricsRegistry::new(3).restore(&known), 1);
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -65,14 +65,15 @@
             MetricValue::Counter(total) => total.to_string(),
             MetricValue::Gauge(gauge) => gauge.to_string(),
         };
-        let at = v.at as f64 / 1e6;
+        let at = v.timestamp as f64 / 1e6;
         format!("{}/{}-{}/{}-{} {value} {at:.3}\n", v.host, collectd::PLUGIN_NAME, v.instance, v.kind, v.name)
     };
     Ok(values.iter().map(line).collect())
 }
 
 fn snapshot(state: &StoredMetrics) -> String {
-    let mut text = format!("relay {} at {:.3}, life {}\n", state.relay, state.at as f64 / 1e6, state.lives);
+    let mut text =
+        format!("relay {} at {:.3}, life {}\n", state.relay, state.timestamp as f64 / 1e6, state.incarnation);
     for total in &state.counters {
         let tag = if total.value.is_empty() { String::new() } else { format!(" {}", total.value) };
         text.push_str(&format!("{}{tag} {}\n", total.name, total.total));
--- a/src/relay/metrics/export_format.rs
+++ b/src/relay/metrics/export_format.rs
@@ -39,12 +39,12 @@
     if matches!(config.protocol, Protocol::Collectd(_)) {
         return snapshot.clone();
     }
-    history.last_second = (snapshot.at / MICROS_PER_SECOND).max(history.last_second + 1);
+    history.last_second = (snapshot.timestamp / MICROS_PER_SECOND).max(history.last_second + 1);
     let exported = match lifetime {
         CounterLifetime::Persistent => snapshot.clone(),
         CounterLifetime::Process => snapshot.since(history.last_snapshot.as_ref()),
     };
-    MetricsSnapshot { at: snapshot.at.max(history.last_second * MICROS_PER_SECOND), ..exported }
+    MetricsSnapshot { timestamp: snapshot.timestamp.max(history.last_second * MICROS_PER_SECOND), ..exported }
 }
 
 /// Encodes a snapshot as frames of the exporter's protocol.
@@ -52,7 +52,7 @@
     config: &ExporterConfig, relay_name: &str, snapshot: &MetricsSnapshot, rng: &mut StdRng,
 ) -> Vec<Frame> {
     let prefix = format!("{}.{}", config.prefix, relay_name.replace('.', "_"));
-    let samples = snapshot.points.len() as u64;
+    let samples = snapshot.samples.len() as u64;
     match &config.protocol {
         Protocol::GraphiteLines(paths) => {
             let text = graphite::lines(&prefix, snapshot, *paths);
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -190,7 +190,7 @@
         let was_idle = self.state.queue.is_empty();
         let snapshot = self.relay.borrow_mut().metrics_snapshot();
         // Counters that a later process does not know would seem to fall.
-        if persistent_counters::save(&self.relay, snapshot.at).await.is_err() {
+        if persistent_counters::save(&self.relay, snapshot.timestamp).await.is_err() {
             return;
         }
         let lifetime = match self.relay.borrow().counters_persist() {
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -94,7 +94,7 @@
     pub(in crate::relay) fn restore_counters(&mut self, path: &Path, relay_name: &str) {
         match SnapshotDirectory::open(path, relay_name) {
             Ok((directory, stored)) => {
-                let incarnation = stored.as_ref().map_or(1, |stored| stored.lives + 1);
+                let incarnation = stored.as_ref().map_or(1, |stored| stored.incarnation + 1);
                 let unknown_metrics = stored.map_or(0, |stored| self.metrics.restore(&stored));
                 info!(target: "metrics", incarnation, unknown_metrics, "persistent counters restored");
                 self.persistent_counters = Some(PersistentCounters {
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -4,11 +4,10 @@
 
 use honeyknot_metrics::collectd::{self, Received, Security};
 use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
-use honeyknot_metrics::graphite::{self, Paths};
-use honeyknot_metrics::registry::{MetricValue, MetricsSnapshot};
+use honeyknot_metrics::graphite::{self, PathStyle};
 use honeyknot_metrics::spool_record::{self, ValidPrefix};
 use honeyknot_metrics::stored::{CounterState, HistogramState, StoredMetrics};
-use honeyknot_metrics::{MetricsConfig, MetricsRegistry};
+use honeyknot_metrics::{MetricValue, MetricsConfig, MetricsRegistry, MetricsSnapshot};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpListener;
 
@@ -74,10 +73,10 @@
     let text = fixture_text("graphite-nodes.txt");
     assert!(text.contains("honeyknot.n0.refused.reason.closing 1 1700000000\n"));
     assert!(text.contains("honeyknot.n0.placed.site.others 7 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), Paths::Nodes), text);
+    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Nodes), text);
     let tagged = fixture_text("graphite-tags.txt");
     assert!(tagged.contains("honeyknot.n0.refused;reason=closing 1 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), Paths::Tags), tagged);
+    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Tags), tagged);
 }
 
 #[test]
@@ -88,7 +87,7 @@
     assert!(points.contains(&point("honeyknot.n0.placed.site.tema", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.setup.count", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.roll_age", 1.5)));
-    let written = graphite::pickles("honeyknot.n0", &sample(), Paths::Nodes).expect("a pickle");
+    let written = graphite::pickles("honeyknot.n0", &sample(), PathStyle::Nodes).expect("a pickle");
     assert_eq!(written, [frame]);
 }
 
@@ -113,7 +112,7 @@
         instance: "relay".into(),
         kind: "derive".into(),
         name: "requests".into(),
-        at: TAKEN_AT,
+        timestamp: TAKEN_AT,
         value: MetricValue::Counter(9_007_199_254_740_993),
     }
 }
@@ -123,7 +122,7 @@
     let received: Vec<Received> =
         frozen.iter().flat_map(|packet| collectd::read(packet, passwords).expect("a packet")).collect();
     assert_eq!(received.first(), Some(&first_received()));
-    assert_eq!(received.len(), sample().points.len());
+    assert_eq!(received.len(), sample().samples.len());
     assert_eq!(write_packets(security), frozen);
 }
 
@@ -159,8 +158,8 @@
 fn persistent_counters() -> StoredMetrics {
     StoredMetrics {
         relay: "n0".into(),
-        at: TAKEN_AT,
-        lives: 3,
+        timestamp: TAKEN_AT,
+        incarnation: 3,
         counters: vec![
             counter("requests", "", 9_007_199_254_740_993),
             counter("refused", "closing", 1),
@@ -268,6 +267,6 @@
         assert!(scratch.0.join("state-0000000000000008.snap").exists());
         let next = fs::read(scratch.0.join("state-0000000000000008.snap")).expect("a snapshot");
         let next = StoredMetrics::decode(&next).expect("a sound snapshot");
-        assert_eq!((next.relay.as_str(), next.lives), ("n0", 4));
+        assert_eq!((next.relay.as_str(), next.incarnation), ("n0", 4));
     });
 }
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -6,7 +6,7 @@
 use honeyknot_gossip::Plan as NeighborsPlan;
 use honeyknot_metrics::collectd::Security;
 use honeyknot_metrics::config::{ExporterConfig, MetricsConfig, Protocol};
-use honeyknot_metrics::graphite::Paths;
+use honeyknot_metrics::graphite::PathStyle;
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_zone_failover::{RetryAfterRange, ZoneFailoverConfig};
 
@@ -143,7 +143,7 @@
 fn a_metrics_file_of_the_previous_version_means_what_it_meant() {
     let plan = read_metrics("metrics.conf").expect("a sound file");
     let meant = [
-        sink("graphite", Protocol::GraphiteLines(Paths::Nodes), "127.0.0.1:2003"),
+        sink("graphite", Protocol::GraphiteLines(PathStyle::Nodes), "127.0.0.1:2003"),
         sink("collectd", Protocol::Collectd(Security::None), "127.0.0.1:25826"),
     ];
     assert_eq!(plan.exporters, meant);
@@ -164,7 +164,7 @@
             buffer: 8 << 10,
             spool: 64 << 20,
             fill: 7.0,
-            ..sink("pickles", Protocol::GraphitePickle(Paths::Tags), "127.0.0.1:2004")
+            ..sink("pickles", Protocol::GraphitePickle(PathStyle::Tags), "127.0.0.1:2004")
         },
         sink(
             "signed",
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
+use honeyknot_metrics::MetricValue;
 use honeyknot_metrics::collectd::read;
-use honeyknot_metrics::registry::MetricValue;
 use process::{Relay, ScratchDirectory, config, first_answer, unused_address};
 
 /// A Graphite that hands on every line it gets.
