--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -1,15 +1,19 @@
-//! Making an operators' call from the command line.
+//! Sends an admin command from the command line.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// An answer is due within a second; a relay that takes this long does not answer.
+/// How long a step of the exchange may take.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer that is read.
+/// The longest answer that is read, in bytes.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Makes one call and returns the whole answer.
+/// Sends one command and returns the whole answer.
+///
+/// # Errors
+///
+/// If the relay cannot be reached, does not answer in time or closes without an answer.
 pub fn send_command(at: SocketAddr, words: &[String]) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&at, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -23,7 +27,7 @@
     }
 }
 
-/// Whether an answer is none of `NO`.
+/// Returns whether an answer accepts the command.
 pub fn is_accepted(answer: &str) -> bool {
     !answer.starts_with("NO")
 }
--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,24 +1,24 @@
-//! The operators' calls: one line each, read without I/O.
+//! Admin commands of one line each, parsed without I/O.
 
 use std::fmt;
 
-/// The longest call that is read, with its end.
+/// The longest command in bytes, with its end of line.
 pub const MAX_COMMAND_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process can serve.
+    /// Return whether this process can serve.
     Status,
-    /// The figures.
+    /// Return the statistics.
     Stats,
-    /// Nothing more to this card server.
+    /// Put an endpoint in maintenance.
     MaintOn(String),
-    /// Put this card server back.
+    /// End an endpoint's maintenance.
     MaintOff(String),
 }
 
-/// Why a line is no call.
+/// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommandError {
     /// Nothing but spaces.
@@ -29,11 +29,11 @@
     Incomplete,
     /// Bytes that are no printable ASCII.
     NotAscii,
-    /// The first word is no call.
+    /// The first word is not a command.
     UnknownCommand,
-    /// The call needs the id of a card server.
+    /// The endpoint's id is missing.
     MissingId,
-    /// Words beyond those that the call has.
+    /// There are more words than the command takes.
     ExtraWords,
 }
 
@@ -53,7 +53,11 @@
     }
 }
 
-/// Reads a call off what has come so far; none while its line may still be whole.
+/// Parses a command from what was received so far; none while its line is incomplete.
+///
+/// # Errors
+///
+/// If the line is not a command or too long.
 pub fn parse_buffered(bytes: &[u8]) -> Option<Result<AdminCommand, AdminCommandError>> {
     match bytes.iter().take(MAX_COMMAND_BYTES).position(|b| *b == b'\n') {
         Some(end) => Some(parse_line(&bytes[..end])),
@@ -61,7 +65,11 @@
     }
 }
 
-/// Reads a whole line without its LF; a CR before it, and spaces around words, count for nothing.
+/// Parses a whole line without its LF; a CR before it and spaces around words are ignored.
+///
+/// # Errors
+///
+/// If the line is not a command.
 pub fn parse_line(line: &[u8]) -> Result<AdminCommand, AdminCommandError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let plain = line.iter().all(|b| b.is_ascii_graphic() || matches!(b, b' ' | b'\t'));
@@ -69,12 +77,12 @@
     let mut words = text.split_ascii_whitespace();
     let name = words.next().ok_or(AdminCommandError::Empty)?;
     let mut id = || words.next().map(str::to_owned).ok_or(AdminCommandError::MissingId);
-    let call = match name {
+    let command = match name {
         "status" => AdminCommand::Status,
         "stats" => AdminCommand::Stats,
         "maint-on" => AdminCommand::MaintOn(id()?),
         "maint-off" => AdminCommand::MaintOff(id()?),
         _ => return Err(AdminCommandError::UnknownCommand),
     };
-    if words.next().is_some() { Err(AdminCommandError::ExtraWords) } else { Ok(call) }
+    if words.next().is_some() { Err(AdminCommandError::ExtraWords) } else { Ok(command) }
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -21,26 +21,34 @@
 use command::{AdminCommand, AdminCommandError};
 use honeyknot_balancer::Micros;
 
-/// Callers at a time. Their descriptors are kept out of what sessions and the crowd may hold.
-pub const CALLERS: usize = 16;
-/// Descriptors that the address takes at the most.
-pub const DESCRIPTORS: usize = CALLERS + 2;
-/// A caller who has not brought a whole call by now is ended.
-const PATIENCE: Micros = 5_000_000;
-/// A caller younger than this does not make room: it may just not have been read yet.
-const NEW: Micros = 200_000;
-/// Pause after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The largest number of admin connections; their descriptors are reserved.
+pub const MAX_CONNECTIONS: usize = 16;
+/// The largest number of descriptors that the admin address uses.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+/// How long a connection may take to send a command, or to receive the answer, in microseconds.
+const TIMEOUT: Micros = 5_000_000;
+/// How long a connection stays before a newer one may replace it, in microseconds.
+const MIN_CONNECTION_AGE: Micros = 200_000;
+/// The pause after an accept that failed.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whoever serves, as operators see it.
+/// Carries out admin commands.
 pub trait AdminService: Clone + 'static {
-    /// Its clock and wheel.
+    /// Returns the clock and the timer wheel.
     fn timers(&self) -> Rc<Timers>;
-    /// All figures, as one line of JSON.
+    /// Returns the statistics as one line of JSON.
     fn stats(&self) -> String;
-    /// Whether it serves, or why not.
+    /// Checks that this process serves.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it does not.
     fn check_ready(&self) -> Result<(), String>;
-    /// Takes a card server out by hand, or puts it back. When this resolves, it holds.
+    /// Begins or ends an endpoint's maintenance, which is in effect once this resolves.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it cannot be changed.
     fn set_maintenance(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>>;
 }
 
@@ -56,16 +64,16 @@
             Ok((stream, _)) => stream,
             Err(why) => {
                 warn!(target: "admin", %why, "cannot accept");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
         };
         callers.retain(|(task, _)| !task.is_finished());
-        if callers.len() >= CALLERS
+        if callers.len() >= MAX_CONNECTIONS
             && let Some((task, since)) = callers.pop_front()
         {
             // Guards against callers that hold connections and say nothing: whoever has had longest makes room.
-            timers.sleep_until(since + NEW).await;
+            timers.sleep_until(since + MIN_CONNECTION_AGE).await;
             task.abort();
         }
         let task = tokio::task::spawn_local(answer(service.clone(), stream));
@@ -82,7 +90,7 @@
     let mut bytes = Vec::with_capacity(command::MAX_COMMAND_BYTES);
     let call = tokio::select! {
         call = read(&mut stream, &mut bytes) => call,
-        () = timers.sleep(PATIENCE) => Some(Err(AdminCommandError::Incomplete)),
+        () = timers.sleep(TIMEOUT) => Some(Err(AdminCommandError::Incomplete)),
     };
     let Some(call) = call else { return };
     let answer = match call {
@@ -94,7 +102,7 @@
     let answer = if crlf { answer.replace('\n', "\r\n") } else { answer };
     let sent = tokio::select! {
         sent = stream.write_all(answer.as_bytes()) => sent.is_ok(),
-        () = timers.sleep(PATIENCE) => false,
+        () = timers.sleep(TIMEOUT) => false,
     };
     if sent {
         graceful_close::close(&timers, stream).await;
--- a/src/relay/metrics/mod.rs
+++ b/src/relay/metrics/mod.rs
@@ -2,6 +2,8 @@
 //!
 //! The relay records events by plain calls; exporters read snapshots. Nothing here acts on a metric.
 
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+
 mod export_format;
 pub(in crate::relay) mod exporter;
 mod exporter_connection;
