--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use honeyknot_testbed::scenarios::run::SPILL_SLACK;
+use honeyknot_testbed::report::site::SPILL_SLACK;
 use honeyknot_testbed::scenarios::simulation::{Simulation, SimulationReport as Figures, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
--- a/crates/testbed/src/commands/site_report.rs
+++ b/crates/testbed/src/commands/site_report.rs
@@ -1,6 +1,6 @@
 //! The report of a scenario run as text for people.
 
-use honeyknot_testbed::scenarios::run::Report;
+use honeyknot_testbed::report::site::Report;
 
 /// Prints the figures of a report and the rules that were broken.
 pub(super) fn print_summary(report: &Report) {
--- /dev/null
+++ b/crates/testbed/src/scenarios/fault_injector.rs
@@ -0,0 +1,206 @@
+//! Applies the steps of a scenario to an environment and to the relays' processes.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::ops::Range;
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use tokio::process::Child;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::emulators::environment::{ProcessState, SharedEnvironment};
+use crate::emulators::relay_process::RelayLauncher;
+use crate::scenarios::scenario::FaultStep;
+
+/// Seconds after which discovery lists a dead endpoint as removed.
+const DEATH_NOTICE_S: Range<f64> = 1.5..5.8;
+/// Seconds after which discovery lists a returned endpoint as active.
+const RETURN_NOTICE_S: Range<f64> = 0.4..2.1;
+/// Seconds after which the front proxy notices that a relay is dead.
+const FRONT_PROXY_NOTICE_S: Range<f64> = 1.0..3.8;
+/// How long discovery goes on listing a silent endpoint.
+const SILENCE_NOTICE: Duration = Duration::from_secs(11);
+/// From the notice of a drain until the endpoint drains, and from there until it ends.
+const DRAIN_DELAY: Duration = Duration::from_millis(800);
+/// See `DRAIN_DELAY`.
+const DRAIN_DURATION: Duration = Duration::from_secs(4);
+/// Separates the random draws of steps from those of other parts.
+const RNG_PART: u64 = 0x57e9;
+
+/// Injects faults into an environment; owns the relays' processes.
+pub(super) struct FaultInjector {
+    environment: SharedEnvironment,
+    launcher: RelayLauncher,
+    /// The relays' processes by number; one that is killed is missing.
+    relays: RefCell<BTreeMap<usize, Child>>,
+}
+
+impl FaultInjector {
+    /// Creates an injector without relays.
+    pub(super) fn new(environment: SharedEnvironment, launcher: RelayLauncher) -> FaultInjector {
+        FaultInjector { environment, launcher, relays: RefCell::default() }
+    }
+
+    /// Starts relays one after another, each once the one before answers.
+    ///
+    /// # Errors
+    /// A text where a relay does not start.
+    pub(super) async fn start_relays(&self, count: usize) -> Result<(), String> {
+        for relay in 0..count {
+            self.start_relay(relay, 0).await?;
+        }
+        Ok(())
+    }
+
+    /// Kills all relays that are left.
+    pub(super) async fn kill_all_relays(&self) {
+        let children: Vec<Child> = self.relays.take().into_values().collect();
+        for mut child in children {
+            let _ = child.kill().await;
+        }
+    }
+
+    async fn start_relay(&self, relay: usize, incarnation: u32) -> Result<(), String> {
+        let child = self.launcher.start(&self.environment, relay, incarnation).await?;
+        self.relays.borrow_mut().insert(relay, child);
+        self.environment.borrow_mut().front_proxy.set_believed_alive(relay, true);
+        Ok(())
+    }
+
+    /// Applies one step; what follows later from it runs in tasks of its own.
+    pub(super) async fn apply(self: &Rc<Self>, step: FaultStep) {
+        let events = self.environment.borrow().events.len() as u64;
+        let mut rng = self.environment.borrow().rng(RNG_PART + events);
+        match step {
+            FaultStep::Kill { site, survivors } => self.kill_endpoints(site, survivors, &mut rng),
+            FaultStep::Silence(site) => self.silence_endpoints(site),
+            FaultStep::Return { site, max_count, in_one_update } => {
+                self.return_endpoints(site, max_count, in_one_update, &mut rng);
+            }
+            FaultStep::KillRelays(downtime) => self.kill_relays(downtime, &mut rng).await,
+            FaultStep::Surge(site, factor) => self.change_arrivals(site, factor),
+            FaultStep::Drain(site) => self.drain_endpoint(site),
+        }
+    }
+
+    fn kill_endpoints(&self, site: usize, survivors: usize, rng: &mut Pcg64Mcg) {
+        let endpoints: Vec<usize> =
+            self.environment.borrow().site_endpoints(site).into_iter().skip(survivors).collect();
+        self.record_event(site, &format!("{} card servers die", endpoints.len()));
+        self.end_endpoints(&endpoints, ProcessState::Dead);
+        self.publish_later(endpoints, "left", random_delay(rng, DEATH_NOTICE_S), ProcessState::Dead);
+    }
+
+    fn silence_endpoints(&self, site: usize) {
+        let endpoints = self.environment.borrow().site_endpoints(site);
+        self.record_event(site, &format!("{} card servers fall silent", endpoints.len()));
+        self.end_endpoints(&endpoints, ProcessState::Silent);
+        self.publish_later(endpoints, "left", SILENCE_NOTICE, ProcessState::Silent);
+    }
+
+    fn return_endpoints(&self, site: usize, max_count: usize, in_one_update: bool, rng: &mut Pcg64Mcg) {
+        let endpoints = self.environment.borrow().site_endpoints(site);
+        let down = |endpoint: &usize| self.process_state(*endpoint) != ProcessState::Serving;
+        let endpoints: Vec<usize> = endpoints.into_iter().filter(down).take(max_count).collect();
+        self.record_event(site, &format!("{} card servers come back", endpoints.len()));
+        for endpoint in &endpoints {
+            self.environment.borrow_mut().restart(*endpoint);
+        }
+        let updates: Vec<Vec<usize>> = match in_one_update {
+            true => vec![endpoints],
+            false => endpoints.into_iter().map(|endpoint| vec![endpoint]).collect(),
+        };
+        for update in updates {
+            let delay = random_delay(rng, RETURN_NOTICE_S);
+            self.publish_later(update, "active", delay, ProcessState::Serving);
+        }
+    }
+
+    /// Kills every second relay, the lost site's own among them, and starts them again after `downtime`.
+    async fn kill_relays(self: &Rc<Self>, downtime: Duration, rng: &mut Pcg64Mcg) {
+        let all = self.environment.borrow().size.relays;
+        let victims: Vec<usize> = (0..all).filter(|relay| relay % 2 == 0).collect();
+        self.environment.borrow_mut().event(format!("{} of {all} relays are killed", victims.len()));
+        for relay in victims {
+            let child = self.relays.borrow_mut().remove(&relay);
+            self.environment.borrow_mut().relay_kills[relay] += 1;
+            if let Some(mut child) = child {
+                let _ = child.kill().await;
+            }
+            let noticed_after = random_delay(rng, FRONT_PROXY_NOTICE_S);
+            spawn_local(self.clone().restart_relay(relay, downtime, noticed_after));
+        }
+    }
+
+    async fn restart_relay(self: Rc<Self>, relay: usize, downtime: Duration, noticed_after: Duration) {
+        sleep(noticed_after.min(downtime)).await;
+        self.environment.borrow_mut().front_proxy.set_believed_alive(relay, false);
+        sleep(downtime.saturating_sub(noticed_after)).await;
+        let incarnation = self.environment.borrow().relay_kills[relay];
+        match self.start_relay(relay, incarnation).await {
+            Ok(()) => self.environment.borrow_mut().event(format!("relay n{relay} is back")),
+            Err(error) => self.environment.borrow_mut().event(error),
+        }
+    }
+
+    fn change_arrivals(&self, site: usize, factor: f64) {
+        self.record_event(site, &format!("traffic is {factor} times the usual"));
+        self.environment.borrow_mut().arrival_factor[site] = factor;
+    }
+
+    fn drain_endpoint(&self, site: usize) {
+        let endpoint = self.environment.borrow().site_endpoints(site).into_iter().next();
+        let Some(endpoint) = endpoint else { return };
+        self.record_event(site, "a card server drains");
+        self.environment.borrow_mut().publish(&[endpoint], "leaving");
+        let environment = self.environment.clone();
+        spawn_local(async move {
+            sleep(DRAIN_DELAY).await;
+            environment.borrow().endpoints[endpoint].draining.send_replace(true);
+            sleep(DRAIN_DURATION).await;
+            environment.borrow_mut().end(endpoint, ProcessState::Dead);
+            environment.borrow_mut().publish(&[endpoint], "left");
+        });
+    }
+
+    fn record_event(&self, site: usize, text: &str) {
+        let mut environment = self.environment.borrow_mut();
+        let event = format!("{}: {text}", environment.size.sites[site]);
+        environment.event(event);
+    }
+
+    fn process_state(&self, endpoint: usize) -> ProcessState {
+        *self.environment.borrow().endpoints[endpoint].process_state.borrow()
+    }
+
+    fn end_endpoints(&self, endpoints: &[usize], process_state: ProcessState) {
+        for endpoint in endpoints {
+            self.environment.borrow_mut().end(*endpoint, process_state);
+        }
+    }
+
+    /// Publishes a state of endpoints after a delay, of those that are then still in the process state `expected`.
+    fn publish_later(
+        &self, endpoints: Vec<usize>, state: &'static str, delay: Duration, expected: ProcessState,
+    ) {
+        let environment = self.environment.clone();
+        spawn_local(async move {
+            sleep(delay).await;
+            let unchanged: Vec<usize> = endpoints
+                .into_iter()
+                .filter(|index| *environment.borrow().endpoints[*index].process_state.borrow() == expected)
+                .collect();
+            if !unchanged.is_empty() {
+                environment.borrow_mut().publish(&unchanged, state);
+            }
+        });
+    }
+}
+
+fn random_delay(rng: &mut Pcg64Mcg, range_s: Range<f64>) -> Duration {
+    Duration::from_secs_f64(rng.random_range(range_s))
+}
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use honeyknot_testbed::emulators::environment::EnvironmentSize;
-use honeyknot_testbed::scenarios::run::{Report, ScenarioRun, run_scenario};
+use honeyknot_testbed::report::site::Report;
+use honeyknot_testbed::scenarios::run::{ScenarioRun, run_scenario};
 use honeyknot_testbed::scenarios::scenario::Scenario;
 use honeyknot_testbed::scenarios::simulation::{Simulation, SimulationReport, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
@@ -72,7 +73,7 @@
     for scenario in all {
         for seed in 0..4 {
             let o = simulate(&simulation(scenario, seed)).expect("a day");
-            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::scenarios::run::SPILL_SLACK, "{o:?}");
+            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::report::site::SPILL_SLACK, "{o:?}");
             assert_eq!(o.endpoints_collapsed, 0, "{o:?}");
             assert!(o.max_migrations_per_second <= 12, "{o:?}");
         }
