--- /dev/null
+++ b/crates/testbed/src/scenarios/simulation/state.rs
@@ -0,0 +1,224 @@
+//! The state of a simulation.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::sync::Arc;
+
+use hdrhistogram::Histogram;
+use honeyknot_balancer::{Endpoint, EndpointId, Micros, RequestId, ZoneId};
+use honeyknot_zone_failover::{ZoneFailover, ZoneFailoverSetup};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::report::SimulationReport;
+use super::{CLOCK_STEP, START, Simulation};
+use crate::emulators::endpoint_model::{EndpointModel, EndpointParameters};
+use crate::emulators::environment::{AFFINITY_GROUP_COST, MAX_WARM_UP};
+
+/// Weights of the endpoints of a site, dealt out in turn.
+const WEIGHTS: [f64; 3] = [1.6, 1.0, 0.6];
+/// Usual connections that fill a warm endpoint of weight 1.
+const CAPACITY: f64 = 34.0;
+/// The longest admission decision that is told apart, in nanoseconds.
+const MAX_DECISION_NS: u64 = 10_000_000;
+
+/// A simulated endpoint.
+pub(super) struct SimulatedEndpoint {
+    pub(super) id: EndpointId,
+    pub(super) site: usize,
+    pub(super) model: EndpointModel,
+    /// Its process runs.
+    pub(super) up: bool,
+}
+
+/// A client: its relay, and what it wants.
+#[derive(Clone)]
+pub(super) struct Client {
+    pub(super) relay: usize,
+    pub(super) until: Micros,
+    /// In usual connections.
+    pub(super) load: f64,
+    pub(super) affinity_group: u64,
+}
+
+/// A connection that a client has to an endpoint.
+pub(super) struct EstablishedConnection {
+    pub(super) client: Client,
+    pub(super) endpoint: usize,
+}
+
+/// An endpoint update on its way to a relay.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PendingUpdate {
+    pub(super) due: Micros,
+    pub(super) relay: usize,
+    /// The update's place among the published ones.
+    pub(super) number: usize,
+}
+
+/// The end of a connection whose client will have had what it wanted.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ConnectionEnd {
+    pub(super) due: Micros,
+    pub(super) relay: usize,
+    pub(super) id: RequestId,
+}
+
+/// A simulation that runs.
+pub(super) struct SimulationRun {
+    pub(super) now: Micros,
+    pub(super) rng: Pcg64Mcg,
+    pub(super) endpoints: Vec<SimulatedEndpoint>,
+    pub(super) by_id: BTreeMap<EndpointId, usize>,
+    pub(super) by_site: Vec<Vec<usize>>,
+    pub(super) relays: Vec<ZoneFailover>,
+    pub(super) updates: BinaryHeap<Reverse<PendingUpdate>>,
+    pub(super) published: Vec<Arc<Vec<Endpoint>>>,
+    /// Clients that come back, by time and order.
+    pub(super) reconnecting: BTreeMap<(Micros, u64), Client>,
+    /// Connections by relay and id.
+    pub(super) established: BTreeMap<(usize, RequestId), EstablishedConnection>,
+    pub(super) ends: BinaryHeap<Reverse<ConnectionEnd>>,
+    pub(super) serial: u64,
+    pub(super) report: SimulationReport,
+    pub(super) migrations_by_second: BTreeMap<Micros, u64>,
+    pub(super) decision_ns: Histogram<u64>,
+    /// Connection seconds that clients wanted.
+    wanted_s: f64,
+    /// Connection seconds that were well served.
+    well_served_s: f64,
+    /// Arrivals of each site, against the usual.
+    pub(super) arrival_factor: Vec<f64>,
+    pub(super) max_update_delay: Micros,
+}
+
+impl SimulationRun {
+    /// Creates the endpoints and relays of a simulation.
+    ///
+    /// # Errors
+    /// A text where a relay's setup is invalid.
+    pub(super) fn new(simulation: &Simulation) -> Result<SimulationRun, String> {
+        let mut rng = Pcg64Mcg::seed_from_u64(simulation.seed);
+        let endpoints = generate_endpoints(simulation, &mut rng);
+        let mut by_site = vec![Vec::new(); simulation.sites];
+        endpoints.iter().enumerate().for_each(|(index, endpoint)| by_site[endpoint.site].push(index));
+        Ok(SimulationRun {
+            now: START,
+            by_id: endpoints.iter().enumerate().map(|(index, e)| (e.id.clone(), index)).collect(),
+            endpoints,
+            by_site,
+            relays: create_relays(simulation)?,
+            updates: BinaryHeap::new(),
+            published: Vec::new(),
+            reconnecting: BTreeMap::new(),
+            established: BTreeMap::new(),
+            ends: BinaryHeap::new(),
+            serial: 0,
+            report: SimulationReport::new(simulation),
+            migrations_by_second: BTreeMap::new(),
+            decision_ns: Histogram::new_with_bounds(1, MAX_DECISION_NS, 3).map_err(|e| e.to_string())?,
+            wanted_s: 0.0,
+            well_served_s: 0.0,
+            arrival_factor: vec![1.0; simulation.sites],
+            max_update_delay: simulation.max_update_delay.as_micros() as Micros,
+            rng,
+        })
+    }
+
+    /// Returns the number of sites.
+    pub(super) fn sites(&self) -> usize {
+        self.by_site.len()
+    }
+
+    /// Returns a relay's own site.
+    pub(super) fn home_site(&self, relay: usize) -> usize {
+        relay % self.sites()
+    }
+
+    /// Returns the number of relays of a site.
+    pub(super) fn relays_of(&self, site: usize) -> usize {
+        self.relays.len() / self.sites() + usize::from(site < self.relays.len() % self.sites())
+    }
+
+    /// Returns the capacity of all endpoints once they are warm, in usual connections.
+    pub(super) fn total_capacity(&self) -> f64 {
+        self.endpoints.iter().map(|endpoint| endpoint.model.parameters().capacity).sum()
+    }
+
+    /// Adds up one step of the clock.
+    pub(super) fn observe(&mut self) {
+        let step = CLOCK_STEP as f64 / 1e6;
+        let waiting = self.reconnecting.values().filter(|c| c.until > self.now).count();
+        self.wanted_s += (self.established.len() + waiting) as f64 * step;
+        self.report.max_connections = self.report.max_connections.max(self.established.len());
+        let mut sites = vec![(0.0, 0.0); self.sites()];
+        for endpoint in self.endpoints.iter().filter(|s| s.up) {
+            let model = &endpoint.model;
+            self.well_served_s += model.connections() as f64 * model.in_time_fraction(self.now) * step;
+            sites[endpoint.site].0 += model.foreign_load();
+            sites[endpoint.site].1 += model.capacity(self.now);
+            if model.started() > 0 {
+                let worst = &mut self.report.worst_return_multiple;
+                *worst = worst.max(model.max_rate_multiple());
+            }
+        }
+        for (foreign, capacity) in sites.into_iter().filter(|s| s.1 > 0.0) {
+            self.report.worst_spill = self.report.worst_spill.max(foreign / capacity);
+        }
+    }
+
+    /// Returns the report, but for the figures of real time and memory.
+    pub(super) fn into_report(self) -> SimulationReport {
+        let mut report = self.report;
+        report.endpoints_collapsed += self.endpoints.iter().filter(|e| e.model.collapsed()).count() as u64;
+        report.max_migrations_per_second = self.migrations_by_second.values().copied().max().unwrap_or(0);
+        report.well_served = self.well_served_s / self.wanted_s.max(1e-9);
+        report.decision_p50_ns = self.decision_ns.value_at_quantile(0.5);
+        report.decision_p99_ns = self.decision_ns.value_at_quantile(0.99);
+        report.simulated_s = (self.now - START) as f64 / 1e6;
+        report
+    }
+}
+
+/// Draws the endpoints, dealt out evenly over the sites.
+fn generate_endpoints(simulation: &Simulation, rng: &mut Pcg64Mcg) -> Vec<SimulatedEndpoint> {
+    (0..simulation.endpoints)
+        .map(|number| {
+            let weight = WEIGHTS[number / simulation.sites % 3];
+            let parameters = EndpointParameters {
+                weight,
+                capacity: CAPACITY * weight * rng.random_range(0.94..1.06),
+                cold_capacity_fraction: rng.random_range(0.35..0.5),
+                warm_up: rng.random_range(6_000_000..MAX_WARM_UP),
+                affinity_group_cost: AFFINITY_GROUP_COST,
+                report_interval: rng.random_range(370_000..840_000),
+                report_delay: rng.random_range(180_000..460_000),
+            };
+            let id = EndpointId(format!("s-{number:06x}").into());
+            SimulatedEndpoint {
+                id,
+                site: number % simulation.sites,
+                model: EndpointModel::new(parameters, 0),
+                up: true,
+            }
+        })
+        .collect()
+}
+
+/// Creates the zone failover of each relay.
+fn create_relays(simulation: &Simulation) -> Result<Vec<ZoneFailover>, String> {
+    let zone_names: Vec<String> = (0..simulation.sites).map(|n| format!("site-{n}")).collect();
+    let relays = (0..simulation.relays).map(|number| {
+        let setup = ZoneFailoverSetup {
+            config: simulation.config.clone(),
+            zone_names: zone_names.clone(),
+            home_zone: ZoneId(number % simulation.sites),
+            fleet_size: simulation.relays as u32,
+            slow_start_duration: MAX_WARM_UP,
+            initial_capacity: 0.32,
+            seed: simulation.seed ^ (number as u64) << 20,
+        };
+        ZoneFailover::new(setup, START)
+    });
+    relays.collect::<Result<Vec<ZoneFailover>, _>>().map_err(|error| error.to_string())
+}
