--- a/crates/testbed/src/emulators/client.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -11,7 +11,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::environment::{Environment, ProcessState, SharedEnvironment};
+use super::emulated_endpoint::ProcessState;
+use super::environment::{Environment, SharedEnvironment};
 
 /// How long a client waits for an answer, and how much longer the observations do.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_200);
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list over HTTP, with watches; it learns of things as late as the scenario says.
+//! Emulated discovery: the endpoint list over HTTP, with watches. The scenario decides when it learns of a change.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
+use super::endpoint_model::Micros;
 use super::environment::SharedEnvironment;
-use crate::emulators::endpoint_model::Micros;
-use crate::emulators::protocol::{DiscoveryRequest, read_request};
+use super::protocol::{DiscoveryRequest, read_request};
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
@@ -29,14 +29,15 @@
     pub state: &'static str,
 }
 
-/// Discovery, and what each relay has been told of it.
+/// The endpoint list, and when each relay was notified of its changes.
+#[derive(Debug)]
 pub struct EmulatedDiscovery {
     version: watch::Sender<u64>,
     entries: BTreeMap<usize, EndpointEntry>,
     changed: BTreeMap<usize, u64>,
-    /// When a relay was told that an endpoint leaves or has left.
+    /// When a relay was notified that an endpoint drains or is removed, by relay and endpoint.
     notified_at: BTreeMap<(usize, usize), Micros>,
-    /// It does not answer.
+    /// It closes connections without an answer.
     pub down: bool,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl EmulatedDiscovery {
-    /// Changes some lines, in one version.
+    /// Changes some entries, in one version.
     pub fn change(&mut self, entries: Vec<EndpointEntry>) {
         let version = *self.version.borrow() + 1;
         for entry in entries {
@@ -58,17 +59,17 @@
         self.version.send_replace(version);
     }
 
-    /// When a relay was told that an endpoint takes nothing new; none if it does.
+    /// Returns when a relay was notified that an endpoint takes nothing new; none if it does.
     pub fn notified_at(&self, relay: usize, index: usize) -> Option<Micros> {
         self.notified_at.get(&(relay, index)).copied()
     }
 
-    /// Forgets what a relay was told: it has started anew.
+    /// Forgets what a relay was notified of, as it has started anew.
     pub fn forget_relay(&mut self, relay: usize) {
         self.notified_at.retain(|(r, _), _| *r != relay);
     }
 
-    /// The whole endpoint list, or what has changed since a version, as one relay sees it.
+    /// Returns the whole endpoint list, or what has changed since a version, as one relay sees it.
     pub fn list(&self, since: Option<u64>, address: impl Fn(usize) -> String) -> serde_json::Value {
         let new = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
         let shown = self.entries.values().filter(|e| new(&e.index));
@@ -82,7 +83,7 @@
         json!({"version": *self.version.borrow(), "full": since.is_none(), "servers": servers})
     }
 
-    /// The answer has been written to a relay: what it tells counts as told.
+    /// Records that an answer has been written to a relay.
     fn record_notified(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
         for entry in self.entries.values() {
             let changed = self.changed[&entry.index];
@@ -99,6 +100,9 @@
 }
 
 /// Serves discovery to one relay.
+///
+/// # Errors
+/// The relay's discovery address cannot be bound.
 pub async fn serve(environment: SharedEnvironment, relay: usize) -> std::io::Result<()> {
     let address = environment.borrow().discovery_address(relay);
     let listener = TcpListener::bind(address).await?;
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints' sockets: opening lines, lines, health checks, and ways to fail.
+//! The sockets of emulated endpoints: opening lines, lines, health checks, and ways to fail.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,9 +8,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::environment::{ProcessState, SharedEnvironment};
-use crate::emulators::endpoint_model::{Admission, ConnectionLoad, Micros};
-use crate::emulators::protocol::{affinity_group, attribute, read_opening_line};
+use super::emulated_endpoint::ProcessState;
+use super::endpoint_model::{Admission, ConnectionLoad, Micros};
+use super::environment::SharedEnvironment;
+use super::protocol::{affinity_group, attribute, read_opening_line};
 
 /// Nothing new may be sent to an endpoint later than this after the notice of its drain: the rule's 500 ms and the
 /// 50 ms that sockets are given.
@@ -88,7 +89,7 @@
     let _ = stream.get_ref().set_zero_linger();
 }
 
-/// What a connection holds in the observations.
+/// Closes a connection's entries in the endpoint's model and in the observations when it is dropped.
 struct ConnectionGuard {
     environment: SharedEnvironment,
     index: usize,
@@ -100,9 +101,9 @@
 impl ConnectionGuard {
     fn answered(&mut self) {
         if let Some(request) = self.request.take()
-            && let Some((_, out)) = self.environment.borrow_mut().attempts.get_mut(&request)
+            && let Some(attempts) = self.environment.borrow_mut().attempts.get_mut(&request)
         {
-            *out = out.saturating_sub(1);
+            attempts.in_flight = attempts.in_flight.saturating_sub(1);
         }
     }
 }
@@ -187,18 +188,18 @@
     }
 }
 
-/// Enters an opening line in the observations.
+/// Records an opening line in the observations.
 fn record_attempt(environment: &SharedEnvironment, index: usize, relay: usize, id: &str) {
     let mut environment = environment.borrow_mut();
     let now = environment.now();
     environment.endpoint_observations.attempts += 1;
     let attempts = environment.attempts.entry(id.to_owned()).or_default();
-    attempts.0 += 1;
-    attempts.1 += 1;
-    let (count, out) = *attempts;
+    attempts.total += 1;
+    attempts.in_flight += 1;
+    let attempts = *attempts;
     environment.endpoint_observations.max_attempts =
-        environment.endpoint_observations.max_attempts.max(count);
-    environment.endpoint_observations.overlapping_attempts += u64::from(out > 1);
+        environment.endpoint_observations.max_attempts.max(attempts.total);
+    environment.endpoint_observations.overlapping_attempts += u64::from(attempts.in_flight > 1);
     let notified_at = environment.discovery.notified_at(relay, index);
     if notified_at.is_some_and(|notified_at| now > notified_at + DRAIN_GRACE) {
         environment.endpoint_observations.late_sends_to_draining += 1;
--- a/crates/testbed/src/emulators/endpoint_model.rs
+++ b/crates/testbed/src/emulators/endpoint_model.rs
@@ -8,19 +8,20 @@
 /// Microseconds.
 pub type Micros = u64;
 
-/// What a cold endpoint collapses at: this multiple of its present capacity ...
+/// Multiple of its present rate of new connections above which a warming endpoint collapses.
 pub const COLLAPSE_MULTIPLE: f64 = 3.0;
-/// ... within this.
+/// Window over which that rate is taken, in microseconds.
 pub const COLLAPSE_WINDOW: Micros = 2_000_000;
-/// Work that never fells an endpoint, however cold: a few connections at once are chance.
+/// Work within the window up to which no endpoint collapses, in usual connections.
 const MIN_COLLAPSE_WORK: f64 = 4.0;
-/// Load over capacity at which messages begin to be late, and at which all of them are.
+/// Load over capacity at which messages begin to be late.
 const FIRST_LATE_LOAD: f64 = 0.85;
+/// Load over capacity at which all messages are late.
 const ALL_LATE_LOAD: f64 = 1.15;
 /// Load over capacity at which new connections are rejected.
 const REJECT_LOAD: f64 = 1.5;
 
-/// How an endpoint is made.
+/// The parameters of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointParameters {
     /// Its size in discovery.
@@ -39,7 +40,7 @@
     pub report_delay: Micros,
 }
 
-/// A connection as its endpoint holds it.
+/// A connection as its endpoint knows it.
 #[derive(Clone, Debug)]
 pub struct ConnectionLoad {
     /// Its load in usual connections.
@@ -52,10 +53,10 @@
     pub relay_site: usize,
 }
 
-/// What became of a new connection.
+/// The endpoint's answer to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It stands.
+    /// It is established.
     Accepted,
     /// It is rejected.
     Rejected,
@@ -72,13 +73,21 @@
     pub x0: f64,
 }
 
-/// An endpoint.
+/// The connections of an affinity group at one endpoint.
+#[derive(Clone, Copy, Debug, Default)]
+struct AffinityGroupUse {
+    connections: u32,
+    /// Connections that came by relays of other sites.
+    foreign: u32,
+}
+
+/// The model of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointModel {
     parameters: EndpointParameters,
     started: Micros,
     connections: BTreeMap<u64, ConnectionLoad>,
-    affinity_groups: BTreeMap<u64, (u32, u32)>,
+    affinity_groups: BTreeMap<u64, AffinityGroupUse>,
     load: f64,
     recent_work: VecDeque<(Micros, f64)>,
     collapsed: bool,
@@ -102,17 +111,17 @@
         }
     }
 
-    /// How it is made.
+    /// Returns its parameters.
     pub fn parameters(&self) -> &EndpointParameters {
         &self.parameters
     }
 
-    /// When it started; 0 is long ago.
+    /// Returns when it started, in Unix microseconds; 0 is long ago.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// The part of its capacity that it has now.
+    /// Returns the part of its capacity that it has now.
     pub fn warm_fraction(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started);
         if self.started == 0 || age >= self.parameters.warm_up {
@@ -122,39 +131,40 @@
             + (1.0 - self.parameters.cold_capacity_fraction) * age as f64 / self.parameters.warm_up as f64
     }
 
-    /// Usual connections that it can carry now.
+    /// Returns the usual connections that it can carry now.
     pub fn capacity(&self, now: Micros) -> f64 {
         if self.collapsed { 0.0 } else { self.parameters.capacity * self.warm_fraction(now) }
     }
 
-    /// What it holds, affinity groups included, in usual connections.
+    /// Returns the load that it holds, affinity groups included, in usual connections.
     pub fn total_load(&self) -> f64 {
         self.load + self.affinity_groups.len() as f64 * self.parameters.affinity_group_cost
     }
 
-    /// What connections of other sites hold: their load, and the affinity groups that no other connection here has.
+    /// Returns what connections of other sites hold: their load, and the affinity groups that no other connection here has.
     pub fn foreign_load(&self) -> f64 {
         let load: f64 = self.connections.values().filter(|s| s.foreign).map(|s| s.load).sum();
-        let affinity_groups = self.affinity_groups.values().filter(|(all, foreign)| all == foreign).count();
+        let affinity_groups =
+            self.affinity_groups.values().filter(|group| group.connections == group.foreign).count();
         load + affinity_groups as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Connections of relays of each site, by the site's number.
+    /// Returns the number of connections of relays of a site.
     pub fn connections_from(&self, site: usize) -> usize {
         self.connections.values().filter(|s| s.relay_site == site).count()
     }
 
-    /// Connections held.
+    /// Returns the number of connections.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Load asked over what it can do.
+    /// Returns the load asked over what it can do.
     pub fn x0(&self, now: Micros) -> f64 {
         self.total_load() / self.capacity(now).max(1e-9)
     }
 
-    /// The share of messages that it answers in time.
+    /// Returns the share of messages that it answers in time.
     pub fn in_time_fraction(&self, now: Micros) -> f64 {
         if self.collapsed {
             return 0.0;
@@ -162,7 +172,7 @@
         ((ALL_LATE_LOAD - self.x0(now)) / (ALL_LATE_LOAD - FIRST_LATE_LOAD)).clamp(0.0, 1.0)
     }
 
-    /// A new connection's opening line has come. Every one of them is work that was sent, whether it stands or not.
+    /// Handles a new connection's opening line. Every one is work that was sent, whether it is accepted or not.
     pub fn open(&mut self, now: Micros, id: u64, connection: ConnectionLoad) -> Admission {
         if self.collapsed {
             return Admission::Rejected;
@@ -172,15 +182,15 @@
             return Admission::Rejected;
         }
         let affinity_group = self.affinity_groups.entry(connection.affinity_group).or_default();
-        affinity_group.0 += 1;
-        affinity_group.1 += u32::from(connection.foreign);
+        affinity_group.connections += 1;
+        affinity_group.foreign += u32::from(connection.foreign);
         self.load += connection.load;
         self.connections.insert(id, connection);
         Admission::Accepted
     }
 
-    /// The rule on cold endpoints: the work sent within the window against present capacity, which is the rate of
-    /// new connections that fills it over its warm-up, times its warmth.
+    /// Applies the rule on warming endpoints: the work sent within the window against present capacity, which is the rate of
+    /// new connections that fills it over its warm-up, times the part of its capacity that it has.
     fn record_work(&mut self, now: Micros, load: f64) {
         if self.warm_fraction(now) >= 1.0 {
             return;
@@ -197,30 +207,30 @@
         self.collapsed |= recent_work > MIN_COLLAPSE_WORK && multiple > COLLAPSE_MULTIPLE;
     }
 
-    /// The largest multiple of its present capacity that it was sent while it was cold.
+    /// Returns the largest multiple of its present rate that it was sent while it warmed up.
     pub fn max_rate_multiple(&self) -> f64 {
         self.max_rate_multiple
     }
 
-    /// Whether it has collapsed: it stays down.
+    /// Returns whether it has collapsed; it stays down.
     pub fn collapsed(&self) -> bool {
         self.collapsed
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn close(&mut self, id: u64) {
         let Some(connection) = self.connections.remove(&id) else { return };
         self.load = if self.connections.is_empty() { 0.0 } else { self.load - connection.load };
         if let Some(affinity_group) = self.affinity_groups.get_mut(&connection.affinity_group) {
-            affinity_group.0 -= 1;
-            affinity_group.1 -= u32::from(connection.foreign);
-            if affinity_group.0 == 0 {
+            affinity_group.connections -= 1;
+            affinity_group.foreign -= u32::from(connection.foreign);
+            if affinity_group.connections == 0 {
                 self.affinity_groups.remove(&connection.affinity_group);
             }
         }
     }
 
-    /// The report that a health check gets: refreshed now and then, and late.
+    /// Returns the load report that a health check gets: refreshed at intervals, and late.
     pub fn report(&mut self, now: Micros) -> LoadReport {
         if self.reports.back().is_none_or(|(at, _)| now >= at + self.parameters.report_interval) {
             let x0 = self.x0(now).min(99.0);
@@ -270,7 +280,7 @@
 
     #[test]
     fn cold_endpoint_collapses_at_three_times_its_rate_and_warm_one_does_not() {
-        // It fills at 4 connections a second times its warmth of a half: 4 in 2 s, and 12 are too many.
+        // It fills at 4 connections a second times the part of its capacity that it has of a half: 4 in 2 s, and 12 are too many.
         let start = 1_000_000_000;
         let mut warm_up = EndpointModel::new(parameters(), start);
         let stood = (0..20)
--- a/crates/testbed/src/emulators/environment.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -1,19 +1,19 @@
-//! An environment on loopback: endpoints, discovery, a front proxy, clients, and relays as real processes. Everything but
-//! the relays lives in one thread of this process and shares [`Environment`]; each part can be made to fail on command.
+//! The environment on loopback that the emulators share: its size, endpoints, discovery, front proxy and observations.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use tokio::sync::watch;
 
-use super::discovery::{self, EmulatedDiscovery};
+use super::addresses::LoopbackAddresses;
+use super::discovery::{EmulatedDiscovery, EndpointEntry};
+use super::emulated_endpoint::{EmulatedEndpoint, ProcessState, generate_endpoints};
+use super::endpoint_model::{EndpointModel, Micros};
 use super::front_proxy::FrontProxy;
-use crate::emulators::endpoint_model::{EndpointModel, EndpointParameters, Micros};
 use crate::report::observations::{ClientObservations, EndpointObservations};
 
 /// How large an environment is.
@@ -21,9 +21,9 @@
 pub struct EnvironmentSize {
     /// The names of its sites.
     pub sites: Vec<String>,
-    /// Endpoints in all, dealt out evenly.
+    /// Endpoints in all, evenly over the sites.
     pub endpoints: usize,
-    /// Relays in all, dealt out evenly.
+    /// Relays in all, evenly over the sites.
     pub relays: usize,
     /// New clients a second in all.
     pub clients_per_second: f64,
@@ -33,36 +33,17 @@
     pub affinity_groups: u64,
 }
 
-/// What an endpoint's process does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProcessState {
-    /// It serves.
-    Serving,
-    /// Its machine has vanished: connections stay open and silent, new ones are never answered.
-    Silent,
-    /// Its process has died: connections are reset, new ones rejected.
-    Dead,
+/// How often a request has been sent to endpoints.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestAttempts {
+    /// Attempts so far.
+    pub total: u32,
+    /// Attempts that no endpoint has answered yet.
+    pub in_flight: u32,
 }
 
-/// An endpoint of the environment.
-pub struct EmulatedEndpoint {
-    /// Its id in discovery.
-    pub id: String,
-    /// Its site.
-    pub site: usize,
-    /// Its model.
-    pub model: EndpointModel,
-    /// What its process does; its tasks follow it.
-    pub process_state: watch::Sender<ProcessState>,
-    /// It drains.
-    pub draining: watch::Sender<bool>,
-    /// When its process last ended.
-    pub ended: Micros,
-    /// It has come back at least once: the rule on cold endpoints is judged for it.
-    pub returned: bool,
-}
-
-/// What all parts share.
+/// What all emulators share.
+#[derive(Debug)]
 pub struct Environment {
     /// Its size.
     pub size: EnvironmentSize,
@@ -74,10 +55,10 @@
     pub front_proxy: FrontProxy,
     /// The clients' observations.
     pub client_observations: ClientObservations,
-    /// The endpoints' book.
+    /// The endpoints' observations.
     pub endpoint_observations: EndpointObservations,
-    /// Attempts of each request: how many so far, and how many are out.
-    pub attempts: BTreeMap<String, (u32, u32)>,
+    /// Attempts of each request, by its id.
+    pub attempts: BTreeMap<String, RequestAttempts>,
     /// Clients of each site that want a connection now.
     pub wanting_clients: Vec<u64>,
     /// The sites that the scenario does not touch.
@@ -95,61 +76,26 @@
     unix_start: Micros,
     clock: Instant,
     next_connection_number: u64,
-    net: [u8; 2],
-    port: u16,
+    addresses: LoopbackAddresses,
     seed: u64,
 }
 
+/// How long after its end an endpoint counts as recently ended.
+const RECENTLY: Micros = 8_000_000;
+
 /// The environment as its parts share it. No borrow is held across an await.
 pub type SharedEnvironment = Rc<RefCell<Environment>>;
 
-/// Endpoints' machine kinds: share, weight, usual connections when warm, part of it when cold.
-const MACHINE_KINDS: [(f64, f64, f64, f64); 3] =
-    [(0.41, 1.6, 54.0, 0.42), (0.38, 1.0, 34.0, 0.45), (0.21, 0.6, 20.0, 0.46)];
-/// The longest warm-up of an endpoint.
-pub const MAX_WARM_UP: Micros = 9_000_000;
-/// What an affinity group costs on each endpoint that holds it, in usual connections.
-pub const AFFINITY_GROUP_COST: f64 = 3.0;
-
 impl Environment {
-    /// An environment of that size; all random numbers follow from the seed.
+    /// Creates an environment of that size; all random numbers follow from the seed.
     pub fn new(size: EnvironmentSize, seed: u64) -> SharedEnvironment {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix_start = since.as_micros() as Micros;
         let sites = size.sites.len();
-        let endpoints = (0..size.endpoints).map(|number| {
-            // Kinds are dealt out so that every site has its part of each, whatever the seed.
-            let place = ((number / sites) as f64 * 0.37 + (number % sites) as f64 * 0.21).fract();
-            let kind = MACHINE_KINDS.iter().scan(0.0, |sum, k| {
-                *sum += k.0;
-                Some((*sum, k))
-            });
-            let kind = kind.into_iter().find(|(sum, _)| place < *sum).map_or(&MACHINE_KINDS[2], |(_, k)| k);
-            let parameters = EndpointParameters {
-                weight: kind.1,
-                capacity: kind.2 * rng.random_range(0.92..1.08),
-                cold_capacity_fraction: kind.3 * rng.random_range(0.9..1.1),
-                warm_up: rng.random_range(6_000_000..MAX_WARM_UP),
-                affinity_group_cost: AFFINITY_GROUP_COST,
-                report_interval: rng.random_range(370_000..840_000),
-                report_delay: rng.random_range(180_000..460_000),
-            };
-            EmulatedEndpoint {
-                id: format!("s-{:08x}", rng.random::<u32>()),
-                site: number % sites,
-                model: EndpointModel::new(parameters, 0),
-                process_state: watch::Sender::new(ProcessState::Serving),
-                draining: watch::Sender::new(false),
-                ended: 0,
-                returned: false,
-            }
-        });
-        let endpoints: Vec<EmulatedEndpoint> = endpoints.collect();
+        let endpoints = generate_endpoints(size.endpoints, sites, &mut rng);
         let front_proxy = FrontProxy::new(size.relays, sites);
-        let net = [rng.random_range(32..224), rng.random_range(0..250)];
-        // The process number keeps worlds apart that run beside each other with the same seed.
-        let port = 10_000 + ((rng.random::<u32>() ^ std::process::id()) % 20_000) as u16;
+        let addresses = LoopbackAddresses::generate(&mut rng);
         let environment = Rc::new(RefCell::new(Environment {
             discovery: EmulatedDiscovery::default(),
             front_proxy,
@@ -166,8 +112,7 @@
             unix_start,
             clock: Instant::now(),
             next_connection_number: 0,
-            net,
-            port,
+            addresses,
             seed,
             endpoints,
             size,
@@ -177,61 +122,54 @@
         environment
     }
 
-    /// Unix microseconds.
+    /// Returns the time in Unix microseconds.
     pub fn now(&self) -> Micros {
         self.unix_start + self.clock.elapsed().as_micros() as Micros
     }
 
-    /// A generator of its own for each part of the environment.
+    /// Returns a random number generator of its own for each part of the environment.
     pub fn rng(&self, part: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part)
     }
 
-    /// The seed.
+    /// Returns the seed.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Where one relay reaches an endpoint. Every relay has addresses of its own, so that an opening line tells whose it is.
+    /// Returns where one relay reaches an endpoint. Every relay has addresses of its own, so that an opening line tells whose it is.
     pub fn endpoint_address(&self, index: usize, relay: usize) -> SocketAddr {
-        self.address(index / 200, relay, index % 200)
+        self.addresses.endpoint(index, relay)
     }
 
-    /// Where one relay reaches discovery.
+    /// Returns where one relay reaches discovery.
     pub fn discovery_address(&self, relay: usize) -> SocketAddr {
-        self.address(250, relay, 250)
+        self.addresses.discovery(relay)
     }
 
-    /// Where clients reach a relay.
+    /// Returns where clients reach a relay.
     pub fn relay_address(&self, relay: usize) -> SocketAddr {
-        self.address(251, relay, 251)
+        self.addresses.relay(relay)
     }
 
-    fn address(&self, ports: usize, relay: usize, last: usize) -> SocketAddr {
-        let third = (self.net[1] as usize + relay) % 250;
-        let ip = Ipv4Addr::new(127, self.net[0], third as u8, (last + 1) as u8);
-        let port = self.port + ports as u16 + 256 * (relay / 250) as u16;
-        SocketAddr::from((ip, port))
-    }
-
-    /// A new number for a connection.
+    /// Returns a new number for a connection.
     pub fn next_connection_number(&mut self) -> u64 {
         self.next_connection_number += 1;
         self.next_connection_number
     }
 
-    /// Notes what has happened.
+    /// Records an event, for people.
     pub fn event(&mut self, text: impl Into<String>) {
         let at = self.now() - self.began;
         self.events.push((at, text.into()));
     }
 
-    /// Discovery names these endpoints in this state, in one version.
+    /// Publishes these endpoints in this state, in one version of the endpoint list.
     pub fn publish(&mut self, endpoints: &[usize], state: &'static str) {
         let mut entries = Vec::new();
         for index in endpoints {
             let endpoint = &self.endpoints[*index];
-            entries.push(discovery::EndpointEntry {
+            entries.push(EndpointEntry {
                 index: *index,
                 id: endpoint.id.clone(),
                 site: self.size.sites[endpoint.site].clone(),
@@ -243,91 +181,27 @@
         self.discovery.change(entries);
     }
 
-    /// The endpoints of a site.
+    /// Returns the endpoints of a site.
     pub fn site_endpoints(&self, site: usize) -> Vec<usize> {
         (0..self.endpoints.len()).filter(|i| self.endpoints[*i].site == site).collect()
     }
 
-    /// Adds up a span of time in the observations, and looks at what must hold.
-    pub fn observe(&mut self, span: Duration) {
-        let (now, span) = (self.now(), span.as_secs_f64());
-        let wanting_clients = self.wanting_clients.iter().sum::<u64>() as f64;
-        let unaffected_sites =
-            self.unaffected_sites.iter().map(|s| self.wanting_clients[*s]).sum::<u64>() as f64;
-        let mut unaffected_good = 0.0;
-        let (mut good, mut load, mut load_held, mut capacity) = (0.0, 0.0, 0.0, 0.0);
-        let mut sites = vec![(0.0, 0.0); self.size.sites.len()];
-        for endpoint in &self.endpoints {
-            if *endpoint.process_state.borrow() != ProcessState::Serving {
-                continue;
-            }
-            let model = &endpoint.model;
-            good += model.connections() as f64 * model.in_time_fraction(now);
-            let of_others: usize = self.unaffected_sites.iter().map(|s| model.connections_from(*s)).sum();
-            unaffected_good += of_others as f64 * model.in_time_fraction(now);
-            load += model.connections() as f64;
-            load_held += model.total_load();
-            capacity += model.capacity(now);
-            sites[endpoint.site].0 += model.foreign_load();
-            sites[endpoint.site].1 += model.capacity(now);
-            if endpoint.returned {
-                self.endpoint_observations.worst_return_multiple =
-                    self.endpoint_observations.worst_return_multiple.max(model.max_rate_multiple());
-            }
-        }
-        self.endpoint_observations.wanted_s += wanting_clients * span;
-        self.endpoint_observations.unaffected_wanted_s += unaffected_sites * span;
-        self.endpoint_observations.unaffected_well_served_s += unaffected_good.min(unaffected_sites) * span;
-        self.endpoint_observations.well_served_s += good.min(wanting_clients) * span;
-        // What a connection costs with its part of the affinity groups, as things stand.
-        let cost = if load >= 1.0 { (load_held / load).max(1.0) } else { 1.0 };
-        self.endpoint_observations.allowed_s += wanting_clients.min(capacity * 0.85 / cost) * span;
-        for (site, (foreign, capacity)) in sites.into_iter().enumerate() {
-            // A site that is just coming back is judged by the rule on cold endpoints.
-            let share = if capacity > 0.0 { foreign / capacity } else { 0.0 };
-            if share > self.endpoint_observations.worst_spill {
-                self.endpoint_observations.worst_spill = share;
-                self.endpoint_observations.worst_spill_site = self.size.sites[site].clone();
-            }
-        }
-    }
-
-    /// Endpoints that have collapsed.
+    /// Returns how many endpoints have collapsed and not ended since.
     pub fn collapsed(&self) -> u64 {
         self.endpoints.iter().filter(|c| c.model.collapsed()).count() as u64
     }
 
-    /// The whole state of a site, for people.
-    pub fn site_state(&self, site: usize) -> SiteState {
-        let now = self.now();
-        let mut line = SiteState::default();
-        for endpoint in self.endpoints.iter().filter(|c| c.site == site) {
-            match *endpoint.process_state.borrow() {
-                ProcessState::Serving => {
-                    line.serving += 1;
-                    line.connections += endpoint.model.connections();
-                    line.load += endpoint.model.total_load();
-                    line.foreign += endpoint.model.foreign_load();
-                    line.capacity += endpoint.model.capacity(now);
-                }
-                ProcessState::Silent => line.silent += 1,
-                ProcessState::Dead => line.dead += 1,
-            }
-        }
-        line
-    }
-
-    /// How often a relay has been killed so far.
+    /// Returns how often a relay has been killed so far.
     pub fn relay_incarnation(&self, relay: usize) -> u32 {
         self.relay_kills[relay]
     }
 
-    /// Whether an endpoint's process ended a moment ago: breaks of its connections may only be seen now.
+    /// Returns whether an endpoint's process ended a moment ago: breaks of its connections may only be seen now.
     pub fn recently_ended(&self, index: usize) -> bool {
-        self.now() < self.endpoints[index].ended + 8_000_000
+        self.now() < self.endpoints[index].ended + RECENTLY
     }
 
-    /// An endpoint's process starts anew.
+    /// Starts an endpoint's process anew.
     pub fn restart(&mut self, index: usize) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
@@ -337,7 +211,7 @@
         endpoint.process_state.send_replace(ProcessState::Serving);
     }
 
-    /// An endpoint's process dies, or its machine vanishes.
+    /// Ends an endpoint's process, or lets its machine vanish.
     pub fn end(&mut self, index: usize, process_state: ProcessState) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
@@ -353,22 +227,3 @@
         endpoint.model = EndpointModel::new(endpoint.model.parameters().clone(), endpoint.model.started());
     }
 }
-
-/// What a site holds.
-#[derive(Clone, Debug, Default)]
-pub struct SiteState {
-    /// Endpoints that serve, are silent, are dead.
-    pub serving: usize,
-    /// See `serving`.
-    pub silent: usize,
-    /// See `serving`.
-    pub dead: usize,
-    /// Connections.
-    pub connections: usize,
-    /// Load with affinity groups, that of foreign connections, and capacity, in usual connections.
-    pub load: f64,
-    /// See `load`.
-    pub foreign: f64,
-    /// See `load`.
-    pub capacity: f64,
-}
--- a/crates/testbed/src/emulators/front_proxy.rs
+++ b/crates/testbed/src/emulators/front_proxy.rs
@@ -1,6 +1,7 @@
-//! The front proxy: deals clients out among the relays of their site, and notices late that one has died.
+//! The emulated front proxy: sends clients to the relays of their site in turn, and notices late that one has died.
 
-/// What the front proxy believes.
+/// The front proxy, with the relays that it believes alive.
+#[derive(Debug)]
 pub struct FrontProxy {
     sites: usize,
     believed_alive: Vec<bool>,
@@ -8,22 +9,22 @@
 }
 
 impl FrontProxy {
-    /// A front before so many relays, dealt out evenly over the sites; it knows of none yet.
+    /// Creates a front proxy for that many relays, evenly over the sites; it believes none alive yet.
     pub fn new(relays: usize, sites: usize) -> FrontProxy {
         FrontProxy { sites, believed_alive: vec![false; relays], next: 0 }
     }
 
-    /// The site of a relay.
+    /// Returns the site of a relay.
     pub fn site_of(&self, relay: usize) -> usize {
         relay % self.sites
     }
 
-    /// Takes a relay in, or out.
+    /// Sets whether a relay is believed alive.
     pub fn set_believed_alive(&mut self, relay: usize, alive: bool) {
         self.believed_alive[relay] = alive;
     }
 
-    /// The relay that a client of a site is sent to: of its own site in turn, of any where there is none.
+    /// Chooses the relay for a client: those of its own site in turn, of any site where there is none.
     pub fn pick(&mut self, site: usize) -> Option<usize> {
         self.next += 1;
         let near: Vec<usize> = (0..self.believed_alive.len())
--- a/crates/testbed/src/emulators/protocol.rs
+++ b/crates/testbed/src/emulators/protocol.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use crate::emulators::endpoint_model::LoadReport;
+use super::endpoint_model::LoadReport;
 
 /// A request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/src/emulators/relay_process.rs
+++ b/crates/testbed/src/emulators/relay_process.rs
@@ -12,9 +12,11 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-use super::environment::{MAX_WARM_UP, SharedEnvironment};
+use super::emulated_endpoint::MAX_WARM_UP;
+use super::environment::SharedEnvironment;
 
 /// What starts relays.
+#[derive(Debug)]
 pub struct RelayLauncher {
     program: PathBuf,
     folder: PathBuf,
--- a/crates/testbed/src/scenarios/fault_injector.rs
+++ b/crates/testbed/src/scenarios/fault_injector.rs
@@ -12,7 +12,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::emulators::environment::{ProcessState, SharedEnvironment};
+use crate::emulators::emulated_endpoint::ProcessState;
+use crate::emulators::environment::SharedEnvironment;
 use crate::emulators::relay_process::RelayLauncher;
 use crate::scenarios::scenario::FaultStep;
 
--- a/crates/testbed/src/scenarios/simulation/state.rs
+++ b/crates/testbed/src/scenarios/simulation/state.rs
@@ -12,8 +12,8 @@
 
 use super::report::SimulationReport;
 use super::{CLOCK_STEP, START, Simulation};
+use crate::emulators::emulated_endpoint::{AFFINITY_GROUP_COST, MAX_WARM_UP};
 use crate::emulators::endpoint_model::{EndpointModel, EndpointParameters};
-use crate::emulators::environment::{AFFINITY_GROUP_COST, MAX_WARM_UP};
 
 /// Weights of the endpoints of a site, dealt out in turn.
 const WEIGHTS: [f64; 3] = [1.6, 1.0, 0.6];
