--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -35,13 +35,13 @@
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let never = std::future::pending::<()>();
-    let played = tokio::task::LocalSet::new().block_on(&runtime, run_scenario(&run, |_| {}, never));
-    played.expect("a day")
+    let result = tokio::task::LocalSet::new().block_on(&runtime, run_scenario(&run, |_| {}, never));
+    result.expect("a run")
 }
 
 /// A site is lost, its clients are served elsewhere within the limit, and it is regained.
 #[test]
-fn a_site_is_lost_and_regained_with_real_relays() {
+fn lost_site_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
     let report = run(Scenario::Short, true);
     assert!(report.broken.is_empty(), "{:?}", report.broken);
     assert!(
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn the_limits_hold_on_the_virtual_clock_whatever_the_seed() {
+fn simulated_scenarios_stay_within_limits_for_every_seed() {
     let all = [Scenario::Lost, Scenario::Silent, Scenario::Together, Scenario::Flap, Scenario::Two];
     for scenario in all {
         for seed in 0..4 {
-            let o = simulate(&simulation(scenario, seed)).expect("a day");
+            let o = simulate(&simulation(scenario, seed)).expect("a run");
             assert!(o.worst_spill <= 0.25 + honeyknot_testbed::report::site::SPILL_SLACK, "{o:?}");
             assert_eq!(o.endpoints_collapsed, 0, "{o:?}");
             assert!(o.max_migrations_per_second <= 12, "{o:?}");
@@ -82,7 +82,7 @@
 
 /// Without a ramp the returning site's cold endpoints are sent more than they bear: the model notices.
 #[test]
-fn without_the_limits_the_same_days_break_them() {
+fn simulated_scenario_without_limits_exceeds_spill_limit() {
     let config = ZoneFailoverConfig {
         spill_limit: 1.0,
         overflow_share: 0.0,
@@ -93,15 +93,15 @@
     };
     let spills = (0..4).filter(|seed| {
         let run = Simulation { config: config.clone(), ..simulation(Scenario::Two, *seed) };
-        simulate(&run).expect("a day").worst_spill > 0.28
+        simulate(&run).expect("a run").worst_spill > 0.28
     });
     assert!(spills.count() >= 3);
 }
 
 #[test]
-fn a_seed_replays() {
+fn same_seed_gives_same_simulation_report() {
     let run = || {
-        let o = simulate(&simulation(Scenario::Flap, 5)).expect("a day");
+        let o = simulate(&simulation(Scenario::Flap, 5)).expect("a run");
         // The clock's figures are of this machine, not of the run.
         let o = SimulationReport { decision_p50_ns: 0, decision_p99_ns: 0, wall_s: 0.0, peak_mib: 0, ..o };
         serde_json::to_string(&o).expect("a line")
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -71,7 +71,7 @@
 /// Three witnesses a card server ask it every 0.8 s, 3.75 times a second, and what relays ask while they are strangers. The bounds
 /// are of counts over seconds, far from what a slow machine changes; fewer probes than wanted only come of one that stands still.
 #[test]
-fn sixteen_relays_probe_as_a_few_and_dead_witnesses_are_replaced() {
+fn sixteen_relays_share_health_checks_and_replace_dead_probers() {
     let text = "length 21s\nat 0s start relays * within 400ms\nat 11s kill relays 0-7\nat 11s stop relays 8\n\
                 at 17s cont relays 8\nat 17s start relays 0-7 within 400ms\n";
     let on = day(16, true, text);
