--- /dev/null
+++ b/crates/testbed/src/fleet/link.rs
@@ -0,0 +1,58 @@
+//! Links between processes, and the patterns by which a fault script names them.
+
+use std::ops::RangeInclusive;
+
+/// A link between two processes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Link {
+    /// From a relay to discovery.
+    List(usize),
+    /// From clients to a relay.
+    Front(usize),
+    /// From a group of relays to an endpoint.
+    Cards(usize, usize),
+    /// From a lease server to another.
+    Peer(usize, usize),
+    /// From a lease holder to a lease server.
+    Ask(usize, usize),
+}
+
+impl Link {
+    /// Returns whether a pattern such as `list/0-99`, `front/*` or `cards/*/3` matches this link.
+    pub fn matches(self, pattern: &str) -> bool {
+        let words: Vec<&str> = pattern.split('/').collect();
+        match (self, &words[..]) {
+            (Link::List(n), ["list", p]) | (Link::Front(n), ["front", p]) => matches_number(p, n),
+            (Link::Cards(g, s), ["cards", group, card]) => {
+                matches_number(group, g) && matches_number(card, s)
+            }
+            (Link::Peer(from, to), ["peer", p, q]) | (Link::Ask(from, to), ["ask", p, q]) => {
+                matches_number(p, from) && matches_number(q, to)
+            }
+            _ => false,
+        }
+    }
+}
+
+/// Returns the kind of links that a pattern selects, or `None` if the pattern is not valid.
+pub fn link_kind(pattern: &str) -> Option<&str> {
+    let is_valid = |text: &str| text == "*" || number_range(text).is_some();
+    let words: Vec<&str> = pattern.split('/').collect();
+    match &words[..] {
+        [kind @ ("list" | "front"), p] if is_valid(p) => Some(kind),
+        [kind @ "cards", group, card] if is_valid(group) && is_valid(card) => Some(kind),
+        _ => None,
+    }
+}
+
+/// Parses a number or an inclusive range, such as `7` or `0-99`.
+pub(super) fn number_range(text: &str) -> Option<RangeInclusive<usize>> {
+    let (from, to) = text.split_once('-').unwrap_or((text, text));
+    let both = from.parse().ok().zip(to.parse().ok()).filter(|(from, to)| from <= to);
+    both.map(|(from, to)| from..=to)
+}
+
+/// Returns whether a pattern, which is `*` or a range of numbers, matches a number.
+fn matches_number(pattern: &str, n: usize) -> bool {
+    pattern == "*" || number_range(pattern).is_some_and(|range| range.contains(&n))
+}
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -102,7 +102,7 @@
         let Some((pattern, fault)) = words.split_first().filter(|(first, _)| **first != "end") else {
             return;
         };
-        for (_, faults) in links.iter().filter(|(link, _)| link.is_meant(pattern)) {
+        for (_, faults) in links.iter().filter(|(link, _)| link.matches(pattern)) {
             faults.send_modify(|now| {
                 if let Err(why) = now.add(fault) {
                     eprintln!("links: {why}");
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -14,7 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use super::book::{Book, Seen};
-use super::{Plan, list, send};
+use super::process::send_signal;
+use super::{Plan, list};
 use crate::world::relays::settings;
 
 /// How often it is looked whether a relay has ended by itself.
@@ -109,7 +110,7 @@
             "cont" => Signal::CONT,
             _ => Signal::TERM,
         };
-        send(&running.child, signal);
+        send_signal(&running.child, signal);
         running.ends |= verb == "term";
     }
 
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -3,76 +3,27 @@
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::Ipv4Addr;
-use std::path::PathBuf;
-use std::process::Stdio;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rustix::process::Signal;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::process::{Child, ChildStdin, Command};
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep, sleep_until};
 
 use super::book::{Book, Line, Seen, read};
+use super::process::Part;
 use super::script::{Script, Set, Step};
-use super::{MOST_CARDS, MOST_RELAYS, Plan, send};
+use super::{MAX_ENDPOINTS, MAX_RELAYS, Plan};
 
 /// Processes that the card servers are spread over.
 pub const CARD_PARTS: usize = 3;
-/// A part that is not ready after this has failed.
-const READY: Duration = Duration::from_secs(20);
 /// Time for answers that are still owed when the day is over.
 const OWED: Duration = Duration::from_millis(1_700);
 
-/// A part's process.
-pub(crate) struct Part {
-    pub(crate) child: Child,
-    steer: ChildStdin,
-}
-
-impl Part {
-    pub(crate) async fn start(lab: &PathBuf, kind: &str, plan: &Plan) -> Result<Part, String> {
-        let mut command = Command::new(lab);
-        command.args(["part", kind]).stdin(Stdio::piped()).stdout(Stdio::piped()).kill_on_drop(true);
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", lab.display()))?;
-        let (Some(mut steer), Some(told)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(format!("the part `{kind}` cannot be steered"));
-        };
-        let text = serde_json::to_string(plan).map_err(|e| e.to_string())?;
-        steer
-            .write_all(format!("{text}\n").as_bytes())
-            .await
-            .map_err(|e| format!("the part `{kind}`: {e}"))?;
-        let mut line = String::new();
-        let mut told = BufReader::new(told);
-        match timeout(READY, told.read_line(&mut line)).await {
-            Ok(Ok(n)) if n > 0 => Ok(Part { child, steer }),
-            _ => Err(format!("the part `{kind}` did not start")),
-        }
-    }
-
-    pub(crate) async fn tell(&mut self, line: &str) {
-        // One that is stopped or gone hears nothing; the script may want that.
-        let _ = self.steer.write_all(format!("{line}\n").as_bytes()).await;
-    }
-
-    pub(crate) fn signal(&self, signal: Signal) {
-        send(&self.child, signal);
-    }
-
-    pub(crate) async fn end(mut self) {
-        self.signal(Signal::CONT);
-        drop(self.steer);
-        if timeout(Duration::from_secs(5), self.child.wait()).await.is_err() {
-            let _ = self.child.kill().await;
-        }
-    }
-}
-
 /// A fleet that plays.
 struct Fleet {
-    lab: PathBuf,
+    testbed: PathBuf,
     plan: Plan,
     book: Book,
     list: Option<Part>,
@@ -115,38 +66,38 @@
     pub lines: Vec<Line>,
 }
 
-/// Plays a script. `lab` is the laboratory's program; `stop` ends the day early, which is an error.
+/// Plays a script. `testbed` is the path of this program; `stop` ends the day early, which is an error.
 pub async fn play(
-    plan: &Plan, script: &Script, lab: PathBuf, stop: impl Future<Output = ()>,
+    plan: &Plan, script: &Script, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<Played, String> {
-    if plan.relays == 0 || plan.relays > MOST_RELAYS || plan.cards == 0 || plan.cards > MOST_CARDS {
-        return Err(format!("allowed are 1 to {MOST_RELAYS} relays and 1 to {MOST_CARDS} card servers"));
+    if plan.relays == 0 || plan.relays > MAX_RELAYS || plan.cards == 0 || plan.cards > MAX_ENDPOINTS {
+        return Err(format!("allowed are 1 to {MAX_RELAYS} relays and 1 to {MAX_ENDPOINTS} card servers"));
     }
     let mut plan = plan.clone();
     plan.links.clone_from(&script.links);
     let book = Book::open(&plan.folder, "harness")?;
     let links = match plan.links.is_empty() {
         true => None,
-        false => Some(Part::start(&lab, "links", &plan).await?),
+        false => Some(Part::start(&testbed, "links", &plan).await?),
     };
-    let list = Some(Part::start(&lab, "list", &plan).await?);
+    let list = Some(Part::start(&testbed, "list", &plan).await?);
     let mut cards = Vec::new();
     for part in 0..CARD_PARTS {
         let plan = Plan { part: (part, CARD_PARTS), ..plan.clone() };
-        cards.push(Some(Part::start(&lab, "cards", &plan).await?));
+        cards.push(Some(Part::start(&testbed, "cards", &plan).await?));
     }
-    let relays = Part::start(&lab, "relays", &plan).await?;
-    let clients = Part::start(&lab, "clients", &plan).await?;
+    let relays = Part::start(&testbed, "relays", &plan).await?;
+    let clients = Part::start(&testbed, "clients", &plan).await?;
     let (began, at) = (super::now(), Instant::now());
     let up = BTreeSet::new();
-    let mut fleet = Fleet { lab, plan, book, list, cards, relays, clients, links, up };
+    let mut fleet = Fleet { testbed, plan, book, list, cards, relays, clients, links, up };
     let day = async {
         for (n, (due, step)) in script.steps.iter().enumerate() {
             sleep_until(at + *due).await;
             fleet.carry_out(n, step).await?;
         }
         sleep_until(at + script.length).await;
-        fleet.clients.tell("close").await;
+        fleet.clients.send_command("close").await;
         sleep(OWED).await;
         Ok(())
     };
@@ -195,7 +146,7 @@
                 let chosen = self.choose(n, set);
                 self.up.extend(&chosen);
                 if over.is_zero() {
-                    self.relays.tell(&format!("start {}", join(&chosen))).await;
+                    self.relays.send_command(&format!("start {}", join(&chosen))).await;
                     return Ok(());
                 }
                 let mut rng = self.plan.rng(0x57a7 + n as u64);
@@ -205,7 +156,7 @@
                 let began = Instant::now();
                 for (time, relay) in times.into_iter().zip(chosen) {
                     sleep_until(began + Duration::from_secs_f64(time)).await;
-                    self.relays.tell(&format!("start {relay}")).await;
+                    self.relays.send_command(&format!("start {relay}")).await;
                 }
             }
             Step::Signal(verb, set) => {
@@ -213,48 +164,48 @@
                 if matches!(*verb, "kill" | "term") {
                     self.up.retain(|r| !chosen.contains(r));
                 }
-                self.relays.tell(&format!("{verb} {}", join(&chosen))).await;
+                self.relays.send_command(&format!("{verb} {}", join(&chosen))).await;
             }
             Step::Loop(set, every, length) => {
                 let chosen = self.choose(n, set);
                 let (every, length) = (every.as_millis(), length.as_millis());
-                self.relays.tell(&format!("loop {every} {length} {}", join(&chosen))).await;
+                self.relays.send_command(&format!("loop {every} {length} {}", join(&chosen))).await;
             }
             Step::List(verb) => {
                 self.book.enter(Seen::Act { verb: format!("list {verb}"), r: None });
-                let (lab, plan) = (self.lab.clone(), self.plan.clone());
-                process(&mut self.list, verb, &lab, "list", &plan).await?;
+                let (testbed, plan) = (self.testbed.clone(), self.plan.clone());
+                process(&mut self.list, verb, &testbed, "list", &plan).await?;
             }
             Step::ListFresh(fill) => {
                 self.book.enter(Seen::Act { verb: "list fresh".to_owned(), r: None });
                 let fill_ms = Some(fill.as_millis() as u64);
                 let plan = Plan { fill_ms, ..self.plan.clone() };
-                let lab = self.lab.clone();
-                process(&mut self.list, "down", &lab, "list", &plan).await?;
-                process(&mut self.list, "up", &lab, "list", &plan).await?;
+                let testbed = self.testbed.clone();
+                process(&mut self.list, "down", &testbed, "list", &plan).await?;
+                process(&mut self.list, "up", &testbed, "list", &plan).await?;
             }
             Step::ListTold(line) => {
                 if let Some(list) = &mut self.list {
-                    list.tell(line).await;
+                    list.send_command(line).await;
                 }
             }
             Step::Cards(part, verb) => {
                 let plan = Plan { part: (*part, CARD_PARTS), ..self.plan.clone() };
-                let lab = self.lab.clone();
+                let testbed = self.testbed.clone();
                 let place = self.cards.get_mut(*part);
                 let place =
                     place.ok_or_else(|| format!("card servers run in parts 0 to {}", CARD_PARTS - 1))?;
-                process(place, verb, &lab, "cards", &plan).await?;
+                process(place, verb, &testbed, "cards", &plan).await?;
             }
             Step::CardTold(line) => {
                 let card = line.split(' ').nth(1).and_then(|s| s.parse::<usize>().ok()).unwrap_or(0);
                 if let Some(Some(part)) = self.cards.get_mut(card % CARD_PARTS) {
-                    part.tell(line).await;
+                    part.send_command(line).await;
                 }
             }
             Step::Links(line) => {
                 if let Some(links) = &mut self.links {
-                    links.tell(line).await;
+                    links.send_command(line).await;
                 }
             }
         }
@@ -264,7 +215,7 @@
 
 /// Does something to a part's process.
 async fn process(
-    part: &mut Option<Part>, verb: &str, lab: &PathBuf, kind: &str, plan: &Plan,
+    part: &mut Option<Part>, verb: &str, testbed: &Path, kind: &str, plan: &Plan,
 ) -> Result<(), String> {
     match verb {
         "down" => {
@@ -272,7 +223,7 @@
                 let _ = part.child.kill().await;
             }
         }
-        "up" if part.is_none() => *part = Some(Part::start(lab, kind, plan).await?),
+        "up" if part.is_none() => *part = Some(Part::start(testbed, kind, plan).await?),
         "stop" => part.iter().for_each(|part| part.signal(Signal::STOP)),
         "cont" => part.iter().for_each(|part| part.signal(Signal::CONT)),
         _ => {}
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -19,8 +19,8 @@
 
 use honeyknot_operator_config::{Directive, parse, units};
 
+use super::link::{link_kind, number_range};
 use super::links::Fault;
-use super::{link_kind, stretch};
 
 /// The longest day.
 pub const LONGEST: Duration = Duration::from_secs(600);
@@ -84,7 +84,7 @@
             let part = text.trim_end_matches('%').parse::<f64>().ok();
             part.filter(|part| (0.0..=100.0).contains(part)).map(|part| Set::Part(part / 100.0))
         }
-        _ => stretch(text).map(Set::Among),
+        _ => number_range(text).map(Set::Among),
     };
     found.ok_or_else(|| {
         format!("{text}: relays are `*`, `dead`, a number, a stretch such as 0-9, or a part such as 30%")
--- a/crates/testbed/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -12,14 +12,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::Keeping;
-use crate::fleet::Plan;
+use crate::fleet::{LeaseOptions, Plan};
 
 /// Starts it. Steered by `leave`: lets go of all and ends, as before a planned restart.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let n = plan.part.0;
     let leases = plan.leases_plan(&plan.leases_of_holder(n))?;
-    let clock = plan.leases.clock(plan.leases.keepers + n);
+    let clock = plan.leases.clock(plan.leases.servers + n);
     let name = format!("h{n}.{}", std::process::id());
     let seed = plan.seed ^ (n as u64) << 32 ^ u64::from(std::process::id());
     let client = Rc::new(Client::start(&leases, &name, seed, clock));
@@ -28,7 +27,10 @@
     for task in 0..plan.leases.tasks {
         // Turns of different lengths, so that tasks change hands out of step.
         let turn = Some(lease * (3 + (n + task) as u64 % 4));
-        client.add_task(&Keeping::task(task), TaskOptions { slots: 1, max_hold: turn, max_idle: None });
+        client.add_task(
+            &LeaseOptions::task_name(task),
+            TaskOptions { slots: 1, max_hold: turn, max_idle: None },
+        );
         spawn_local(works(plan.clone(), client.clone(), task, name.clone(), acts.clone()));
     }
     Ok(move |line: &str| {
@@ -45,7 +47,7 @@
 /// Acts on a task whenever there is a permit.
 async fn works(plan: Plan, client: Rc<Client>, task: usize, name: String, acts: Rc<Cell<u64>>) {
     let mut rng = plan.rng(0xac7 ^ (plan.part.0 as u64) << 16 ^ task as u64);
-    let (task, lease) = (Keeping::task(task), plan.leases.lease_ms * 1_000);
+    let (task, lease) = (LeaseOptions::task_name(task), plan.leases.lease_ms * 1_000);
     // With many tasks each is looked at more rarely: looking is this rig's cost and not the client's.
     let pace = (plan.leases.tasks as u64 / 6).max(1);
     let mut far = None;
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -12,46 +12,12 @@
 pub mod run;
 
 use std::fmt::Write;
-use std::rc::Rc;
 
-use honeyknot_lease::{ClockDriftError, InjectedFault};
-use honeyknot_relay::lease_client::{Clock, boot_clock, config};
-use serde::{Deserialize, Serialize};
+use honeyknot_lease::InjectedFault;
+use honeyknot_relay::lease_client::config;
 
 use crate::fleet::{Link, Plan};
 
-/// Keepers of leases and their terms.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Keeping {
-    /// Keepers; none in a fleet without leases.
-    pub keepers: usize,
-    /// How long a lease lasts, in milliseconds.
-    pub lease_ms: u64,
-    /// Tasks; of those with an odd number the far side checks tokens.
-    pub tasks: usize,
-    /// The bound on drift that all are told, in parts of a million.
-    pub drift_ppm: u64,
-    /// What a holder leaves unused at the end of a lease, in milliseconds.
-    pub margin_ms: u64,
-    /// Rates of clocks in parts of a million, by keeper and then by holder; the machine's own where there is none.
-    pub skew_ppm: Vec<i64>,
-    /// A fault planted in all of them.
-    pub planted: Option<InjectedFault>,
-}
-
-impl Keeping {
-    /// The name of a task.
-    pub fn task(n: usize) -> String {
-        if n % 2 == 1 { format!("checked-{n}") } else { format!("plain-{n}") }
-    }
-
-    /// The clock of the process of this place: keepers first, then holders.
-    pub fn clock(&self, place: usize) -> Clock {
-        let ppm = self.skew_ppm.get(place).copied().unwrap_or(0);
-        Rc::new(move || ClockDriftError { offset: 0, ppm }.at(boot_clock()))
-    }
-}
-
 /// The planted fault of this name; the error names all that there are.
 pub fn fault(name: &str) -> Result<InjectedFault, String> {
     serde_json::from_value(name.into()).map_err(|why| why.to_string())
@@ -60,15 +26,15 @@
 impl Plan {
     /// The operators' file as one process has it, which reaches each keeper at an address of its own where links run.
     pub fn leases_file(&self, reach: impl Fn(usize) -> std::net::SocketAddr) -> String {
-        let keeping = &self.leases;
+        let options = &self.leases;
         let mut text = format!(
             "fleet lab\nlease {0}ms\nelection {1}ms\nmargin {2}ms\nclock-drift {3}%\n",
-            keeping.lease_ms,
-            keeping.lease_ms / 5,
-            keeping.margin_ms,
-            keeping.drift_ppm as f64 / 1e4,
+            options.lease_ms,
+            options.lease_ms / 5,
+            options.margin_ms,
+            options.clock_drift_ppm as f64 / 1e4,
         );
-        for number in 1..=keeping.keepers {
+        for number in 1..=options.servers {
             let _ = writeln!(text, "keeper {number} {}", reach(number));
         }
         text
@@ -96,7 +62,7 @@
     /// That file read, with what is planted.
     pub fn leases_plan(&self, text: &str) -> Result<config::LeaseConfig, String> {
         let mut read = config::LeaseConfig::read("leases.conf", text).map_err(|faults| faults.to_string())?;
-        read.parameters.injected_fault = self.leases.planted;
+        read.parameters.injected_fault = self.leases.injected_fault;
         Ok(read)
     }
 }
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -16,11 +16,10 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::Keeping;
 use super::report::Report;
 use crate::fleet::book::{Book, Seen, read};
-use crate::fleet::run::Part;
-use crate::fleet::{Plan, now, send};
+use crate::fleet::process::{Part, send_signal};
+use crate::fleet::{LeaseOptions, Plan, now};
 
 /// What goes wrong while tasks are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -52,7 +51,7 @@
 
 struct Day {
     plan: Plan,
-    lab: PathBuf,
+    testbed: PathBuf,
     direct: config::LeaseConfig,
     keepers: BTreeMap<usize, Running>,
     holders: BTreeMap<usize, Part>,
@@ -82,27 +81,27 @@
 
 /// Plays a day of this length.
 pub async fn play(
-    mut plan: Plan, scenario: Scenario, length: Duration, lab: PathBuf, stop: impl Future<Output = ()>,
+    mut plan: Plan, scenario: Scenario, length: Duration, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<Report, String> {
-    let keeping = &mut plan.leases;
-    (keeping.drift_ppm, keeping.margin_ms) = (10_000, keeping.lease_ms / 20);
+    let options = &mut plan.leases;
+    (options.clock_drift_ppm, options.margin_ms) = (10_000, options.lease_ms / 20);
     match scenario {
         Scenario::Skew => {
             // As far apart as they may be: keepers fast and holders slow is the worst.
-            (keeping.drift_ppm, keeping.margin_ms) = (100_000, 0);
+            (options.clock_drift_ppm, options.margin_ms) = (100_000, 0);
             let holders = vec![-100_000; plan.relays];
-            keeping.skew_ppm = [vec![100_000; keeping.keepers], holders].concat();
+            options.clock_error_ppm = [vec![100_000; options.servers], holders].concat();
         }
         // Keeper 1, which waits least before it asks to lead.
-        Scenario::Fast => keeping.skew_ppm = vec![200_000],
-        Scenario::Stampede => keeping.tasks = 1,
+        Scenario::Fast => options.clock_error_ppm = vec![200_000],
+        Scenario::Stampede => options.tasks = 1,
         _ => {}
     }
     if matches!(scenario, Scenario::Partition | Scenario::OneWay | Scenario::Skew | Scenario::Fast) {
         plan.links = vec!["peer".into(), "ask".into()];
     }
-    let mut day = Day::start(plan, lab).await?;
-    let far = Part::start(&day.lab, "far", &day.plan).await?;
+    let mut day = Day::start(plan, testbed).await?;
+    let far = Part::start(&day.testbed, "far", &day.plan).await?;
     let began = Instant::now();
     let until = began + length;
     let done = tokio::select! {
@@ -116,18 +115,18 @@
 }
 
 impl Day {
-    async fn start(plan: Plan, lab: PathBuf) -> Result<Day, String> {
+    async fn start(plan: Plan, testbed: PathBuf) -> Result<Day, String> {
         let direct = plan.leases_plan(&plan.leases_file(|to| plan.keeper(to)))?;
         let book = Book::open(&plan.folder, "harness")?;
         let links = match plan.links.is_empty() {
             true => None,
-            false => Some(Part::start(&lab, "links", &plan).await?),
+            false => Some(Part::start(&testbed, "links", &plan).await?),
         };
         let rng = plan.rng(0x1ea5e);
         let (keepers, holders) = Default::default();
         let mut day =
-            Day { plan, lab, direct, keepers, holders, links, book, rng, faults: 0, cpu: 0.0, rss: 0.0 };
-        for number in 1..=day.plan.leases.keepers {
+            Day { plan, testbed, direct, keepers, holders, links, book, rng, faults: 0, cpu: 0.0, rss: 0.0 };
+        for number in 1..=day.plan.leases.servers {
             day.keeper(number, true).await?;
         }
         for n in 0..day.plan.relays {
@@ -138,10 +137,10 @@
 
     async fn keeper(&mut self, number: usize, found: bool) -> Result<(), String> {
         let plan = &self.plan;
-        let skewed = plan.leases.skew_ppm.get(number - 1).is_some_and(|ppm| *ppm != 0);
-        if plan.leases.planted.is_some() || skewed {
+        let skewed = plan.leases.clock_error_ppm.get(number - 1).is_some_and(|ppm| *ppm != 0);
+        if plan.leases.injected_fault.is_some() || skewed {
             let plan = Plan { part: (number, usize::from(found)), ..plan.clone() };
-            let part = Part::start(&self.lab, "keeper", &plan).await?;
+            let part = Part::start(&self.testbed, "keeper", &plan).await?;
             self.keepers.insert(number, Running::Part(part));
             return Ok(());
         }
@@ -166,7 +165,7 @@
 
     async fn holder(&mut self, n: usize) -> Result<(), String> {
         let plan = Plan { part: (n, self.plan.relays), ..self.plan.clone() };
-        let part = Part::start(&self.lab, "holder", &plan).await?;
+        let part = Part::start(&self.testbed, "holder", &plan).await?;
         self.holders.insert(n, part);
         Ok(())
     }
@@ -227,13 +226,13 @@
                 _ => {}
             }
         }
-        self.rng.random_range(1..=self.plan.leases.keepers)
+        self.rng.random_range(1..=self.plan.leases.servers)
     }
 
     async fn links(&mut self, line: &str) {
         self.book.enter(Seen::Act { verb: format!("link {line}"), r: None });
         if let Some(links) = &mut self.links {
-            links.tell(line).await;
+            links.send_command(line).await;
         }
     }
 
@@ -305,12 +304,12 @@
                 }
                 Scenario::AllDown => {
                     self.note("kill all keepers".into());
-                    for number in 1..=self.plan.leases.keepers {
+                    for number in 1..=self.plan.leases.servers {
                         self.kill_keeper(number).await;
                     }
                     let wait = self.rng.random_range(0.1..1.5);
                     sleep(self.leases(wait)).await;
-                    for number in 1..=self.plan.leases.keepers {
+                    for number in 1..=self.plan.leases.servers {
                         self.keeper(number, false).await?;
                     }
                     sleep(self.leases(2.5)).await;
@@ -342,7 +341,7 @@
 
     /// One keeper at a time: its file loses its end, or all of it is gone; the others go on.
     async fn disk(&mut self) -> Result<(), String> {
-        let number = self.rng.random_range(1..=self.plan.leases.keepers);
+        let number = self.rng.random_range(1..=self.plan.leases.servers);
         self.kill_keeper(number).await;
         let file = self.plan.folder.join(format!("k{number}/keeper.redb"));
         let aside = file.with_extension("aside");
@@ -378,7 +377,7 @@
         self.note(format!("upgrade holder {n}"));
         let Some(mut old) = self.holders.remove(&n) else { return Ok(()) };
         self.holder(n).await?;
-        old.tell("leave").await;
+        old.send_command("leave").await;
         let wait = self.rng.random_range(0.0..0.4);
         sleep(self.leases(wait)).await;
         match self.rng.random_range(0..3) {
@@ -404,7 +403,7 @@
 
     fn signal_keeper(&mut self, number: usize, signal: Signal) {
         if let Some(running) = self.keepers.get_mut(&number) {
-            send(running.child(), signal);
+            send_signal(running.child(), signal);
         }
     }
 
@@ -424,7 +423,7 @@
         let name = clap::ValueEnum::to_possible_value(&scenario).map(|v| v.get_name().to_owned());
         let mut report = Report {
             scenario: name.unwrap_or_default(),
-            keepers: self.plan.leases.keepers,
+            keepers: self.plan.leases.servers,
             relays: self.plan.relays,
             seed: self.plan.seed,
             lease_s: self.plan.leases.lease_ms as f64 / 1e3,
@@ -444,11 +443,11 @@
                 log.is_ok_and(|log| log.lines().any(is_drift_of_first))
             };
             // The one part of a verdict that is not the far side's: whether staff are told.
-            if !(2..=self.plan.leases.keepers).all(told) {
+            if !(2..=self.plan.leases.servers).all(told) {
                 report.broken.push("the others do not tell of keeper 1's clock".into());
             }
         }
-        let wanted = Keeping::task(0);
+        let wanted = LeaseOptions::task_name(0);
         if !lines.iter().any(|line| matches!(&line.seen, Seen::Effect { task, .. } if *task == wanted)) {
             report.broken.push(format!("nobody ever acted on {wanted}"));
         }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -331,13 +331,13 @@
 
 async fn run_part(kind: PartKind) -> Result<(), String> {
     match kind {
-        PartKind::List => fleet::part(fleet::list::start).await,
-        PartKind::Cards => fleet::part(fleet::cards::start).await,
-        PartKind::Clients => fleet::part(fleet::clients::start).await,
-        PartKind::Links => fleet::part(fleet::links::start).await,
-        PartKind::Relays => fleet::part(fleet::relays::start).await,
-        PartKind::Far => fleet::part(leases::far::start).await,
-        PartKind::Holder => fleet::part(leases::holder::start).await,
+        PartKind::List => fleet::run_part(fleet::list::start).await,
+        PartKind::Cards => fleet::run_part(fleet::cards::start).await,
+        PartKind::Clients => fleet::run_part(fleet::clients::start).await,
+        PartKind::Links => fleet::run_part(fleet::links::start).await,
+        PartKind::Relays => fleet::run_part(fleet::relays::start).await,
+        PartKind::Far => fleet::run_part(leases::far::start).await,
+        PartKind::Holder => fleet::run_part(leases::holder::start).await,
         PartKind::Keeper => leases::keeper::part(),
     }
 }
@@ -416,12 +416,12 @@
         relays: usize::from(args.relays),
         folder,
         program: args.day.program.map_or_else(honeyknot_testbed::world::relays::program, Ok)?,
-        leases: leases::Keeping {
-            keepers: usize::from(args.keepers),
+        leases: fleet::LeaseOptions {
+            servers: usize::from(args.keepers),
             lease_ms: args.lease_ms,
             tasks: usize::from(args.tasks),
-            planted: args.planted,
-            ..leases::Keeping::default()
+            injected_fault: args.planted,
+            ..fleet::LeaseOptions::default()
         },
         ..fleet::Plan::default()
     };
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -4,9 +4,8 @@
 use std::time::Duration;
 
 use honeyknot_lease::InjectedFault;
-use honeyknot_testbed::fleet::Plan;
 use honeyknot_testbed::fleet::run::Net;
-use honeyknot_testbed::leases::Keeping;
+use honeyknot_testbed::fleet::{LeaseOptions, Plan};
 use honeyknot_testbed::leases::report::Report;
 use honeyknot_testbed::leases::run::{Scenario, play};
 
@@ -23,7 +22,13 @@
         relays: 8,
         folder: folder.path().to_owned(),
         program,
-        leases: Keeping { keepers: 3, lease_ms: 1_000, tasks: 6, planted, ..Keeping::default() },
+        leases: LeaseOptions {
+            servers: 3,
+            lease_ms: 1_000,
+            tasks: 6,
+            injected_fault: planted,
+            ..LeaseOptions::default()
+        },
         ..Plan::default()
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
