--- a/crates/testbed/src/fleet/clients.rs
+++ b/crates/testbed/src/fleet/clients.rs
@@ -1,5 +1,7 @@
-//! Clients as a process: each asks its relay until it is served, comes back when it is sent away, and enters every answer.
+//! Clients as a process: each sends requests to its relay until it is served, retries when it is rejected, and records every answer.
 
+use std::cell::Cell;
+use std::rc::Rc;
 use std::time::Duration;
 
 use rand::Rng;
@@ -10,137 +12,153 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use super::Plan;
-use super::book::{Book, Seen, Word};
+use super::event_log::{Answer, Event, EventLog};
 
-/// How long a client waits for an answer, and how much longer its book does.
-const PATIENCE: Duration = Duration::from_millis(1_200);
-/// See [`PATIENCE`].
-const GRACE: Duration = Duration::from_millis(200);
-/// All clients come within this at the start.
-const COME_WITHIN: f64 = 0.3;
-/// How long sessions last on average, in seconds.
-const LIFE: f64 = 25.0;
-/// A session's client sends a line this often, and gives up one that brings nothing back for so long.
-const LINE_EVERY: Duration = Duration::from_secs(2);
-/// See [`LINE_EVERY`].
-const LINE_LOST: Duration = Duration::from_secs(7);
-/// Sessions that share a deck.
-const DECK: usize = 40;
+/// Time that a client gives its relay to connect and to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time beyond [`ANSWER_TIMEOUT`] after which a request counts as unanswered.
+const ANSWER_GRACE: Duration = Duration::from_millis(200);
+/// Time within which a further line after a final answer counts as a duplicate answer.
+const DUPLICATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time within which all clients send their first request, in seconds.
+const FIRST_REQUEST_WITHIN_S: f64 = 0.3;
+/// Range of the backoff before the next request where the relay named none, in milliseconds.
+const BACKOFF_MS: std::ops::Range<u64> = 52..520;
+/// Mean duration of an established connection, in seconds.
+const MEAN_CONNECTION_S: f64 = 25.0;
+/// Interval at which a client sends a line on an established connection.
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time without an answer after which a client gives up an established connection.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(7);
+/// Number of clients that share an affinity group.
+const CLIENTS_PER_GROUP: usize = 40;
 
-/// Starts the clients. Steered by: `close`, after which nobody asks any more.
+/// Starts the clients. The command `close` makes them send no further request.
+///
+/// # Errors
+///
+/// A message if the event log cannot be opened.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let book = Book::open(&plan.folder, "clients")?;
-    book.watch_lag();
-    let closed = std::rc::Rc::new(std::cell::Cell::new(false));
-    for n in 0..plan.relays * plan.clients {
-        let mut rng = plan.rng(0xc11e_0000 + n as u64);
-        let decks = (plan.relays * plan.clients / DECK).max(2);
+    let event_log = EventLog::open(&plan.folder, "clients")?;
+    event_log.record_scheduling_lag();
+    let is_closed = Rc::new(Cell::new(false));
+    let clients = plan.relays * plan.clients;
+    for number in 0..clients {
+        let mut rng = plan.rng(0xc11e_0000 + number as u64);
+        let groups = (clients / CLIENTS_PER_GROUP).max(2);
         let client = Client {
-            relay: n % plan.relays,
-            n,
-            deck: rng.random_range(0..decks),
-            tries: 0,
+            number,
+            relay: number % plan.relays,
+            affinity_group: rng.random_range(0..groups),
+            requests: 0,
             rng,
-            book: book.clone(),
+            event_log: event_log.clone(),
             plan: plan.clone(),
-            closed: closed.clone(),
+            is_closed: is_closed.clone(),
         };
-        spawn_local(client.live());
+        spawn_local(client.run());
     }
-    Ok(move |line: &str| closed.set(closed.get() || line == "close"))
+    Ok(move |line: &str| is_closed.set(is_closed.get() || line == "close"))
 }
 
 struct Client {
+    number: usize,
     relay: usize,
-    n: usize,
-    deck: usize,
-    tries: u32,
+    affinity_group: usize,
+    /// Number of requests sent so far.
+    requests: u32,
     rng: Pcg64Mcg,
-    book: Book,
+    event_log: EventLog,
     plan: Plan,
-    closed: std::rc::Rc<std::cell::Cell<bool>>,
+    is_closed: Rc<Cell<bool>>,
 }
 
 impl Client {
-    async fn live(mut self) {
-        let wait = Duration::from_secs_f64(self.rng.random_range(0.0..COME_WITHIN));
+    async fn run(mut self) {
+        let wait = Duration::from_secs_f64(self.rng.random_range(0.0..FIRST_REQUEST_WITHIN_S));
         sleep(wait).await;
-        while !self.closed.get() {
-            let wait = self.connect().await.unwrap_or_else(|| self.rng.random_range(52..520));
-            sleep(Duration::from_millis(wait)).await;
+        while !self.is_closed.get() {
+            let wait_ms = match self.connect().await {
+                Some(retry_after_ms) => retry_after_ms,
+                None => self.rng.random_range(BACKOFF_MS),
+            };
+            sleep(Duration::from_millis(wait_ms)).await;
         }
     }
 
-    /// One connection; the time to come back that was told, if any.
+    /// Makes one request and stays connected while it is served; returns the relay's `Retry-After` in milliseconds, if any.
     async fn connect(&mut self) -> Option<u64> {
-        let r = self.relay;
-        let dial = TcpStream::connect(self.plan.relay_for_clients(r));
-        let Ok(Ok(stream)) = timeout(PATIENCE, dial).await else {
-            self.book.enter(Seen::Unreached { r });
+        let relay = self.relay;
+        let connecting = TcpStream::connect(self.plan.relay_for_clients(relay));
+        let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, connecting).await else {
+            self.event_log.record(Event::RelayUnreachable { relay });
             return None;
         };
         let _ = stream.set_nodelay(true);
-        self.tries += 1;
-        let id = format!("{:x}-{}-{r}", self.n, self.tries);
-        let (key, wait, deck) = (self.n, PATIENCE.as_millis(), self.deck);
-        let again = if self.tries > 1 { ",again=1" } else { "" };
-        let head = format!("OPEN {id} {key:016x} c=study-session,d={wait},g={deck:x}{again}\r\n");
+        self.requests += 1;
+        let id = format!("{:x}-{}-{relay}", self.number, self.requests);
+        let request = self.first_line(&id);
         let mut stream = BufReader::new(stream);
-        if stream.write_all(head.as_bytes()).await.is_err() {
-            self.book.enter(Seen::Unreached { r });
+        if stream.write_all(request.as_bytes()).await.is_err() {
+            self.event_log.record(Event::RelayUnreachable { relay });
             return None;
         }
-        self.book.enter(Seen::Ask { r, id: id.clone() });
+        self.event_log.record(Event::ClientRequest { relay, id: id.clone() });
         let mut line = String::new();
-        let answer = timeout_at(Instant::now() + PATIENCE + GRACE, stream.read_line(&mut line)).await;
-        let word = match (&answer, line.split_whitespace().next()) {
-            (Err(_), _) => Word::Nothing,
-            (Ok(Ok(1..)), Some("UP")) => Word::Up,
-            (Ok(Ok(1..)), Some("BUSY")) => Word::Busy,
-            _ => Word::Failed,
-        };
-        self.book.enter(Seen::Word { r, id: id.clone(), word });
-        match word {
-            Word::Up => {
-                let well = self.stand(&mut stream).await;
-                self.book.enter(Seen::Ended { r, well });
+        let answer = read_answer(&mut stream, &mut line).await;
+        self.event_log.record(Event::ClientAnswer { relay, id: id.clone(), answer });
+        match answer {
+            Answer::Established => {
+                let is_expected = self.stay_connected(&mut stream).await;
+                self.event_log.record(Event::ConnectionEnded { relay, is_expected });
                 None
             }
-            Word::Nothing => None,
-            Word::Busy | Word::Failed => {
-                let wait = line.split_whitespace().nth(1).and_then(|ms| ms.parse().ok());
-                line.clear();
-                // After a final answer nothing more may come.
-                let more = timeout(Duration::from_millis(200), stream.read_line(&mut line)).await;
-                if matches!(more, Ok(Ok(1..))) {
-                    self.book.enter(Seen::Twice { id });
-                }
-                wait.filter(|_| word == Word::Busy)
+            Answer::TimedOut => None,
+            Answer::Rejected | Answer::Failed => {
+                let retry_after_ms = line.split_whitespace().nth(1).and_then(|ms| ms.parse().ok());
+                self.check_for_duplicate(&mut stream, id).await;
+                retry_after_ms.filter(|_| answer == Answer::Rejected)
             }
         }
     }
 
-    /// A session that stands, to its end; whether it ended well.
-    async fn stand(&mut self, stream: &mut BufReader<TcpStream>) -> bool {
-        let life = -LIFE * self.rng.random_range(1e-3..1.0f64).ln();
-        let until = Instant::now() + Duration::from_secs_f64(life);
-        let (mut next, mut heard) = (Instant::now() + LINE_EVERY, Instant::now());
+    fn first_line(&self, id: &str) -> String {
+        let (key, deadline_ms, group) = (self.number, ANSWER_TIMEOUT.as_millis(), self.affinity_group);
+        let repeated = if self.requests > 1 { ",again=1" } else { "" };
+        format!("OPEN {id} {key:016x} c=study-session,d={deadline_ms},g={group:x}{repeated}\r\n")
+    }
+
+    /// Records a further line after a final answer.
+    async fn check_for_duplicate(&self, stream: &mut BufReader<TcpStream>, id: String) {
+        let mut line = String::new();
+        let further = timeout(DUPLICATE_ANSWER_TIMEOUT, stream.read_line(&mut line)).await;
+        if matches!(further, Ok(Ok(1..))) {
+            self.event_log.record(Event::DuplicateAnswer { id });
+        }
+    }
+
+    /// Uses an established connection until it ends; returns whether the end was expected.
+    async fn stay_connected(&mut self, stream: &mut BufReader<TcpStream>) -> bool {
+        let duration_s = -MEAN_CONNECTION_S * self.rng.random_range(1e-3..1.0f64).ln();
+        let until = Instant::now() + Duration::from_secs_f64(duration_s);
+        let mut next_line_at = Instant::now() + LINE_INTERVAL;
+        let mut received_at = Instant::now();
         let mut line = String::new();
         loop {
             line.clear();
             tokio::select! {
                 read = stream.read_line(&mut line) => match read {
                     Ok(1..) if line.starts_with("MOVE") => return true,
-                    Ok(1..) => heard = Instant::now(),
-                    _ => return self.closed.get(),
+                    Ok(1..) => received_at = Instant::now(),
+                    _ => return self.is_closed.get(),
                 },
-                () = tokio::time::sleep_until(next) => {
-                    if heard.elapsed() > LINE_LOST {
+                () = tokio::time::sleep_until(next_line_at) => {
+                    if received_at.elapsed() > SILENCE_TIMEOUT {
                         return false;
                     }
-                    next += LINE_EVERY;
+                    next_line_at += LINE_INTERVAL;
                     if stream.write_all(b"answer\r\n").await.is_err() {
-                        return self.closed.get();
+                        return self.is_closed.get();
                     }
                 }
                 () = tokio::time::sleep_until(until) => return true,
@@ -148,3 +166,15 @@
         }
     }
 }
+
+/// Reads a relay's answer to a request into `line`.
+async fn read_answer(stream: &mut BufReader<TcpStream>, line: &mut String) -> Answer {
+    let deadline = Instant::now() + ANSWER_TIMEOUT + ANSWER_GRACE;
+    let read = timeout_at(deadline, stream.read_line(line)).await;
+    match (&read, line.split_whitespace().next()) {
+        (Err(_), _) => Answer::TimedOut,
+        (Ok(Ok(1..)), Some("UP")) => Answer::Established,
+        (Ok(Ok(1..)), Some("BUSY")) => Answer::Rejected,
+        _ => Answer::Failed,
+    }
+}
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::book::Book;
+use super::event_log::EventLog;
 use super::{Link, Plan};
 
 /// What is wrong with a link. The default is a sound one.
@@ -87,8 +87,8 @@
 
 /// Starts the links. Steered by: `PATTERN FAULT`, such as `list/0-99 hole`.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let book = Book::open(&plan.folder, "links")?;
-    book.watch_lag();
+    let event_log = EventLog::open(&plan.folder, "links")?;
+    event_log.record_scheduling_lag();
     let mut links: BTreeMap<Link, Faults> = BTreeMap::new();
     for link in plan.all_links() {
         let faults = watch::Sender::new(Fault::default());
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -9,16 +9,18 @@
 //! loses nothing. Times are microseconds of the machine's clock, which all processes read. Real processes are not
 //! deterministic: a seed replays the script and what is generated from it, not the run.
 
-pub mod book;
-pub mod cards;
+pub mod analysis;
 pub mod clients;
+pub mod discovery;
 pub mod drawn;
+pub mod endpoints;
+pub mod event_log;
 pub mod lease_options;
 pub mod link;
 pub mod links;
-pub mod list;
 pub mod plan;
 pub mod process;
+mod relay_history;
 pub mod relays;
 pub mod report;
 pub mod run;
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -13,9 +13,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::book::{Book, Seen};
+use super::event_log::{Event, EventLog};
 use super::process::send_signal;
-use super::{Plan, list};
+use super::{Plan, discovery};
 use crate::world::relays::settings;
 
 /// How often it is looked whether a relay has ended by itself.
@@ -23,7 +23,7 @@
 
 struct Warden {
     plan: Plan,
-    book: Book,
+    event_log: EventLog,
     running: BTreeMap<usize, Running>,
     lives: BTreeMap<usize, u64>,
 }
@@ -39,9 +39,9 @@
 /// Starts the warden. Steered by `VERB N,N,...` with start, kill, stop, cont and term; by `loop EVERY_MS FOR_MS N,N,...`,
 /// which kills and starts again; and by `end`, after which no relay is left.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let book = Book::open(&plan.folder, "relays")?;
+    let event_log = EventLog::open(&plan.folder, "relays")?;
     let (running, lives) = Default::default();
-    let warden = Rc::new(RefCell::new(Warden { plan, book, running, lives }));
+    let warden = Rc::new(RefCell::new(Warden { plan, event_log, running, lives }));
     let looked = warden.clone();
     spawn_local(async move {
         loop {
@@ -94,12 +94,12 @@
             }
             return;
         }
-        self.book.enter(Seen::Act { verb: verb.to_owned(), r: Some(n) });
+        self.event_log.record(Event::ProcessAction { action: verb.to_owned(), relay: Some(n) });
         if verb == "start" {
             if !self.running.contains_key(&n) {
                 match self.spawn(n) {
                     Ok(child) => drop(self.running.insert(n, Running { child, ends: false })),
-                    Err(how) => self.book.enter(Seen::Gone { r: n, how }),
+                    Err(how) => self.event_log.record(Event::RelayExited { relay: n, reason: how }),
                 }
             }
             return;
@@ -116,7 +116,7 @@
 
     /// Kills a relay and hands over its process, which may take a moment to be gone.
     fn kill(&mut self, n: usize) -> Option<Child> {
-        self.book.enter(Seen::Act { verb: "kill".to_owned(), r: Some(n) });
+        self.event_log.record(Event::ProcessAction { action: "kill".to_owned(), relay: Some(n) });
         let mut running = self.running.remove(&n)?;
         let _ = running.child.start_kill();
         Some(running.child)
@@ -132,7 +132,7 @@
             "discovery": plan.list_for(n).to_string(),
             "seed": format!("{:x}", plan.seed ^ (n as u64) << 32 ^ *life),
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 1024},
-            "known": list::known(plan, n),
+            "known": discovery::initial_list(plan, n),
             "settings": settings(plan.told, n, "z", &["z".to_owned()]),
         });
         let path = plan.folder.join(format!("n{n}.json"));
@@ -173,7 +173,7 @@
         for (r, how, ends) in ended {
             self.running.remove(&r);
             if !ends {
-                self.book.enter(Seen::Gone { r, how });
+                self.event_log.record(Event::RelayExited { relay: r, reason: how });
             }
         }
     }
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -11,7 +11,7 @@
 use rustix::process::Signal;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::book::{Book, Line, Seen, read};
+use super::event_log::{Event, EventLog, Record, read_all};
 use super::process::Part;
 use super::script::{Script, Set, Step};
 use super::{MAX_ENDPOINTS, MAX_RELAYS, Plan};
@@ -25,7 +25,7 @@
 struct Fleet {
     testbed: PathBuf,
     plan: Plan,
-    book: Book,
+    event_log: EventLog,
     list: Option<Part>,
     cards: Vec<Option<Part>>,
     relays: Part,
@@ -58,24 +58,24 @@
     }
 }
 
-/// A day that was played: when it began, and all books up to its end.
-pub struct Played {
+/// A scenario run: when it began, and all event logs up to its end.
+pub struct ScenarioRun {
     /// Unix microseconds.
     pub began: u64,
-    /// The lines of all books. What came later is the end of all processes.
-    pub lines: Vec<Line>,
+    /// Records of all event logs until the processes were ended.
+    pub records: Vec<Record>,
 }
 
 /// Plays a script. `testbed` is the path of this program; `stop` ends the day early, which is an error.
 pub async fn play(
     plan: &Plan, script: &Script, testbed: PathBuf, stop: impl Future<Output = ()>,
-) -> Result<Played, String> {
+) -> Result<ScenarioRun, String> {
     if plan.relays == 0 || plan.relays > MAX_RELAYS || plan.cards == 0 || plan.cards > MAX_ENDPOINTS {
         return Err(format!("allowed are 1 to {MAX_RELAYS} relays and 1 to {MAX_ENDPOINTS} card servers"));
     }
     let mut plan = plan.clone();
     plan.links.clone_from(&script.links);
-    let book = Book::open(&plan.folder, "harness")?;
+    let event_log = EventLog::open(&plan.folder, "harness")?;
     let links = match plan.links.is_empty() {
         true => None,
         false => Some(Part::start(&testbed, "links", &plan).await?),
@@ -90,7 +90,7 @@
     let clients = Part::start(&testbed, "clients", &plan).await?;
     let (began, at) = (super::now(), Instant::now());
     let up = BTreeSet::new();
-    let mut fleet = Fleet { testbed, plan, book, list, cards, relays, clients, links, up };
+    let mut fleet = Fleet { testbed, plan, event_log, list, cards, relays, clients, links, up };
     let day = async {
         for (n, (due, step)) in script.steps.iter().enumerate() {
             sleep_until(at + *due).await;
@@ -108,9 +108,9 @@
     let (folder, ended) = (fleet.plan.folder.clone(), super::now());
     fleet.end().await;
     done?;
-    let mut lines = read(&folder)?;
-    lines.retain(|line| line.t <= ended);
-    Ok(Played { began, lines })
+    let mut records = read_all(&folder)?;
+    records.retain(|record| record.time_us <= ended);
+    Ok(ScenarioRun { began, records })
 }
 
 impl Fleet {
@@ -172,12 +172,12 @@
                 self.relays.send_command(&format!("loop {every} {length} {}", join(&chosen))).await;
             }
             Step::List(verb) => {
-                self.book.enter(Seen::Act { verb: format!("list {verb}"), r: None });
+                self.event_log.record(Event::ProcessAction { action: format!("list {verb}"), relay: None });
                 let (testbed, plan) = (self.testbed.clone(), self.plan.clone());
                 process(&mut self.list, verb, &testbed, "list", &plan).await?;
             }
             Step::ListFresh(fill) => {
-                self.book.enter(Seen::Act { verb: "list fresh".to_owned(), r: None });
+                self.event_log.record(Event::ProcessAction { action: "list fresh".to_owned(), relay: None });
                 let fill_ms = Some(fill.as_millis() as u64);
                 let plan = Plan { fill_ms, ..self.plan.clone() };
                 let testbed = self.testbed.clone();
--- a/crates/testbed/src/fleet/starts.rs
+++ b/crates/testbed/src/fleet/starts.rs
@@ -4,7 +4,7 @@
 
 use super::Held;
 use super::drawn;
-use super::report::Aims;
+use super::report::Expectations;
 use super::script::{Script, read};
 
 /// What goes wrong while the relays start.
@@ -117,8 +117,8 @@
         }
     }
 
-    /// What it promises.
-    pub fn aims(self) -> Aims {
+    /// Returns what a run of the scenario must meet.
+    pub fn expectations(self) -> Expectations {
         let down_s = match self {
             ColdStart::Down | ColdStart::Slow => 20.0,
             ColdStart::Deaf | ColdStart::Empty => 10.0,
@@ -126,6 +126,6 @@
         };
         // Where relays start again and again, each start has its own window; where the list fills, the day before counts.
         let judged = !matches!(self, ColdStart::Empty | ColdStart::Rolling | ColdStart::Drawn);
-        Aims { down_s, slack_s: judged.then_some(2.0), fills: self == ColdStart::Empty }
+        Expectations { down_s, slack_s: judged.then_some(2.0), fills: self == ColdStart::Empty }
     }
 }
--- a/crates/testbed/src/leases/far.rs
+++ b/crates/testbed/src/leases/far.rs
@@ -10,26 +10,26 @@
 use tokio::task::spawn_local;
 
 use crate::fleet::Plan;
-use crate::fleet::book::{Book, Seen};
+use crate::fleet::event_log::{Event, EventLog};
 
 type Tokens = Rc<RefCell<BTreeMap<String, u64>>>;
 
 /// Starts it. A line `TASK TOKEN ACT` is an effect; the answer is `taken` or `older`.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let book = Book::open(&plan.folder, "far")?;
-    book.watch_lag();
+    let event_log = EventLog::open(&plan.folder, "far")?;
+    event_log.record_scheduling_lag();
     let at = plan.far();
     let listener = TcpListener::bind(at).await.map_err(|e| format!("the far side at {at}: {e}"))?;
     let tokens = Tokens::default();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(serve(stream, book.clone(), tokens.clone()));
+            spawn_local(serve(stream, event_log.clone(), tokens.clone()));
         }
     });
     Ok(|_: &str| {})
 }
 
-async fn serve(stream: TcpStream, book: Book, tokens: Tokens) {
+async fn serve(stream: TcpStream, event_log: EventLog, tokens: Tokens) {
     let _ = stream.set_nodelay(true);
     let (from, mut to) = stream.into_split();
     let mut lines = BufReader::new(from).lines();
@@ -44,7 +44,12 @@
             *newest
         };
         let taken = token == newest || !task.starts_with("checked");
-        book.enter(Seen::Effect { task: task.to_owned(), token, act: act.to_owned(), taken });
+        event_log.record(Event::TaskEffect {
+            task: task.to_owned(),
+            token,
+            operation: act.to_owned(),
+            is_accepted: taken,
+        });
         let answer: &[u8] = if taken { b"taken\n" } else { b"older\n" };
         if to.write_all(answer).await.is_err() {
             return;
--- a/crates/testbed/src/leases/report.rs
+++ b/crates/testbed/src/leases/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::fleet::book::{Line, Seen};
+use crate::fleet::event_log::{Event, Record};
 
 /// The figures of a day.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -51,11 +51,11 @@
 
 impl Report {
     /// Counts a book's lines up to the day's end.
-    pub fn count(&mut self, lines: &[Line], ended: u64) {
+    pub fn count(&mut self, records: &[Record], ended: u64) {
         let mut tasks: BTreeMap<&str, Task> = BTreeMap::new();
-        for line in lines {
-            match &line.seen {
-                Seen::Effect { task, token, act, taken } => {
+        for record in records {
+            match &record.event {
+                Event::TaskEffect { task, token, operation: act, is_accepted: taken } => {
                     let checked = task.starts_with("checked");
                     let seen = tasks.entry(task).or_default();
                     self.effects += usize::from(*taken);
@@ -77,12 +77,12 @@
                         seen.newest = *token;
                     }
                     if seen.last > 0 {
-                        let gap = line.t.saturating_sub(seen.last) as f64 / 1e6;
+                        let gap = record.time_us.saturating_sub(seen.last) as f64 / 1e6;
                         self.longest_without_holder_s = self.longest_without_holder_s.max(gap);
                     }
-                    seen.last = line.t;
+                    seen.last = record.time_us;
                 }
-                Seen::Lag { us } => self.lag_ms = self.lag_ms.max(us / 1_000),
+                Event::SchedulingLag { lag_us } => self.lag_ms = self.lag_ms.max(lag_us / 1_000),
                 _ => {}
             }
         }
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::report::Report;
-use crate::fleet::book::{Book, Seen, read};
+use crate::fleet::event_log::{Event, EventLog, read_all};
 use crate::fleet::process::{Part, send_signal};
 use crate::fleet::{LeaseOptions, Plan, now};
 
@@ -56,7 +56,7 @@
     keepers: BTreeMap<usize, Running>,
     holders: BTreeMap<usize, Part>,
     links: Option<Part>,
-    book: Book,
+    event_log: EventLog,
     rng: Pcg64Mcg,
     faults: usize,
     /// Processor time of keepers that have ended.
@@ -117,15 +117,26 @@
 impl Day {
     async fn start(plan: Plan, testbed: PathBuf) -> Result<Day, String> {
         let direct = plan.leases_plan(&plan.leases_file(|to| plan.keeper(to)))?;
-        let book = Book::open(&plan.folder, "harness")?;
+        let event_log = EventLog::open(&plan.folder, "harness")?;
         let links = match plan.links.is_empty() {
             true => None,
             false => Some(Part::start(&testbed, "links", &plan).await?),
         };
         let rng = plan.rng(0x1ea5e);
         let (keepers, holders) = Default::default();
-        let mut day =
-            Day { plan, testbed, direct, keepers, holders, links, book, rng, faults: 0, cpu: 0.0, rss: 0.0 };
+        let mut day = Day {
+            plan,
+            testbed,
+            direct,
+            keepers,
+            holders,
+            links,
+            event_log,
+            rng,
+            faults: 0,
+            cpu: 0.0,
+            rss: 0.0,
+        };
         for number in 1..=day.plan.leases.servers {
             day.keeper(number, true).await?;
         }
@@ -193,7 +204,7 @@
 
     fn note(&mut self, verb: String) {
         self.faults += 1;
-        self.book.enter(Seen::Act { verb, r: None });
+        self.event_log.record(Event::ProcessAction { action: verb, relay: None });
     }
 
     fn leases(&self, parts: f64) -> Duration {
@@ -230,7 +241,7 @@
     }
 
     async fn links(&mut self, line: &str) {
-        self.book.enter(Seen::Act { verb: format!("link {line}"), r: None });
+        self.event_log.record(Event::ProcessAction { action: format!("link {line}"), relay: None });
         if let Some(links) = &mut self.links {
             links.send_command(line).await;
         }
@@ -418,8 +429,8 @@
         if let Some(links) = self.links.take() {
             links.end().await;
         }
-        let mut lines = read(&self.plan.folder)?;
-        lines.retain(|line| line.t <= ended);
+        let mut records = read_all(&self.plan.folder)?;
+        records.retain(|record| record.time_us <= ended);
         let name = clap::ValueEnum::to_possible_value(&scenario).map(|v| v.get_name().to_owned());
         let mut report = Report {
             scenario: name.unwrap_or_default(),
@@ -432,7 +443,7 @@
             faults: self.faults,
             ..Report::default()
         };
-        report.count(&lines, ended);
+        report.count(&records, ended);
         if scenario == Scenario::Fast {
             // Beyond the bound only a far side that checks tokens is promised anything.
             report.broken.retain(|what| !what.contains("overlapped"));
@@ -448,7 +459,10 @@
             }
         }
         let wanted = LeaseOptions::task_name(0);
-        if !lines.iter().any(|line| matches!(&line.seen, Seen::Effect { task, .. } if *task == wanted)) {
+        if !records
+            .iter()
+            .any(|record| matches!(&record.event, Event::TaskEffect { task, .. } if *task == wanted))
+        {
             report.broken.push(format!("nobody ever acted on {wanted}"));
         }
         Ok(report)
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -331,8 +331,8 @@
 
 async fn run_part(kind: PartKind) -> Result<(), String> {
     match kind {
-        PartKind::List => fleet::run_part(fleet::list::start).await,
-        PartKind::Cards => fleet::run_part(fleet::cards::start).await,
+        PartKind::List => fleet::run_part(fleet::discovery::start).await,
+        PartKind::Cards => fleet::run_part(fleet::endpoints::start).await,
         PartKind::Clients => fleet::run_part(fleet::clients::start).await,
         PartKind::Links => fleet::run_part(fleet::links::start).await,
         PartKind::Relays => fleet::run_part(fleet::relays::start).await,
@@ -481,8 +481,13 @@
     };
     let lab = std::env::current_exe().map_err(|e| format!("this program's place is unknown: {e}"))?;
     let day = fleet::run::play(&plan, &script, lab, interrupted()).await?;
-    let report =
-        fleet::report::report(&plan, args.scenario.name(), day.began, &day.lines, args.scenario.aims());
+    let report = fleet::analysis::analyze(
+        &plan,
+        args.scenario.name(),
+        day.began,
+        &day.records,
+        args.scenario.expectations(),
+    );
     if !report.broken.is_empty() && args.scenario == ColdStart::Drawn && args.faults.is_none() {
         let text = args.scenario.text(relays, args.call_ms, args.seed);
         eprintln!("seed {}; --faults with these lines replays the script:\n{text}", args.seed);
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -2,8 +2,9 @@
 
 use std::path::PathBuf;
 
-use honeyknot_testbed::fleet::book::{Line, Seen, Word};
-use honeyknot_testbed::fleet::report::{Aims, Report, report};
+use honeyknot_testbed::fleet::analysis::analyze;
+use honeyknot_testbed::fleet::event_log::{Answer, Event, Record};
+use honeyknot_testbed::fleet::report::{Expectations, Report};
 use honeyknot_testbed::fleet::run::{Net, play};
 use honeyknot_testbed::fleet::{Held, Plan, script};
 
@@ -18,11 +19,11 @@
 struct Day {
     seed: u64,
     text: &'static str,
-    aims: Aims,
+    aims: Expectations,
 }
 
 /// Plays a day of twelve relays that are told to be `told`; a whole list takes 20 ms.
-fn day(day: &Day, told: usize) -> (Report, Vec<Line>) {
+fn day(day: &Day, told: usize) -> (Report, Vec<Record>) {
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(day.seed).expect("free addresses");
     let plan = Plan {
@@ -47,28 +48,34 @@
     let never = std::future::pending();
     let played = tokio::task::LocalSet::new().block_on(&runtime, play(&plan, &script, lab, never));
     let played = played.expect("a day");
-    let report = report(&plan, "test", played.began, &played.lines, day.aims);
-    let lines = played.lines.into_iter().filter(|line| line.t >= played.began).collect();
+    let report = analyze(&plan, "test", played.began, &played.records, day.aims);
+    let lines = played.records.into_iter().filter(|line| line.time_us >= played.began).collect();
     (report, lines)
 }
 
 /// How often clients were answered so, from this second of the day on.
-fn answered(lines: &[Line], from: u64, answer: Word) -> usize {
-    let began = lines.first().map_or(0, |line| line.t);
-    let answers = lines.iter().filter(|line| line.t >= began + from * 1_000_000);
-    answers.filter(|line| matches!(&line.seen, Seen::Word { word, .. } if *word == answer)).count()
+fn answered(lines: &[Record], from: u64, answer: Answer) -> usize {
+    let began = lines.first().map_or(0, |line| line.time_us);
+    let answers = lines.iter().filter(|line| line.time_us >= began + from * 1_000_000);
+    answers
+        .filter(|line| matches!(&line.event, Event::ClientAnswer { answer: seen, .. } if *seen == answer))
+        .count()
 }
 
 /// A list service that starts anew with nothing, and says so under an older version, takes no card server away.
 #[test]
 fn a_list_service_that_starts_empty_costs_no_client_an_answer() {
     let text = "length 22s\nat 0s start relays * within 400ms\nat 4s list fresh 5s\n";
-    let aims = Aims { down_s: 5.0, slack_s: None, fills: true };
+    let aims = Expectations { down_s: 5.0, slack_s: None, fills: true };
     let (report, lines) = day(&Day { seed: 31, text, aims }, 12);
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
     assert!(report.list_last_s.is_some(), "all hold the filled list at last: {report:?}");
-    assert!(answered(&lines, 4, Word::Up) > 10, "{report:?}");
-    assert_eq!((answered(&lines, 4, Word::Busy), answered(&lines, 4, Word::Failed)), (0, 0), "{report:?}");
+    assert!(answered(&lines, 4, Answer::Established) > 10, "{report:?}");
+    assert_eq!(
+        (answered(&lines, 4, Answer::Rejected), answered(&lines, 4, Answer::Failed)),
+        (0, 0),
+        "{report:?}"
+    );
 }
 
 /// Deaf, reset, cut one way: everybody has the list soon after, and nobody sends to a card server that drains.
@@ -78,7 +85,7 @@
                 at 0s link list/8-11 cut back\nat 4s link list/* clear\n\
                 at 15s list state 0 leaving\nat 15800ms card 0 drain\n";
     // A watch that was deaf is given up after 9.25 s at the latest.
-    let aims = Aims { down_s: 8.0, slack_s: Some(2.0), fills: false };
+    let aims = Expectations { down_s: 8.0, slack_s: Some(2.0), fills: false };
     let (report, _) = day(&Day { seed: 32, text, aims }, 12);
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
     assert!(report.served > 90, "{report:?}");
@@ -91,7 +98,7 @@
     let text = "length 22s\nat 0s list down\nat 0s start relays * within 400ms\nat 4s list up\n\
                 at 9s loop relays 11 1s 8s\nat 12s stop relays 0-10\nat 15s cont relays 0-10\n";
     // A wait after a refused call is up to 4.3 s long.
-    let aims = Aims { down_s: 6.0, slack_s: Some(2.0), fills: false };
+    let aims = Expectations { down_s: 6.0, slack_s: Some(2.0), fills: false };
     let (report, _) = day(&Day { seed: 33, text, aims }, 120);
     assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -6,8 +6,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use honeyknot_testbed::fleet::book::{Asked, End, Line, Seen, Word};
-use honeyknot_testbed::fleet::report::{Aims, Report, report};
+use honeyknot_testbed::fleet::analysis::analyze;
+use honeyknot_testbed::fleet::event_log::{Answer, Event, Record, RequestKind, RequestOutcome};
+use honeyknot_testbed::fleet::report::{Expectations, Report};
 use honeyknot_testbed::fleet::run::Net;
 use honeyknot_testbed::fleet::starts::ColdStart;
 use honeyknot_testbed::fleet::{Held, Link, Plan, script};
@@ -35,53 +36,90 @@
 
 const S: u64 = 1_000_000;
 
-fn told(t: u64, r: usize, kind: Asked, end: End) -> Line {
-    Line { t, seen: Seen::Call { r, kind, came: t, work: 20_000, end, v: 42, queue: 0, first: true } }
+fn told(t: u64, r: usize, kind: RequestKind, end: RequestOutcome) -> Record {
+    Record {
+        time_us: t,
+        event: Event::DiscoveryRequest {
+            relay: r,
+            kind,
+            received_at_us: t,
+            work_us: 20_000,
+            outcome: end,
+            version: 42,
+            queue_length: 0,
+            is_first_pass: true,
+        },
+    }
 }
 
-fn act(t: u64, verb: &str, r: usize) -> Line {
-    Line { t, seen: Seen::Act { verb: verb.into(), r: Some(r) } }
+fn act(t: u64, verb: &str, r: usize) -> Record {
+    Record { time_us: t, event: Event::ProcessAction { action: verb.into(), relay: Some(r) } }
 }
 
-fn word(t: u64, r: usize, id: &str, word: Word) -> [Line; 2] {
+fn word(t: u64, r: usize, id: &str, word: Answer) -> [Record; 2] {
     let id = id.to_owned();
     [
-        Line { t: t - 1_000, seen: Seen::Ask { r, id: id.clone() } },
-        Line { t, seen: Seen::Word { r, id, word } },
+        Record { time_us: t - 1_000, event: Event::ClientRequest { relay: r, id: id.clone() } },
+        Record { time_us: t, event: Event::ClientAnswer { relay: r, id, answer: word } },
     ]
 }
 
 /// A day on which all goes well.
-fn good() -> Vec<Line> {
+fn good() -> Vec<Record> {
     let mut lines = vec![act(S, "start", 0), act(S, "start", 1)];
-    lines.extend([0, 1].map(|r| told(2 * S, r, Asked::Whole, End::Told)));
-    lines.extend([0, 1].into_iter().flat_map(|r| word(5 * S, r, &format!("{r}-1-{r}"), Word::Up)));
+    lines.extend([0, 1].map(|r| told(2 * S, r, RequestKind::FullList, RequestOutcome::Answered)));
+    lines.extend([0, 1].into_iter().flat_map(|r| word(5 * S, r, &format!("{r}-1-{r}"), Answer::Established)));
     lines
 }
 
-fn judged(more: Vec<Line>) -> Report {
+fn judged(more: Vec<Record>) -> Report {
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(1).expect("free addresses");
     let mut lines = good();
     lines.extend(more);
-    lines.sort_by_key(|line| line.t);
-    let aims = Aims { down_s: 0.0, slack_s: Some(2.0), fills: false };
-    report(&plan(folder.path(), 1, &net), "planted", S, &lines, aims)
+    lines.sort_by_key(|line| line.time_us);
+    let aims = Expectations { down_s: 0.0, slack_s: Some(2.0), fills: false };
+    analyze(&plan(folder.path(), 1, &net), "planted", S, &lines, aims)
 }
 
 #[test]
 fn every_broken_promise_is_seen() {
     let well = judged(Vec::new());
     assert_eq!((well.broken, well.alive, well.served), (Vec::<String>::new(), 2, 2));
-    let first = |t, s, id: &str| Line { t, seen: Seen::First { s, id: id.into() } };
-    let answer = |t, s, id: &str| Line { t, seen: Seen::Answer { s, id: id.into(), up: false } };
-    let leaves = Line { t: S + 1, seen: Seen::Version { v: 42, s: 3, state: "leaving".into() } };
-    let card = |worst, fallen| Line { t: 6 * S, seen: Seen::Card { s: 1, open: 1, x0: 0.1, worst, fallen } };
-    let planted: Vec<(Vec<Line>, &str)> = vec![
-        (vec![Line { t: 9 * S, seen: Seen::Gone { r: 1, how: "signal".into() } }], "ended by itself"),
-        (word(8 * S, 1, "9-1-1", Word::Nothing).to_vec(), "without an answer"),
-        (vec![Line { t: 8 * S, seen: Seen::Twice { id: "0-1-0".into() } }], "second answers"),
-        (vec![Line { t: 8 * S, seen: Seen::Ended { r: 0, well: false } }], "cut off"),
+    let first =
+        |t, s, id: &str| Record { time_us: t, event: Event::AttemptStarted { endpoint: s, id: id.into() } };
+    let answer = |t, s, id: &str| Record {
+        time_us: t,
+        event: Event::AttemptEnded { endpoint: s, id: id.into(), is_established: false },
+    };
+    let leaves = Record {
+        time_us: S + 1,
+        event: Event::ListVersion { version: 42, endpoint: 3, state: "leaving".into() },
+    };
+    let card = |worst, fallen| Record {
+        time_us: 6 * S,
+        event: Event::EndpointState {
+            endpoint: 1,
+            open_connections: 1,
+            utilization: 0.1,
+            max_overload: worst,
+            has_failed: fallen,
+        },
+    };
+    let planted: Vec<(Vec<Record>, &str)> = vec![
+        (
+            vec![Record { time_us: 9 * S, event: Event::RelayExited { relay: 1, reason: "signal".into() } }],
+            "ended by itself",
+        ),
+        (word(8 * S, 1, "9-1-1", Answer::TimedOut).to_vec(), "without an answer"),
+        (
+            vec![Record { time_us: 8 * S, event: Event::DuplicateAnswer { id: "0-1-0".into() } }],
+            "second answers",
+        ),
+        (
+            vec![Record { time_us: 8 * S, event: Event::ConnectionEnded { relay: 0, is_expected: false } }],
+            "cut off",
+        ),
         (vec![first(4 * S, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0")], "overlapping"),
         (
             vec![first(4 * S, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0"), answer(5 * S, 0, "5-1-0")],
@@ -91,19 +129,19 @@
         (vec![card(3.2, false)], "times a cold card server's capacity"),
         (vec![card(1.0, true)], "fell over"),
         (vec![act(3 * S, "start", 0)], "the last list"),
-        (vec![told(8 * S, 0, Asked::Changes, End::Unawaited)], "for nothing"),
-        (vec![told(8 * S, 0, Asked::Whole, End::Told)], "whole lists"),
+        (vec![told(8 * S, 0, RequestKind::Changes, RequestOutcome::Abandoned)], "for nothing"),
+        (vec![told(8 * S, 0, RequestKind::FullList, RequestOutcome::Answered)], "whole lists"),
     ];
     for (lines, what) in planted {
         let broken = judged(lines).broken;
         assert!(broken.iter().any(|b| b.contains(what)), "`{what}` is not among {broken:?}");
     }
     // What looks alike and is not wrong.
-    let fine: Vec<Vec<Line>> = vec![
+    let fine: Vec<Vec<Record>> = vec![
         vec![first(4 * S, 0, "5-1-0"), answer(4 * S + 5, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0")],
         vec![leaves, first(2 * S + 400_000, 3, "5-1-0")],
         [
-            word(8 * S, 1, "9-1-1", Word::Nothing).to_vec(),
+            word(8 * S, 1, "9-1-1", Answer::TimedOut).to_vec(),
             vec![act(7 * S, "stop", 1), act(12 * S, "cont", 1)],
         ]
         .concat(),
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use honeyknot_testbed::fleet::book::{Line, Seen, Word};
-use honeyknot_testbed::fleet::run::{Net, Played, play};
+use honeyknot_testbed::fleet::event_log::{Answer, Event, Record};
+use honeyknot_testbed::fleet::run::{Net, ScenarioRun, play};
 use honeyknot_testbed::fleet::{Held, Plan, script};
 
 const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
@@ -16,7 +16,7 @@
     Path::new(LAB).with_file_name("honeyknot-relay")
 }
 
-fn day(relays: usize, neighbors: bool, text: &str) -> Played {
+fn day(relays: usize, neighbors: bool, text: &str) -> ScenarioRun {
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(relays as u64).expect("free addresses");
     let plan = Plan {
@@ -43,18 +43,19 @@
 }
 
 /// Probes at the card servers from one time of the day to another, in seconds.
-fn probes(played: &Played, from: u64, to: u64) -> usize {
+fn probes(played: &ScenarioRun, from: u64, to: u64) -> usize {
     let span = played.began + from * S..played.began + to * S;
-    let probe = |line: &&Line| matches!(line.seen, Seen::Probe { .. }) && span.contains(&line.t);
-    played.lines.iter().filter(probe).count()
+    let probe =
+        |line: &&Record| matches!(line.event, Event::HealthCheck { .. }) && span.contains(&line.time_us);
+    played.records.iter().filter(probe).count()
 }
 
 /// Card servers that were probed in that time.
-fn probed(played: &Played, from: u64, to: u64) -> BTreeMap<usize, usize> {
+fn probed(played: &ScenarioRun, from: u64, to: u64) -> BTreeMap<usize, usize> {
     let span = played.began + from * S..played.began + to * S;
     let mut all = BTreeMap::new();
-    for line in played.lines.iter().filter(|line| span.contains(&line.t)) {
-        if let Seen::Probe { s } = line.seen {
+    for line in played.records.iter().filter(|line| span.contains(&line.time_us)) {
+        if let Event::HealthCheck { endpoint: s } = line.event {
             *all.entry(s).or_default() += 1;
         }
     }
@@ -62,10 +63,10 @@
 }
 
 /// Sessions that were brought up, and second answers to clients.
-fn served(played: &Played) -> (usize, usize) {
-    let up = |line: &&Line| matches!(line.seen, Seen::Word { word: Word::Up, .. });
-    let twice = |line: &&Line| matches!(line.seen, Seen::Twice { .. });
-    (played.lines.iter().filter(up).count(), played.lines.iter().filter(twice).count())
+fn served(played: &ScenarioRun) -> (usize, usize) {
+    let up = |line: &&Record| matches!(line.event, Event::ClientAnswer { answer: Answer::Established, .. });
+    let twice = |line: &&Record| matches!(line.event, Event::DuplicateAnswer { .. });
+    (played.records.iter().filter(up).count(), played.records.iter().filter(twice).count())
 }
 
 /// Three witnesses a card server ask it every 0.8 s, 3.75 times a second, and what relays ask while they are strangers. The bounds
