--- a/crates/testbed/src/fleet/starts.rs
+++ b/crates/testbed/src/fleet/cold_start.rs
@@ -1,39 +1,39 @@
-//! The days of a cold start: scripts that are built in, and what each promises.
+//! Cold-start scenarios: their fault scripts and what a run of each must meet.
 
 use std::fmt::Write;
 
 use super::Held;
-use super::drawn;
+use super::generated_script::generate;
 use super::report::Expectations;
 use super::script::{Script, read};
 
-/// What goes wrong while the relays start.
+/// A scenario of faults while all relays start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ColdStart {
-    /// Nothing: all relays start within 0.4 s with an old list.
+    /// No faults: all relays start within 0.4 s with an old list.
     Healthy,
-    /// They hold no list.
+    /// Relays start without a list.
     NoList,
-    /// Half of the card servers in their list are dead.
+    /// Half of the endpoints in the relays' list no longer exist.
     Stale,
-    /// The list service is down for the first 20 s.
+    /// Discovery is down for the first 20 s.
     Down,
-    /// A list takes 400 ms for the first 20 s, and calls are worked on however long they have waited.
+    /// A full list takes 400 ms for the first 20 s, and requests are never rejected.
     Slow,
-    /// The list service is silent to a third, resets another, and its answers to the last are lost, for 10 s.
+    /// For 10 s discovery is silent to a third of the relays, resets another third, and its answers to the rest are lost.
     Deaf,
-    /// The list service starts again with an empty list and fills it over 10 s.
+    /// Discovery restarts with an empty list and fills it over 10 s.
     Empty,
-    /// All relays are restarted, a tenth at a time; another tenth dies and starts each second meanwhile.
+    /// A rolling restart of all relays, a tenth at a time, while another tenth is killed and started each second.
     Rolling,
-    /// All relays are stopped for 8 s and go on together.
+    /// All relays are stopped for 8 s and continue together.
     Stopped,
-    /// Three to six faults drawn from the seed; a day that breaks a promise tells the script that replays it.
+    /// Three to six faults generated from the seed; a failed run prints the script that replays it.
     Drawn,
 }
 
 impl ColdStart {
-    /// Its name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             ColdStart::Healthy => "healthy",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What relays hold at their start.
+    /// Returns the list that relays hold at their start.
     pub fn held(self) -> Held {
         match self {
             ColdStart::NoList => Held::Nothing,
@@ -58,12 +58,16 @@
         }
     }
 
-    /// The script for so many relays, a whole list taking so many milliseconds.
+    /// Parses the script for a number of relays and the work of a full list in milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// The faults of the script; a scenario's script has none.
     pub fn script(self, relays: usize, call_ms: u64, seed: u64) -> Result<Script, String> {
         read(&format!("the day `{}`", self.name()), &self.text(relays, call_ms, seed))
     }
 
-    /// The text of that script.
+    /// Returns the text of that script.
     pub fn text(self, relays: usize, call_ms: u64, seed: u64) -> String {
         let work = relays as u64 * call_ms / 1_000;
         let (third, last) = (relays / 3, relays.saturating_sub(1));
@@ -72,7 +76,7 @@
             |at: u64| format!("at {at}s list state 0 leaving\nat {}ms card 0 drain", at * 1_000 + 800);
         let settled = 14 + 2 * work;
         match self {
-            ColdStart::Drawn => drawn::draw(seed, relays, call_ms),
+            ColdStart::Drawn => generate(seed, relays, call_ms),
             ColdStart::Healthy | ColdStart::NoList | ColdStart::Stale => {
                 format!("length {}s\n{start}\n{}", settled + 10, drain(settled))
             }
@@ -124,8 +128,8 @@
             ColdStart::Deaf | ColdStart::Empty => 10.0,
             _ => 0.0,
         };
-        // Where relays start again and again, each start has its own window; where the list fills, the day before counts.
-        let judged = !matches!(self, ColdStart::Empty | ColdStart::Rolling | ColdStart::Drawn);
-        Expectations { down_s, slack_s: judged.then_some(2.0), fills: self == ColdStart::Empty }
+        // Relays that start repeatedly, or a list that fills during the run, have no single time to the list.
+        let is_time_checked = !matches!(self, ColdStart::Empty | ColdStart::Rolling | ColdStart::Drawn);
+        Expectations { down_s, slack_s: is_time_checked.then_some(2.0), fills: self == ColdStart::Empty }
     }
 }
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy as a process: links between any two parts, steered while they run.
+//! The fault proxy as a process: links between any two parts, whose faults are changed while they run.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,40 +15,44 @@
 use super::event_log::EventLog;
 use super::{Link, Plan};
 
-/// What is wrong with a link. The default is a sound one.
+/// The faults of a link; the default has none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fault {
-    /// Each piece is this late, drawn evenly from the span, in milliseconds.
+pub struct LinkFaults {
+    /// Range of a uniformly distributed delay of each read, in milliseconds.
     pub delay: Option<(u64, u64)>,
-    /// Pieces get lost, with this chance, and come after this many milliseconds: what TCP makes of loss.
+    /// Probability of a loss and the time until TCP has sent the data again, in milliseconds.
     pub loss: Option<(f64, u64)>,
-    /// Open and silent, both ways.
+    /// Connections stay open and carry nothing both ways.
     pub hole: bool,
-    /// Nothing passes from the dialling side on.
+    /// Nothing is carried from the connecting side.
     pub cut_there: bool,
-    /// Nothing passes back to the dialling side.
+    /// Nothing is carried to the connecting side.
     pub cut_back: bool,
     /// New connections are refused.
     pub refuse: bool,
-    /// A connection is reset after so many bytes.
+    /// Number of bytes after which a connection is reset.
     pub reset: Option<u64>,
-    /// The far side's connection ends, the near one stays open and silent.
+    /// Upstream connections are closed, downstream ones stay open and silent.
     pub half: bool,
-    /// Bytes a second.
+    /// Rate limit in bytes per second.
     pub rate: Option<u64>,
-    /// Pieces of this many bytes.
+    /// Maximum number of bytes carried at once.
     pub drip: Option<usize>,
 }
 
-impl Fault {
-    /// Adds what a script's words say to what is wrong already.
+impl LinkFaults {
+    /// Adds the fault that a script names, or clears all.
+    ///
+    /// # Errors
+    ///
+    /// A message if the words name no fault or a value is out of range.
     pub fn add(&mut self, words: &[&str]) -> Result<(), String> {
         let number = |text: &str, unit: &str| -> Result<u64, String> {
             let digits = text.strip_suffix(unit).ok_or_else(|| format!("{text}: a number with `{unit}`"))?;
             digits.parse().map_err(|_| format!("{text}: a whole number with `{unit}`"))
         };
         match words {
-            ["clear"] => *self = Fault::default(),
+            ["clear"] => *self = LinkFaults::default(),
             ["delay", from, to] => {
                 let (from, to) = (number(from, "ms")?, number(to, "ms")?);
                 if from > to {
@@ -83,15 +87,19 @@
     }
 }
 
-type Faults = watch::Sender<Fault>;
+type FaultSender = watch::Sender<LinkFaults>;
 
-/// Starts the links. Steered by: `PATTERN FAULT`, such as `list/0-99 hole`.
+/// Starts the links. Command: `PATTERN FAULT`, such as `list/0-99 hole`.
+///
+/// # Errors
+///
+/// A message if the event log cannot be opened or an address is in use.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "links")?;
     event_log.record_scheduling_lag();
-    let mut links: BTreeMap<Link, Faults> = BTreeMap::new();
+    let mut links: BTreeMap<Link, FaultSender> = BTreeMap::new();
     for link in plan.all_links() {
-        let faults = watch::Sender::new(Fault::default());
+        let faults = watch::Sender::new(LinkFaults::default());
         let (at, _) = plan.link(link);
         let listener = TcpListener::bind(at).await.map_err(|e| format!("a link at {at}: {e}"))?;
         spawn_local(listen(plan.clone(), link, listener, faults.subscribe()));
@@ -112,7 +120,7 @@
     })
 }
 
-async fn listen(plan: Plan, link: Link, listener: TcpListener, mut faults: watch::Receiver<Fault>) {
+async fn listen(plan: Plan, link: Link, listener: TcpListener, mut faults: watch::Receiver<LinkFaults>) {
     let (at, to) = plan.link(link);
     let mut listener = Some(listener);
     let mut serial = 0u64;
@@ -124,10 +132,10 @@
             }
             continue;
         }
-        let door = match listener.take() {
-            Some(door) => door,
+        let accepting = match listener.take() {
+            Some(bound) => bound,
             None => match TcpListener::bind(at).await {
-                Ok(door) => door,
+                Ok(bound) => bound,
                 Err(_) => {
                     sleep(Duration::from_millis(20)).await;
                     continue;
@@ -135,14 +143,14 @@
             },
         };
         tokio::select! {
-            came = door.accept() => if let Ok((near, _)) = came {
+            accepted = accepting.accept() => if let Ok((downstream, _)) = accepted {
                 serial += 1;
                 let salt = (at.port() as u64) << 48 ^ serial << 32 ^ u64::from(u32::from_be_bytes(octets(at)));
-                spawn_local(pass(plan.clone(), salt, near, to, faults.clone()));
+                spawn_local(proxy_connection(plan.clone(), salt, downstream, to, faults.clone()));
             },
             _ = faults.changed() => {}
         }
-        listener = Some(door);
+        listener = Some(accepting);
     }
 }
 
@@ -153,28 +161,38 @@
     }
 }
 
-/// One connection.
-async fn pass(
-    plan: Plan, salt: u64, near: TcpStream, to: std::net::SocketAddr, mut faults: watch::Receiver<Fault>,
+/// Carries one connection until it ends.
+async fn proxy_connection(
+    plan: Plan, salt: u64, downstream: TcpStream, to: std::net::SocketAddr,
+    mut faults: watch::Receiver<LinkFaults>,
 ) {
-    let _ = near.set_nodelay(true);
-    // A hole holds the connection open before anybody is dialled.
+    let _ = downstream.set_nodelay(true);
+    // With this fault the connection is kept open and no upstream connection is made.
     if faults.wait_for(|f| !f.hole).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else {
-        let _ = near.set_zero_linger();
+    let Ok(upstream) = TcpStream::connect(to).await else {
+        let _ = downstream.set_zero_linger();
         return;
     };
-    let _ = far.set_nodelay(true);
-    let passed = Rc::new(RefCell::new(0u64));
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let there = Way { there: true, faults: faults.clone(), passed: passed.clone(), rng: plan.rng(salt) };
-    let back = Way { there: false, faults: faults.clone(), passed, rng: plan.rng(salt ^ 1) };
-    let (mut near_in, mut near_out, mut far_in, mut far_out) = (near_in, near_out, far_in, far_out);
+    let _ = upstream.set_nodelay(true);
+    let carried_bytes = Rc::new(RefCell::new(0u64));
+    let (downstream_read, downstream_write) = downstream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let there = Direction {
+        there: true,
+        faults: faults.clone(),
+        carried_bytes: carried_bytes.clone(),
+        rng: plan.rng(salt),
+    };
+    let back = Direction { there: false, faults: faults.clone(), carried_bytes, rng: plan.rng(salt ^ 1) };
+    let (mut downstream_read, mut downstream_write, mut upstream_read, mut upstream_write) =
+        (downstream_read, downstream_write, upstream_read, upstream_write);
     let both = async {
-        tokio::try_join!(there.carry(&mut near_in, &mut far_out), back.carry(&mut far_in, &mut near_out))
+        tokio::try_join!(
+            there.carry(&mut downstream_read, &mut upstream_write),
+            back.carry(&mut upstream_read, &mut downstream_write)
+        )
     };
     let done = tokio::select! {
         done = both => Some(done),
@@ -183,42 +201,42 @@
     match done {
         Some(Ok(_)) => {}
         Some(Err(_)) => {
-            for out in [near_out, far_out] {
+            for out in [downstream_write, upstream_write] {
                 let _ = out.as_ref().set_zero_linger();
-                // Dropped as it is, it would end its way in order before the reset.
+                // A plain drop would shut the stream down in order before the reset.
                 out.forget();
             }
         }
         None => {
-            drop((far_in, far_out));
-            // The near side stays open and silent until the fault is over.
+            drop((upstream_read, upstream_write));
+            // The downstream connection stays open and silent until the fault is cleared.
             let _ = faults.wait_for(|f| !f.half).await;
         }
     }
 }
 
-/// One way of a connection.
-struct Way {
+/// One direction of a connection.
+struct Direction {
     there: bool,
-    faults: watch::Receiver<Fault>,
-    passed: Rc<RefCell<u64>>,
+    faults: watch::Receiver<LinkFaults>,
+    carried_bytes: Rc<RefCell<u64>>,
     rng: rand_pcg::Pcg64Mcg,
 }
 
-impl Way {
-    /// Carries all bytes on; an error is a reset.
+impl Direction {
+    /// Carries all bytes until the end of the stream; an error resets the connection.
     async fn carry(
         mut self, from: &mut (impl AsyncRead + Unpin), to: &mut (impl AsyncWrite + Unpin),
     ) -> std::io::Result<()> {
         let mut bytes = vec![0; 16 << 10];
         loop {
-            let most = self.faults.borrow().drip.unwrap_or(bytes.len()).min(bytes.len());
-            let n = from.read(&mut bytes[..most]).await?;
+            let max_bytes = self.faults.borrow().drip.unwrap_or(bytes.len()).min(bytes.len());
+            let n = from.read(&mut bytes[..max_bytes]).await?;
             if n == 0 {
                 return to.shutdown().await;
             }
             let there = self.there;
-            let open = |f: &Fault| !f.hole && !if there { f.cut_there } else { f.cut_back };
+            let open = |f: &LinkFaults| !f.hole && !if there { f.cut_there } else { f.cut_back };
             let fault = match self.faults.wait_for(open).await {
                 Ok(fault) => fault.clone(),
                 Err(_) => return Ok(()),
@@ -234,8 +252,8 @@
             if !wait.is_zero() {
                 sleep(wait).await;
             }
-            *self.passed.borrow_mut() += n as u64;
-            if fault.reset.is_some_and(|most| *self.passed.borrow() > most) {
+            *self.carried_bytes.borrow_mut() += n as u64;
+            if fault.reset.is_some_and(|limit| *self.carried_bytes.borrow() > limit) {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             to.write_all(&bytes[..n]).await?;
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/generated_script.rs
@@ -1,4 +1,4 @@
-//! Days whose faults are drawn from a seed, as scripts that replay them.
+//! Fault scripts generated from a seed.
 
 use std::fmt::Write;
 
@@ -6,23 +6,24 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Faults begin from this second on, and all are over by `QUIET` seconds before the day's end.
-const FROM: u64 = 6;
-/// See [`FROM`]. Long enough for the longest wait after a failed call, and a watch.
-const QUIET: u64 = 45;
-/// Faults overlap within this many seconds.
-const SPAN: u64 = 20;
+/// Second of the run at which the first fault may begin.
+const FIRST_FAULT_S: u64 = 6;
+/// Seconds without faults at the end of a run: the longest backoff of a relay and a watch.
+const RECOVERY_S: u64 = 45;
+/// Seconds within which all faults begin and end.
+const FAULTS_S: u64 = 20;
 
-/// The script of a seed, for so many relays.
-pub fn draw(seed: u64, relays: usize, call_ms: u64) -> String {
+/// Generates the script of a seed for a number of relays and the work of a full list in milliseconds.
+pub fn generate(seed: u64, relays: usize, call_ms: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xd4a7);
-    let mut text = format!("length {}s\nat 0s start relays * within 400ms\n", FROM + SPAN + QUIET);
+    let mut text =
+        format!("length {}s\nat 0s start relays * within 400ms\n", FIRST_FAULT_S + FAULTS_S + RECOVERY_S);
     let kinds =
         ["down", "cost", "mute", "hole", "cut", "reset", "delay", "kill", "stop", "loop", "slow-cards"];
     let (mut list_is_down, mut stopped) = (false, false);
     for _ in 0..rng.random_range(3..=6) {
-        let begin = rng.random_range(FROM * 1_000..(FROM + SPAN / 2) * 1_000);
-        let end = begin + rng.random_range(500..SPAN * 500);
+        let begin = rng.random_range(FIRST_FAULT_S * 1_000..(FIRST_FAULT_S + FAULTS_S / 2) * 1_000);
+        let end = begin + rng.random_range(500..FAULTS_S * 500);
         let from = rng.random_range(0..relays);
         let to = rng.random_range(from..relays);
         let part = rng.random_range(10..=70);
@@ -30,7 +31,7 @@
             let _ = writeln!(text, "at {at}ms {what}");
         };
         match kinds.choose(&mut rng).copied().unwrap_or("down") {
-            // One process is killed or stopped once a day: two faults on it would end each other.
+            // At most one such fault a run: the end of one would end the other.
             "down" if !list_is_down => {
                 list_is_down = true;
                 line(begin, "list down".into());
@@ -70,7 +71,7 @@
             }
         }
     }
-    // What is over is over for all: a killed relay whose start came before its kill, a link that was cleared in part.
-    let _ = write!(text, "at {0}s link list/* clear\nat {0}s start relays dead\n", FROM + SPAN);
+    // Faults that overlap may leave a relay killed or a link faulty; both end here.
+    let _ = write!(text, "at {0}s link list/* clear\nat {0}s start relays dead\n", FIRST_FAULT_S + FAULTS_S);
     text
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -11,13 +11,14 @@
 
 pub mod analysis;
 pub mod clients;
+pub mod cold_start;
 pub mod discovery;
-pub mod drawn;
 pub mod endpoints;
 pub mod event_log;
+pub mod fault_proxy;
+mod generated_script;
 pub mod lease_options;
 pub mod link;
-pub mod links;
 pub mod plan;
 pub mod process;
 mod relay_history;
@@ -25,7 +26,6 @@
 pub mod report;
 pub mod run;
 pub mod script;
-pub mod starts;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -1,8 +1,9 @@
-//! The relays' processes, and the one process that starts, stops and ends them.
+//! The relays' processes, and the one process that starts, stops and kills them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::fs::OpenOptions;
+use std::fs::{File, OpenOptions};
+use std::path::PathBuf;
 use std::process::Stdio;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,138 +19,148 @@
 use super::{Plan, discovery};
 use crate::world::relays::settings;
 
-/// How often it is looked whether a relay has ended by itself.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the supervisor checks for relays that have exited by themselves.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Duration that stands in for one that a `loop` command does not give, in milliseconds.
+const DEFAULT_LOOP_MS: u64 = 1_000;
+/// Environment variables that would change a relay's configuration.
+const CLEARED_VARIABLES: [&str; 6] = [
+    "EDGE_NAME",
+    "EDGE_LISTEN",
+    "EDGE_DISCOVERY",
+    "EDGE_ADMIN_ADDR",
+    "HONEYKNOT_SITES",
+    "HONEYKNOT_NEIGHBORS",
+];
 
-struct Warden {
+/// Starts, signals and watches the relays' processes.
+struct Supervisor {
     plan: Plan,
     event_log: EventLog,
-    running: BTreeMap<usize, Running>,
-    lives: BTreeMap<usize, u64>,
+    running: BTreeMap<usize, RunningRelay>,
+    /// Number of starts of each relay, which seeds its random draws.
+    starts: BTreeMap<usize, u64>,
 }
 
-struct Running {
+struct RunningRelay {
     child: Child,
-    /// It has been told to end.
-    ends: bool,
+    /// Whether it was sent SIGTERM.
+    is_terminating: bool,
 }
 
-type Shared = Rc<RefCell<Warden>>;
+type SharedSupervisor = Rc<RefCell<Supervisor>>;
 
-/// Starts the warden. Steered by `VERB N,N,...` with start, kill, stop, cont and term; by `loop EVERY_MS FOR_MS N,N,...`,
-/// which kills and starts again; and by `end`, after which no relay is left.
+/// Starts the supervisor. Commands: `ACTION N,N,...` with start, kill, stop, cont and term; `loop INTERVAL_MS DURATION_MS N,N,...`,
+/// which kills and starts again; `end`, which kills all relays.
+///
+/// # Errors
+///
+/// A message if the event log cannot be opened.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "relays")?;
-    let (running, lives) = Default::default();
-    let warden = Rc::new(RefCell::new(Warden { plan, event_log, running, lives }));
-    let looked = warden.clone();
-    spawn_local(async move {
-        loop {
-            sleep(LOOK).await;
-            looked.borrow_mut().look();
-        }
-    });
-    Ok(move |line: &str| {
-        let words: Vec<&str> = line.split(' ').collect();
-        let numbers = |text: &str| -> Vec<usize> { text.split(',').filter_map(|n| n.parse().ok()).collect() };
-        match words[..] {
-            ["end"] => warden.borrow_mut().end(),
-            [verb @ ("start" | "kill" | "stop" | "cont" | "term"), set] => {
-                for n in numbers(set) {
-                    warden.borrow_mut().act(verb, n);
-                }
+    let (running, starts) = Default::default();
+    let supervisor = Rc::new(RefCell::new(Supervisor { plan, event_log, running, starts }));
+    spawn_local(watch_exits(supervisor.clone()));
+    Ok(move |line: &str| handle_command(&supervisor, line))
+}
+
+async fn watch_exits(supervisor: SharedSupervisor) {
+    loop {
+        sleep(EXIT_CHECK_INTERVAL).await;
+        supervisor.borrow_mut().record_exits();
+    }
+}
+
+fn handle_command(supervisor: &SharedSupervisor, line: &str) {
+    let relays = |text: &str| -> Vec<usize> { text.split(',').filter_map(|n| n.parse().ok()).collect() };
+    let duration = |text: &str| Duration::from_millis(text.parse().unwrap_or(DEFAULT_LOOP_MS));
+    match line.split(' ').collect::<Vec<_>>()[..] {
+        ["end"] => supervisor.borrow_mut().kill_all(),
+        [action @ ("start" | "kill" | "stop" | "cont" | "term"), set] => {
+            for relay in relays(set) {
+                supervisor.borrow_mut().act(action, relay);
             }
-            ["loop", every, length, set] => {
-                let ms = |text: &str| Duration::from_millis(text.parse().unwrap_or(1_000));
-                for n in numbers(set) {
-                    spawn_local(crash_loop(warden.clone(), n, ms(every), Instant::now() + ms(length)));
-                }
+        }
+        ["loop", interval, length, set] => {
+            for relay in relays(set) {
+                let until = Instant::now() + duration(length);
+                spawn_local(crash_loop(supervisor.clone(), relay, duration(interval), until));
             }
-            _ => eprintln!("relays: unknown: {line}"),
         }
-    })
+        _ => eprintln!("relays: unknown: {line}"),
+    }
 }
 
-async fn crash_loop(warden: Shared, n: usize, every: Duration, until: Instant) {
+async fn crash_loop(supervisor: SharedSupervisor, relay: usize, interval: Duration, until: Instant) {
     while Instant::now() < until {
-        // The address is free only once the process is gone.
-        let killed = warden.borrow_mut().kill(n);
+        // The address is free only once the process has ended.
+        let killed = supervisor.borrow_mut().kill(relay);
         if let Some(mut child) = killed {
             let _ = child.wait().await;
         }
-        warden.borrow_mut().act("start", n);
-        sleep(every).await;
+        supervisor.borrow_mut().act("start", relay);
+        sleep(interval).await;
     }
 }
 
-impl Warden {
-    fn act(&mut self, verb: &str, n: usize) {
-        if n >= self.plan.relays {
+impl Supervisor {
+    fn act(&mut self, action: &str, relay: usize) {
+        if relay >= self.plan.relays {
             return;
         }
-        if verb == "kill" {
-            // It is gone for all others at once; the system's own book of it is closed in passing.
-            if let Some(mut child) = self.kill(n) {
+        if action == "kill" {
+            if let Some(mut child) = self.kill(relay) {
                 spawn_local(async move { child.wait().await });
             }
             return;
         }
-        self.event_log.record(Event::ProcessAction { action: verb.to_owned(), relay: Some(n) });
-        if verb == "start" {
-            if !self.running.contains_key(&n) {
-                match self.spawn(n) {
-                    Ok(child) => drop(self.running.insert(n, Running { child, ends: false })),
-                    Err(how) => self.event_log.record(Event::RelayExited { relay: n, reason: how }),
-                }
-            }
+        self.record_action(action, relay);
+        match action {
+            "start" => self.start(relay),
+            "stop" => self.signal(relay, Signal::STOP),
+            "cont" => self.signal(relay, Signal::CONT),
+            _ => self.signal(relay, Signal::TERM),
+        }
+    }
+
+    fn record_action(&self, action: &str, relay: usize) {
+        self.event_log.record(Event::ProcessAction { action: action.to_owned(), relay: Some(relay) });
+    }
+
+    fn start(&mut self, relay: usize) {
+        if self.running.contains_key(&relay) {
             return;
         }
-        let Some(running) = self.running.get_mut(&n) else { return };
-        let signal = match verb {
-            "stop" => Signal::STOP,
-            "cont" => Signal::CONT,
-            _ => Signal::TERM,
-        };
+        match self.spawn(relay) {
+            Ok(child) => drop(self.running.insert(relay, RunningRelay { child, is_terminating: false })),
+            Err(reason) => self.event_log.record(Event::RelayExited { relay, reason }),
+        }
+    }
+
+    fn signal(&mut self, relay: usize, signal: Signal) {
+        let Some(running) = self.running.get_mut(&relay) else { return };
         send_signal(&running.child, signal);
-        running.ends |= verb == "term";
+        running.is_terminating |= signal == Signal::TERM;
     }
 
-    /// Kills a relay and hands over its process, which may take a moment to be gone.
-    fn kill(&mut self, n: usize) -> Option<Child> {
-        self.event_log.record(Event::ProcessAction { action: "kill".to_owned(), relay: Some(n) });
-        let mut running = self.running.remove(&n)?;
+    /// Kills a relay and returns its process, which may take a moment to end.
+    fn kill(&mut self, relay: usize) -> Option<Child> {
+        self.record_action("kill", relay);
+        let mut running = self.running.remove(&relay)?;
         let _ = running.child.start_kill();
         Some(running.child)
     }
 
-    fn spawn(&mut self, n: usize) -> Result<Child, String> {
-        let life = self.lives.entry(n).or_default();
-        *life += 1;
+    fn spawn(&mut self, relay: usize) -> Result<Child, String> {
+        let starts = self.starts.entry(relay).or_default();
+        *starts += 1;
+        let start = *starts;
+        let config = self.write_config(relay, start)?;
+        let log = self.open_log(relay)?;
         let plan = &self.plan;
-        let config = json!({
-            "name": format!("n{n}"),
-            "listen": plan.relay(n).to_string(),
-            "discovery": plan.list_for(n).to_string(),
-            "seed": format!("{:x}", plan.seed ^ (n as u64) << 32 ^ *life),
-            "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 1024},
-            "known": discovery::initial_list(plan, n),
-            "settings": settings(plan.told, n, "z", &["z".to_owned()]),
-        });
-        let path = plan.folder.join(format!("n{n}.json"));
-        let told = |e: std::io::Error| format!("{}: {e}", path.display());
-        std::fs::write(&path, config.to_string()).map_err(told)?;
-        let log = OpenOptions::new().create(true).append(true).open(plan.folder.join(format!("n{n}.log")));
-        let log = log.map_err(told)?;
         let mut command = Command::new(&plan.program);
-        command.arg("serve").env("EDGE_CONFIG", &path).stdin(Stdio::null()).kill_on_drop(true);
-        for name in [
-            "EDGE_NAME",
-            "EDGE_LISTEN",
-            "EDGE_DISCOVERY",
-            "EDGE_ADMIN_ADDR",
-            "HONEYKNOT_SITES",
-            "HONEYKNOT_NEIGHBORS",
-        ] {
+        command.arg("serve").env("EDGE_CONFIG", &config).stdin(Stdio::null()).kill_on_drop(true);
+        for name in CLEARED_VARIABLES {
             command.env_remove(name);
         }
         if plan.neighbors {
@@ -157,30 +168,48 @@
             std::fs::write(&file, plan.neighbors_conf()).map_err(|e| format!("{}: {e}", file.display()))?;
             command.arg("--neighbors").arg(file);
         }
-        command.stdout(log.try_clone().map_err(told)?).stderr(log);
+        command.stdout(log.try_clone().map_err(|e| format!("{}: {e}", config.display()))?).stderr(log);
         command.spawn().map_err(|e| format!("{}: {e}", plan.program.display()))
     }
 
-    fn look(&mut self) {
-        let ended: Vec<(usize, String, bool)> = self
-            .running
-            .iter_mut()
-            .filter_map(|(n, running)| {
-                let status = running.child.try_wait().ok()??;
-                Some((*n, status.to_string(), running.ends))
-            })
-            .collect();
-        for (r, how, ends) in ended {
-            self.running.remove(&r);
-            if !ends {
-                self.event_log.record(Event::RelayExited { relay: r, reason: how });
+    /// Writes the configuration for a relay's start of this number and returns its path.
+    fn write_config(&self, relay: usize, start: u64) -> Result<PathBuf, String> {
+        let plan = &self.plan;
+        let config = json!({
+            "name": format!("n{relay}"),
+            "listen": plan.relay(relay).to_string(),
+            "discovery": plan.list_for(relay).to_string(),
+            "seed": format!("{:x}", plan.seed ^ (relay as u64) << 32 ^ start),
+            "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 1024},
+            "known": discovery::initial_list(plan, relay),
+            "settings": settings(plan.told, relay, "z", &["z".to_owned()]),
+        });
+        let path = plan.folder.join(format!("n{relay}.json"));
+        std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        Ok(path)
+    }
+
+    fn open_log(&self, relay: usize) -> Result<File, String> {
+        let path = self.plan.folder.join(format!("n{relay}.log"));
+        let log = OpenOptions::new().create(true).append(true).open(&path);
+        log.map_err(|e| format!("{}: {e}", path.with_extension("json").display()))
+    }
+
+    /// Forgets relays that have exited and records those that were not sent SIGTERM.
+    fn record_exits(&mut self) {
+        let event_log = &self.event_log;
+        self.running.retain(|relay, running| {
+            let Ok(Some(status)) = running.child.try_wait() else { return true };
+            if !running.is_terminating {
+                event_log.record(Event::RelayExited { relay: *relay, reason: status.to_string() });
             }
-        }
+            false
+        });
     }
 
-    fn end(&mut self) {
-        for n in self.running.keys().copied().collect::<Vec<_>>() {
-            self.act("kill", n);
+    fn kill_all(&mut self) {
+        for relay in self.running.keys().copied().collect::<Vec<_>>() {
+            self.act("kill", relay);
         }
     }
 }
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Plays a day: starts the parts, carries out the script, ends everything, reads the books.
+//! Runs a scenario: starts the parts, applies the fault script, ends all processes and reads the event logs.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -13,15 +13,15 @@
 
 use super::event_log::{Event, EventLog, Record, read_all};
 use super::process::Part;
-use super::script::{Script, Set, Step};
+use super::script::{RelaySet, Script, Step};
 use super::{MAX_ENDPOINTS, MAX_RELAYS, Plan};
 
-/// Processes that the card servers are spread over.
-pub const CARD_PARTS: usize = 3;
-/// Time for answers that are still owed when the day is over.
-const OWED: Duration = Duration::from_millis(1_700);
+/// Number of processes that the endpoints are distributed over.
+pub const ENDPOINT_PROCESSES: usize = 3;
+/// Time for outstanding answers at the end of a run.
+const DRAIN_TIME: Duration = Duration::from_millis(1_700);
 
-/// A fleet that plays.
+/// The processes of a running fleet.
 struct Fleet {
     testbed: PathBuf,
     plan: Plan,
@@ -31,11 +31,11 @@
     relays: Part,
     clients: Part,
     links: Option<Part>,
-    /// Relays that run, as far as the script goes.
-    up: BTreeSet<usize>,
+    /// Relays that run according to the script.
+    running: BTreeSet<usize>,
 }
 
-/// A second byte of addresses that is this fleet's alone as long as this is held.
+/// A second byte of loopback addresses, reserved for one fleet while this value lives.
 pub struct Net {
     /// The byte.
     pub number: u8,
@@ -43,13 +43,17 @@
 }
 
 impl Net {
-    /// Takes one that nobody uses.
+    /// Reserves one that no other fleet uses.
+    ///
+    /// # Errors
+    ///
+    /// A message if all are in use.
     pub fn take(seed: u64) -> Result<Net, String> {
         let from = (u64::from(std::process::id()) ^ seed) as u8;
         let free = |number: u8| {
             let bind = |c, d, port| std::net::TcpListener::bind((Ipv4Addr::new(127, number, c, d), port));
             let lock = bind(250, 1, 4999).ok()?;
-            // One whose harness was killed may still be on its way out.
+            // Processes of a harness that was killed may not have ended yet.
             let rest = [bind(10, 1, 8500), bind(20, 1, 6000), bind(0, 1, 5000)];
             rest.iter().all(Result::is_ok).then_some(Net { number, _lock: lock })
         };
@@ -66,7 +70,11 @@
     pub records: Vec<Record>,
 }
 
-/// Plays a script. `testbed` is the path of this program; `stop` ends the day early, which is an error.
+/// Runs a script. `testbed` is the path of this program; `stop` ends the run early, which is an error.
+///
+/// # Errors
+///
+/// A message if the plan is out of range, a part does not start, the run is stopped or the event logs cannot be read.
 pub async fn play(
     plan: &Plan, script: &Script, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<ScenarioRun, String> {
@@ -82,27 +90,27 @@
     };
     let list = Some(Part::start(&testbed, "list", &plan).await?);
     let mut cards = Vec::new();
-    for part in 0..CARD_PARTS {
-        let plan = Plan { part: (part, CARD_PARTS), ..plan.clone() };
+    for part in 0..ENDPOINT_PROCESSES {
+        let plan = Plan { part: (part, ENDPOINT_PROCESSES), ..plan.clone() };
         cards.push(Some(Part::start(&testbed, "cards", &plan).await?));
     }
     let relays = Part::start(&testbed, "relays", &plan).await?;
     let clients = Part::start(&testbed, "clients", &plan).await?;
     let (began, at) = (super::now(), Instant::now());
-    let up = BTreeSet::new();
-    let mut fleet = Fleet { testbed, plan, event_log, list, cards, relays, clients, links, up };
-    let day = async {
+    let running = BTreeSet::new();
+    let mut fleet = Fleet { testbed, plan, event_log, list, cards, relays, clients, links, running };
+    let script_run = async {
         for (n, (due, step)) in script.steps.iter().enumerate() {
             sleep_until(at + *due).await;
-            fleet.carry_out(n, step).await?;
+            fleet.apply_step(n, step).await?;
         }
         sleep_until(at + script.length).await;
         fleet.clients.send_command("close").await;
-        sleep(OWED).await;
+        sleep(DRAIN_TIME).await;
         Ok(())
     };
     let done = tokio::select! {
-        done = day => done,
+        done = script_run => done,
         () = stop => Err("interrupted".to_owned()),
     };
     let (folder, ended) = (fleet.plan.folder.clone(), super::now());
@@ -123,14 +131,14 @@
         }
     }
 
-    /// The relays that a set means, in the order in which they are dealt with.
-    fn choose(&self, n: usize, set: &Set) -> Vec<usize> {
+    /// Returns the relays of a set in the order in which a step acts on them.
+    fn choose(&self, n: usize, set: &RelaySet) -> Vec<usize> {
         let all = 0..self.plan.relays;
         match set {
-            Set::All => all.collect(),
-            Set::Among(stretch) => all.filter(|r| stretch.contains(r)).collect(),
-            Set::Dead => all.filter(|r| !self.up.contains(r)).collect(),
-            Set::Part(part) => {
+            RelaySet::All => all.collect(),
+            RelaySet::Range(range) => all.filter(|r| range.contains(r)).collect(),
+            RelaySet::NotRunning => all.filter(|r| !self.running.contains(r)).collect(),
+            RelaySet::Fraction(part) => {
                 let mut all: Vec<usize> = all.collect();
                 all.shuffle(&mut self.plan.rng(0x5e7 + n as u64));
                 all.truncate((self.plan.relays as f64 * part).round() as usize);
@@ -139,12 +147,12 @@
         }
     }
 
-    async fn carry_out(&mut self, n: usize, step: &Step) -> Result<(), String> {
+    async fn apply_step(&mut self, n: usize, step: &Step) -> Result<(), String> {
         let join = |all: &[usize]| all.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
         match step {
             Step::Start(set, over) => {
                 let chosen = self.choose(n, set);
-                self.up.extend(&chosen);
+                self.running.extend(&chosen);
                 if over.is_zero() {
                     self.relays.send_command(&format!("start {}", join(&chosen))).await;
                     return Ok(());
@@ -162,7 +170,7 @@
             Step::Signal(verb, set) => {
                 let chosen = self.choose(n, set);
                 if matches!(*verb, "kill" | "term") {
-                    self.up.retain(|r| !chosen.contains(r));
+                    self.running.retain(|r| !chosen.contains(r));
                 }
                 self.relays.send_command(&format!("{verb} {}", join(&chosen))).await;
             }
@@ -171,39 +179,39 @@
                 let (every, length) = (every.as_millis(), length.as_millis());
                 self.relays.send_command(&format!("loop {every} {length} {}", join(&chosen))).await;
             }
-            Step::List(verb) => {
+            Step::DiscoveryProcess(verb) => {
                 self.event_log.record(Event::ProcessAction { action: format!("list {verb}"), relay: None });
                 let (testbed, plan) = (self.testbed.clone(), self.plan.clone());
-                process(&mut self.list, verb, &testbed, "list", &plan).await?;
+                act_on_process(&mut self.list, verb, &testbed, "list", &plan).await?;
             }
-            Step::ListFresh(fill) => {
+            Step::RestartEmptyList(fill) => {
                 self.event_log.record(Event::ProcessAction { action: "list fresh".to_owned(), relay: None });
                 let fill_ms = Some(fill.as_millis() as u64);
                 let plan = Plan { fill_ms, ..self.plan.clone() };
                 let testbed = self.testbed.clone();
-                process(&mut self.list, "down", &testbed, "list", &plan).await?;
-                process(&mut self.list, "up", &testbed, "list", &plan).await?;
+                act_on_process(&mut self.list, "down", &testbed, "list", &plan).await?;
+                act_on_process(&mut self.list, "up", &testbed, "list", &plan).await?;
             }
-            Step::ListTold(line) => {
+            Step::ListCommand(line) => {
                 if let Some(list) = &mut self.list {
                     list.send_command(line).await;
                 }
             }
-            Step::Cards(part, verb) => {
-                let plan = Plan { part: (*part, CARD_PARTS), ..self.plan.clone() };
+            Step::EndpointProcess(part, verb) => {
+                let plan = Plan { part: (*part, ENDPOINT_PROCESSES), ..self.plan.clone() };
                 let testbed = self.testbed.clone();
                 let place = self.cards.get_mut(*part);
-                let place =
-                    place.ok_or_else(|| format!("card servers run in parts 0 to {}", CARD_PARTS - 1))?;
-                process(place, verb, &testbed, "cards", &plan).await?;
+                let place = place
+                    .ok_or_else(|| format!("card servers run in parts 0 to {}", ENDPOINT_PROCESSES - 1))?;
+                act_on_process(place, verb, &testbed, "cards", &plan).await?;
             }
-            Step::CardTold(line) => {
+            Step::EndpointCommand(line) => {
                 let card = line.split(' ').nth(1).and_then(|s| s.parse::<usize>().ok()).unwrap_or(0);
-                if let Some(Some(part)) = self.cards.get_mut(card % CARD_PARTS) {
+                if let Some(Some(part)) = self.cards.get_mut(card % ENDPOINT_PROCESSES) {
                     part.send_command(line).await;
                 }
             }
-            Step::Links(line) => {
+            Step::LinkCommand(line) => {
                 if let Some(links) = &mut self.links {
                     links.send_command(line).await;
                 }
@@ -213,8 +221,8 @@
     }
 }
 
-/// Does something to a part's process.
-async fn process(
+/// Starts, kills, stops or continues a part's process.
+async fn act_on_process(
     part: &mut Option<Part>, verb: &str, testbed: &Path, kind: &str, plan: &Plan,
 ) -> Result<(), String> {
     match verb {
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -1,4 +1,4 @@
-//! The script of a day: at which time, which fault, on whom. A directive a line, as in the operators' files.
+//! Fault scripts: which fault begins at which time and where, one directive a line, as in the operators' files.
 //!
 //! ```text
 //! length 40s
@@ -11,7 +11,7 @@
 //! at 3s list state 4 leaving          # active, left: what the list says of a card server
 //! at 3s card 4 drain                  # undrain
 //! at 3s cards 1 down                  # that process of card servers: up, stop, cont
-//! at 2s link list/0-99 hole           # cards/GROUP/CARD, front/RELAY; the faults are in `links`
+//! at 2s link list/0-99 hole           # cards/GROUP/CARD, front/RELAY; see `fault_proxy`
 //! ```
 
 use std::ops::RangeInclusive;
@@ -19,72 +19,72 @@
 
 use honeyknot_operator_config::{Directive, parse, units};
 
+use super::fault_proxy::LinkFaults;
 use super::link::{link_kind, number_range};
-use super::links::Fault;
 
-/// The longest day.
-pub const LONGEST: Duration = Duration::from_secs(600);
+/// Maximum length of a run.
+pub const MAX_LENGTH: Duration = Duration::from_secs(600);
 
-/// Which relays.
+/// A set of relays.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Set {
-    /// All.
+pub enum RelaySet {
+    /// All relays.
     All,
-    /// These numbers.
-    Among(RangeInclusive<usize>),
-    /// This part of all, drawn from the day's seed.
-    Part(f64),
-    /// Those that do not run.
-    Dead,
+    /// The relays of a range of numbers.
+    Range(RangeInclusive<usize>),
+    /// A fraction of all relays, chosen by the run's seed.
+    Fraction(f64),
+    /// Relays that do not run.
+    NotRunning,
 }
 
-/// What is done.
+/// A step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Start relays, spread evenly over a time.
-    Start(Set, Duration),
+    /// Start relays, distributed uniformly over a time.
+    Start(RelaySet, Duration),
     /// `kill`, `stop`, `cont` or `term` relays.
-    Signal(&'static str, Set),
-    /// Kill and start relays again and again: how often, for how long.
-    Loop(Set, Duration, Duration),
-    /// The list service's process: `down`, `up`, `stop` or `cont`.
-    List(&'static str),
-    /// It starts again with nothing and fills its list over this.
-    ListFresh(Duration),
-    /// A line that steers the list service.
-    ListTold(String),
-    /// A process of card servers: `down`, `up`, `stop` or `cont`.
-    Cards(usize, &'static str),
-    /// A line that steers the card servers.
-    CardTold(String),
-    /// A line that steers the links.
-    Links(String),
+    Signal(&'static str, RelaySet),
+    /// Kill and start relays repeatedly: interval and duration.
+    Loop(RelaySet, Duration, Duration),
+    /// Act on discovery's process: `down`, `up`, `stop` or `cont`.
+    DiscoveryProcess(&'static str),
+    /// Restart discovery with an empty list that it fills over this time.
+    RestartEmptyList(Duration),
+    /// A command to discovery.
+    ListCommand(String),
+    /// Act on a process of endpoints: `down`, `up`, `stop` or `cont`.
+    EndpointProcess(usize, &'static str),
+    /// A command to the endpoints.
+    EndpointCommand(String),
+    /// A command to the fault proxy.
+    LinkCommand(String),
 }
 
-/// A day's script.
+/// A parsed fault script.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// How long the day is.
+    /// Length of the run.
     pub length: Duration,
-    /// What is done when, in order.
+    /// Steps and their times from the run's begin, in order.
     pub steps: Vec<(Duration, Step)>,
-    /// The kinds of links that it steers.
+    /// Kinds of links that the script puts faults on.
     pub links: Vec<String>,
 }
 
-fn span(text: &str) -> Result<Duration, String> {
-    units::duration(Duration::ZERO..=LONGEST)(text).map_err(|e| e.to_string())
+fn duration(text: &str) -> Result<Duration, String> {
+    units::duration(Duration::ZERO..=MAX_LENGTH)(text).map_err(|e| e.to_string())
 }
 
-fn set(text: &str) -> Result<Set, String> {
+fn relay_set(text: &str) -> Result<RelaySet, String> {
     let found = match text {
-        "*" => Some(Set::All),
-        "dead" => Some(Set::Dead),
+        "*" => Some(RelaySet::All),
+        "dead" => Some(RelaySet::NotRunning),
         _ if text.ends_with('%') => {
             let part = text.trim_end_matches('%').parse::<f64>().ok();
-            part.filter(|part| (0.0..=100.0).contains(part)).map(|part| Set::Part(part / 100.0))
+            part.filter(|part| (0.0..=100.0).contains(part)).map(|part| RelaySet::Fraction(part / 100.0))
         }
-        _ => number_range(text).map(Set::Among),
+        _ => number_range(text).map(RelaySet::Range),
     };
     found.ok_or_else(|| {
         format!("{text}: relays are `*`, `dead`, a number, a stretch such as 0-9, or a part such as 30%")
@@ -99,46 +99,52 @@
 fn step(words: &[&str]) -> Result<Step, String> {
     const PROCESS: [&str; 4] = ["down", "up", "stop", "cont"];
     Ok(match words {
-        ["start", "relays", who] => Step::Start(set(who)?, Duration::ZERO),
-        ["start", "relays", who, "within", over] => Step::Start(set(who)?, span(over)?),
+        ["start", "relays", who] => Step::Start(relay_set(who)?, Duration::ZERO),
+        ["start", "relays", who, "within", over] => Step::Start(relay_set(who)?, duration(over)?),
         ["loop", "relays", who, every, length] => {
-            let every = span(every)?;
+            let every = duration(every)?;
             if every < Duration::from_millis(100) {
                 return Err("a loop's turn takes 100ms at the least".into());
             }
-            Step::Loop(set(who)?, every, span(length)?)
+            Step::Loop(relay_set(who)?, every, duration(length)?)
         }
-        [verb, "relays", who] => Step::Signal(one_of(verb, &["kill", "stop", "cont", "term"])?, set(who)?),
-        ["list", "fresh", fill] => Step::ListFresh(span(fill)?),
-        ["list", "cost", cost] => Step::ListTold(format!("cost {}", span(cost)?.as_millis())),
+        [verb, "relays", who] => {
+            Step::Signal(one_of(verb, &["kill", "stop", "cont", "term"])?, relay_set(who)?)
+        }
+        ["list", "fresh", fill] => Step::RestartEmptyList(duration(fill)?),
+        ["list", "cost", cost] => Step::ListCommand(format!("cost {}", duration(cost)?.as_millis())),
         ["list", verb @ ("mute" | "patient"), how] => {
-            Step::ListTold(format!("{verb} {}", one_of(how, &["on", "off"])?))
+            Step::ListCommand(format!("{verb} {}", one_of(how, &["on", "off"])?))
         }
         ["list", "state", card, state] => {
             let card: usize = card.parse().map_err(|_| format!("{card}: a card server's number"))?;
-            Step::ListTold(format!("state {card} {}", one_of(state, &["active", "leaving", "left"])?))
+            Step::ListCommand(format!("state {card} {}", one_of(state, &["active", "leaving", "left"])?))
         }
-        ["list", verb] => Step::List(one_of(verb, &PROCESS)?),
+        ["list", verb] => Step::DiscoveryProcess(one_of(verb, &PROCESS)?),
         ["card", card, verb] => {
             let card: usize = card.parse().map_err(|_| format!("{card}: a card server's number"))?;
-            Step::CardTold(format!("{} {card}", one_of(verb, &["drain", "undrain"])?))
+            Step::EndpointCommand(format!("{} {card}", one_of(verb, &["drain", "undrain"])?))
         }
         ["cards", part, verb] => {
             let part =
                 part.parse().map_err(|_| format!("{part}: the number of a process of card servers"))?;
-            Step::Cards(part, one_of(verb, &PROCESS)?)
+            Step::EndpointProcess(part, one_of(verb, &PROCESS)?)
         }
         ["link", pattern, fault @ ..] => {
             link_kind(pattern)
                 .ok_or_else(|| format!("{pattern}: links are list/N, front/N, cards/GROUP/CARD"))?;
-            Fault::default().add(fault)?;
-            Step::Links(format!("{pattern} {}", fault.join(" ")))
+            LinkFaults::default().add(fault)?;
+            Step::LinkCommand(format!("{pattern} {}", fault.join(" ")))
         }
         _ => return Err(format!("{}: unknown; see the page on cold starts", words.join(" "))),
     })
 }
 
-/// Reads a script; all faults are told, each with file and line.
+/// Parses a script.
+///
+/// # Errors
+///
+/// All faults of the script, one a line, each with file and line number.
 pub fn read(file: &str, text: &str) -> Result<Script, String> {
     let tree = parse(file, text).map_err(|faults| faults.to_string())?;
     let (mut steps, mut links, mut length, mut faults) = (Vec::new(), Vec::new(), None, Vec::new());
@@ -147,12 +153,12 @@
         let mut fault = |what: String| faults.push(format!("{file}:{}: {what}", directive.name.line));
         match (directive.name.text.as_str(), &words[..]) {
             _ if directive.block.is_some() => fault("a day's script has no blocks".into()),
-            ("length", [text]) => match span(text) {
+            ("length", [text]) => match duration(text) {
                 Ok(_) if length.is_some() => fault("`length` is told twice".into()),
                 Ok(told) => length = Some(told),
                 Err(why) => fault(why),
             },
-            ("at", [at, words @ ..]) => match span(at).and_then(|at| Ok((at, step(words)?))) {
+            ("at", [at, words @ ..]) => match duration(at).and_then(|at| Ok((at, step(words)?))) {
                 Ok(told) => {
                     links.extend(link_of(directive));
                     steps.push(told);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -9,7 +9,7 @@
 use honeyknot_lease::InjectedFault;
 use honeyknot_testbed::day::{Day, Report, SPILL_SLACK, play};
 use honeyknot_testbed::fleet;
-use honeyknot_testbed::fleet::starts::ColdStart;
+use honeyknot_testbed::fleet::cold_start::ColdStart;
 use honeyknot_testbed::leases;
 use honeyknot_testbed::scenario::Scenario;
 use honeyknot_testbed::simulated::{Simulation, simulate};
@@ -334,7 +334,7 @@
         PartKind::List => fleet::run_part(fleet::discovery::start).await,
         PartKind::Cards => fleet::run_part(fleet::endpoints::start).await,
         PartKind::Clients => fleet::run_part(fleet::clients::start).await,
-        PartKind::Links => fleet::run_part(fleet::links::start).await,
+        PartKind::Links => fleet::run_part(fleet::fault_proxy::start).await,
         PartKind::Relays => fleet::run_part(fleet::relays::start).await,
         PartKind::Far => fleet::run_part(leases::far::start).await,
         PartKind::Holder => fleet::run_part(leases::holder::start).await,
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use honeyknot_testbed::fleet::analysis::analyze;
+use honeyknot_testbed::fleet::cold_start::ColdStart;
 use honeyknot_testbed::fleet::event_log::{Answer, Event, Record, RequestKind, RequestOutcome};
 use honeyknot_testbed::fleet::report::{Expectations, Report};
 use honeyknot_testbed::fleet::run::Net;
-use honeyknot_testbed::fleet::starts::ColdStart;
 use honeyknot_testbed::fleet::{Held, Link, Plan, script};
 
 const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
