--- a/crates/testbed/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -1,4 +1,4 @@
-//! A holder: a process that wants all tasks and acts on those that it holds, through the program's own client.
+//! A lease holder: a process that acquires the leases of all tasks and acts on those it holds, through the relay's lease client.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,24 +14,25 @@
 
 use crate::fleet::{LeaseOptions, Plan};
 
-/// Starts it. Steered by `leave`: lets go of all and ends, as before a planned restart.
+/// Starts the holder. The command `leave` releases all leases and ends the process.
+///
+/// # Errors
+///
+/// A message if the lease configuration is not valid.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let n = plan.part.0;
-    let leases = plan.leases_plan(&plan.leases_of_holder(n))?;
+    let leases = plan.parse_lease_config(&plan.lease_holder_config(n))?;
     let clock = plan.leases.clock(plan.leases.servers + n);
     let name = format!("h{n}.{}", std::process::id());
     let seed = plan.seed ^ (n as u64) << 32 ^ u64::from(std::process::id());
     let client = Rc::new(Client::start(&leases, &name, seed, clock));
-    let acts = Rc::new(Cell::new(0));
+    let operations = Rc::new(Cell::new(0));
     let lease = plan.leases.lease_ms * 1_000;
     for task in 0..plan.leases.tasks {
-        // Turns of different lengths, so that tasks change hands out of step.
-        let turn = Some(lease * (3 + (n + task) as u64 % 4));
-        client.add_task(
-            &LeaseOptions::task_name(task),
-            TaskOptions { slots: 1, max_hold: turn, max_idle: None },
-        );
-        spawn_local(works(plan.clone(), client.clone(), task, name.clone(), acts.clone()));
+        // Different hold times, so that leases change holders out of step.
+        let max_hold = Some(lease * (3 + (n + task) as u64 % 4));
+        client.add_task(&LeaseOptions::task_name(task), TaskOptions { slots: 1, max_hold, max_idle: None });
+        spawn_local(act_on_task(plan.clone(), client.clone(), task, name.clone(), operations.clone()));
     }
     Ok(move |line: &str| {
         if line == "leave" {
@@ -44,23 +45,26 @@
     })
 }
 
-/// Acts on a task whenever there is a permit.
-async fn works(plan: Plan, client: Rc<Client>, task: usize, name: String, acts: Rc<Cell<u64>>) {
+/// Acts on a task whenever the client grants a permit.
+async fn act_on_task(plan: Plan, client: Rc<Client>, task: usize, name: String, operations: Rc<Cell<u64>>) {
     let mut rng = plan.rng(0xac7 ^ (plan.part.0 as u64) << 16 ^ task as u64);
     let (task, lease) = (LeaseOptions::task_name(task), plan.leases.lease_ms * 1_000);
-    // With many tasks each is looked at more rarely: looking is this rig's cost and not the client's.
-    let pace = (plan.leases.tasks as u64 / 6).max(1);
-    let mut far = None;
+    // With many tasks each is polled less often, as polling is a cost of the testbed and not of the client.
+    let poll_factor = (plan.leases.tasks as u64 / 6).max(1);
+    let mut connection = None;
     loop {
-        sleep(Duration::from_millis(rng.random_range(5 * pace..20 * pace))).await;
+        sleep(Duration::from_millis(rng.random_range(5 * poll_factor..20 * poll_factor))).await;
         let Ok(permit) = client.permit(&task, rng.random_range(lease / 20..lease / 2)) else { continue };
-        acts.set(acts.get() + 1);
-        let act = format!("{name}-{}", acts.get());
+        operations.set(operations.get() + 1);
+        let operation = format!("{name}-{}", operations.get());
         let mut effects = rng.random_range(1..12);
         while let Some(token) = client.valid_token(&permit).filter(|_| effects > 0) {
-            // Whatever goes wrong at the far side ends the act.
-            if effect(&plan, &mut far, &format!("{task} {} {act}\n", token.0)).await.is_none() {
-                far = None;
+            // Any error at the recording server ends the operation.
+            if send_effect(&plan, &mut connection, &format!("{task} {} {operation}\n", token.0))
+                .await
+                .is_none()
+            {
+                connection = None;
                 break;
             }
             effects -= 1;
@@ -69,18 +73,20 @@
     }
 }
 
-type Far = (tokio::io::Lines<BufReader<tokio::net::tcp::OwnedReadHalf>>, tokio::net::tcp::OwnedWriteHalf);
+type RecordingConnection =
+    (tokio::io::Lines<BufReader<tokio::net::tcp::OwnedReadHalf>>, tokio::net::tcp::OwnedWriteHalf);
 
-async fn effect(plan: &Plan, far: &mut Option<Far>, line: &str) -> Option<()> {
-    if far.is_none() {
-        let stream = TcpStream::connect(plan.far()).await.ok()?;
+/// Sends an effect; returns `None` on an error or where it was rejected.
+async fn send_effect(plan: &Plan, connection: &mut Option<RecordingConnection>, line: &str) -> Option<()> {
+    if connection.is_none() {
+        let stream = TcpStream::connect(plan.recording_server()).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (from, to) = stream.into_split();
-        *far = Some((BufReader::new(from).lines(), to));
-        // Dialling took time: the permit is looked at again before the effect.
+        *connection = Some((BufReader::new(from).lines(), to));
+        // Connecting took time, so the caller validates its permit again before the effect.
         return Some(());
     }
-    let (answers, to) = far.as_mut()?;
+    let (answers, to) = connection.as_mut()?;
     to.write_all(line.as_bytes()).await.ok()?;
     let answer = answers.next_line().await.ok()??;
     (answer == "taken").then_some(())
--- a/crates/testbed/src/leases/keeper.rs
+++ b/crates/testbed/src/leases/lease_server.rs
@@ -1,4 +1,4 @@
-//! A keeper in a part of the laboratory: the program's own code, with a clock or a fault that the program does not contain.
+//! A lease server as a part of the testbed: the relay's code with a clock error or an injected fault.
 
 use std::io::BufRead;
 
@@ -6,19 +6,23 @@
 
 use crate::fleet::Plan;
 
-/// Runs a keeper until standard input ends. Its first line is the plan, in which `part` is its number, and whether it founds.
-pub fn part() -> Result<(), String> {
+/// Runs a lease server until standard input ends; in the plan, `part` is its number and 1 where it bootstraps.
+///
+/// # Errors
+///
+/// A message if the plan or the lease configuration is not valid.
+pub fn run_part() -> Result<(), String> {
     let mut input = std::io::stdin().lock();
     let mut line = String::new();
     input.read_line(&mut line).map_err(|e| e.to_string())?;
     let plan: Plan = serde_json::from_str(&line).map_err(|e| format!("a plan: {e}"))?;
-    let (number, found) = plan.part;
+    let (number, bootstrap) = plan.part;
     println!("ready");
-    let leases = plan.leases_plan(&plan.leases_of_keeper(number))?;
+    let leases = plan.parse_lease_config(&plan.lease_server_config(number))?;
     let options = LeaseServerOptions {
         number: number as u64,
         folder: plan.folder.join(format!("k{number}")),
-        found: (found == 1).then_some(0),
+        found: (bootstrap == 1).then_some(0),
     };
     std::thread::spawn(move || {
         let why = run(&leases, &options, plan.leases.clock(number - 1));
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -1,13 +1,13 @@
-//! Leases as many processes: keepers of the program, holders, and a far side that they act on, each in processes of their own,
-//! with faults between any two.
+//! Lease scenarios with real processes: lease servers, lease holders and a recording server that holders act on, with faults between
+//! any two.
 //!
-//! The far side alone judges: it writes down each effect of an act by its own clock, and for half of the tasks it checks tokens. A
-//! holder is a process of this laboratory that carries the program's own client; keepers are the program itself, but for days
-//! with skewed clocks or a planted fault, which the program does not contain: then they are its code in a part of this laboratory.
+//! The verdict rests on the recording server: it records each effect of an operation by its own clock, and for half of the tasks it checks
+//! fencing tokens. A holder is a process of the testbed that runs the relay's lease client. A lease server is the relay's program, or
+//! its code in a part of the testbed where a clock error or a fault is injected.
 
-pub mod far;
 pub mod holder;
-pub mod keeper;
+pub mod lease_server;
+pub mod recording_server;
 pub mod report;
 pub mod run;
 
@@ -18,14 +18,18 @@
 
 use crate::fleet::{Link, Plan};
 
-/// The planted fault of this name; the error names all that there are.
-pub fn fault(name: &str) -> Result<InjectedFault, String> {
+/// Parses the name of a fault to inject.
+///
+/// # Errors
+///
+/// A message that lists all names.
+pub fn parse_fault(name: &str) -> Result<InjectedFault, String> {
     serde_json::from_value(name.into()).map_err(|why| why.to_string())
 }
 
 impl Plan {
-    /// The operators' file as one process has it, which reaches each keeper at an address of its own where links run.
-    pub fn leases_file(&self, reach: impl Fn(usize) -> std::net::SocketAddr) -> String {
+    /// Returns the lease configuration of one process, which reaches each lease server at the address that `address_of` returns.
+    pub fn lease_config_text(&self, address_of: impl Fn(usize) -> std::net::SocketAddr) -> String {
         let options = &self.leases;
         let mut text = format!(
             "fleet lab\nlease {0}ms\nelection {1}ms\nmargin {2}ms\nclock-drift {3}%\n",
@@ -35,32 +39,36 @@
             options.clock_drift_ppm as f64 / 1e4,
         );
         for number in 1..=options.servers {
-            let _ = writeln!(text, "keeper {number} {}", reach(number));
+            let _ = writeln!(text, "keeper {number} {}", address_of(number));
         }
         text
     }
 
-    /// That file for a keeper.
-    pub fn leases_of_keeper(&self, me: usize) -> String {
+    /// Returns the lease configuration of a lease server.
+    pub fn lease_server_config(&self, me: usize) -> String {
         let links = self.linked("peer");
-        self.leases_file(
-            |to| if links && to != me { self.link(Link::Peer(me, to)).0 } else { self.keeper(to) },
-        )
+        self.lease_config_text(|to| {
+            if links && to != me { self.link(Link::Peer(me, to)).0 } else { self.keeper(to) }
+        })
     }
 
-    /// That file for a holder.
-    pub fn leases_of_holder(&self, n: usize) -> String {
+    /// Returns the lease configuration of a holder.
+    pub fn lease_holder_config(&self, n: usize) -> String {
         let links = self.linked("ask");
-        self.leases_file(|to| if links { self.link(Link::Ask(n, to)).0 } else { self.keeper(to) })
+        self.lease_config_text(|to| if links { self.link(Link::Ask(n, to)).0 } else { self.keeper(to) })
     }
 
-    /// Where the far side listens.
-    pub fn far(&self) -> std::net::SocketAddr {
+    /// Returns the address of the recording server.
+    pub fn recording_server(&self) -> std::net::SocketAddr {
         self.at(168, 0, 7500)
     }
 
-    /// That file read, with what is planted.
-    pub fn leases_plan(&self, text: &str) -> Result<config::LeaseConfig, String> {
+    /// Parses a lease configuration and adds the injected fault.
+    ///
+    /// # Errors
+    ///
+    /// The faults of the configuration.
+    pub fn parse_lease_config(&self, text: &str) -> Result<config::LeaseConfig, String> {
         let mut read = config::LeaseConfig::read("leases.conf", text).map_err(|faults| faults.to_string())?;
         read.parameters.injected_fault = self.leases.injected_fault;
         Ok(read)
--- a/crates/testbed/src/leases/far.rs
+++ b/crates/testbed/src/leases/recording_server.rs
@@ -1,5 +1,5 @@
-//! The far side: what fleet-wide tasks act on. It writes down each effect by its own clock; for some tasks it turns down what
-//! comes with an older token than it has seen.
+//! The recording server: the target of all tasks. It records each effect by its own clock, and for some tasks it rejects an effect
+//! whose fencing token is older than one it has received.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,11 +14,15 @@
 
 type Tokens = Rc<RefCell<BTreeMap<String, u64>>>;
 
-/// Starts it. A line `TASK TOKEN ACT` is an effect; the answer is `taken` or `older`.
+/// Starts the server. A line `TASK TOKEN OPERATION` is an effect; the answer is `taken` or `older`.
+///
+/// # Errors
+///
+/// A message if the event log cannot be opened or the address is in use.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "far")?;
     event_log.record_scheduling_lag();
-    let at = plan.far();
+    let at = plan.recording_server();
     let listener = TcpListener::bind(at).await.map_err(|e| format!("the far side at {at}: {e}"))?;
     let tokens = Tokens::default();
     spawn_local(async move {
@@ -35,7 +39,7 @@
     let mut lines = BufReader::new(from).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let words: Vec<&str> = line.split(' ').collect();
-        let [task, token, act] = words[..] else { return };
+        let [task, token, operation] = words[..] else { return };
         let Ok(token) = token.parse::<u64>() else { return };
         let newest = {
             let mut tokens = tokens.borrow_mut();
@@ -43,14 +47,14 @@
             *newest = token.max(*newest);
             *newest
         };
-        let taken = token == newest || !task.starts_with("checked");
+        let is_accepted = token == newest || !task.starts_with("checked");
         event_log.record(Event::TaskEffect {
             task: task.to_owned(),
             token,
-            operation: act.to_owned(),
-            is_accepted: taken,
+            operation: operation.to_owned(),
+            is_accepted,
         });
-        let answer: &[u8] = if taken { b"taken\n" } else { b"older\n" };
+        let answer: &[u8] = if is_accepted { b"taken\n" } else { b"older\n" };
         if to.write_all(answer).await.is_err() {
             return;
         }
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -1,4 +1,4 @@
-//! Plays a day of leases: starts keepers, holders and the far side, injects the scenario's faults, reads the books.
+//! Runs a lease scenario: starts lease servers, holders and the recording server, injects the scenario's faults, reads the event logs.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -24,23 +24,23 @@
 /// What goes wrong while tasks are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Scenario {
-    /// Nothing.
+    /// No faults.
     Steady,
     /// A holder is stopped for twice the lease, and goes on.
     Pause,
-    /// The keeper that leads is stopped until another has granted, and goes on; or is killed.
+    /// The leader is stopped until another has taken over, or killed and restarted.
     Leader,
-    /// A holder reaches a minority of keepers only; the keeper that leads reaches no other.
+    /// The leader is partitioned from its peers, and sometimes from a holder.
     Partition,
-    /// Asks arrive and answers do not; letters pass one way only.
+    /// Links carry data in one direction only.
     OneWay,
-    /// All keepers are killed at once and start again.
+    /// All lease servers are killed at once and restarted.
     AllDown,
-    /// A keeper is killed and finds its file torn, or its folder gone.
+    /// A lease server is killed and finds its database truncated or missing.
     Disk,
-    /// A holder leaves for its next process, and one of the two is killed on the way.
+    /// A holder is replaced by a new process, and one of the two may be killed meanwhile.
     Upgrade,
-    /// All want one task; its holder is killed.
+    /// All holders compete for one task, whose holder is killed.
     Stampede,
     /// Clocks are as far apart as a wide bound allows, no margin, with even seeds everything late; holders are cut off from
     /// keepers while they reach the far side.
@@ -49,11 +49,12 @@
     Fast,
 }
 
-struct Day {
+/// The processes of a running lease scenario.
+struct LeaseFleet {
     plan: Plan,
     testbed: PathBuf,
     direct: config::LeaseConfig,
-    keepers: BTreeMap<usize, Running>,
+    keepers: BTreeMap<usize, LeaseServerProcess>,
     holders: BTreeMap<usize, Part>,
     links: Option<Part>,
     event_log: EventLog,
@@ -64,22 +65,26 @@
     rss: f64,
 }
 
-/// A keeper's process: the program's, or a part of this laboratory.
-enum Running {
+/// A lease server's process.
+enum LeaseServerProcess {
     Program(Child),
     Part(Part),
 }
 
-impl Running {
+impl LeaseServerProcess {
     fn child(&mut self) -> &mut Child {
         match self {
-            Running::Program(child) => child,
-            Running::Part(part) => &mut part.child,
+            LeaseServerProcess::Program(child) => child,
+            LeaseServerProcess::Part(part) => &mut part.child,
         }
     }
 }
 
-/// Plays a day of this length.
+/// Runs a scenario for a duration.
+///
+/// # Errors
+///
+/// A message if a part does not start, the run is stopped or the event logs cannot be read.
 pub async fn play(
     mut plan: Plan, scenario: Scenario, length: Duration, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<Report, String> {
@@ -100,23 +105,23 @@
     if matches!(scenario, Scenario::Partition | Scenario::OneWay | Scenario::Skew | Scenario::Fast) {
         plan.links = vec!["peer".into(), "ask".into()];
     }
-    let mut day = Day::start(plan, testbed).await?;
-    let far = Part::start(&day.testbed, "far", &day.plan).await?;
+    let mut fleet = LeaseFleet::start(plan, testbed).await?;
+    let recording_server = Part::start(&fleet.testbed, "far", &fleet.plan).await?;
     let began = Instant::now();
     let until = began + length;
     let done = tokio::select! {
-        done = day.faults(scenario, until) => done,
+        done = fleet.faults(scenario, until) => done,
         () = stop => Err("interrupted".to_owned()),
     };
     let ended = now();
-    let report = day.end(scenario, ended, length).await;
-    far.end().await;
+    let report = fleet.end(scenario, ended, length).await;
+    recording_server.end().await;
     done.and(report)
 }
 
-impl Day {
-    async fn start(plan: Plan, testbed: PathBuf) -> Result<Day, String> {
-        let direct = plan.leases_plan(&plan.leases_file(|to| plan.keeper(to)))?;
+impl LeaseFleet {
+    async fn start(plan: Plan, testbed: PathBuf) -> Result<LeaseFleet, String> {
+        let direct = plan.parse_lease_config(&plan.lease_config_text(|to| plan.keeper(to)))?;
         let event_log = EventLog::open(&plan.folder, "harness")?;
         let links = match plan.links.is_empty() {
             true => None,
@@ -124,7 +129,7 @@
         };
         let rng = plan.rng(0x1ea5e);
         let (keepers, holders) = Default::default();
-        let mut day = Day {
+        let mut fleet = LeaseFleet {
             plan,
             testbed,
             direct,
@@ -137,27 +142,27 @@
             cpu: 0.0,
             rss: 0.0,
         };
-        for number in 1..=day.plan.leases.servers {
-            day.keeper(number, true).await?;
+        for number in 1..=fleet.plan.leases.servers {
+            fleet.start_lease_server(number, true).await?;
         }
-        for n in 0..day.plan.relays {
-            day.holder(n).await?;
+        for n in 0..fleet.plan.relays {
+            fleet.start_holder(n).await?;
         }
-        Ok(day)
+        Ok(fleet)
     }
 
-    async fn keeper(&mut self, number: usize, found: bool) -> Result<(), String> {
+    async fn start_lease_server(&mut self, number: usize, found: bool) -> Result<(), String> {
         let plan = &self.plan;
         let skewed = plan.leases.clock_error_ppm.get(number - 1).is_some_and(|ppm| *ppm != 0);
         if plan.leases.injected_fault.is_some() || skewed {
             let plan = Plan { part: (number, usize::from(found)), ..plan.clone() };
             let part = Part::start(&self.testbed, "keeper", &plan).await?;
-            self.keepers.insert(number, Running::Part(part));
+            self.keepers.insert(number, LeaseServerProcess::Part(part));
             return Ok(());
         }
         let file = plan.folder.join(format!("leases-{number}.conf"));
         let told = |e: std::io::Error| format!("{}: {e}", file.display());
-        std::fs::write(&file, plan.leases_of_keeper(number)).map_err(told)?;
+        std::fs::write(&file, plan.lease_server_config(number)).map_err(told)?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -170,18 +175,18 @@
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log.map_err(told)?).kill_on_drop(true);
         let child = command.spawn().map_err(|e| format!("{}: {e}", plan.program.display()))?;
-        self.keepers.insert(number, Running::Program(child));
+        self.keepers.insert(number, LeaseServerProcess::Program(child));
         Ok(())
     }
 
-    async fn holder(&mut self, n: usize) -> Result<(), String> {
+    async fn start_holder(&mut self, n: usize) -> Result<(), String> {
         let plan = Plan { part: (n, self.plan.relays), ..self.plan.clone() };
         let part = Part::start(&self.testbed, "holder", &plan).await?;
         self.holders.insert(n, part);
         Ok(())
     }
 
-    async fn kill_keeper(&mut self, number: usize) {
+    async fn kill_lease_server(&mut self, number: usize) {
         if let Some(mut running) = self.keepers.remove(&number) {
             self.measure(&mut running);
             let _ = running.child().kill().await;
@@ -189,7 +194,7 @@
     }
 
     /// Takes a keeper's processor time and memory down before it ends.
-    fn measure(&mut self, running: &mut Running) {
+    fn measure(&mut self, running: &mut LeaseServerProcess) {
         let Some(pid) = running.child().id() else { return };
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let after = stat.rsplit(')').next().unwrap_or_default();
@@ -207,13 +212,14 @@
         self.event_log.record(Event::ProcessAction { action: verb, relay: None });
     }
 
-    fn leases(&self, parts: f64) -> Duration {
+    fn lease_durations(&self, parts: f64) -> Duration {
         Duration::from_secs_f64(self.plan.leases.lease_ms as f64 / 1_000.0 * parts)
     }
 
     /// A holder of some task, as the keepers' list names it, if they answer in time.
-    async fn a_holder(&mut self) -> usize {
-        let asked = timeout(self.leases(1.0), leader_request::request(&self.direct, Vec::new())).await;
+    async fn choose_holder(&mut self) -> usize {
+        let asked =
+            timeout(self.lease_durations(1.0), leader_request::request(&self.direct, Vec::new())).await;
         let mut holders: Vec<usize> = Vec::new();
         if let Ok(Ok(Response::Leases(views))) = asked {
             let number = |name: &str| name.strip_prefix('h')?.split('.').next()?.parse::<usize>().ok();
@@ -249,90 +255,90 @@
 
     /// Injects faults until the last six leases, in which somebody must come to act on everything.
     async fn faults(&mut self, scenario: Scenario, until: Instant) -> Result<(), String> {
-        let quiet = until - self.leases(6.0);
+        let quiet = until - self.lease_durations(6.0);
         for n in 0..self.plan.relays {
-            self.late(scenario, n).await;
+            self.delay_links(scenario, n).await;
         }
-        sleep(self.leases(3.0)).await;
+        sleep(self.lease_durations(3.0)).await;
         while Instant::now() < quiet {
             match scenario {
                 Scenario::Steady => sleep_until(quiet).await,
                 Scenario::Skew | Scenario::Fast => {
-                    let n = self.a_holder().await;
+                    let n = self.choose_holder().await;
                     self.note(format!("holder {n} reaches no keeper"));
                     self.links(&format!("ask/{n}/* hole")).await;
                     let cut = self.rng.random_range(0.7..1.6);
-                    sleep(self.leases(cut)).await;
+                    sleep(self.lease_durations(cut)).await;
                     self.links(&format!("ask/{n}/* clear")).await;
-                    self.late(scenario, n).await;
+                    self.delay_links(scenario, n).await;
                 }
                 Scenario::Pause => {
-                    let n = self.a_holder().await;
+                    let n = self.choose_holder().await;
                     self.note(format!("stop holder {n}"));
                     self.signal_holder(n, Signal::STOP);
-                    sleep(self.leases(2.0)).await;
+                    sleep(self.lease_durations(2.0)).await;
                     self.signal_holder(n, Signal::CONT);
-                    sleep(self.leases(0.3)).await;
+                    sleep(self.lease_durations(0.3)).await;
                 }
                 Scenario::Leader => {
                     let leader = self.leader().await;
                     if self.rng.random_bool(0.5) {
                         self.note(format!("stop keeper {leader}"));
-                        self.signal_keeper(leader, Signal::STOP);
-                        sleep(self.leases(2.5)).await;
-                        self.signal_keeper(leader, Signal::CONT);
+                        self.signal_lease_server(leader, Signal::STOP);
+                        sleep(self.lease_durations(2.5)).await;
+                        self.signal_lease_server(leader, Signal::CONT);
                     } else {
                         self.note(format!("kill keeper {leader}"));
-                        self.kill_keeper(leader).await;
-                        sleep(self.leases(1.0)).await;
-                        self.keeper(leader, false).await?;
+                        self.kill_lease_server(leader).await;
+                        sleep(self.lease_durations(1.0)).await;
+                        self.start_lease_server(leader, false).await?;
                     }
-                    sleep(self.leases(1.0)).await;
+                    sleep(self.lease_durations(1.0)).await;
                 }
                 Scenario::Partition => {
-                    let (holder, leader) = (self.a_holder().await, self.leader().await);
+                    let (holder, leader) = (self.choose_holder().await, self.leader().await);
                     self.note(format!("cut holder {holder} and keeper {leader} off"));
                     if self.rng.random_bool(0.5) {
                         self.links(&format!("ask/{holder}/{leader} hole")).await;
                     }
                     self.links(&format!("peer/{leader}/* hole")).await;
                     self.links(&format!("peer/*/{leader} hole")).await;
-                    sleep(self.leases(3.0)).await;
+                    sleep(self.lease_durations(3.0)).await;
                     self.links("peer/*/* clear").await;
                     self.links("ask/*/* clear").await;
-                    sleep(self.leases(1.0)).await;
+                    sleep(self.lease_durations(1.0)).await;
                 }
                 Scenario::OneWay => {
-                    let (holder, leader) = (self.a_holder().await, self.leader().await);
+                    let (holder, leader) = (self.choose_holder().await, self.leader().await);
                     self.note(format!("one way only: holder {holder}, keeper {leader}"));
                     self.links(&format!("ask/{holder}/* cut back")).await;
                     let cut = ["cut there", "cut back"][self.rng.random_range(0..2)];
                     self.links(&format!("peer/{leader}/* {cut}")).await;
-                    sleep(self.leases(4.0)).await;
+                    sleep(self.lease_durations(4.0)).await;
                     self.links("peer/*/* clear").await;
                     self.links("ask/*/* clear").await;
-                    sleep(self.leases(1.0)).await;
+                    sleep(self.lease_durations(1.0)).await;
                 }
                 Scenario::AllDown => {
                     self.note("kill all keepers".into());
                     for number in 1..=self.plan.leases.servers {
-                        self.kill_keeper(number).await;
+                        self.kill_lease_server(number).await;
                     }
                     let wait = self.rng.random_range(0.1..1.5);
-                    sleep(self.leases(wait)).await;
+                    sleep(self.lease_durations(wait)).await;
                     for number in 1..=self.plan.leases.servers {
-                        self.keeper(number, false).await?;
+                        self.start_lease_server(number, false).await?;
                     }
-                    sleep(self.leases(2.5)).await;
+                    sleep(self.lease_durations(2.5)).await;
                 }
                 Scenario::Disk => self.disk().await?,
                 Scenario::Upgrade => self.upgrade().await?,
                 Scenario::Stampede => {
-                    let n = self.a_holder().await;
+                    let n = self.choose_holder().await;
                     self.note(format!("kill holder {n}"));
                     self.holders.remove(&n);
-                    sleep(self.leases(2.0)).await;
-                    self.holder(n).await?;
+                    sleep(self.lease_durations(2.0)).await;
+                    self.start_holder(n).await?;
                 }
             }
         }
@@ -342,7 +348,7 @@
 
     /// Where clocks are skewed all ways to keepers are slow, with an even seed: what is counted from the wrong end shows. With an
     /// odd one they are not, as what is slow hides a drift that nobody reckons with.
-    async fn late(&mut self, scenario: Scenario, n: usize) {
+    async fn delay_links(&mut self, scenario: Scenario, n: usize) {
         if scenario == Scenario::Skew && self.plan.seed.is_multiple_of(2) {
             let most = self.plan.leases.lease_ms / 5;
             self.links(&format!("ask/{n}/* delay 0ms {most}ms")).await;
@@ -353,7 +359,7 @@
     /// One keeper at a time: its file loses its end, or all of it is gone; the others go on.
     async fn disk(&mut self) -> Result<(), String> {
         let number = self.rng.random_range(1..=self.plan.leases.servers);
-        self.kill_keeper(number).await;
+        self.kill_lease_server(number).await;
         let file = self.plan.folder.join(format!("k{number}/keeper.redb"));
         let aside = file.with_extension("aside");
         let told = |e: std::io::Error| format!("{}: {e}", file.display());
@@ -368,8 +374,8 @@
             torn.set_len(length / 2).map_err(told)?;
         }
         // It must refuse, and the others must not need it.
-        self.keeper(number, false).await?;
-        sleep(self.leases(2.0)).await;
+        self.start_lease_server(number, false).await?;
+        sleep(self.lease_durations(2.0)).await;
         if let Some(running) = self.keepers.get_mut(&number)
             && running.child().try_wait().is_ok_and(|ended| ended.is_none())
         {
@@ -377,32 +383,32 @@
         }
         self.keepers.remove(&number);
         std::fs::rename(&aside, &file).map_err(told)?;
-        self.keeper(number, false).await?;
-        sleep(self.leases(1.0)).await;
+        self.start_lease_server(number, false).await?;
+        sleep(self.lease_durations(1.0)).await;
         Ok(())
     }
 
     /// A holder's next process starts, the old one leaves; either may be killed meanwhile.
     async fn upgrade(&mut self) -> Result<(), String> {
-        let n = self.a_holder().await;
+        let n = self.choose_holder().await;
         self.note(format!("upgrade holder {n}"));
         let Some(mut old) = self.holders.remove(&n) else { return Ok(()) };
-        self.holder(n).await?;
+        self.start_holder(n).await?;
         old.send_command("leave").await;
         let wait = self.rng.random_range(0.0..0.4);
-        sleep(self.leases(wait)).await;
+        sleep(self.lease_durations(wait)).await;
         match self.rng.random_range(0..3) {
             0 => drop(old),
             1 => {
                 self.holders.remove(&n);
                 let _ = timeout(Duration::from_secs(10), old.child.wait()).await;
-                self.holder(n).await?;
+                self.start_holder(n).await?;
             }
             _ => {
                 let _ = timeout(Duration::from_secs(10), old.child.wait()).await;
             }
         }
-        sleep(self.leases(0.5)).await;
+        sleep(self.lease_durations(0.5)).await;
         Ok(())
     }
 
@@ -412,7 +418,7 @@
         }
     }
 
-    fn signal_keeper(&mut self, number: usize, signal: Signal) {
+    fn signal_lease_server(&mut self, number: usize, signal: Signal) {
         if let Some(running) = self.keepers.get_mut(&number) {
             send_signal(running.child(), signal);
         }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -158,7 +158,7 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Plant a fault, which the day must show.
-    #[arg(long, value_name = "NAME", value_parser = leases::fault)]
+    #[arg(long, value_name = "NAME", value_parser = leases::parse_fault)]
     planted: Option<InjectedFault>,
     #[command(flatten)]
     day: DayArgs,
@@ -336,9 +336,9 @@
         PartKind::Clients => fleet::run_part(fleet::clients::start).await,
         PartKind::Links => fleet::run_part(fleet::fault_proxy::start).await,
         PartKind::Relays => fleet::run_part(fleet::relays::start).await,
-        PartKind::Far => fleet::run_part(leases::far::start).await,
+        PartKind::Far => fleet::run_part(leases::recording_server::start).await,
         PartKind::Holder => fleet::run_part(leases::holder::start).await,
-        PartKind::Keeper => leases::keeper::part(),
+        PartKind::Keeper => leases::lease_server::run_part(),
     }
 }
 
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -64,7 +64,7 @@
 
 /// A list service that starts anew with nothing, and says so under an older version, takes no card server away.
 #[test]
-fn a_list_service_that_starts_empty_costs_no_client_an_answer() {
+fn discovery_restarting_empty_causes_no_rejected_or_failed_request() {
     let text = "length 22s\nat 0s start relays * within 400ms\nat 4s list fresh 5s\n";
     let aims = Expectations { down_s: 5.0, slack_s: None, fills: true };
     let (report, lines) = day(&Day { seed: 31, text, aims }, 12);
@@ -80,7 +80,7 @@
 
 /// Deaf, reset, cut one way: everybody has the list soon after, and nobody sends to a card server that drains.
 #[test]
-fn a_list_service_that_is_deaf_to_all_is_found_again_and_drains_are_kept() {
+fn relays_recover_from_unresponsive_discovery_and_respect_drains() {
     let text = "length 24s\nat 0s start relays * within 400ms\nat 0s link list/0-3 hole\nat 0s link list/4-7 reset 60B\n\
                 at 0s link list/8-11 cut back\nat 4s link list/* clear\n\
                 at 15s list state 0 leaving\nat 15800ms card 0 drain\n";
@@ -94,7 +94,7 @@
 /// The service is down at first, then all relays are stopped together, and one dies and starts each second meanwhile. They are
 /// told to be 120: the waits are those of a fleet.
 #[test]
-fn a_service_that_was_down_and_relays_that_were_stopped_come_together_again() {
+fn relays_get_the_list_after_discovery_outage_and_stopped_processes() {
     let text = "length 22s\nat 0s list down\nat 0s start relays * within 400ms\nat 4s list up\n\
                 at 9s loop relays 11 1s 8s\nat 12s stop relays 0-10\nat 15s cont relays 0-10\n";
     // A wait after a refused call is up to 4.3 s long.
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn every_broken_promise_is_seen() {
+fn analysis_reports_each_violation_and_no_lookalike() {
     let well = judged(Vec::new());
     assert_eq!((well.broken, well.alive, well.served), (Vec::<String>::new(), 2, 2));
     let first =
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn scripts_are_checked_whole_and_every_day_that_is_built_in_is_sound() {
+fn script_errors_are_all_reported_and_every_built_in_scenario_parses() {
     use clap::ValueEnum;
     for scenario in ColdStart::value_variants() {
         for relays in [1, 12, 300] {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn links_fail_as_they_are_told_and_recover() {
+fn each_link_fault_takes_effect_and_clears() {
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(7).expect("free addresses");
     let plan = plan(folder.path(), 7, &net);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn nothing_is_left_whatever_ends_the_harness() {
+fn harness_killed_by_any_signal_leaves_no_process() {
     for signal in ["KILL", "INT", "TERM"] {
         let folder = tempfile::tempdir().expect("a folder");
         let script = folder.path().join("day.conf");
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn addresses_of_fleets_do_not_meet() {
+fn addresses_within_a_fleet_are_unique() {
     let folder = tempfile::tempdir().expect("a folder");
     let net = Net::take(3).expect("free addresses");
     let big = Plan { relays: 400, cards: 40, ..plan(folder.path(), 3, &net) };
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -56,36 +56,36 @@
 }
 
 #[test]
-fn a_holder_that_stands_still_in_the_middle_of_an_act_acts_no_more() {
+fn paused_holder_does_not_act_after_its_lease_expires() {
     holds(Scenario::Pause, 11);
 }
 
 #[test]
-fn a_leader_that_stands_still_or_is_killed_gives_nothing_away_twice() {
+fn paused_or_killed_leader_grants_no_lease_twice() {
     holds(Scenario::Leader, 12);
 }
 
 #[test]
-fn a_holder_that_is_heard_and_hears_nothing_and_keepers_cut_one_way() {
+fn one_way_links_cause_no_overlapping_operations() {
     holds(Scenario::OneWay, 13);
 }
 
 #[test]
-fn one_of_an_old_and_a_new_process_acts_whichever_is_killed() {
+fn only_one_process_acts_during_an_upgrade() {
     holds(Scenario::Upgrade, 14);
 }
 
 #[test]
-fn a_permit_that_is_not_looked_at_again_shows() {
+fn injected_unchecked_permit_is_detected() {
     shows(Scenario::Pause, InjectedFault::PermitNotChecked, "overlapped");
 }
 
 #[test]
-fn a_leader_that_forgets_leases_shows() {
+fn injected_forgotten_leases_are_detected() {
     shows(Scenario::Leader, InjectedFault::ForgetsLeases, "overlapped");
 }
 
 #[test]
-fn a_drift_that_nobody_reckons_with_shows() {
+fn injected_ignored_clock_drift_is_detected() {
     shows(Scenario::Skew, InjectedFault::NoDrift, "overlapped");
 }
