--- a/crates/testbed/src/commands/cold_start.rs
+++ b/crates/testbed/src/commands/cold_start.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use honeyknot_testbed::fleet;
-use honeyknot_testbed::fleet::starts::ColdStart;
+use honeyknot_testbed::fleet::cold_start::ColdStart;
 
 use super::process_run::{ProcessRunArgs, Verdict, own_program};
 use super::{Outcome, interrupted};
@@ -97,7 +97,8 @@
     let plan = args.plan(&net, folder)?;
     let run = fleet::run::play(&plan, &script, own_program()?, interrupted()).await?;
     let scenario = args.scenario;
-    let report = fleet::report::report(&plan, scenario.name(), run.began, &run.lines, scenario.aims());
+    let report =
+        fleet::analysis::analyze(&plan, scenario.name(), run.began, &run.records, scenario.expectations());
     if !report.broken.is_empty() {
         args.print_generated_script();
     }
--- a/crates/testbed/src/commands/leases.rs
+++ b/crates/testbed/src/commands/leases.rs
@@ -34,7 +34,7 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Inject a fault, which the run must show.
-    #[arg(long = "planted", value_name = "NAME", value_parser = leases::fault)]
+    #[arg(long = "planted", value_name = "NAME", value_parser = leases::parse_fault)]
     injected_fault: Option<InjectedFault>,
     #[command(flatten)]
     run: ProcessRunArgs,
@@ -53,12 +53,12 @@
         relays: usize::from(args.relays),
         folder,
         program: args.run.program()?,
-        leases: leases::Keeping {
-            keepers: usize::from(args.lease_servers),
+        leases: fleet::LeaseOptions {
+            servers: usize::from(args.lease_servers),
             lease_ms: args.lease_ms,
             tasks: usize::from(args.tasks),
-            planted: args.injected_fault,
-            ..leases::Keeping::default()
+            injected_fault: args.injected_fault,
+            ..fleet::LeaseOptions::default()
         },
         ..fleet::Plan::default()
     };
