--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,6 @@
-//! The operators' address: one call a connection, one answer, close.
+//! The admin address: each connection sends one command, gets one answer and is closed.
 //!
-//! It decides nothing and counts nothing: calls are parsed in [`call`], and whoever serves answers them as a [`AdminService`]. It
-//! does not know the relay's hub.
+//! It decides nothing and counts nothing: commands are parsed in [`command`], and an [`AdminService`] carries them out.
 
 pub mod client;
 pub mod command;
