--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,7 +1,5 @@
 //! Admin commands of one line each, parsed without I/O.
 
-use std::fmt;
-
 /// The longest command in bytes, with its end of line.
 pub const MAX_COMMAND_BYTES: usize = 256;
 
@@ -19,40 +17,31 @@
 }
 
 /// Why a line is not a command.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminCommandError {
     /// Nothing but spaces.
+    #[error("an empty call")]
     Empty,
     /// No end of the line within [`MAX_COMMAND_BYTES`] bytes.
+    #[error("a call of over 256 bytes")]
     TooLong,
     /// The connection's sending side ended before the line did.
+    #[error("a call without an end of its line")]
     Incomplete,
     /// Bytes that are no printable ASCII.
+    #[error("a call that is not plain text")]
     NotAscii,
     /// The first word is not a command.
+    #[error("no such call; there are status, stats, maint-on ID, maint-off ID")]
     UnknownCommand,
     /// The endpoint's id is missing.
+    #[error("the id of a card server is missing")]
     MissingId,
     /// There are more words than the command takes.
+    #[error("words beyond the call")]
     ExtraWords,
 }
 
-impl fmt::Display for AdminCommandError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            AdminCommandError::Empty => "an empty call",
-            AdminCommandError::TooLong => "a call of over 256 bytes",
-            AdminCommandError::Incomplete => "a call without an end of its line",
-            AdminCommandError::NotAscii => "a call that is not plain text",
-            AdminCommandError::UnknownCommand => {
-                "no such call; there are status, stats, maint-on ID, maint-off ID"
-            }
-            AdminCommandError::MissingId => "the id of a card server is missing",
-            AdminCommandError::ExtraWords => "words beyond the call",
-        })
-    }
-}
-
 /// Parses a command from what was received so far; none while its line is incomplete.
 ///
 /// # Errors
--- /dev/null
+++ b/src/admin/server.rs
@@ -0,0 +1,141 @@
+//! Accepts admin connections and answers their commands.
+
+use std::collections::VecDeque;
+use std::error::Error;
+use std::rc::Rc;
+use std::time::Duration;
+
+use honeyknot_balancer::Micros;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::AbortHandle;
+use tracing::warn;
+
+use super::AdminService;
+use super::command::{self, AdminCommand, AdminCommandError};
+use crate::relay::connections::graceful_close;
+use crate::relay::timer_wheel::Timers;
+
+/// The largest number of admin connections; their descriptors are reserved.
+pub const MAX_CONNECTIONS: usize = 16;
+/// The largest number of descriptors that the admin address uses.
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+/// How long a connection may take to send a command, or to receive the answer, in microseconds.
+const TIMEOUT: Micros = 5_000_000;
+/// How long a connection stays before a newer one may replace it, in microseconds.
+const MIN_CONNECTION_AGE: Micros = 200_000;
+/// The pause after an accept that failed.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Answers commands until the relay ends.
+pub async fn serve(service: impl AdminService, listener: TcpListener) {
+    let mut connections = AdminConnections::new(service.timers());
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => connections.start(service.clone(), stream).await,
+            Err(error) => {
+                warn!(target: "admin", %error, "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+            }
+        }
+    }
+}
+
+/// An open connection.
+struct AdminConnection {
+    task: AbortHandle,
+    accepted_at: Micros,
+}
+
+/// The open connections, the oldest first.
+struct AdminConnections {
+    timers: Rc<Timers>,
+    open: VecDeque<AdminConnection>,
+}
+
+impl AdminConnections {
+    fn new(timers: Rc<Timers>) -> AdminConnections {
+        AdminConnections { timers, open: VecDeque::new() }
+    }
+
+    /// Starts a connection's task and lets it read what has arrived.
+    async fn start(&mut self, service: impl AdminService, stream: TcpStream) {
+        self.open.retain(|connection| !connection.task.is_finished());
+        if self.open.len() >= MAX_CONNECTIONS {
+            self.evict_oldest().await;
+        }
+        let task = tokio::task::spawn_local(answer(service, stream)).abort_handle();
+        self.open.push_back(AdminConnection { task, accepted_at: self.timers.clock.now() });
+        // The command is read before another connection can evict this one.
+        tokio::task::yield_now().await;
+    }
+
+    /// Closes the oldest connection, so that connections without a command cannot block the address.
+    async fn evict_oldest(&mut self) {
+        let Some(oldest) = self.open.pop_front() else { return };
+        self.timers.sleep_until(oldest.accepted_at + MIN_CONNECTION_AGE).await;
+        oldest.task.abort();
+    }
+}
+
+/// Reads the command of a connection, sends the answer and closes it.
+async fn answer(service: impl AdminService, mut stream: TcpStream) {
+    let timers = service.timers();
+    let _ = stream.set_nodelay(true);
+    let mut bytes = Vec::with_capacity(command::MAX_COMMAND_BYTES);
+    let command = tokio::select! {
+        command = read_command(&mut stream, &mut bytes) => command,
+        () = timers.sleep(TIMEOUT) => Some(Err(AdminCommandError::Incomplete)),
+    };
+    let answer = match command {
+        Some(Ok(command)) => execute(&service, command).await,
+        Some(Err(error)) => rejection(&error),
+        None => return,
+    };
+    // The answer has the line ends of the command.
+    let uses_crlf = bytes.contains(&b'\r');
+    let answer = if uses_crlf { answer.replace('\n', "\r\n") } else { answer };
+    let sent = tokio::select! {
+        sent = stream.write_all(answer.as_bytes()) => sent.is_ok(),
+        () = timers.sleep(TIMEOUT) => false,
+    };
+    if sent {
+        graceful_close::close(&timers, stream).await;
+    }
+}
+
+/// Reads one command; none if the connection ended without a byte.
+async fn read_command(
+    stream: &mut TcpStream, bytes: &mut Vec<u8>,
+) -> Option<Result<AdminCommand, AdminCommandError>> {
+    loop {
+        if let Some(command) = command::parse_buffered(bytes) {
+            return Some(command);
+        }
+        match stream.read_buf(bytes).await {
+            Ok(0) if !bytes.is_empty() => return Some(Err(AdminCommandError::Incomplete)),
+            Ok(0) | Err(_) => return None,
+            Ok(_) => {}
+        }
+    }
+}
+
+async fn execute(service: &impl AdminService, command: AdminCommand) -> String {
+    match command {
+        AdminCommand::Stats => format!("{}\nEND\n", service.stats()),
+        AdminCommand::Status => acknowledgement(service.check_ready()),
+        AdminCommand::MaintOn(id) => acknowledgement(service.start_maintenance(id).await),
+        AdminCommand::MaintOff(id) => acknowledgement(service.end_maintenance(id).await),
+    }
+}
+
+fn acknowledgement(result: Result<(), impl Error>) -> String {
+    match result {
+        Ok(()) => "YES\n".to_owned(),
+        Err(error) => rejection(&error),
+    }
+}
+
+fn rejection(error: &impl Error) -> String {
+    format!("NO {error}\n")
+}
--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -47,7 +47,7 @@
 
 /// Returns how many descriptors of the process's limit are for connections and health checks, the reserve included.
 pub(in crate::relay) fn connection_descriptors(process_limit: usize, admin_enabled: bool) -> usize {
-    process_limit.saturating_sub(if admin_enabled { admin::DESCRIPTORS } else { 0 })
+    process_limit.saturating_sub(if admin_enabled { admin::server::MAX_DESCRIPTORS } else { 0 })
 }
 
 impl Relay {
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -3,12 +3,15 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use super::hot_restart::{self, MaintenanceChange};
+use super::hot_restart::{self, MaintenanceChange, SetMaintenanceError};
 use crate::admin::AdminService;
-use crate::relay::SharedRelay;
 use crate::relay::timer_wheel::Timers;
+use crate::relay::{NotReady, SharedRelay};
 
 impl AdminService for SharedRelay {
+    type ReadinessError = NotReady;
+    type MaintenanceError = SetMaintenanceError;
+
     fn timers(&self) -> Rc<Timers> {
         self.borrow().timers.clone()
     }
@@ -17,15 +20,23 @@
         self.borrow().stats()
     }
 
-    fn check_ready(&self) -> Result<(), String> {
-        self.borrow().check_ready().map_err(|reason| reason.to_string())
+    fn check_ready(&self) -> Result<(), NotReady> {
+        self.borrow().check_ready()
+    }
+
+    fn start_maintenance(
+        &self, endpoint_id: String,
+    ) -> impl Future<Output = Result<(), SetMaintenanceError>> {
+        set_maintenance(self.clone(), endpoint_id, MaintenanceChange::Start)
     }
 
-    fn set_maintenance(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
-        let relay = self.clone();
-        async move {
-            let changed = hot_restart::set_maintenance(&relay, &id, MaintenanceChange::of(out)).await;
-            changed.map_err(|error| error.to_string())
-        }
+    fn end_maintenance(&self, endpoint_id: String) -> impl Future<Output = Result<(), SetMaintenanceError>> {
+        set_maintenance(self.clone(), endpoint_id, MaintenanceChange::End)
     }
 }
+
+async fn set_maintenance(
+    relay: SharedRelay, endpoint_id: String, change: MaintenanceChange,
+) -> Result<(), SetMaintenanceError> {
+    hot_restart::set_maintenance(&relay, &endpoint_id, change).await
+}
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -121,7 +121,7 @@
         tokio::task::spawn_local(shared_health_check::run(relay.clone()));
     }
     if let Some(admin) = admin {
-        tokio::task::spawn_local(admin::serve(relay.clone(), admin));
+        tokio::task::spawn_local(admin::server::serve(relay.clone(), admin));
     }
     tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
 }
