--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -1,21 +1,21 @@
-//! `honeyknot-relay metrics`: the names of all series, and captured packets and snapshots made readable.
+//! `honeyknot-relay metrics`: lists the names of all metrics, and prints captured packets and snapshots as text.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
 use honeyknot_metrics::collectd;
-use honeyknot_metrics::families::METRIC_FAMILIES;
-use honeyknot_metrics::stored::StoredMetrics;
+use honeyknot_metrics::families::{METRIC_FAMILIES, MetricDescriptor};
+use honeyknot_metrics::stored::{self, StoredMetrics};
 use honeyknot_metrics::{MetricValue, graphite};
 
-use crate::relay::lifecycle::config::read_key_file;
+use crate::relay::lifecycle::config::{KeyFileError, read_key_file};
 
 /// What to show.
-#[derive(clap::Subcommand)]
+#[derive(Debug, clap::Subcommand)]
 pub enum Show {
-    /// List all series: name, kind, unit, tag, its values, meaning; separated by tabs.
+    /// List all metrics: name, kind, unit, tag, its values, meaning; separated by tabs.
     Names,
-    /// Print a captured collectd packet, a Graphite pickle or a snapshot of counts.
+    /// Print a captured collectd packet, a Graphite pickle or a snapshot of counters.
     Decode {
         /// The file.
         file: PathBuf,
@@ -25,63 +25,133 @@
     },
 }
 
+/// Why metrics cannot be shown.
+#[derive(Debug, thiserror::Error)]
+pub enum InspectError {
+    /// Standard output cannot be written.
+    #[error("standard output: {0}")]
+    Output(#[source] io::Error),
+    /// The file cannot be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// The file is a snapshot that cannot be decoded.
+    #[error("{}: {source}", path.display())]
+    Snapshot {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: stored::SnapshotError,
+    },
+    /// The file is no collectd packet that can be decoded.
+    #[error("{}: {source}", path.display())]
+    Packet {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: collectd::PacketError,
+    },
+    /// The key file cannot be used.
+    #[error("{path}: {source}")]
+    KeyFile {
+        /// The key file.
+        path: String,
+        /// Why.
+        source: KeyFileError,
+    },
+}
+
+/// The user and password of a key file.
+struct Credentials {
+    user: String,
+    password: String,
+}
+
 /// Writes what is asked for to standard output.
-pub fn show(what: &Show) -> Result<(), String> {
+///
+/// # Errors
+/// If a file cannot be read or decoded, or the output cannot be written.
+pub fn show(what: &Show) -> Result<(), InspectError> {
     let text = match what {
-        Show::Names => names(),
+        Show::Names => list_names(),
         Show::Decode { file, key } => decode(file, key.as_deref())?,
     };
     match io::stdout().lock().write_all(text.as_bytes()) {
-        // Whoever reads has seen enough.
-        Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        wrote => wrote.map_err(|e| format!("standard output: {e}")),
+        // The reader has closed the pipe, such as `head` does.
+        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
+        written => written.map_err(InspectError::Output),
     }
 }
 
-fn names() -> String {
-    let line = |n: &honeyknot_metrics::families::MetricDescriptor| {
-        let kind = n.kind.as_str();
-        format!("{}\t{kind}\t{}\t{}\t{}\t{}\n", n.name, n.unit, n.tag, n.values.join(","), n.help)
+fn list_names() -> String {
+    let line = |family: &MetricDescriptor| {
+        let (kind, values) = (family.kind.as_str(), family.values.join(","));
+        format!("{}\t{kind}\t{}\t{}\t{values}\t{}\n", family.name, family.unit, family.tag, family.help)
     };
     METRIC_FAMILIES.iter().map(line).collect()
 }
 
-fn decode(file: &Path, key: Option<&str>) -> Result<String, String> {
-    let told = |why: String| format!("{}: {why}", file.display());
-    let bytes = std::fs::read(file).map_err(|e| told(e.to_string()))?;
-    if bytes.starts_with(honeyknot_metrics::stored::MAGIC) {
-        let state = StoredMetrics::decode(&bytes).map_err(|e| told(e.to_string()))?;
-        return Ok(snapshot(&state));
+fn decode(file: &Path, key_file: Option<&str>) -> Result<String, InspectError> {
+    let path = file.to_owned();
+    let bytes = std::fs::read(file).map_err(|source| InspectError::Read { path: path.clone(), source })?;
+    if bytes.starts_with(stored::MAGIC) {
+        let snapshot = StoredMetrics::decode(&bytes);
+        return snapshot
+            .map(|snapshot| describe_snapshot(&snapshot))
+            .map_err(|source| InspectError::Snapshot { path, source });
     }
     if let Some(points) = graphite::read_pickle(&bytes) {
-        return Ok(points.iter().map(|(path, (at, value))| format!("{path} {value} {at}\n")).collect());
+        return Ok(points.iter().map(|(name, (at, value))| format!("{name} {value} {at}\n")).collect());
     }
-    let key = key.map(|path| read_key_file(path).map_err(|error| format!("{path}: {error}"))).transpose()?;
-    let password = |user: &str| key.as_ref().filter(|(u, _)| u == user).map(|(_, password)| password.clone());
-    let passwords: Option<collectd::Passwords> = if key.is_some() { Some(&password) } else { None };
-    let values = collectd::read(&bytes, passwords).map_err(|e| told(e.to_string()))?;
-    let line = |v: &collectd::Received| {
-        let value = match v.value {
-            MetricValue::Counter(total) => total.to_string(),
-            MetricValue::Gauge(gauge) => gauge.to_string(),
-        };
-        let at = v.timestamp as f64 / 1e6;
-        format!("{}/{}-{}/{}-{} {value} {at:.3}\n", v.host, collectd::PLUGIN_NAME, v.instance, v.kind, v.name)
+    let credentials = key_file.map(read_credentials).transpose()?;
+    decode_packet(&bytes, credentials.as_ref()).map_err(|source| InspectError::Packet { path, source })
+}
+
+fn read_credentials(path: &str) -> Result<Credentials, InspectError> {
+    let (user, password) =
+        read_key_file(path).map_err(|source| InspectError::KeyFile { path: path.to_owned(), source })?;
+    Ok(Credentials { user, password })
+}
+
+fn decode_packet(bytes: &[u8], credentials: Option<&Credentials>) -> Result<String, collectd::PacketError> {
+    let password_of = |user: &str| {
+        let known = credentials.filter(|credentials| credentials.user == user);
+        known.map(|credentials| credentials.password.clone())
+    };
+    let passwords: Option<collectd::Passwords<'_>> = credentials.is_some().then_some(&password_of);
+    let values = collectd::read(bytes, passwords)?;
+    Ok(values.iter().map(describe_value).collect())
+}
+
+fn describe_value(received: &collectd::Received) -> String {
+    let value = match received.value {
+        MetricValue::Counter(total) => total.to_string(),
+        MetricValue::Gauge(gauge) => gauge.to_string(),
     };
-    Ok(values.iter().map(line).collect())
+    let seconds = received.timestamp as f64 / 1e6;
+    let plugin = format!("{}-{}", collectd::PLUGIN_NAME, received.instance);
+    format!("{}/{plugin}/{}-{} {value} {seconds:.3}\n", received.host, received.kind, received.name)
 }
 
-fn snapshot(state: &StoredMetrics) -> String {
-    let mut text =
-        format!("relay {} at {:.3}, life {}\n", state.relay, state.timestamp as f64 / 1e6, state.incarnation);
-    for total in &state.counters {
+fn describe_snapshot(snapshot: &StoredMetrics) -> String {
+    let mut text = format!(
+        "relay {} at {:.3}, life {}\n",
+        snapshot.relay,
+        snapshot.timestamp as f64 / 1e6,
+        snapshot.incarnation
+    );
+    for total in &snapshot.counters {
         let tag = if total.value.is_empty() { String::new() } else { format!(" {}", total.value) };
         text.push_str(&format!("{}{tag} {}\n", total.name, total.total));
     }
-    for histogram_state in &state.histograms {
-        let count: u64 = histogram_state.counts.iter().map(|(_, count)| count).sum();
-        let most = histogram_state.counts.last().map_or(0, |(value, _)| *value);
-        text.push_str(&format!("{} {count} values up to {most}\n", histogram_state.name));
+    for histogram in &snapshot.histograms {
+        let count: u64 = histogram.counts.iter().map(|(_, count)| count).sum();
+        let largest = histogram.counts.last().map_or(0, |(value, _)| *value);
+        text.push_str(&format!("{} {count} values up to {largest}\n", histogram.name));
     }
     text
 }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,6 +1,6 @@
 //! The log: one record a line on standard error, as text for people or as JSON for collectors.
 //!
-//! A record's target is the part of the relay that tells it (`relay`, `roll`, `site`, ...), not a path in the code.
+//! A record's target is the part of the relay that logs it (`relay`, `discovery`, `zone_failover`, ...), not a path in the code.
 
 use std::fmt;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// The outcome that the balancer is told.
+/// Returns the outcome that is reported to the balancer.
 fn outcome_of(end: ConnectionEnd, last_line: LastLine) -> Outcome {
     match (end, last_line) {
         (ConnectionEnd::DownstreamClosed(_) | ConnectionEnd::Migrated | ConnectionEnd::Transferred, _) => {
--- a/src/relay/endpoint_table.rs
+++ b/src/relay/endpoint_table.rs
@@ -21,7 +21,7 @@
     health_check: Option<UnboundedSender<HealthCheckCommand>>,
 }
 
-/// All endpoints that the relay has heard of, by id.
+/// All endpoints that discovery has listed since the start, by id.
 ///
 /// Address, zone and draining state outlast an endpoint's removal from the list; its health check does not.
 #[derive(Debug, Default)]
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -82,7 +82,7 @@
     let metrics = config.metrics.clone();
     let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
-        // The successor is bound by what its predecessor was told: it needs the full list now.
+        // The successor is bound by all updates that its predecessor received: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
     }
     if let Some(metrics) = metrics {
