--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use honeyknot_operator_config::{Faults, Section, parse, units};
+use honeyknot_operator_config::{ConfigErrors, Section, parse, units};
 
 /// Configuration of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,11 +25,11 @@
     ///
     /// # Errors
     /// All faults of the file at once.
-    pub fn read(file: &str, text: &str) -> Result<GossipConfig, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<GossipConfig, ConfigErrors> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = GossipConfig::from_section(Section::file(file, &tree, &faults));
-        Section::faults(faults).map(|()| config)
+        Section::errors(faults).map(|()| config)
     }
 
     fn from_section(mut top: Section) -> GossipConfig {
@@ -63,7 +63,7 @@
     for directive in &directives {
         top.no_block(directive);
         let [address] = &directive.words[..] else {
-            top.fault(&directive.name, "`seed` takes one address".into());
+            top.error(&directive.name, "`seed` takes one address".into());
             continue;
         };
         let parsed: Option<SocketAddr> = top.word("seed", address, units::address());
@@ -71,10 +71,10 @@
             Some(seed) if !seed.ip().is_loopback() && !plain_network => {
                 let reason = "is not a loopback address: what relays say is neither secret nor signed; \
                     `plain-network` allows it on a network that is trusted";
-                top.fault(address, format!("`{seed}` {reason}"));
+                top.error(address, format!("`{seed}` {reason}"));
             }
             Some(seed) if seeds.contains(&seed) => {
-                top.fault(address, format!("`seed {seed}` is given again"))
+                top.error(address, format!("`seed {seed}` is given again"))
             }
             seed => seeds.extend(seed),
         }
--- a/crates/metrics/src/config.rs
+++ b/crates/metrics/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use honeyknot_operator_config::{Directive, Faults, Section, parse, units};
+use honeyknot_operator_config::{ConfigErrors, Directive, Section, parse, units};
 
 use crate::collectd::Security;
 use crate::graphite::PathStyle;
@@ -75,7 +75,7 @@
     /// All errors of the file together.
     pub fn read(
         file: &str, text: &str, read_key: impl Fn(&str) -> Result<Credentials, String>,
-    ) -> Result<MetricsConfig, Faults> {
+    ) -> Result<MetricsConfig, ConfigErrors> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let mut top = Section::file(file, &tree, &faults);
@@ -86,15 +86,15 @@
             let exporter = read_exporter(&top, directive, &read_key, state_directory.is_some());
             let Some(exporter) = exporter else { continue };
             if exporters.iter().any(|other| other.name == exporter.name) {
-                top.fault(&directive.name, format!("the sink `{}` is given again", exporter.name));
+                top.error(&directive.name, format!("the sink `{}` is given again", exporter.name));
             }
             if exporters.len() == MAX_EXPORTERS {
-                top.fault(&directive.name, format!("there are more than {MAX_EXPORTERS} sinks"));
+                top.error(&directive.name, format!("there are more than {MAX_EXPORTERS} sinks"));
             }
             exporters.push(exporter);
         }
         top.finish();
-        Section::faults(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
+        Section::errors(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
     }
 }
 
@@ -123,14 +123,14 @@
     fn check(&self, block: &Section, directive: &Directive, interval: Duration) {
         let graphite = self.graphite.is_some() || self.graphite_pickle.is_some();
         if graphite && interval < MIN_GRAPHITE_INTERVAL {
-            block.fault(
+            block.error(
                 &directive.name,
                 "`interval`: Graphite keeps one point a second; allowed is 1s and more".into(),
             );
         }
         let (signed, encrypted) = (self.sign.is_some(), self.encrypt.is_some());
         if (signed || encrypted) && self.collectd.is_none() || signed && encrypted {
-            block.fault(&directive.name, "`sign` or `encrypt`, one of them, goes with `collectd`".into());
+            block.error(&directive.name, "`sign` or `encrypt`, one of them, goes with `collectd`".into());
         }
     }
 
@@ -153,11 +153,11 @@
             (None, _) => {
                 let what =
                     "a sink needs one of `graphite`, `graphite-pickle` or `collectd`, with its address";
-                top.fault(&directive.name, what.into());
+                top.error(&directive.name, what.into());
                 None
             }
             (Some(_), Some(_)) => {
-                top.fault(&directive.name, "a sink speaks one protocol; this one names several".into());
+                top.error(&directive.name, "a sink speaks one protocol; this one names several".into());
                 None
             }
         }
@@ -169,7 +169,7 @@
     has_state_directory: bool,
 ) -> Option<ExporterConfig> {
     let [name] = &directive.words[..] else {
-        top.fault(&directive.name, "`sink` takes one word, its name".into());
+        top.error(&directive.name, "`sink` takes one word, its name".into());
         return None;
     };
     let mut block = top.block(directive);
@@ -185,7 +185,7 @@
     let (protocol, address) = protocol.into_protocol(top, directive)?;
     let spool = spool.unwrap_or(0);
     if spool > 0 && !has_state_directory {
-        top.fault(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
+        top.error(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
     }
     Some(ExporterConfig { name: name.text.clone(), protocol, address, interval, prefix, buffer, spool, fill })
 }
--- a/crates/operator-config/src/fault.rs
+++ b/crates/operator-config/src/error.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-/// One fault: the file, the place in it, what is wrong and what would be right.
+/// One error: the file, the position in it, what is wrong and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {what}")]
-pub struct Fault {
+pub struct ConfigError {
     /// The file's name as the caller gave it.
     pub file: String,
     /// The line, counted from 1; the last line of the file where something is missing at its end.
@@ -16,24 +16,24 @@
     pub what: String,
 }
 
-/// All faults of a file, in the order of their places: never empty.
+/// All errors of a file by position; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(Vec<Fault>);
+pub struct ConfigErrors(Vec<ConfigError>);
 
-impl Faults {
-    /// Sorts faults by place; none if there are none.
-    pub fn from_list(mut faults: Vec<Fault>) -> Option<Faults> {
-        faults.sort_by_key(|f| (f.line, f.column));
-        (!faults.is_empty()).then_some(Faults(faults))
+impl ConfigErrors {
+    /// Sorts errors by position; none if the list is empty.
+    pub fn from_list(mut errors: Vec<ConfigError>) -> Option<ConfigErrors> {
+        errors.sort_by_key(|error| (error.line, error.column));
+        (!errors.is_empty()).then_some(ConfigErrors(errors))
     }
 
-    /// The faults.
-    pub fn list(&self) -> &[Fault] {
+    /// Returns the errors.
+    pub fn list(&self) -> &[ConfigError] {
         &self.0
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, fault) in self.0.iter().enumerate() {
             write!(f, "{}{fault}", if i > 0 { "\n" } else { "" })?;
@@ -42,4 +42,4 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,17 +1,18 @@
 #![forbid(unsafe_code)]
-//! Operator files, in the manner of classic daemons: one directive a line, `#` begins a comment, quotes as in a
-//! shell, a block's lines between `{` and `}`.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+//! Operator files: one directive a line, `#` begins a comment, quotes as in a shell, a block's lines between `{` and
+//! `}`.
 //!
 //! Text goes into [`parse`], a tree of [`Directive`]s comes out; a [`Section`] reads that tree with typed values
-//! ([`units`]) and notes every [`Fault`] on the way, so that all of them are told at once. This package knows what a
-//! directive looks like and never what one does: each part of the program reads its own file with it. It opens no
-//! file and changes nothing; who calls it decides what happens to a file with faults (as a rule: all is refused).
+//! ([`units`]) and collects every [`ConfigError`], so that all are reported at once. This package knows the syntax of
+//! directives and not their meaning: each part of the program reads its own file with it. It opens no file and changes
+//! nothing; the caller decides what happens to a file with errors (as a rule, it is rejected whole).
 
-mod fault;
+mod error;
 mod parse;
 mod section;
 pub mod units;
 
-pub use fault::{Fault, Faults};
+pub use error::{ConfigError, ConfigErrors};
 pub use parse::{Directive, Word, parse};
 pub use section::Section;
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -1,13 +1,13 @@
 //! From text to a tree of directives.
 
-use crate::fault::{Fault, Faults};
+use crate::error::{ConfigError, ConfigErrors};
 
-/// The most bytes of a file that is read: an operator file is written by hand.
-pub const LARGEST: usize = 1 << 20;
-/// Blocks within blocks, at most.
-const DEEPEST: usize = 8;
+/// The largest file in bytes that is parsed.
+const MAX_FILE_BYTES: usize = 1 << 20;
+/// How deep blocks may be nested.
+const MAX_BLOCK_DEPTH: usize = 8;
 
-/// A word and its place.
+/// A word and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
     /// The word, quotes and backslashes taken off.
@@ -29,35 +29,38 @@
     pub block: Option<Vec<Directive>>,
 }
 
-/// What a line is cut into.
+/// A token of a line.
 enum Token {
     Word(Word),
     Open,
     Close(u32, u32),
 }
 
-/// Reads a file's text; `file` is only named in faults. The faults of all lines come together.
-pub fn parse(file: &str, text: &str) -> Result<Vec<Directive>, Faults> {
-    let mut parser = Parser { file, faults: Vec::new() };
-    if text.len() > LARGEST {
-        parser.fault(1, 1, format!("the file is larger than {LARGEST} bytes"));
-        return Err(Faults::from_list(parser.faults).expect("one was just noted"));
+/// Parses a file's text; `file` is its name in errors.
+///
+/// # Errors
+/// The errors of all lines together.
+pub fn parse(file: &str, text: &str) -> Result<Vec<Directive>, ConfigErrors> {
+    let mut parser = Parser { file, errors: Vec::new() };
+    if text.len() > MAX_FILE_BYTES {
+        parser.error(1, 1, format!("the file is larger than {MAX_FILE_BYTES} bytes"));
+        return Err(ConfigErrors::from_list(parser.errors).expect("one was just noted"));
     }
     let tree = parser.tree(text);
-    match Faults::from_list(parser.faults) {
-        Some(faults) => Err(faults),
+    match ConfigErrors::from_list(parser.errors) {
+        Some(errors) => Err(errors),
         None => Ok(tree),
     }
 }
 
 struct Parser<'a> {
     file: &'a str,
-    faults: Vec<Fault>,
+    errors: Vec<ConfigError>,
 }
 
 impl Parser<'_> {
-    fn fault(&mut self, line: u32, column: u32, what: impl Into<String>) {
-        self.faults.push(Fault { file: self.file.to_owned(), line, column, what: what.into() });
+    fn error(&mut self, line: u32, column: u32, what: impl Into<String>) {
+        self.errors.push(ConfigError { file: self.file.to_owned(), line, column, what: what.into() });
     }
 
     fn tree(&mut self, text: &str) -> Vec<Directive> {
@@ -71,10 +74,10 @@
                 match token {
                     Token::Word(word) => words.push(word),
                     Token::Open if words.is_empty() => {
-                        self.fault(number, 1, "`{` without a directive before it")
+                        self.error(number, 1, "`{` without a directive before it")
                     }
-                    Token::Open if open.len() > DEEPEST => {
-                        self.fault(number, 1, format!("blocks stand more than {DEEPEST} deep"));
+                    Token::Open if open.len() > MAX_BLOCK_DEPTH => {
+                        self.error(number, 1, format!("blocks stand more than {MAX_BLOCK_DEPTH} deep"));
                         return Vec::new();
                     }
                     Token::Open => open.push((directive(std::mem::take(&mut words)), Vec::new())),
@@ -88,7 +91,7 @@
         }
         while open.len() > 1 {
             if let Some(Some(unclosed)) = open.last().map(|o| o.0.as_ref().map(|d| d.name.clone())) {
-                self.fault(
+                self.error(
                     last,
                     1,
                     format!("the block of `{}` in line {} has no `}}`", unclosed.text, unclosed.line),
@@ -101,7 +104,7 @@
 
     fn close(&mut self, open: &mut Vec<(Option<Directive>, Vec<Directive>)>, line: u32, column: u32) {
         if open.len() < 2 {
-            return self.fault(line, column, "`}` without a `{` before it");
+            return self.error(line, column, "`}` without a `{` before it");
         }
         if let Some((Some(mut opener), inner)) = open.pop() {
             opener.block = Some(inner);
@@ -109,10 +112,10 @@
         }
     }
 
-    /// Cuts a line into words and braces.
+    /// Splits a line into words and braces.
     fn tokens(&mut self, line: u32, text: &str) -> Vec<Token> {
         let mut tokens = Vec::new();
-        // The word that is being read, with its column; an empty pair of quotes is a word too.
+        // The word read so far; an empty pair of quotes is a word too.
         let mut word: Option<Word> = None;
         let mut quote: Option<(char, u32)> = None;
         let mut chars = (1..).zip(text.chars()).peekable();
@@ -123,7 +126,7 @@
                 (Some(('\'', _)), c) => word.get_or_insert_with(start).text.push(c),
                 (_, '\\') => match chars.next() {
                     Some((_, next)) => word.get_or_insert_with(start).text.push(next),
-                    None => self.fault(line, column, "`\\` at the end of a line: a directive is one line"),
+                    None => self.error(line, column, "`\\` at the end of a line: a directive is one line"),
                 },
                 (Some(_), c) => word.get_or_insert_with(start).text.push(c),
                 (None, '"' | '\'') => {
@@ -135,17 +138,17 @@
                     tokens.push(if c == '{' { Token::Open } else { Token::Close(line, column) });
                 }
                 (None, '{' | '}') => {
-                    self.fault(line, column, format!("`{c}` needs a space before it, or quotes"))
+                    self.error(line, column, format!("`{c}` needs a space before it, or quotes"))
                 }
                 (None, c) if c.is_whitespace() => tokens.extend(word.take().map(Token::Word)),
                 (None, c) if c.is_control() => {
-                    self.fault(line, column, format!("a control character (U+{:04X})", u32::from(c)));
+                    self.error(line, column, format!("a control character (U+{:04X})", u32::from(c)));
                 }
                 (None, c) => word.get_or_insert_with(start).text.push(c),
             }
         }
         if let Some((mark, column)) = quote {
-            self.fault(line, column, format!("the quote {mark} is not closed in its line"));
+            self.error(line, column, format!("the quote {mark} is not closed in its line"));
         }
         tokens.extend(word.map(Token::Word));
         tokens
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -1,15 +1,14 @@
-//! Typed values of directives. Each function makes a reader that turns a word into a value, or says what is wrong
-//! with it and what is allowed.
+//! Typed values of directives. Each function returns a parser that turns a word into a value, or says what is allowed.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// What a reader brings: the value, or what is wrong (without place and word, which the caller adds).
-pub type Read<T> = Result<T, String>;
+/// The value of a word, or what is wrong with it; the caller adds the position and the word.
+pub type ParseResult<T> = Result<T, String>;
 
-fn within<T: PartialOrd>(value: T, range: &RangeInclusive<T>, show: impl Fn(&T) -> String) -> Read<T> {
+fn within<T: PartialOrd>(value: T, range: &RangeInclusive<T>, show: impl Fn(&T) -> String) -> ParseResult<T> {
     match range.contains(&value) {
         true => Ok(value),
         false => Err(format!("allowed is {} to {}", show(range.start()), show(range.end()))),
@@ -17,7 +16,7 @@
 }
 
 /// A span of time with its unit, such as `30s`, `250ms` or `1m 30s` in quotes.
-pub fn duration(range: RangeInclusive<Duration>) -> impl Fn(&str) -> Read<Duration> {
+pub fn duration(range: RangeInclusive<Duration>) -> impl Fn(&str) -> ParseResult<Duration> {
     move |word| {
         let span = humantime::parse_duration(word)
             .map_err(|_| "not a span of time with its unit, such as 30s or 250ms".to_owned())?;
@@ -26,13 +25,13 @@
 }
 
 /// A span of time as [`duration`] reads it; the value is in microseconds.
-pub fn micros(range: RangeInclusive<Duration>) -> impl Fn(&str) -> Read<u64> {
+pub fn micros(range: RangeInclusive<Duration>) -> impl Fn(&str) -> ParseResult<u64> {
     let read = duration(range);
     move |word| read(word).map(|span| span.as_micros() as u64)
 }
 
 /// A share in percent, such as `25%`; the value is a part of 1.
-pub fn share(range: RangeInclusive<f64>) -> impl Fn(&str) -> Read<f64> {
+pub fn share(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
     move |word| {
         let percent = word.strip_suffix('%').and_then(|n| n.parse::<f64>().ok()).filter(|n| n.is_finite());
         let percent = percent.ok_or("not a share in percent, such as 25%")?;
@@ -41,7 +40,7 @@
 }
 
 /// A number without unit.
-pub fn number<T>(range: RangeInclusive<T>) -> impl Fn(&str) -> Read<T>
+pub fn number<T>(range: RangeInclusive<T>) -> impl Fn(&str) -> ParseResult<T>
 where
     T: std::str::FromStr + PartialOrd + Display,
 {
@@ -53,7 +52,7 @@
 }
 
 /// A rate such as `2/s` or `90/m`; the value is in a second.
-pub fn rate(range: RangeInclusive<f64>) -> impl Fn(&str) -> Read<f64> {
+pub fn rate(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
     move |word| {
         let read = word.split_once('/').and_then(|(count, unit)| {
             let span = match unit {
@@ -69,7 +68,7 @@
 }
 
 /// An amount of memory or disk such as `64MiB`, `512KiB` or `100B`; the value is in bytes.
-pub fn bytes(range: RangeInclusive<u64>) -> impl Fn(&str) -> Read<u64> {
+pub fn bytes(range: RangeInclusive<u64>) -> impl Fn(&str) -> ParseResult<u64> {
     move |word| {
         let split = word.find(|c: char| !c.is_ascii_digit()).unwrap_or(word.len());
         let factor = match &word[split..] {
@@ -85,7 +84,7 @@
 }
 
 /// An address with its port, such as `127.0.0.1:2003` or `[::1]:2003`.
-pub fn address() -> impl Fn(&str) -> Read<SocketAddr> {
+pub fn address() -> impl Fn(&str) -> ParseResult<SocketAddr> {
     |word| {
         let at = word.parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
         at.ok_or_else(|| "not an address with its port, such as 127.0.0.1:2003".to_owned())
@@ -93,7 +92,7 @@
 }
 
 /// One of some words, each with the value that it stands for.
-pub fn choice<T: Copy + 'static>(choices: &'static [(&'static str, T)]) -> impl Fn(&str) -> Read<T> {
+pub fn choice<T: Copy + 'static>(choices: &'static [(&'static str, T)]) -> impl Fn(&str) -> ParseResult<T> {
     move |word| {
         let found = choices.iter().find(|(name, _)| *name == word).map(|(_, value)| *value);
         found.ok_or_else(|| {
@@ -104,11 +103,11 @@
 }
 
 /// `on` or `off`.
-pub fn flag() -> impl Fn(&str) -> Read<bool> {
+pub fn flag() -> impl Fn(&str) -> ParseResult<bool> {
     choice(&[("on", true), ("off", false)])
 }
 
 /// Any word that is not empty.
-pub fn text() -> impl Fn(&str) -> Read<String> {
+pub fn text() -> impl Fn(&str) -> ParseResult<String> {
     |word| if word.is_empty() { Err("a word is expected".into()) } else { Ok(word.to_owned()) }
 }
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -58,7 +58,7 @@
     assert_eq!(top.value("end", units::flag()), None);
     assert_eq!(top.required("must", units::text()), None);
     top.finish();
-    let told = Section::faults(faults).expect_err("faults").to_string();
+    let told = Section::errors(faults).expect_err("faults").to_string();
     let lines = [
         "x.conf:1:1: the file lacks `must`",
         "x.conf:1:6: `wait`: `5`: not a span of time with its unit, such as 30s or 250ms",
--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use honeyknot_balancer::Micros;
-use honeyknot_operator_config::{Directive, Faults, Section, Word, parse, units};
+use honeyknot_operator_config::{ConfigErrors, Directive, Section, Word, parse, units};
 
 use crate::config::{RetryAfterRange, ZoneFailoverConfig};
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn micros(min_ms: u64, max: Duration) -> impl Fn(&str) -> units::Read<Micros> {
+fn micros(min_ms: u64, max: Duration) -> impl Fn(&str) -> units::ParseResult<Micros> {
     units::micros(Duration::from_millis(min_ms)..=max)
 }
 
@@ -32,11 +32,11 @@
     /// # Errors
     ///
     /// Returns all errors of the file at once, each with file, line, word and what is allowed.
-    pub fn read(file: &str, text: &str, zone_names: &[String]) -> Result<ZoneFailoverConfig, Faults> {
+    pub fn read(file: &str, text: &str, zone_names: &[String]) -> Result<ZoneFailoverConfig, ConfigErrors> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &faults), zone_names);
-        Section::faults(faults).map(|()| config)
+        Section::errors(faults).map(|()| config)
     }
 
     fn from_section(mut top: Section, zone_names: &[String]) -> ZoneFailoverConfig {
@@ -111,12 +111,12 @@
     fn read_retry_after(&mut self, top: &mut Section) {
         let Some(directive) = top.only("come-back") else { return };
         let [least, most] = &directive.words[..] else {
-            return top.fault(&directive.name, "`come-back` takes the least and the longest time".into());
+            return top.error(&directive.name, "`come-back` takes the least and the longest time".into());
         };
         let read = |word| top.word("come-back", word, micros(1, HOUR));
         if let (Some(from), Some(to)) = (read(least), read(most)) {
             if from > to {
-                top.fault(least, "`come-back`: the least time is longer than the longest".into());
+                top.error(least, "`come-back`: the least time is longer than the longest".into());
             }
             self.retry_after = RetryAfterRange { min: from, max: to };
         }
@@ -129,7 +129,7 @@
         let mut zone = |section: &Section, word: &Word| {
             let name = section.word("site", word, |text| known_zone(text, zone_names))?;
             if named.contains(&name) {
-                section.fault(word, format!("the site `{name}` is named again"));
+                section.error(word, format!("the site `{name}` is named again"));
             }
             named.push(name.clone());
             Some(name)
@@ -137,7 +137,7 @@
         let home = match &directive.words[..] {
             [home] => zone(top, home),
             _ => {
-                top.fault(&directive.name, "`prefer` takes one site, the home".into());
+                top.error(&directive.name, "`prefer` takes one site, the home".into());
                 None
             }
         };
@@ -145,14 +145,14 @@
         for tier in block.each("tier") {
             block.no_block(tier);
             if tier.words.is_empty() {
-                block.fault(&tier.name, "`tier` takes one site or more".into());
+                block.error(&tier.name, "`tier` takes one site or more".into());
             }
             tiers.push(tier.words.iter().filter_map(|word| zone(&block, word)).collect());
         }
         block.finish();
         let Some(home) = home else { return };
         if self.tiers.insert(home.clone(), tiers).is_some() {
-            top.fault(&directive.name, format!("`prefer {home}` is given again"));
+            top.error(&directive.name, format!("`prefer {home}` is given again"));
         }
     }
 
@@ -169,7 +169,7 @@
                     high.1 * 100.0
                 );
                 if let Some(directive) = at {
-                    top.fault(&directive.name, what);
+                    top.error(&directive.name, what);
                 }
             }
         };
@@ -178,7 +178,7 @@
     }
 }
 
-fn known_zone(text: &str, zone_names: &[String]) -> units::Read<String> {
+fn known_zone(text: &str, zone_names: &[String]) -> units::ParseResult<String> {
     match zone_names.iter().any(|name| name == text) {
         true => Ok(text.to_owned()),
         false => Err(format!("no such site; the settings name {}", zone_names.join(", "))),
@@ -188,18 +188,18 @@
 /// Reads a directive of a zone and a value.
 fn read_zone_value<T>(
     top: &Section, directive: &Directive, zone_names: &[String], earlier: &BTreeMap<String, T>,
-    read: impl Fn(&str) -> units::Read<T>,
+    read: impl Fn(&str) -> units::ParseResult<T>,
 ) -> Option<(String, T)> {
     top.no_block(directive);
     let name = &directive.name;
     let [zone, value] = &directive.words[..] else {
-        top.fault(name, format!("`{}` takes a site and a value", name.text));
+        top.error(name, format!("`{}` takes a site and a value", name.text));
         return None;
     };
     let found = top.word(&name.text, zone, |text| known_zone(text, zone_names));
     let value = top.word(&name.text, value, read);
     if found.as_ref().is_some_and(|found| earlier.contains_key(found)) {
-        top.fault(zone, format!("`{} {}` is given again", name.text, zone.text));
+        top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
     }
     found.zip(value)
 }
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -8,7 +8,7 @@
 
 use honeyknot_lease::LeaseParameters;
 use honeyknot_lease_consensus::ReplicaId;
-use honeyknot_operator_config::{Faults, Section, parse, units};
+use honeyknot_operator_config::{ConfigErrors, Section, parse, units};
 use thiserror::Error;
 
 use honeyknot_balancer::Micros;
@@ -45,7 +45,7 @@
     },
     /// The file has faults.
     #[error(transparent)]
-    Invalid(#[from] Faults),
+    Invalid(#[from] ConfigErrors),
 }
 
 impl LeaseConfig {
@@ -63,11 +63,11 @@
     ///
     /// # Errors
     /// All faults of the text.
-    pub fn read(file: &str, text: &str) -> Result<LeaseConfig, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<LeaseConfig, ConfigErrors> {
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = LeaseConfig::from_section(Section::file(file, &tree, &faults));
-        Section::faults(faults).map(|()| config)
+        Section::errors(faults).map(|()| config)
     }
 
     /// Number of servers.
@@ -110,7 +110,7 @@
     for directive in &directives {
         section.no_block(directive);
         let [number, address] = &directive.words[..] else {
-            section.fault(&directive.name, "`keeper` takes a number and an address".into());
+            section.error(&directive.name, "`keeper` takes a number and an address".into());
             continue;
         };
         let number = section.word("keeper", number, units::number(SERVER_IDS));
@@ -119,14 +119,14 @@
             if !allowed {
                 let what = "is not a loopback address: what keepers say is neither secret nor signed; \
                     `plain-network` allows it on a network that is trusted";
-                section.fault(&directive.words[1], format!("`{address}` {what}"));
+                section.error(&directive.words[1], format!("`{address}` {what}"));
             }
             allowed
         });
         if let (Some(number), Some(address)) = (number, address)
             && servers.insert(number, address).is_some()
         {
-            section.fault(&directive.words[0], format!("`keeper {number}` is given again"));
+            section.error(&directive.words[0], format!("`keeper {number}` is given again"));
         }
     }
     let has_gap = (1..=servers.len() as u64).any(|number| !servers.contains_key(&number));
@@ -134,7 +134,7 @@
         && (!ALLOWED_SERVER_COUNTS.contains(&directives.len()) || has_gap)
     {
         let what = format!("there are 1, 3, 5 or 7 keepers, numbered from 1, not {}", directives.len());
-        section.fault(&directive.name, what);
+        section.error(&directive.name, what);
     }
     if directives.is_empty() {
         section.required("keeper", units::text());
@@ -148,12 +148,12 @@
     if parameters.usable() < lease_duration / 2
         && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
     {
-        section.fault(&directive.name, "margin and drift leave less than half of the lease".into());
+        section.error(&directive.name, "margin and drift leave less than half of the lease".into());
     }
     if election_timeout > lease_duration / 3
         && let Some(directive) = section.only("election").or_else(|| section.only("lease"))
     {
         let what = "`election` is longer than a third of `lease`: a change of leader loses leases";
-        section.fault(&directive.name, what.into());
+        section.error(&directive.name, what.into());
     }
 }
--- a/src/relay/lifecycle/config/error.rs
+++ b/src/relay/lifecycle/config/error.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use honeyknot_gossip::NetworkNotTrusted;
-use honeyknot_operator_config::Faults;
+use honeyknot_operator_config::ConfigErrors;
 
 use crate::settings::SettingsError;
 
@@ -75,7 +75,7 @@
     },
     /// An operator file has faults; each names file and line.
     #[error(transparent)]
-    OperatorFile(#[from] Faults),
+    OperatorFile(#[from] ConfigErrors),
     /// The gossip file does not allow the network that the relay listens on.
     #[error("{path}: {source}")]
     GossipNetwork {
