--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,102 +1,120 @@
-//! Updates of the endpoint list.
+//! Updates of the endpoint list: endpoints that are added, drain or are removed.
 
 use std::collections::BTreeSet;
 
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::balancer::{ASK_TOKEN, Balancer};
-use crate::endpoint_record::Server;
-use crate::migration::SHED_TIME;
-use crate::slow_start::Slots;
+use crate::balancer::{Balancer, DISCOVERY_TOKEN};
+use crate::endpoint_record::EndpointRecord;
+use crate::migration::SHED_DURATION;
+use crate::rendezvous::ENDPOINT_HASH_SEED;
+use crate::slow_start::SlowStartBudget;
 use crate::{Action, Endpoint, EndpointId, EndpointState, EndpointUpdate, Micros};
 
-/// Drain timeout where no drain has been seen to its end.
-pub(crate) const DRAIN_TIMEOUT: Micros = 30_000_000;
-/// Moves begin as if an unknown drain were this much shorter than the timeout: many are.
-pub(crate) const DRAIN_CAUTION: u64 = 10;
-/// Part of the expected drain in which the moves are made.
-pub(crate) const DRAIN_USE: f64 = 0.7;
-/// Longest first wait before the list is asked for, so that balancers started together do not ask together.
-pub(crate) const ASK_SPREAD: Micros = 2_000_000;
-/// First wait after a refused call; it doubles up to 8 times this.
-pub(crate) const ASK_AGAIN: Micros = 500_000;
+/// Duration of a drain where none has been seen to its end; migrated clients are remembered as long.
+pub(crate) const DEFAULT_DRAIN_TIMEOUT: Micros = 30_000_000;
+/// Until a drain has been seen to its end, migrations expect one this many times shorter than
+/// [`DEFAULT_DRAIN_TIMEOUT`].
+const UNKNOWN_DRAIN_DIVISOR: Micros = 10;
+/// Fraction of the expected drain within which the connections migrate.
+const DRAIN_MIGRATION_FRACTION: f64 = 0.7;
+/// Longest random delay before the first request for the endpoint list, so that balancers that start together
+/// do not ask at the same time.
+pub(crate) const MAX_INITIAL_DISCOVERY_DELAY: Micros = 2_000_000;
+/// Mean delay after the first failed poll of discovery; it doubles with each further one.
+const DISCOVERY_BACKOFF: Micros = 500_000;
+/// The delay after a failed poll doubles at most this many times.
+const MAX_DISCOVERY_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Balancer {
-    pub(crate) fn take_list(&mut self, now: Micros, update: EndpointUpdate, out: &mut Vec<Action>) {
-        let (entries, whole) = match update {
-            EndpointUpdate::Failed => {
-                // A refused call is a sign that all ask at once: wait longer each time, and not in step.
-                let wait = ASK_AGAIN << self.asks_failed.min(3);
-                self.asks_failed += 1;
-                let delay = self.rng.random_range(wait / 2..=wait + wait / 2);
-                out.push(Action::SetTimer { delay, token: ASK_TOKEN });
-                return;
-            }
-            EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (entries, true),
-            EndpointUpdate::Delta(entries) => (entries, false),
+    pub(crate) fn update_endpoints(
+        &mut self, now: Micros, update: EndpointUpdate, actions: &mut Vec<Action>,
+    ) {
+        let (endpoints, is_full) = match update {
+            EndpointUpdate::Failed => return self.back_off_discovery(actions),
+            EndpointUpdate::Cached(endpoints) | EndpointUpdate::Full(endpoints) => (endpoints, true),
+            EndpointUpdate::Delta(endpoints) => (endpoints, false),
         };
-        self.asks_failed = 0;
-        if whole {
-            let named: BTreeSet<&EndpointId> = entries.iter().map(|e| &e.id).collect();
-            let lost: Vec<EndpointId> =
-                self.servers.keys().filter(|id| !named.contains(id)).cloned().collect();
-            for id in lost {
-                self.leave(now, &id, EndpointState::Removed);
-            }
+        self.failed_discovery_polls = 0;
+        if is_full {
+            self.remove_unlisted(now, &endpoints);
         }
-        for entry in entries.iter() {
-            match entry.state {
-                EndpointState::Ready => self.join(entry),
-                state => {
-                    if state == EndpointState::Draining && !self.servers.contains_key(&entry.id) {
-                        self.join(entry);
-                    }
-                    self.leave(now, &entry.id, state);
-                }
+        for endpoint in endpoints.iter() {
+            self.update_endpoint(now, endpoint);
+        }
+        self.update_fleet_estimate(now);
+    }
+
+    /// Polls discovery again after a random delay, longer each time.
+    fn back_off_discovery(&mut self, actions: &mut Vec<Action>) {
+        let mean = DISCOVERY_BACKOFF << self.failed_discovery_polls.min(MAX_DISCOVERY_BACKOFF_DOUBLINGS);
+        self.failed_discovery_polls += 1;
+        let delay = self.rng.random_range(mean / 2..=mean + mean / 2);
+        actions.push(Action::SetTimer { delay, token: DISCOVERY_TOKEN });
+    }
+
+    /// Marks the endpoints as removed that a full list does not name.
+    fn remove_unlisted(&mut self, now: Micros, listed: &[Endpoint]) {
+        let listed: BTreeSet<&EndpointId> = listed.iter().map(|endpoint| &endpoint.id).collect();
+        let removed: Vec<EndpointId> =
+            self.endpoints.keys().filter(|id| !listed.contains(id)).cloned().collect();
+        for id in removed {
+            self.mark_leaving(now, &id, EndpointState::Removed);
+        }
+    }
+
+    fn update_endpoint(&mut self, now: Micros, endpoint: &Endpoint) {
+        let is_known = self.endpoints.contains_key(&endpoint.id);
+        match endpoint.state {
+            EndpointState::Ready => self.add_endpoint(endpoint),
+            EndpointState::Draining if !is_known => {
+                self.add_endpoint(endpoint);
+                self.mark_leaving(now, &endpoint.id, EndpointState::Draining);
             }
+            state => self.mark_leaving(now, &endpoint.id, state),
         }
-        self.survey(now);
     }
 
-    pub(crate) fn join(&mut self, entry: &Endpoint) {
-        let mut standing = BTreeSet::new();
-        if let Some(known) = self.servers.get_mut(&entry.id) {
-            if known.entry.started_at == entry.started_at && known.ready() {
-                known.entry = entry.clone();
+    /// Adds an endpoint, or updates the record of one that has not restarted since.
+    fn add_endpoint(&mut self, endpoint: &Endpoint) {
+        let mut connections = BTreeSet::new();
+        if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
+            if known.endpoint.started_at == endpoint.started_at && known.is_ready() {
+                known.endpoint = endpoint.clone();
                 return;
             }
-            // A new process: nothing known of the old one holds, but what stood there still ends.
-            standing = std::mem::take(&mut known.standing);
+            // Nothing known of the earlier process holds for the new one, but its connections still end.
+            connections = std::mem::take(&mut known.connections);
         }
-        let server = Server {
-            hash: xxh3_64_with_seed(entry.id.0.as_bytes(), 0),
-            entry: entry.clone(),
-            standing,
-            slots: Slots::new(self.rng.random()),
-            ..Server::default()
+        let record = EndpointRecord {
+            id_hash: xxh3_64_with_seed(endpoint.id.0.as_bytes(), ENDPOINT_HASH_SEED),
+            endpoint: endpoint.clone(),
+            connections,
+            slow_start: SlowStartBudget::new(self.rng.random()),
+            ..EndpointRecord::default()
         };
-        self.servers.insert(entry.id.clone(), server);
+        self.endpoints.insert(endpoint.id.clone(), record);
     }
 
-    /// A server drains or is gone: it takes nothing new, and what stands there is flagged and moved.
-    pub(crate) fn leave(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
-        let Some(server) = self.servers.get_mut(id) else { return };
+    /// Marks an endpoint as draining or removed: it gets no new connection, and all it has migrate.
+    fn mark_leaving(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
+        let Some(record) = self.endpoints.get_mut(id) else { return };
         if state == EndpointState::Removed
-            && let (EndpointState::Draining, Some(told)) = (server.entry.state, server.leaving)
+            && record.endpoint.state == EndpointState::Draining
+            && let Some(drain_start) = record.leaving_since
         {
-            // The shortest drain seen sets the pace of the next.
-            let lasted = now.saturating_sub(told);
-            self.drain_seen = Some(self.drain_seen.map_or(lasted, |seen| seen.min(lasted)));
+            let drain = now.saturating_sub(drain_start);
+            self.shortest_drain = Some(self.shortest_drain.map_or(drain, |shortest| shortest.min(drain)));
         }
-        let first = server.leaving.is_none();
-        server.entry.state = state;
-        server.leaving.get_or_insert(now);
+        let was_leaving = record.leaving_since.is_some();
+        record.endpoint.state = state;
+        record.leaving_since.get_or_insert(now);
         if state == EndpointState::Removed {
-            self.plan_moves(now, id, 1.0, SHED_TIME);
-        } else if first {
-            let lasts = self.drain_seen.unwrap_or(DRAIN_TIMEOUT / DRAIN_CAUTION);
-            self.plan_moves(now, id, 1.0, (lasts as f64 * DRAIN_USE) as Micros);
+            self.plan_migration(now, id, 1.0, SHED_DURATION);
+        } else if !was_leaving {
+            let drain = self.shortest_drain.unwrap_or(DEFAULT_DRAIN_TIMEOUT / UNKNOWN_DRAIN_DIVISOR);
+            self.plan_migration(now, id, 1.0, (drain as f64 * DRAIN_MIGRATION_FRACTION) as Micros);
         }
     }
 }
--- a/crates/balancer/src/load_estimate.rs
+++ b/crates/balancer/src/load_estimate.rs
@@ -1,131 +1,137 @@
-//! Estimates of the load of one endpoint and of all together.
+//! Estimates of load: of one endpoint, and of a connection.
 
-use crate::admission::FULL;
 use crate::balancer::Balancer;
-use crate::endpoint_record::Server;
-use crate::estimates::trust;
-use crate::request_state::Flow;
-use crate::unreported_load::is_blind;
-use crate::{EndpointId, LoadReport, Micros, unreported_load};
+use crate::endpoint_record::{EndpointRecord, ReportedLoad};
+use crate::request_state::RequestState;
+use crate::unreported_load::{self, is_unreported};
+use crate::{ClassId, EndpointId, LoadReport, Micros, RequestId};
 
-/// What a report shows is about this old already when it arrives; own placements since then are added to it.
+/// Age that a load report has when it arrives; this balancer's placements since then are added to it.
 pub(crate) const REPORT_LAG: Micros = 1_000_000;
-/// Reports lag behind the first connections for this long after a start.
-pub(crate) const SETTLE: Micros = 5_000_000;
-/// Own connections by which what they tell of the whole fleet's is doubted while there are few.
-pub(crate) const FEW: f64 = 2.0;
-/// How far own placements stand for those that the other balancers made unseen.
-pub(crate) const PEER_SHARE: f64 = 0.3;
-/// ... up to this: of many balancers, one placement of the own tells next to nothing.
-pub(crate) const PEERS_MOST: f64 = 2.0;
-/// Load of one connection on a server of weight 1 until reports tell.
-pub(crate) const UNIT_GUESS: f64 = 0.06;
+/// Trust in a load report decays by 1/e over this time, in microseconds.
+const TRUST_DECAY_TIME: f64 = 6e6;
+/// Unseen placements of each other balancer for one of this balancer's.
+const PEER_PLACEMENT_RATIO: f64 = 0.3;
+/// Unseen placements of all other balancers for one of this balancer's, at most: of many balancers, one
+/// placement tells little.
+const MAX_PEER_PLACEMENTS: f64 = 2.0;
+/// Fraction of the way that a running mean moves to a new value.
+const MEAN_UPDATE_FRACTION: f64 = 0.05;
+/// Least load of a connection, in loads of a mean connection.
+const MIN_RELATIVE_LOAD: f64 = 0.1;
+/// Highest load of a connection, in loads of a mean connection.
+const MAX_RELATIVE_LOAD: f64 = 10.0;
 
-/// What the table says of the fleet as a whole.
-#[derive(Default)]
-pub(crate) struct Fleet {
-    pub(crate) mean_load: f64,
-    /// Load of a usual connection on a server of weight 1.
-    pub(crate) unit: f64,
-    pub(crate) ready: usize,
-    /// Those of the own zone among them, or all where zones cost nothing.
-    pub(crate) near: usize,
-    /// Own connections for each size of server.
-    pub(crate) own: f64,
-    /// Usual connections that fit before servers are full; none is known where no report is.
-    pub(crate) room: f64,
+/// How far a report of that time is still trusted, from 0 to 1.
+pub(crate) fn report_trust(at: Micros, now: Micros) -> f64 {
+    (-(now.saturating_sub(at) as f64) / TRUST_DECAY_TIME).exp()
 }
 
-impl Balancer {
-    pub(crate) fn take_report(&mut self, now: Micros, id: &EndpointId, report: &LoadReport) {
-        let Some(server) = self.servers.get_mut(id) else { return };
-        let load = report.load.or(report.utilization).filter(|l| l.is_finite() && *l >= 0.0);
-        if let Some(load) = load {
-            server.load = Some((load, now));
+/// Moves a running mean towards a new value; values that are negative or not finite are ignored.
+fn update_mean(mean: &mut Option<f64>, value: f64) {
+    if value.is_finite() && value >= 0.0 {
+        *mean = Some(mean.map_or(value, |mean| mean + (value - mean) * MEAN_UPDATE_FRACTION));
+    }
+}
+
+/// A load of a report, if it is one.
+fn valid(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| value.is_finite() && *value >= 0.0)
+}
+
+/// Running means of the connections' loads, in microseconds of work a second; none until one is known.
+#[derive(Clone, Debug)]
+pub(crate) struct ConnectionLoads {
+    pub(crate) mean: Option<f64>,
+    by_class: Vec<Option<f64>>,
+}
+
+impl ConnectionLoads {
+    pub(crate) fn new(classes: usize) -> ConnectionLoads {
+        ConnectionLoads { mean: None, by_class: vec![None; classes] }
+    }
+
+    pub(crate) fn of_class(&self, class: ClassId) -> Option<f64> {
+        self.by_class.get(class.0).copied().flatten()
+    }
+
+    /// Takes the load that a request expects.
+    pub(crate) fn record_expected(&mut self, load: f64) {
+        update_mean(&mut self.mean, load);
+    }
+
+    /// Takes the load of a connection; the overall mean does not change for one that has expected a load.
+    fn record_measured(&mut self, class: ClassId, load: f64, has_expected: bool) {
+        if let Some(mean) = self.by_class.get_mut(class.0) {
+            update_mean(mean, load);
         }
-        server.inflight = report.inflight.filter(|n| n.is_finite() && *n >= 0.0);
-        while server.recent.front().is_some_and(|(sent, _)| sent + REPORT_LAG < now) {
-            server.recent.pop_front();
+        if !has_expected {
+            update_mean(&mut self.mean, load);
         }
     }
+}
 
-    /// Load over capacity as it probably is now: the report as far as its age lets it be trusted, the fleet's
-    /// mean for the rest, and what has been placed since.
-    pub(crate) fn estimate(&self, server: &Server, now: Micros) -> f64 {
-        let warmth = self.warmth(server, now);
-        let (mut usual, blind) = (self.fleet.mean_load, is_blind(&self.settings));
-        if blind {
-            usual =
-                unreported_load::guess(usual, server.standing.len(), self.fleet.own * server.size() * warmth);
+impl Balancer {
+    /// Takes an endpoint's load report; values that are negative or not finite are ignored.
+    pub(crate) fn record_report(&mut self, now: Micros, id: &EndpointId, report: &LoadReport) {
+        let Some(record) = self.endpoints.get_mut(id) else { return };
+        if let Some(load) = valid(report.load.or(report.utilization)) {
+            record.reported_load = Some(ReportedLoad { load, at: now });
         }
-        let (reported, at) = server.load.unwrap_or((usual, 0));
-        let trust = trust(at, now);
-        let base = trust * reported + (1.0 - trust) * usual;
-        if blind {
-            return base;
+        record.reported_inflight = valid(report.inflight);
+        let is_shown = |at: Micros| at + REPORT_LAG < now;
+        while record.recent_placements.front().is_some_and(|placement| is_shown(placement.at)) {
+            record.recent_placements.pop_front();
         }
-        let placed: f64 =
-            server.recent.iter().filter(|(sent, _)| sent + REPORT_LAG > at).map(|(_, units)| units).sum();
-        // The slots of a cold server hold the other balancers back already.
-        let unseen = if warmth < 1.0 { 0.0 } else { PEER_SHARE };
-        let peers = ((self.balancers() - 1.0) * unseen).min(PEERS_MOST);
-        let capacity = server.size() * warmth;
-        base + placed * (1.0 + peers) * self.fleet.unit / capacity
     }
 
-    /// A connection's load in usual connections.
-    pub(crate) fn units(&self, flow: &Flow) -> f64 {
-        let own = flow.load.or_else(|| self.class_work.get(flow.request.class.0).copied().flatten());
-        match (own, self.mean_work) {
-            (Some(own), Some(mean)) if mean > 0.0 => (own / mean).clamp(0.1, 10.0),
-            _ => 1.0,
-        }
+    /// Takes the load of an established connection, in microseconds of work a second.
+    pub(crate) fn record_connection_load(&mut self, id: RequestId, load: f64) {
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        state.connection_load = Some(load);
+        let has_expected = state.request.expected_load.is_some();
+        self.connection_loads.record_measured(state.request.class, load, has_expected);
     }
 
-    /// Sums up what the reports say of the fleet.
-    pub(crate) fn survey(&mut self, now: Micros) {
-        let (mut loads, mut sizes, mut inflight, mut inflight_load) = (0.0, 0.0, 0.0, 0.0);
-        let (mut ready, mut near, mut own, mut all_sizes, mut room) = (0, 0, 0usize, 0.0, 0.0);
-        let blind = is_blind(&self.settings);
-        for server in self.servers.values().filter(|s| s.ready()) {
-            ready += 1;
-            near += usize::from(self.near(server));
-            own += server.standing.len();
-            let size = server.size() * self.warmth(server, now);
-            all_sizes += size;
-            // Guards against taking one server that is full for all, where nothing else is ever told.
-            let Some((load, at)) = server.load.filter(|_| !blind) else { continue };
-            let trust = trust(at, now);
-            loads += load * size * trust;
-            sizes += size * trust;
-            if let Some(n) = server.inflight {
-                inflight += n * trust;
-                inflight_load += load * size * trust;
-            }
-            room += (FULL - load).max(0.0) * size;
+    /// An endpoint's load over its capacity as it probably is now: the report as far as its age lets it be
+    /// trusted, the fleet's mean for the rest, and what has been placed since.
+    pub(crate) fn estimated_load(&self, record: &EndpointRecord, now: Micros) -> f64 {
+        let mean = self.expected_load(record, now);
+        let report = record.reported_load.unwrap_or(ReportedLoad { load: mean, at: 0 });
+        let trust = report_trust(report.at, now);
+        let load = trust * report.load + (1.0 - trust) * mean;
+        if is_unreported(&self.settings) {
+            return load;
         }
-        (self.fleet.ready, self.fleet.near) = (ready, near);
-        self.fleet.own = own as f64 / f64::max(all_sizes, 1e-3);
-        if sizes > 0.0 {
-            self.fleet.mean_load = loads / sizes;
+        let unshown =
+            record.recent_placements.iter().filter(|placement| placement.at + REPORT_LAG > report.at);
+        let placed: f64 = unshown.map(|placement| placement.relative_load).sum();
+        let warm_up_fraction = self.warm_up_fraction(record, now);
+        // In slow start, the budget already holds the other balancers back.
+        let peer_ratio = if warm_up_fraction < 1.0 { 0.0 } else { PEER_PLACEMENT_RATIO };
+        let peer_placements = ((self.fleet_size() - 1.0) * peer_ratio).min(MAX_PEER_PLACEMENTS);
+        let capacity = record.capacity() * warm_up_fraction;
+        load + placed * (1.0 + peer_placements) * self.fleet_estimate.connection_load / capacity
+    }
+
+    /// An endpoint's load without a report of its own: the fleet's mean, and where nothing is reported also
+    /// what this balancer's connections tell.
+    fn expected_load(&self, record: &EndpointRecord, now: Micros) -> f64 {
+        let mean = self.fleet_estimate.mean_load;
+        if !is_unreported(&self.settings) {
+            return mean;
         }
-        let unit = if inflight >= 1.0 {
-            inflight_load / inflight
-        } else if own > 0 && (sizes > 0.0 || blind) && now.saturating_sub(self.born) >= SETTLE {
-            let own_load = self.fleet.mean_load * all_sizes / self.balancers();
-            (own_load + unreported_load::unit(&self.settings, UNIT_GUESS) * FEW) / (own as f64 + FEW)
-        } else {
-            self.fleet.unit
-        };
-        if unit > 0.0 && unit.is_finite() {
-            // Connections leave all at once, and reports show them still: it rises slowly. Guards against
-            // refusing them as too heavy when they come again.
-            let pace = if unit > self.fleet.unit { 0.02 } else { 0.2 };
-            self.fleet.unit += (unit - self.fleet.unit) * pace;
+        let warm_up_fraction = self.warm_up_fraction(record, now);
+        let expected = self.fleet_estimate.connections_per_capacity * record.capacity() * warm_up_fraction;
+        unreported_load::estimate_load(mean, record.connections.len(), expected)
+    }
+
+    /// A connection's load in loads of a mean connection.
+    pub(crate) fn relative_load(&self, state: &RequestState) -> f64 {
+        let own = state.connection_load.or_else(|| self.connection_loads.of_class(state.request.class));
+        match (own, self.connection_loads.mean) {
+            (Some(own), Some(mean)) if mean > 0.0 => (own / mean).clamp(MIN_RELATIVE_LOAD, MAX_RELATIVE_LOAD),
+            _ => 1.0,
         }
-        // Servers without a report have room like those with one. Guards against taking a fleet that has not
-        // reported yet for a full one.
-        let known = room / self.fleet.unit * (all_sizes / sizes.max(1e-9)).max(1.0);
-        self.fleet.room = if sizes > 0.0 { known } else { f64::INFINITY };
     }
 }
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -1,169 +1,114 @@
-//! Which endpoint a request goes to.
+//! Routing: where a request without an attempt in flight goes, after health checks where they can tell more.
 
-use rand::Rng;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
-
-use crate::admission::{STICKY_LOAD, WAVE_WAIT};
-use crate::affinity::{SPILL_ABOVE, SPILL_LEAST, SPILL_MOST, group_salt};
+use crate::admission::{FULL_LOAD_TOP_CLASS, SURGE_WAIT};
 use crate::balancer::Balancer;
-use crate::endpoint_record::Server;
-use crate::health_check::HOLD;
-use crate::rendezvous::race;
-use crate::request_state::Flow;
-use crate::unreported_load::is_blind;
-use crate::{Action, EndpointId, Idempotency, Micros, RequestId};
-
-/// Servers probed for a request: enough that one of them has room, few enough to cost next to nothing.
-pub(crate) const SAMPLE: usize = 3;
-/// Sampling rounds for a request before the split decides with what it has.
-pub(crate) const ROUNDS: u32 = 2;
-/// Least time worth another attempt.
-pub(crate) const LEAST_TRY: Micros = 30_000;
+use crate::endpoint_record::{EndpointRecord, Placement};
+use crate::health_check::MAX_HEALTH_CHECK_ROUNDS;
+use crate::request_state::RequestState;
+use crate::unreported_load::is_unreported;
+use crate::{Action, EndpointId, Micros, RequestId};
 
-/// A server in the races that decide about a request.
-pub(crate) struct Lane<'a> {
-    pub(crate) load: f64,
-    /// Its place in the group's race as seen from this zone, as seen from anywhere, and in the client's race.
-    pub(crate) near: f64,
-    pub(crate) wide: f64,
-    pub(crate) client: f64,
-    pub(crate) warmth: f64,
-    pub(crate) id: &'a EndpointId,
-}
+/// Least time that an attempt gets, and that must remain for another one.
+pub(crate) const MIN_ATTEMPT_TIME: Micros = 30_000;
 
 impl Balancer {
-    /// Finds a server for a request that has no attempt out, probing first where that can tell more.
-    pub(crate) fn route(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        self.held.remove(&id);
-        let Some(mut flow) = self.flows.remove(&id) else { return };
-        flow.held = None;
-        let left = flow.deadline.saturating_sub(now);
-        let spent = flow.attempts >= self.settings.permissions.max_attempts.max(1);
-        if spent || left <= LEAST_TRY.min(flow.request.time_remaining / 2) {
-            return self.finish(flow, out);
+    /// Finds an endpoint for a request that has no attempt in flight, after health checks where they can tell
+    /// more.
+    pub(crate) fn route(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        self.pending_requests.remove(&id);
+        let Some(mut state) = self.requests.remove(&id) else { return };
+        state.pending = None;
+        if self.is_exhausted(&state, now) {
+            return self.reject_or_fail(state, actions);
         }
-        let home = self.home(&flow, now);
-        if flow.request.mid_flow
-            && flow.attempts == 0
-            && let Some(home) = &home
-        {
-            // Its server has it still, even while that drains.
-            return self.send(now, flow, home.clone(), out);
+        let sticky = self.sticky_endpoint(&state, now);
+        if let Some(endpoint) = sticky.as_ref().filter(|_| state.request.mid_flow && state.attempts == 0) {
+            // The endpoint still has the connection, even while it drains.
+            return self.forward(now, state, endpoint.clone(), actions);
         }
-        if is_blind(&self.settings) && flow.rounds == 0 && self.throttled(&flow, now) {
-            return self.finish(flow, out);
+        let is_first_round = state.health_check_rounds == 0;
+        if is_unreported(&self.settings) && is_first_round && self.is_throttled(&state, now) {
+            return self.reject_or_fail(state, actions);
         }
-        let home = home.filter(|h| self.servers.get(h).is_some_and(|s| s.ready() && !s.health.suspect()));
-        let ranking = self.rank(&flow, now);
-        if flow.rounds < ROUNDS && self.sample(now, &mut flow, home.as_ref(), &ranking, out) {
-            self.held.insert(id);
-            self.flows.insert(id, flow);
-            return;
+        let sticky = sticky.filter(|id| self.endpoints.get(id).is_some_and(|record| record.is_available()));
+        let ranking = self.rank_endpoints(&state, now);
+        if state.health_check_rounds < MAX_HEALTH_CHECK_ROUNDS
+            && self.check_candidates(now, &mut state, sticky.as_ref(), &ranking, actions)
+        {
+            return self.enqueue_pending(state);
         }
-        let at_home = home.filter(|h| {
-            self.servers.get(h).is_some_and(|s| {
-                self.estimate(s, now) < STICKY_LOAD && !s.slow(now) && self.slot_open(s, now)
-            })
-        });
-        if at_home.is_none() && self.wave(now) && self.wait(now, &mut flow, WAVE_WAIT, out) {
-            self.held.insert(id);
-            self.flows.insert(id, flow);
-            return;
+        let sticky = sticky.filter(|id| self.has_sticky_capacity(id, now));
+        if sticky.is_none() && self.is_surge(now) && self.defer(now, &mut state, SURGE_WAIT, actions) {
+            return self.enqueue_pending(state);
         }
-        if let Some(server) = at_home.or_else(|| ranking.into_iter().next()) {
-            return self.send(now, flow, server, out);
+        match sticky.or_else(|| ranking.into_iter().next()) {
+            Some(endpoint) => self.forward(now, state, endpoint, actions),
+            None => self.place_without_capacity(now, state, actions),
         }
-        self.no_room(now, flow, out);
     }
 
-    /// Servers that may take this request, best first.
-    ///
-    /// The race of the group puts the servers in an order that all balancers see alike; as many of the first
-    /// that have room as the group seems to need form its set, and within the set the race of the client
-    /// decides by spare capacity. Without a group every server with room is in the set.
-    pub(crate) fn rank(&mut self, flow: &Flow, now: Micros) -> Vec<EndpointId> {
-        let request = &flow.request;
-        let moved = request.session_key.as_ref().and_then(|k| self.moved.get(k));
-        // A moved client lands at random; only its group, if it has one, still draws it.
-        let client = match &request.session_key {
-            Some(key) if moved.is_none() => xxh3_64_with_seed(key.0.as_bytes(), 1),
-            _ => self.rng.random(),
-        };
-        let spill = (self.fleet.mean_load + SPILL_ABOVE).clamp(SPILL_LEAST, SPILL_MOST);
-        let (salt, copy) = (group_salt(request), self.copy_cost(request));
-        let mut lanes = Vec::with_capacity(self.servers.len());
-        for (id, server) in &self.servers {
-            let weight = self.weight(server, now);
-            let open = weight > 0.0 && !flow.tried.contains(id) && moved.is_none_or(|(from, _)| from != id);
-            if open && self.may_send(flow, &server.entry, now) {
-                let load = if server.slow(now) { f64::INFINITY } else { self.estimate(server, now) };
-                let (far, warmth) = (self.far(server, copy), self.warmth(server, now));
-                let spare = weight / far * warmth * (1.0 - load).max(0.01).powi(2);
-                let wide = salt.map_or(0.0, |salt| race(salt, server.hash, weight));
-                let client = race(client, server.hash, spare);
-                lanes.push(Lane { load, near: wide * far, wide, client, warmth, id });
-            }
-        }
-        let need = self.group_set(request);
-        // Guards against a group that spreads over a full fleet: each server pays for it, and it stays full.
-        let reach = need.saturating_add(need / 2).saturating_add(1);
-        lanes.sort_unstable_by(|a, b| a.near.total_cmp(&b.near).then(a.id.cmp(b.id)));
-        let mut set: Vec<&Lane> = lanes.iter().take(reach).filter(|l| l.load < spill).collect();
-        if set.is_empty() && self.settings.prices.cross_zone > 0.0 {
-            // Where the own zone is full, the group's servers in all zones: other balancers use them too.
-            let mut wide: Vec<&Lane> = lanes.iter().collect();
-            wide.sort_by(|a, b| a.wide.total_cmp(&b.wide));
-            set = wide.into_iter().take(reach).filter(|l| l.load < spill).collect();
-        }
-        if set.is_empty() {
-            let full = if self.breaker.half_open(now) { 1.0 } else { self.full(flow) };
-            set = lanes.iter().take(reach).filter(|l| l.load < full).collect();
-        }
-        let lead = need.min(set.len());
-        set[..lead].sort_by(|a, b| a.client.total_cmp(&b.client));
-        // An open slot on a cold server is taken first if that is of the group's, and else before refusing:
-        // it lapses, and the server must fill.
-        let cold = lanes.iter().find(|l| l.warmth < 1.0 && l.load < spill);
-        let pressed = is_blind(&self.settings) && self.throttle.pressed();
-        let cold = cold.filter(|c| pressed || set.is_empty() || set.iter().any(|l| std::ptr::eq(*l, *c)));
-        let rest = set.iter().copied().filter(|l| cold.is_none_or(|c| !std::ptr::eq(*l, c)));
-        cold.into_iter().chain(rest).take(SAMPLE * 2).map(|l| l.id.clone()).collect()
+    /// Whether a request has no attempt left, or too little time for one.
+    fn is_exhausted(&self, state: &RequestState, now: Micros) -> bool {
+        let time_left = state.deadline.saturating_sub(now);
+        state.attempts >= self.settings.permissions.max_attempts.max(1)
+            || time_left <= MIN_ATTEMPT_TIME.min(state.request.time_remaining / 2)
     }
 
-    /// A server's weight before its load counts: capacity, less where it is doubtful.
-    pub(crate) fn weight(&self, server: &Server, now: Micros) -> f64 {
-        if !server.ready() || server.health.suspect() || !self.slot_open(server, now) {
-            return 0.0;
+    /// Starts an attempt of a request at an endpoint.
+    pub(crate) fn forward(
+        &mut self, now: Micros, mut state: RequestState, endpoint: EndpointId, actions: &mut Vec<Action>,
+    ) {
+        self.record_placement(now, &state, &endpoint);
+        if let Some(key) = &state.request.session_key {
+            self.migrated_clients.remove(key);
         }
-        // A probe that is not answered when it should be is a bad sign already.
-        let doubt =
-            if server.probe_sent.is_some_and(|at| now.saturating_sub(at) >= HOLD) { 0.2 } else { 1.0 };
-        server.size() * server.health.led_back(now) * doubt
+        let objective =
+            self.class(&state).map_or(state.request.time_remaining, |class| class.latency_objective);
+        let time_left = state.deadline.saturating_sub(now);
+        let timeout = objective.max(MIN_ATTEMPT_TIME).min(time_left).max(1);
+        let send_before = self.send_before(&state);
+        state.attempts += 1;
+        state.attempt_endpoint = Some(endpoint.clone());
+        state.sent_at = now;
+        state.health_check_rounds = 0;
+        actions.push(Action::Forward { id: state.request.id, endpoint, timeout, send_before });
+        self.requests.insert(state.request.id, state);
     }
 
-    pub(crate) fn send(&mut self, now: Micros, mut flow: Flow, id: EndpointId, out: &mut Vec<Action>) {
-        let units = self.units(&flow);
-        let rate = self.servers.get(&id).map_or(0.0, |s| self.slot_rate(s));
-        let told = !is_blind(&self.settings);
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.recent.extend(told.then_some((now, units)));
-            server.slots.take(&self.settings.rules, server.entry.started_at, now, rate);
+    fn record_placement(&mut self, now: Micros, state: &RequestState, endpoint: &EndpointId) {
+        let relative_load = self.relative_load(state);
+        let rate = self.endpoints.get(endpoint).map_or(0.0, |record| self.slow_start_rate(record));
+        if let Some(record) = self.endpoints.get_mut(endpoint) {
+            if !is_unreported(&self.settings) {
+                record.recent_placements.push_back(Placement { at: now, relative_load });
+            }
+            record.slow_start.consume(&self.settings.rules, record.endpoint.started_at, now, rate);
         }
-        self.breaker.placed();
-        let _ = flow.request.session_key.as_ref().map(|key| self.moved.remove(key));
-        let aim =
-            self.class(&flow).map_or(flow.request.time_remaining, |c| c.latency_objective).max(LEAST_TRY);
-        let timeout = aim.min(flow.deadline.saturating_sub(now)).max(1);
-        self.under_way.0 += units;
-        flow.attempts += 1;
-        flow.out = Some(id.clone());
-        flow.sent_at = now;
-        flow.rounds = 0;
-        let send_before = match (flow.may_have_run, self.class(&flow).map(|c| c.idempotency)) {
-            (Some((.., since)), Some(Idempotency::IdempotencyKey { window, .. })) => Some(since + window),
-            _ => None,
+        self.circuit_breaker.record_placement();
+        self.recent_placements.add(relative_load);
+    }
+
+    /// The endpoint with the lowest estimated load that may take a request at all, full or not.
+    pub(crate) fn least_loaded_endpoint(
+        &self, state: &RequestState, now: Micros,
+    ) -> Option<(f64, EndpointId)> {
+        let may_take = |record: &&EndpointRecord| {
+            record.is_ready()
+                && !state.failed_endpoints.contains(&record.endpoint.id)
+                && self.may_send(state, &record.endpoint, now)
+                && self.slow_start_admits(record, now)
         };
-        out.push(Action::Forward { id: flow.request.id, endpoint: id, timeout, send_before });
-        self.flows.insert(flow.request.id, flow);
+        let usable = self.endpoints.values().filter(may_take);
+        let loads = usable.map(|record| (self.estimated_load(record, now), record));
+        let (load, record) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        Some((load, record.endpoint.id.clone()))
+    }
+
+    /// Whether a request may be placed at `load` although no endpoint has spare capacity: nothing is known of
+    /// the fleet's load, or nothing of it is reported and the load may be lower than estimated.
+    pub(crate) fn may_place_without_capacity(&self, load: f64) -> bool {
+        !self.endpoints.values().any(EndpointRecord::is_available)
+            || self.endpoints.values().all(|record| record.reported_load.is_none())
+            || (is_unreported(&self.settings) && load < FULL_LOAD_TOP_CLASS)
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,8 +6,9 @@
 use clap::{Parser, Subcommand};
 use honeyknot_relay::admin::ask;
 use honeyknot_relay::inspect::{self, Show};
-use honeyknot_relay::lease_client::{plan::Plan, staff};
-use honeyknot_relay::lease_server::{self, Seat};
+use honeyknot_relay::lease_client::admin_commands::{self, AdminCommand};
+use honeyknot_relay::lease_client::config::LeaseConfig;
+use honeyknot_relay::lease_server::{self, LeaseServerOptions};
 use honeyknot_relay::logger::{self, Form};
 use honeyknot_relay::relay::{
     self,
@@ -62,7 +63,7 @@
         #[arg(long)]
         leases: String,
         #[command(flatten)]
-        seat: Seat,
+        seat: LeaseServerOptions,
         /// The least level that is logged.
         #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
         log: LevelFilter,
@@ -76,7 +77,7 @@
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
-        call: staff::Call,
+        call: AdminCommand,
     },
     /// Print name and version.
     Version,
@@ -86,9 +87,12 @@
     let done = match Cli::parse().command {
         Command::Serve { log, log_form, files } => {
             logger::start(log, log_form);
-            relay::serve(files)
+            relay::serve(files).map_err(|error| error.to_string())
+        }
+        Command::CheckConfig { files } => {
+            let config = Config::from_environment(&files).map_err(|error| error.to_string());
+            config.map(|config| describe(&config))
         }
-        Command::CheckConfig { files } => Config::from_environment(&files).map(|config| describe(&config)),
         Command::Metrics { show } => inspect::show(&show),
         Command::Admin { address, words } => match ask::ask(address, &words) {
             Ok(answer) => {
@@ -99,9 +103,9 @@
         },
         Command::LeaseServer { leases, seat, log, log_form } => {
             logger::start(log, log_form);
-            Plan::load(&leases).and_then(|plan| lease_server::serve(&plan, &seat))
+            serve_leases(&leases, &seat)
         }
-        Command::Lease { leases, call } => Plan::load(&leases).and_then(|plan| staff::call(&plan, &call)),
+        Command::Lease { leases, call } => administer_leases(&leases, &call),
         Command::Version => {
             println!("honeyknot {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -116,18 +120,28 @@
     }
 }
 
+fn serve_leases(file: &str, options: &LeaseServerOptions) -> Result<(), String> {
+    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
+    lease_server::serve(&config, options).map_err(|error| error.to_string())
+}
+
+fn administer_leases(file: &str, command: &AdminCommand) -> Result<(), String> {
+    let config = LeaseConfig::load(file).map_err(|error| error.to_string())?;
+    admin_commands::run(&config, command).map_err(|error| error.to_string())
+}
+
 fn describe(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
-    let known = config.known.as_ref().map_or(0, |k| k.entries.len());
-    println!("{} descriptors, {known} card servers known", config.sockets);
+    let known = config.known_endpoints.as_ref().map_or(0, |k| k.endpoints.len());
+    println!("{} descriptors, {known} card servers known", config.max_descriptors);
     if let Some(admin) = config.admin {
         println!("operators call at {admin}");
     }
-    if let Some(plan) = &config.sites {
+    if let Some(plan) = &config.zone_failover {
         let (limit, leave) = (plan.spill_limit * 100.0, plan.leave_limit * 100.0);
         println!("sites: spill up to {limit}% of a site, {leave}% of newcomers may leave theirs");
     }
-    if let Some(plan) = &config.neighbors {
+    if let Some(plan) = &config.gossip {
         let (port, seeds, witnesses) = (plan.port, plan.seeds.len(), plan.witnesses);
         println!(
             "neighbors: fleet {}, port {port}, {seeds} seeds, {witnesses} witnesses a card server",
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,32 +1,33 @@
-//! The program as operators meet it: `check-config`, its faults, and SIGHUP.
+//! The program on the command line: `check-config` and its errors, reload by SIGHUP, and the metrics commands.
 
+#[path = "support/process.rs"]
 mod process;
 
 use std::fs;
 use std::path::Path;
 use std::process::Output;
 
-use process::{Folder, Relay, answer, config, free, honeyknot};
+use process::{Relay, ScratchDirectory, config, first_answer, relay_command, unused_address};
 use serde_json::json;
 
-fn told(output: &Output) -> (Option<i32>, String) {
+fn failure(output: &Output) -> (Option<i32>, String) {
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn check_config_tells_all_faults_of_an_operator_file_with_their_places() {
-    let folder = Folder::new("check");
+fn check_config_reports_all_faults_of_an_operator_file_with_their_places() {
+    let folder = ScratchDirectory::new("check");
     let config = folder.write("config.json", &config("127.0.0.1:1".parse().expect("an address")));
     let good = folder.write("good.conf", "spill-limit 20%\nprefer tema {\n  tier kasoa\n}\n");
     let checked = |file: &Path| {
         let file = file.display().to_string();
-        honeyknot(&config, &["check-config", "--sites", &file]).output().expect("a run")
+        relay_command(&config, &["check-config", "--sites", &file]).output().expect("a run")
     };
     let output = checked(&good);
-    assert!(output.status.success(), "{:?}", told(&output));
+    assert!(output.status.success(), "{:?}", failure(&output));
     assert!(String::from_utf8_lossy(&output.stdout).contains("spill up to 20% of a site"));
     let bad = folder.write("bad.conf", "spill-limit 20\nprefer accra {\n  tier kasoa\n}\nspread soon\n");
-    let (code, text) = told(&checked(&bad));
+    let (code, text) = failure(&checked(&bad));
     assert_eq!(code, Some(2));
     for place in [
         "bad.conf:1:13: `spill-limit`: `20`",
@@ -35,39 +36,39 @@
     ] {
         assert!(text.contains(place), "{place} is not in {text}");
     }
-    let (code, text) = told(&checked(&folder.0.join("none.conf")));
+    let (code, text) = failure(&checked(&folder.0.join("none.conf")));
     assert!(code == Some(2) && text.contains("none.conf"), "{text}");
 }
 
 #[test]
-fn a_hangup_takes_all_of_an_operator_file_or_nothing_and_the_log_may_be_json() {
-    let folder = Folder::new("hangup");
-    let listen = free();
+fn a_reload_applies_all_of_an_operator_file_or_nothing_and_the_log_may_be_json() {
+    let folder = ScratchDirectory::new("hangup");
+    let listen = unused_address();
     let config = folder.write("config.json", &config(listen));
     let sites = folder.write("sites.conf", "spill-limit 20%\n");
     let relay = Relay::start(&folder, &config, "log", &["--sites", &sites.display().to_string()]);
     folder.write("sites.conf", "spill-limit 20%\nspill-limits 5%\n");
-    relay.hang_up();
-    relay.logged("unknown directive `spill-limits`; is `spill-limit` meant?");
-    relay.logged("the configuration held stays in use");
+    relay.send_sighup();
+    relay.wait_for_log("unknown directive `spill-limits`; is `spill-limit` meant?");
+    relay.wait_for_log("configuration rejected; the current one stays");
     folder.write("sites.conf", "spill-limit 30%\n");
-    relay.hang_up();
-    relay.logged("\"message\":\"applied\"");
+    relay.send_sighup();
+    relay.wait_for_log("\"message\":\"configuration applied\"");
     let first = fs::read_to_string(&relay.log).expect("a log").lines().next().map(str::to_owned);
     let record: serde_json::Value = serde_json::from_str(&first.expect("a record")).expect("JSON");
     assert_eq!(
         (&record["target"], &record["name"], &record["level"]),
         (&json!("relay"), &json!("n0"), &json!("INFO"))
     );
-    // It still serves: nobody is ready, so a client is refused at once, with a time to come back.
-    let line = answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
+    // It still serves: without endpoints a request is rejected at once, with a retry time.
+    let line = first_answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
     assert!(line.starts_with("BUSY"), "{line}");
 }
 
 #[test]
-fn metrics_are_named_and_captures_made_readable() {
-    let folder = Folder::new("inspect");
-    let run = |words: &[&str]| honeyknot(&folder.0, words).output().expect("a run");
+fn metrics_are_listed_and_captures_are_decoded() {
+    let folder = ScratchDirectory::new("inspect");
+    let run = |words: &[&str]| relay_command(&folder.0, words).output().expect("a run");
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
@@ -77,7 +78,7 @@
     let output = run(&["metrics", "decode", &file.display().to_string()]);
     assert!(String::from_utf8_lossy(&output.stdout).starts_with("relay n0 at 5.000, life 2\n"));
     fs::write(&file, &state[..state.len() - 1]).expect("a file");
-    let (code, text) = told(&run(&["metrics", "decode", &file.display().to_string()]));
+    let (code, text) = failure(&run(&["metrics", "decode", &file.display().to_string()]));
     assert!(code == Some(2) && text.contains("the snapshot has"), "{text}");
     let packet = honeyknot_metrics::collectd::packets(
         "n0",
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -2,10 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
-use honeyknot_lease_consensus::{Keeper as Replica, Settings as ReplicaSettings, Write as ReplicaWrite};
-use honeyknot_relay::lease_server::disk::{
-    Disk as LeaseDatabase, Found as DatabaseContent, Founding as DatabaseOwner,
-};
+use honeyknot_lease_consensus::{Replica, ReplicaSettings, ReplicaWrite};
+use honeyknot_relay::lease_server::storage::{DatabaseContent, DatabaseOwner, LeaseDatabase};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 use super::fixture::{all, decode_hex, encode, one, path};
@@ -21,30 +19,26 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
 const MARKS: TableDefinition<u64, u64> = TableDefinition::new("marks");
-const PEER_MARKS: [(u64, u64); 2] = [(1, 0x1111_2222_3333_4444), (3, 0x5555_6666_7777_8888)];
+const PEER_DATABASE_IDS: [(u64, u64); 2] = [(1, 0x1111_2222_3333_4444), (3, 0x5555_6666_7777_8888)];
 
 pub fn owner() -> DatabaseOwner {
-    DatabaseOwner { fleet: "alpha".into(), keepers: 3, me: 2 }
-}
-
-fn owner_mark(content: &DatabaseContent) -> u64 {
-    content.mark
+    DatabaseOwner { fleet: "alpha".into(), server_count: 3, server: 2 }
 }
 
 /// The writes that lead to the recorded database, in order.
 pub fn recorded_writes(lease_table: Vec<u8>) -> [ReplicaWrite; 3] {
     let before = ReplicaWrite {
-        state: Some(hard_state(6, 1, 39)),
+        hard_state: Some(hard_state(6, 1, 39)),
         snapshot: None,
-        drop_from: Some(39),
+        truncate_from: Some(39),
         entries: vec![log_entry(39, 6, &[]), log_entry(40, 6, &recorded_commands())],
     };
     let compaction =
         ReplicaWrite { snapshot: Some(replica_snapshot(40, 6, lease_table)), ..ReplicaWrite::default() };
     let after = ReplicaWrite {
-        state: Some(hard_state(8, 3, 41)),
+        hard_state: Some(hard_state(8, 3, 41)),
         snapshot: None,
-        drop_from: Some(41),
+        truncate_from: Some(41),
         entries: vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])],
     };
     [before, compaction, after]
@@ -116,8 +110,8 @@
     for write in recorded_writes(one("lease_table.txt", "table")) {
         database.write(&write).expect("the database takes the write");
     }
-    for (replica, mark) in PEER_MARKS {
-        database.remember(replica, mark).expect("the database takes the mark");
+    for (replica, database_id) in PEER_DATABASE_IDS {
+        database.remember_peer(replica, database_id).expect("the database takes the id");
     }
     content
 }
@@ -130,12 +124,12 @@
 fn a_database_of_the_previous_version_opens_with_its_recorded_content() {
     let folder = TemporaryFolder::with_recorded_database("content");
     let (_database, content) = open_recorded(&folder);
-    assert_eq!(content.kept.state, hard_state(8, 3, 41));
-    assert_eq!(content.kept.snapshot, Some(replica_snapshot(40, 6, one("lease_table.txt", "table"))));
+    assert_eq!(content.state.hard_state, hard_state(8, 3, 41));
+    assert_eq!(content.state.snapshot, Some(replica_snapshot(40, 6, one("lease_table.txt", "table"))));
     let entries = vec![log_entry(41, 8, &[]), log_entry(42, 8, &[renew("sweep", 70_001, 1)])];
-    assert_eq!(content.kept.entries, entries);
+    assert_eq!(content.state.entries, entries);
     assert_eq!(content.tokens_from, TOKENS_FROM);
-    assert_eq!(content.marks.into_iter().collect::<Vec<_>>(), PEER_MARKS);
+    assert_eq!(content.peer_database_ids.into_iter().collect::<Vec<_>>(), PEER_DATABASE_IDS);
 }
 
 #[test]
@@ -148,11 +142,11 @@
 fn each_value_read_from_a_database_of_the_previous_version_is_encoded_unchanged() {
     let folder = TemporaryFolder::with_recorded_database("encoded");
     let (_database, content) = open_recorded(&folder);
-    let mark = owner_mark(&content);
-    assert_eq!(encode(&(owner(), TOKENS_FROM, mark)), one(VALUES, "kept/founded"));
-    assert_eq!(encode(&content.kept.state), one(VALUES, "kept/state"));
-    assert_eq!(encode(&content.kept.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
-    for entry in &content.kept.entries {
+    let database_id = content.database_id;
+    assert_eq!(encode(&(owner(), TOKENS_FROM, database_id)), one(VALUES, "kept/founded"));
+    assert_eq!(encode(&content.state.hard_state), one(VALUES, "kept/state"));
+    assert_eq!(encode(&content.state.snapshot.expect("a snapshot")), one(VALUES, "kept/snapshot"));
+    for entry in &content.state.entries {
         assert_eq!(encode(entry), one(VALUES, &format!("log/{}", entry.index)));
     }
 }
@@ -164,8 +158,8 @@
     let mut expected = all(VALUES);
     let (_, owner_value) =
         expected.iter_mut().find(|(label, _)| label == "kept/founded").expect("the owner is recorded");
-    // The mark is drawn anew for each database.
-    *owner_value = encode(&(owner(), TOKENS_FROM, owner_mark(&content)));
+    // The id is drawn anew for each database.
+    *owner_value = encode(&(owner(), TOKENS_FROM, content.database_id));
     assert_eq!(raw_values(&folder.0), expected);
 }
 
@@ -188,16 +182,16 @@
     let folder = TemporaryFolder::with_recorded_database("replica");
     let (_database, content) = open_recorded(&folder);
     let settings = ReplicaSettings {
-        terms: lease_parameters(),
-        me: 2,
-        keepers: 3,
-        tick: 50_000,
-        election: 1_000_000,
+        parameters: lease_parameters(),
+        id: 2,
+        replica_count: 3,
+        tick_interval: 50_000,
+        election_timeout: 1_000_000,
         compact_after: 4_096,
         tokens_from: content.tokens_from,
     };
-    let replica = Replica::new(settings, content.kept).expect("the content is sound");
+    let replica = Replica::new(settings, content.state).expect("the content is sound");
     assert_eq!(replica.term(), 8);
-    let indices: Vec<u64> = replica.log_from(0).iter().map(|entry| entry.index).collect();
+    let indices: Vec<u64> = replica.log_entries_from(0).iter().map(|entry| entry.index).collect();
     assert_eq!(indices, [41, 42]);
 }
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -23,9 +23,9 @@
 #[path = "relay/operator_files.rs"]
 mod operator_files;
 
-#[path = "../loopback/mod.rs"]
+#[path = "../support/loopback.rs"]
 mod loopback;
-#[path = "../process/mod.rs"]
+#[path = "../support/process.rs"]
 mod process;
 
 /// The folder of the files that the program wrote before the renames.
@@ -56,7 +56,12 @@
     let stopped = async move {
         let _ = stopped.await;
     };
-    let listeners = Listeners { clients, admin: Some(operators), folder: folder.map(Rc::new), from: None };
+    let listeners = Listeners {
+        clients,
+        admin: Some(operators),
+        state_directory: folder.map(Rc::new),
+        predecessor: None,
+    };
     let ended = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
-    loopback::Relay { at, admin, reloads, stop, ended }
+    loopback::Relay { address: at, admin, reloads, stop, ended }
 }
