--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,18 +1,22 @@
 #![forbid(unsafe_code)]
-//! What a relay counts, and how that is told to Graphite and collectd.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+//! Metrics of a relay and their formats at Graphite and collectd.
 //!
-//! [`Book`] holds totals, gauges and histograms; the relay's thread adds to it by plain calls that allocate nothing
-//! once a series exists. A [`Reading`] is what it held at a point in time. [`graphite`] and [`collectd`] turn readings
-//! into bytes by the published formats. [`Plan`] is what the operators say about sinks. Nothing here opens a socket, reads a clock or a file.
+//! [`MetricsRegistry`] holds counters, gauges and histograms; updating it allocates nothing once a series exists. A
+//! [`MetricsSnapshot`] is its state at a point in time. [`graphite`] and [`collectd`] encode snapshots in the published formats,
+//! [`StoredMetrics`](stored::StoredMetrics) and [`spool_record`] are the forms on disk. [`MetricsConfig`] is the operator file.
+//! Nothing here opens a socket, reads a clock or a file.
 
-pub mod book;
 pub mod collectd;
+pub mod config;
+pub mod families;
 pub mod graphite;
-pub mod names;
-pub mod plan;
-pub mod records;
-pub mod state;
+pub mod registry;
+pub mod snapshot;
+pub mod spool_record;
+pub mod stored;
 
-pub use book::{Book, Point, Reading, Value};
-pub use names::Family;
-pub use plan::Plan;
+pub use config::MetricsConfig;
+pub use families::MetricFamily;
+pub use registry::MetricsRegistry;
+pub use snapshot::{MetricValue, MetricsSnapshot, Sample};
--- /dev/null
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -0,0 +1,147 @@
+//! Emulated discovery: the endpoint list over HTTP, with watches. The scenario decides when it learns of a change.
+
+use std::collections::BTreeMap;
+
+use serde_json::json;
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+use super::endpoint_model::Micros;
+use super::environment::SharedEnvironment;
+use super::protocol::{DiscoveryRequest, read_request};
+
+/// An entry of the endpoint list.
+#[derive(Clone, Debug)]
+pub struct EndpointEntry {
+    /// The endpoint's number.
+    pub index: usize,
+    /// Its id.
+    pub id: String,
+    /// Its site's name.
+    pub site: String,
+    /// Its size.
+    pub weight: f64,
+    /// When it started, in Unix milliseconds; 0 is long ago.
+    pub started_ms: u64,
+    /// `active`, `leaving` or `left`.
+    pub state: &'static str,
+}
+
+/// The endpoint list, and when each relay was notified of its changes.
+#[derive(Debug)]
+pub struct EmulatedDiscovery {
+    version: watch::Sender<u64>,
+    entries: BTreeMap<usize, EndpointEntry>,
+    changed: BTreeMap<usize, u64>,
+    /// When a relay was notified that an endpoint drains or is removed, by relay and endpoint.
+    notified_at: BTreeMap<(usize, usize), Micros>,
+    /// It closes connections without an answer.
+    pub down: bool,
+}
+
+impl Default for EmulatedDiscovery {
+    fn default() -> EmulatedDiscovery {
+        let (entries, changed, notified_at) = Default::default();
+        EmulatedDiscovery { version: watch::Sender::new(0), entries, changed, notified_at, down: false }
+    }
+}
+
+impl EmulatedDiscovery {
+    /// Changes some entries, in one version.
+    pub fn change(&mut self, entries: Vec<EndpointEntry>) {
+        let version = *self.version.borrow() + 1;
+        for entry in entries {
+            self.changed.insert(entry.index, version);
+            self.entries.insert(entry.index, entry);
+        }
+        self.version.send_replace(version);
+    }
+
+    /// Returns when a relay was notified that an endpoint takes nothing new; none if it does.
+    pub fn notified_at(&self, relay: usize, index: usize) -> Option<Micros> {
+        self.notified_at.get(&(relay, index)).copied()
+    }
+
+    /// Forgets what a relay was notified of, as it has started anew.
+    pub fn forget_relay(&mut self, relay: usize) {
+        self.notified_at.retain(|(r, _), _| *r != relay);
+    }
+
+    /// Returns the whole endpoint list, or what has changed since a version, as one relay sees it.
+    pub fn list(&self, since: Option<u64>, address: impl Fn(usize) -> String) -> serde_json::Value {
+        let new = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
+        let shown = self.entries.values().filter(|e| new(&e.index));
+        let shown = shown.filter(|e| since.is_some() || e.state != "left");
+        let servers: Vec<_> = shown
+            .map(|e| {
+                json!({"id": e.id, "addr": address(e.index), "zone": e.site, "kind": "m", "cell": 0,
+                    "state": e.state, "weight": e.weight, "started_ms": e.started_ms})
+            })
+            .collect();
+        json!({"version": *self.version.borrow(), "full": since.is_none(), "servers": servers})
+    }
+
+    /// Records that an answer has been written to a relay.
+    fn record_notified(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
+        for entry in self.entries.values() {
+            let changed = self.changed[&entry.index];
+            if changed > upto || since.is_some_and(|since| changed <= since) {
+                continue;
+            }
+            let key = (relay, entry.index);
+            match entry.state {
+                "active" => drop(self.notified_at.remove(&key)),
+                _ => drop(self.notified_at.entry(key).or_insert(now)),
+            }
+        }
+    }
+}
+
+/// Serves discovery to one relay.
+///
+/// # Errors
+/// The relay's discovery address cannot be bound.
+pub async fn serve(environment: SharedEnvironment, relay: usize) -> std::io::Result<()> {
+    let address = environment.borrow().discovery_address(relay);
+    let listener = TcpListener::bind(address).await?;
+    spawn_local(async move {
+        while let Ok((stream, _)) = listener.accept().await {
+            spawn_local(answer(environment.clone(), relay, stream));
+        }
+    });
+    Ok(())
+}
+
+async fn answer(environment: SharedEnvironment, relay: usize, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let mut stream = BufReader::new(stream);
+    while let Some(DiscoveryRequest { since, wait }) = read_request(&mut stream).await {
+        let mut version = environment.borrow().discovery.version.subscribe();
+        if let Some(since) = since {
+            let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)).await;
+        }
+        if environment.borrow().discovery.down {
+            return;
+        }
+        let (body, upto) = {
+            let environment = environment.borrow();
+            let upto = *environment.discovery.version.borrow();
+            let list = environment
+                .discovery
+                .list(since, |index| environment.endpoint_address(index, relay).to_string());
+            (list.to_string(), upto)
+        };
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        if stream.write_all(text.as_bytes()).await.is_err() {
+            return;
+        }
+        let mut environment = environment.borrow_mut();
+        let now = environment.now();
+        environment.discovery.record_notified(relay, since, upto, now);
+    }
+}
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -1,90 +1,41 @@
-//! Plays a day: starts the parts, carries out the script, ends everything, reads the books.
+//! Runs a scenario: starts the parts, applies the fault script, ends all processes and reads the event logs.
 
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::net::Ipv4Addr;
-use std::path::PathBuf;
-use std::process::Stdio;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rustix::process::Signal;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::process::{Child, ChildStdin, Command};
-use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tokio::time::{Instant, sleep, sleep_until};
 
-use super::book::{Book, Line, Seen, read};
-use super::script::{Script, Set, Step};
-use super::{MOST_CARDS, MOST_RELAYS, Plan, send};
+use super::event_log::{Event, EventLog, Record, read_all};
+use super::process::Part;
+use super::script::{RelaySet, Script, Step};
+use super::{MAX_ENDPOINTS, MAX_RELAYS, Plan};
 
-/// Processes that the card servers are spread over.
-pub const CARD_PARTS: usize = 3;
-/// A part that is not ready after this has failed.
-const READY: Duration = Duration::from_secs(20);
-/// Time for answers that are still owed when the day is over.
-const OWED: Duration = Duration::from_millis(1_700);
+/// Number of processes that the endpoints are distributed over.
+pub const ENDPOINT_PROCESSES: usize = 3;
+/// Time for outstanding answers at the end of a run.
+const DRAIN_TIME: Duration = Duration::from_millis(1_700);
 
-/// A part's process.
-pub(crate) struct Part {
-    pub(crate) child: Child,
-    steer: ChildStdin,
-}
-
-impl Part {
-    pub(crate) async fn start(lab: &PathBuf, kind: &str, plan: &Plan) -> Result<Part, String> {
-        let mut command = Command::new(lab);
-        command.args(["part", kind]).stdin(Stdio::piped()).stdout(Stdio::piped()).kill_on_drop(true);
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", lab.display()))?;
-        let (Some(mut steer), Some(told)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(format!("the part `{kind}` cannot be steered"));
-        };
-        let text = serde_json::to_string(plan).map_err(|e| e.to_string())?;
-        steer
-            .write_all(format!("{text}\n").as_bytes())
-            .await
-            .map_err(|e| format!("the part `{kind}`: {e}"))?;
-        let mut line = String::new();
-        let mut told = BufReader::new(told);
-        match timeout(READY, told.read_line(&mut line)).await {
-            Ok(Ok(n)) if n > 0 => Ok(Part { child, steer }),
-            _ => Err(format!("the part `{kind}` did not start")),
-        }
-    }
-
-    pub(crate) async fn tell(&mut self, line: &str) {
-        // One that is stopped or gone hears nothing; the script may want that.
-        let _ = self.steer.write_all(format!("{line}\n").as_bytes()).await;
-    }
-
-    pub(crate) fn signal(&self, signal: Signal) {
-        send(&self.child, signal);
-    }
-
-    pub(crate) async fn end(mut self) {
-        self.signal(Signal::CONT);
-        drop(self.steer);
-        if timeout(Duration::from_secs(5), self.child.wait()).await.is_err() {
-            let _ = self.child.kill().await;
-        }
-    }
-}
-
-/// A fleet that plays.
+/// The processes of a running fleet.
 struct Fleet {
-    lab: PathBuf,
+    testbed: PathBuf,
     plan: Plan,
-    book: Book,
+    event_log: EventLog,
     list: Option<Part>,
     cards: Vec<Option<Part>>,
     relays: Part,
     clients: Part,
     links: Option<Part>,
-    /// Relays that run, as far as the script goes.
-    up: BTreeSet<usize>,
+    /// Relays that run according to the script.
+    running: BTreeSet<usize>,
 }
 
-/// A second byte of addresses that is this fleet's alone as long as this is held.
+/// A second byte of loopback addresses, reserved for one fleet while this value lives.
 pub struct Net {
     /// The byte.
     pub number: u8,
@@ -92,13 +43,17 @@
 }
 
 impl Net {
-    /// Takes one that nobody uses.
+    /// Reserves one that no other fleet uses.
+    ///
+    /// # Errors
+    ///
+    /// A message if all are in use.
     pub fn take(seed: u64) -> Result<Net, String> {
         let from = (u64::from(std::process::id()) ^ seed) as u8;
         let free = |number: u8| {
             let bind = |c, d, port| std::net::TcpListener::bind((Ipv4Addr::new(127, number, c, d), port));
             let lock = bind(250, 1, 4999).ok()?;
-            // One whose harness was killed may still be on its way out.
+            // Processes of a harness that was killed may not have ended yet.
             let rest = [bind(10, 1, 8500), bind(20, 1, 6000), bind(0, 1, 5000)];
             rest.iter().all(Result::is_ok).then_some(Net { number, _lock: lock })
         };
@@ -107,59 +62,63 @@
     }
 }
 
-/// A day that was played: when it began, and all books up to its end.
-pub struct Played {
+/// A scenario run: when it began, and all event logs up to its end.
+pub struct ScenarioRun {
     /// Unix microseconds.
     pub began: u64,
-    /// The lines of all books. What came later is the end of all processes.
-    pub lines: Vec<Line>,
+    /// Records of all event logs until the processes were ended.
+    pub records: Vec<Record>,
 }
 
-/// Plays a script. `lab` is the laboratory's program; `stop` ends the day early, which is an error.
+/// Runs a script. `testbed` is the path of this program; `stop` ends the run early, which is an error.
+///
+/// # Errors
+///
+/// A message if the plan is out of range, a part does not start, the run is stopped or the event logs cannot be read.
 pub async fn play(
-    plan: &Plan, script: &Script, lab: PathBuf, stop: impl Future<Output = ()>,
-) -> Result<Played, String> {
-    if plan.relays == 0 || plan.relays > MOST_RELAYS || plan.cards == 0 || plan.cards > MOST_CARDS {
-        return Err(format!("allowed are 1 to {MOST_RELAYS} relays and 1 to {MOST_CARDS} card servers"));
+    plan: &Plan, script: &Script, testbed: PathBuf, stop: impl Future<Output = ()>,
+) -> Result<ScenarioRun, String> {
+    if plan.relays == 0 || plan.relays > MAX_RELAYS || plan.cards == 0 || plan.cards > MAX_ENDPOINTS {
+        return Err(format!("allowed are 1 to {MAX_RELAYS} relays and 1 to {MAX_ENDPOINTS} card servers"));
     }
     let mut plan = plan.clone();
     plan.links.clone_from(&script.links);
-    let book = Book::open(&plan.folder, "harness")?;
+    let event_log = EventLog::open(&plan.folder, "harness")?;
     let links = match plan.links.is_empty() {
         true => None,
-        false => Some(Part::start(&lab, "links", &plan).await?),
+        false => Some(Part::start(&testbed, "links", &plan).await?),
     };
-    let list = Some(Part::start(&lab, "list", &plan).await?);
+    let list = Some(Part::start(&testbed, "list", &plan).await?);
     let mut cards = Vec::new();
-    for part in 0..CARD_PARTS {
-        let plan = Plan { part: (part, CARD_PARTS), ..plan.clone() };
-        cards.push(Some(Part::start(&lab, "cards", &plan).await?));
+    for part in 0..ENDPOINT_PROCESSES {
+        let plan = Plan { part: (part, ENDPOINT_PROCESSES), ..plan.clone() };
+        cards.push(Some(Part::start(&testbed, "cards", &plan).await?));
     }
-    let relays = Part::start(&lab, "relays", &plan).await?;
-    let clients = Part::start(&lab, "clients", &plan).await?;
+    let relays = Part::start(&testbed, "relays", &plan).await?;
+    let clients = Part::start(&testbed, "clients", &plan).await?;
     let (began, at) = (super::now(), Instant::now());
-    let up = BTreeSet::new();
-    let mut fleet = Fleet { lab, plan, book, list, cards, relays, clients, links, up };
-    let day = async {
+    let running = BTreeSet::new();
+    let mut fleet = Fleet { testbed, plan, event_log, list, cards, relays, clients, links, running };
+    let script_run = async {
         for (n, (due, step)) in script.steps.iter().enumerate() {
             sleep_until(at + *due).await;
-            fleet.carry_out(n, step).await?;
+            fleet.apply_step(n, step).await?;
         }
         sleep_until(at + script.length).await;
-        fleet.clients.tell("close").await;
-        sleep(OWED).await;
+        fleet.clients.send_command("close").await;
+        sleep(DRAIN_TIME).await;
         Ok(())
     };
     let done = tokio::select! {
-        done = day => done,
+        done = script_run => done,
         () = stop => Err("interrupted".to_owned()),
     };
     let (folder, ended) = (fleet.plan.folder.clone(), super::now());
     fleet.end().await;
     done?;
-    let mut lines = read(&folder)?;
-    lines.retain(|line| line.t <= ended);
-    Ok(Played { began, lines })
+    let mut records = read_all(&folder)?;
+    records.retain(|record| record.time_us <= ended);
+    Ok(ScenarioRun { began, records })
 }
 
 impl Fleet {
@@ -172,14 +131,14 @@
         }
     }
 
-    /// The relays that a set means, in the order in which they are dealt with.
-    fn choose(&self, n: usize, set: &Set) -> Vec<usize> {
+    /// Returns the relays of a set in the order in which a step acts on them.
+    fn choose(&self, n: usize, set: &RelaySet) -> Vec<usize> {
         let all = 0..self.plan.relays;
         match set {
-            Set::All => all.collect(),
-            Set::Among(stretch) => all.filter(|r| stretch.contains(r)).collect(),
-            Set::Dead => all.filter(|r| !self.up.contains(r)).collect(),
-            Set::Part(part) => {
+            RelaySet::All => all.collect(),
+            RelaySet::Range(range) => all.filter(|r| range.contains(r)).collect(),
+            RelaySet::NotRunning => all.filter(|r| !self.running.contains(r)).collect(),
+            RelaySet::Fraction(part) => {
                 let mut all: Vec<usize> = all.collect();
                 all.shuffle(&mut self.plan.rng(0x5e7 + n as u64));
                 all.truncate((self.plan.relays as f64 * part).round() as usize);
@@ -188,14 +147,14 @@
         }
     }
 
-    async fn carry_out(&mut self, n: usize, step: &Step) -> Result<(), String> {
+    async fn apply_step(&mut self, n: usize, step: &Step) -> Result<(), String> {
         let join = |all: &[usize]| all.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
         match step {
             Step::Start(set, over) => {
                 let chosen = self.choose(n, set);
-                self.up.extend(&chosen);
+                self.running.extend(&chosen);
                 if over.is_zero() {
-                    self.relays.tell(&format!("start {}", join(&chosen))).await;
+                    self.relays.send_command(&format!("start {}", join(&chosen))).await;
                     return Ok(());
                 }
                 let mut rng = self.plan.rng(0x57a7 + n as u64);
@@ -205,56 +164,56 @@
                 let began = Instant::now();
                 for (time, relay) in times.into_iter().zip(chosen) {
                     sleep_until(began + Duration::from_secs_f64(time)).await;
-                    self.relays.tell(&format!("start {relay}")).await;
+                    self.relays.send_command(&format!("start {relay}")).await;
                 }
             }
             Step::Signal(verb, set) => {
                 let chosen = self.choose(n, set);
                 if matches!(*verb, "kill" | "term") {
-                    self.up.retain(|r| !chosen.contains(r));
+                    self.running.retain(|r| !chosen.contains(r));
                 }
-                self.relays.tell(&format!("{verb} {}", join(&chosen))).await;
+                self.relays.send_command(&format!("{verb} {}", join(&chosen))).await;
             }
             Step::Loop(set, every, length) => {
                 let chosen = self.choose(n, set);
                 let (every, length) = (every.as_millis(), length.as_millis());
-                self.relays.tell(&format!("loop {every} {length} {}", join(&chosen))).await;
+                self.relays.send_command(&format!("loop {every} {length} {}", join(&chosen))).await;
             }
-            Step::List(verb) => {
-                self.book.enter(Seen::Act { verb: format!("list {verb}"), r: None });
-                let (lab, plan) = (self.lab.clone(), self.plan.clone());
-                process(&mut self.list, verb, &lab, "list", &plan).await?;
+            Step::DiscoveryProcess(verb) => {
+                self.event_log.record(Event::ProcessAction { action: format!("list {verb}"), relay: None });
+                let (testbed, plan) = (self.testbed.clone(), self.plan.clone());
+                act_on_process(&mut self.list, verb, &testbed, "list", &plan).await?;
             }
-            Step::ListFresh(fill) => {
-                self.book.enter(Seen::Act { verb: "list fresh".to_owned(), r: None });
+            Step::RestartEmptyList(fill) => {
+                self.event_log.record(Event::ProcessAction { action: "list fresh".to_owned(), relay: None });
                 let fill_ms = Some(fill.as_millis() as u64);
                 let plan = Plan { fill_ms, ..self.plan.clone() };
-                let lab = self.lab.clone();
-                process(&mut self.list, "down", &lab, "list", &plan).await?;
-                process(&mut self.list, "up", &lab, "list", &plan).await?;
+                let testbed = self.testbed.clone();
+                act_on_process(&mut self.list, "down", &testbed, "list", &plan).await?;
+                act_on_process(&mut self.list, "up", &testbed, "list", &plan).await?;
             }
-            Step::ListTold(line) => {
+            Step::ListCommand(line) => {
                 if let Some(list) = &mut self.list {
-                    list.tell(line).await;
+                    list.send_command(line).await;
                 }
             }
-            Step::Cards(part, verb) => {
-                let plan = Plan { part: (*part, CARD_PARTS), ..self.plan.clone() };
-                let lab = self.lab.clone();
+            Step::EndpointProcess(part, verb) => {
+                let plan = Plan { part: (*part, ENDPOINT_PROCESSES), ..self.plan.clone() };
+                let testbed = self.testbed.clone();
                 let place = self.cards.get_mut(*part);
-                let place =
-                    place.ok_or_else(|| format!("card servers run in parts 0 to {}", CARD_PARTS - 1))?;
-                process(place, verb, &lab, "cards", &plan).await?;
+                let place = place
+                    .ok_or_else(|| format!("card servers run in parts 0 to {}", ENDPOINT_PROCESSES - 1))?;
+                act_on_process(place, verb, &testbed, "cards", &plan).await?;
             }
-            Step::CardTold(line) => {
+            Step::EndpointCommand(line) => {
                 let card = line.split(' ').nth(1).and_then(|s| s.parse::<usize>().ok()).unwrap_or(0);
-                if let Some(Some(part)) = self.cards.get_mut(card % CARD_PARTS) {
-                    part.tell(line).await;
+                if let Some(Some(part)) = self.cards.get_mut(card % ENDPOINT_PROCESSES) {
+                    part.send_command(line).await;
                 }
             }
-            Step::Links(line) => {
+            Step::LinkCommand(line) => {
                 if let Some(links) = &mut self.links {
-                    links.tell(line).await;
+                    links.send_command(line).await;
                 }
             }
         }
@@ -262,9 +221,9 @@
     }
 }
 
-/// Does something to a part's process.
-async fn process(
-    part: &mut Option<Part>, verb: &str, lab: &PathBuf, kind: &str, plan: &Plan,
+/// Starts, kills, stops or continues a part's process.
+async fn act_on_process(
+    part: &mut Option<Part>, verb: &str, testbed: &Path, kind: &str, plan: &Plan,
 ) -> Result<(), String> {
     match verb {
         "down" => {
@@ -272,7 +231,7 @@
                 let _ = part.child.kill().await;
             }
         }
-        "up" if part.is_none() => *part = Some(Part::start(lab, kind, plan).await?),
+        "up" if part.is_none() => *part = Some(Part::start(testbed, kind, plan).await?),
         "stop" => part.iter().for_each(|part| part.signal(Signal::STOP)),
         "cont" => part.iter().for_each(|part| part.signal(Signal::CONT)),
         _ => {}
--- /dev/null
+++ b/crates/testbed/src/scenarios/mod.rs
@@ -0,0 +1,7 @@
+//! Scenarios in which a site is lost and regained: with real relays, and on a virtual clock.
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
+
+mod fault_injector;
+pub mod run;
+pub mod scenario;
+pub mod simulation;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,129 +1,13 @@
-//! The operators' address: one call a connection, one answer, close.
+//! The admin address: each connection sends one command, gets one answer and is closed.
 //!
-//! It decides nothing and counts nothing: calls are parsed in [`call`], and whoever serves answers them as a [`Desk`]. It
-//! does not know the relay's hub.
+//! It decides nothing and counts nothing: [`command`] parses commands, [`server`] accepts connections, and an
+//! [`AdminService`] carries the commands out. [`client`] is the other side, for the command line.
 
-pub mod ask;
-pub mod call;
+#![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
-use std::collections::VecDeque;
-use std::future::Future;
-use std::rc::Rc;
-use std::time::Duration;
+pub mod client;
+pub mod command;
+pub mod server;
+mod service;
 
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::AbortHandle;
-use tracing::warn;
-
-use crate::relay::connections::graceful_close;
-use crate::relay::timer_wheel::Timers;
-use call::{Bad, Call};
-use honeyknot_balancer::Micros;
-
-/// Callers at a time. Their descriptors are kept out of what sessions and the crowd may hold.
-pub const CALLERS: usize = 16;
-/// Descriptors that the address takes at the most.
-pub const DESCRIPTORS: usize = CALLERS + 2;
-/// A caller who has not brought a whole call by now is ended.
-const PATIENCE: Micros = 5_000_000;
-/// A caller younger than this does not make room: it may just not have been read yet.
-const NEW: Micros = 200_000;
-/// Pause after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
-
-/// Whoever serves, as operators see it.
-pub trait Desk: Clone + 'static {
-    /// Its clock and wheel.
-    fn timers(&self) -> Rc<Timers>;
-    /// All figures, as one line of JSON.
-    fn figures(&self) -> String;
-    /// Whether it serves, or why not.
-    fn can_serve(&self) -> Result<(), String>;
-    /// Takes a card server out by hand, or puts it back. When this resolves, it holds.
-    fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>>;
-}
-
-/// Who holds a connection, by age; ended callers are taken out when the next one comes.
-type Callers = VecDeque<(AbortHandle, Micros)>;
-
-/// Answers calls until the relay ends.
-pub async fn serve(desk: impl Desk, listener: TcpListener) {
-    let timers = desk.timers();
-    let mut callers = Callers::default();
-    loop {
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
-            Err(why) => {
-                warn!(target: "admin", %why, "cannot accept");
-                tokio::time::sleep(PAUSE).await;
-                continue;
-            }
-        };
-        callers.retain(|(task, _)| !task.is_finished());
-        if callers.len() >= CALLERS
-            && let Some((task, since)) = callers.pop_front()
-        {
-            // Guards against callers that hold connections and say nothing: whoever has had longest makes room.
-            timers.sleep_until(since + NEW).await;
-            task.abort();
-        }
-        let task = tokio::task::spawn_local(answer(desk.clone(), stream));
-        callers.push_back((task.abort_handle(), timers.clock.now()));
-        // It is read before another can take its place.
-        tokio::task::yield_now().await;
-    }
-}
-
-/// One caller: its call, the answer, the end.
-async fn answer(desk: impl Desk, mut stream: TcpStream) {
-    let timers = desk.timers();
-    let _ = stream.set_nodelay(true);
-    let mut bytes = Vec::with_capacity(call::LONGEST);
-    let call = tokio::select! {
-        call = read(&mut stream, &mut bytes) => call,
-        () = timers.sleep(PATIENCE) => Some(Err(Bad::CutShort)),
-    };
-    let Some(call) = call else { return };
-    let answer = match call {
-        Ok(call) => carry_out(&desk, call).await,
-        Err(why) => format!("NO {why}\n"),
-    };
-    // Callers get the line ends that they use.
-    let crlf = bytes.contains(&b'\r');
-    let answer = if crlf { answer.replace('\n', "\r\n") } else { answer };
-    let sent = tokio::select! {
-        sent = stream.write_all(answer.as_bytes()) => sent.is_ok(),
-        () = timers.sleep(PATIENCE) => false,
-    };
-    if sent {
-        graceful_close::close(&timers, stream).await;
-    }
-}
-
-/// Reads one call; none if the caller left without a word.
-async fn read(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Result<Call, Bad>> {
-    loop {
-        if let Some(call) = call::take(bytes) {
-            return Some(call);
-        }
-        match stream.read_buf(bytes).await {
-            Ok(0) if !bytes.is_empty() => return Some(Err(Bad::CutShort)),
-            Ok(0) | Err(_) => return None,
-            Ok(_) => {}
-        }
-    }
-}
-
-async fn carry_out(desk: &impl Desk, call: Call) -> String {
-    let done = match call {
-        Call::Stats => return format!("{}\nEND\n", desk.figures()),
-        Call::Status => desk.can_serve(),
-        Call::MaintOn(id) => desk.by_hand(id, true).await,
-        Call::MaintOff(id) => desk.by_hand(id, false).await,
-    };
-    match done {
-        Ok(()) => "YES\n".to_owned(),
-        Err(why) => format!("NO {why}\n"),
-    }
-}
+pub use service::AdminService;
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -1,25 +1,25 @@
 //! Why a relay does not start, ends early, or is not ready.
 
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 
 use honeyknot_balancer::SettingsError;
 
+use super::endpoints::zone_failover::ZoneFailoverStartError;
 use super::lifecycle::config::LoadConfigError;
 use super::lifecycle::hot_restart::HotRestartError;
 use super::lifecycle::signals::SignalError;
-use crate::gossip::Unreachable;
+use crate::gossip::JoinGossipError;
 
 /// Why a relay cannot be made of its configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// Zone failover cannot work with these settings.
     #[error(transparent)]
-    ZoneFailover(Box<dyn Error + Send + Sync>),
+    ZoneFailover(#[from] ZoneFailoverStartError),
     /// The relay cannot take part in gossip.
     #[error(transparent)]
-    Gossip(#[from] Unreachable),
+    Gossip(#[from] JoinGossipError),
     /// The balancer does not accept the settings.
     #[error("settings: {0}")]
     Settings(#[source] SettingsError),
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -3,29 +3,40 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use super::hot_restart::{self, MaintenanceChange};
-use crate::admin::Desk;
-use crate::relay::SharedRelay;
+use super::hot_restart::{self, MaintenanceChange, SetMaintenanceError};
+use crate::admin::AdminService;
 use crate::relay::timer_wheel::Timers;
+use crate::relay::{NotReady, SharedRelay};
+
+impl AdminService for SharedRelay {
+    type ReadinessError = NotReady;
+    type MaintenanceError = SetMaintenanceError;
 
-impl Desk for SharedRelay {
     fn timers(&self) -> Rc<Timers> {
         self.borrow().timers.clone()
     }
 
-    fn figures(&self) -> String {
-        self.borrow().figures()
+    fn stats(&self) -> String {
+        self.borrow().stats()
+    }
+
+    fn check_ready(&self) -> Result<(), NotReady> {
+        self.borrow().check_ready()
     }
 
-    fn can_serve(&self) -> Result<(), String> {
-        self.borrow().check_ready().map_err(|reason| reason.to_string())
+    fn start_maintenance(
+        &self, endpoint_id: String,
+    ) -> impl Future<Output = Result<(), SetMaintenanceError>> {
+        set_maintenance(self.clone(), endpoint_id, MaintenanceChange::Start)
     }
 
-    fn by_hand(&self, id: String, out: bool) -> impl Future<Output = Result<(), String>> {
-        let relay = self.clone();
-        async move {
-            let changed = hot_restart::set_maintenance(&relay, &id, MaintenanceChange::of(out)).await;
-            changed.map_err(|error| error.to_string())
-        }
+    fn end_maintenance(&self, endpoint_id: String) -> impl Future<Output = Result<(), SetMaintenanceError>> {
+        set_maintenance(self.clone(), endpoint_id, MaintenanceChange::End)
     }
 }
+
+async fn set_maintenance(
+    relay: SharedRelay, endpoint_id: String, change: MaintenanceChange,
+) -> Result<(), SetMaintenanceError> {
+    hot_restart::set_maintenance(&relay, &endpoint_id, change).await
+}
--- a/src/relay/lifecycle/config/error.rs
+++ b/src/relay/lifecycle/config/error.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use honeyknot_gossip::NotTrusted;
-use honeyknot_operator_config::Faults;
+use honeyknot_gossip::NetworkNotTrusted;
+use honeyknot_operator_config::ConfigErrors;
 
 use crate::settings::SettingsError;
 
@@ -75,14 +75,14 @@
     },
     /// An operator file has faults; each names file and line.
     #[error(transparent)]
-    OperatorFile(#[from] Faults),
+    OperatorFile(#[from] ConfigErrors),
     /// The gossip file does not allow the network that the relay listens on.
     #[error("{path}: {source}")]
     GossipNetwork {
         /// Path of the file.
         path: String,
         /// The cause.
-        source: NotTrusted,
+        source: NetworkNotTrusted,
     },
 }
 
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -3,16 +3,16 @@
 use std::rc::Rc;
 
 use honeyknot_balancer::Event;
-use honeyknot_metrics::{Family, Plan as MetricsConfig};
+use honeyknot_metrics::{MetricFamily, MetricsConfig};
 use tokio::net::TcpListener;
-use tokio::task::LocalSet;
+use tokio::task::{JoinHandle, LocalSet};
 use tracing::info;
 
 use super::connections::listener;
 use super::endpoints::discovery_client::{self, DiscoveryCommand};
 use super::endpoints::{message_latency, shared_health_check};
 use super::lifecycle::config::{Config, OperatorFiles};
-use super::lifecycle::hot_restart::{self, Predecessor, StateDirectory};
+use super::lifecycle::hot_restart::{self, HotRestartError, Predecessor, StateDirectory};
 use super::lifecycle::{graceful_shutdown, reload};
 use super::metrics::exporter;
 use super::timer_wheel::TimerEvent;
@@ -20,6 +20,7 @@
 use crate::admin;
 
 /// What a relay is reached by.
+#[derive(Debug)]
 pub struct Listeners {
     /// The listener for clients.
     pub clients: TcpListener,
@@ -81,7 +82,7 @@
     let metrics = config.metrics.clone();
     let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
-        // The successor is bound by what its predecessor was told: it needs the full list now.
+        // The successor is bound by all updates that its predecessor received: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
     }
     if let Some(metrics) = metrics {
@@ -90,19 +91,8 @@
     let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
-    let clients = Rc::new(listeners.clients);
-    let ownership = match listeners.state_directory {
-        Some(directory) => tokio::task::spawn_local(hot_restart::run(
-            relay.clone(),
-            directory,
-            clients,
-            listeners.predecessor,
-        )),
-        None => {
-            listener::start_accepting(&relay, &clients);
-            tokio::task::spawn_local(std::future::pending())
-        }
-    };
+    let ownership =
+        start_accepting(&relay, listeners.clients, listeners.state_directory, listeners.predecessor);
     let endpoint_list_version = relay.borrow().endpoint_list_version;
     info!(target: "relay", name, %listen, endpoint_list_version, "serving");
     tokio::select! {
@@ -117,10 +107,10 @@
 }
 
 fn start_metrics(relay: &SharedRelay, config: &MetricsConfig, relay_name: &str) {
-    if let Some(folder) = &config.state {
+    if let Some(folder) = &config.state_directory {
         relay.borrow_mut().restore_counters(folder, relay_name);
     }
-    exporter::run(relay, config, relay_name);
+    exporter::apply_config(relay, config, relay_name);
 }
 
 /// Starts the tasks that run as long as the relay.
@@ -131,17 +121,34 @@
         tokio::task::spawn_local(shared_health_check::run(relay.clone()));
     }
     if let Some(admin) = admin {
-        tokio::task::spawn_local(admin::serve(relay.clone(), admin));
+        tokio::task::spawn_local(admin::server::serve(relay.clone(), admin));
     }
     tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
 }
 
+/// Accepts clients, once a predecessor has handed over if there is one; the task ends only if it cannot take over.
+fn start_accepting(
+    relay: &SharedRelay, clients: TcpListener, state_directory: Option<Rc<StateDirectory>>,
+    predecessor: Option<Predecessor>,
+) -> JoinHandle<Result<(), HotRestartError>> {
+    let clients = Rc::new(clients);
+    match state_directory {
+        Some(directory) => {
+            tokio::task::spawn_local(hot_restart::run(relay.clone(), directory, clients, predecessor))
+        }
+        None => {
+            listener::start_accepting(relay, &clients);
+            tokio::task::spawn_local(std::future::pending())
+        }
+    }
+}
+
 /// Fires the timers that are due, of tasks and of the balancer.
 async fn run_timers(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
         let lag = timers.wait().await;
-        relay.borrow_mut().update_metrics(|book| book.record(Family::LoopLag, lag));
+        relay.borrow_mut().update_metrics(|metrics| metrics.record(MetricFamily::TimerLag, lag));
         for event in timers.take_due() {
             match event {
                 TimerEvent::Wake(task) => task.wake(),
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -2,11 +2,12 @@
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 use std::rc::{Rc, Weak};
 
 use honeyknot_balancer::{Balancer, Event, MaintenanceOverlay, Micros, Settings};
 use honeyknot_discovery::{DiscoveryPoller, DiscoveryState};
-use honeyknot_metrics::Book;
+use honeyknot_metrics::MetricsRegistry;
 use honeyknot_zone_failover::ZoneFailover;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tracing::trace;
@@ -22,6 +23,7 @@
 use super::error::StartError;
 use super::lifecycle::config::Config;
 use super::lifecycle::hot_restart::ListenerOwnership;
+use super::metrics::persistent_counters::PersistentCounters;
 use super::metrics::{exporter, recorder};
 use super::timer_wheel::Timers;
 use crate::gossip::GossipHandle;
@@ -54,11 +56,11 @@
     pub(in crate::relay) zone_failover: Option<ZoneFailover>,
     /// Gossip with other relays, where operators have switched it on.
     pub(in crate::relay) gossip: Option<GossipHandle>,
-    pub(in crate::relay) metrics: Book,
+    pub(in crate::relay) metrics: MetricsRegistry,
     /// Where counters outlast the process, if anywhere.
-    pub(in crate::relay) persistent_counters: Option<recorder::Lasting>,
+    pub(in crate::relay) persistent_counters: Option<PersistentCounters>,
     /// The running exporters, by name.
-    pub(in crate::relay) exporters: BTreeMap<String, exporter::Running>,
+    pub(in crate::relay) exporters: BTreeMap<String, exporter::Exporter>,
     pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
     /// When discovery last answered.
     pub(in crate::relay) discovery_answered_at: Micros,
@@ -78,6 +80,16 @@
 /// A new relay, its discovery client's state machine, and the commands to that client.
 type NewRelay = (SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>);
 
+impl fmt::Debug for Relay {
+    /// Shows what tells relays apart in a log; the whole state would fill pages.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut fields = formatter.debug_struct("Relay");
+        fields.field("endpoint_list_version", &self.endpoint_list_version);
+        fields.field("connections", &self.connections.count()).field("shutting_down", &self.shutting_down);
+        fields.finish_non_exhaustive()
+    }
+}
+
 impl Relay {
     /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
     ///
@@ -88,10 +100,14 @@
         let started_at = timers.clock.now();
         let mut settings = config.settings;
         trace!(target: "relay", ?settings, "settings");
-        let zone_failover =
-            zone_failover::start(config.zone_failover, &mut settings, &config.names, config.seed, started_at)
-                .map_err(|error| StartError::ZoneFailover(error.into()))?;
-        let join_gossip = |plan| GossipHandle::enter(plan, config.listen, settings.fleet_size, config.seed);
+        let zone_failover = zone_failover::start(
+            config.zone_failover,
+            &mut settings,
+            &config.names,
+            config.seed,
+            started_at,
+        )?;
+        let join_gossip = |plan| GossipHandle::join(plan, config.listen, settings.fleet_size, config.seed);
         let gossip = config.gossip.as_ref().map(join_gossip).transpose()?;
         let balancer =
             Balancer::new(settings.clone(), config.seed, started_at).map_err(StartError::Settings)?;
@@ -106,7 +122,7 @@
         let relay = Rc::new_cyclic(|weak_self| {
             RefCell::new(Relay {
                 timers,
-                metrics: recorder::open(&config.metrics, &config.names),
+                metrics: recorder::new_registry(&config.metrics, &config.names),
                 names: config.names,
                 balancer,
                 events: VecDeque::new(),
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use honeyknot_gossip::Plan as NeighborsPlan;
+use honeyknot_gossip::GossipConfig;
 use honeyknot_metrics::collectd::Security;
-use honeyknot_metrics::graphite::Paths;
-use honeyknot_metrics::plan::{Plan as MetricsPlan, Protocol, Sink};
+use honeyknot_metrics::config::{ExporterConfig, MetricsConfig, Protocol};
+use honeyknot_metrics::graphite::PathStyle;
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_zone_failover::{RetryAfterRange, ZoneFailoverConfig};
 
@@ -21,13 +21,13 @@
     ZoneFailoverConfig::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
 }
 
-fn read_neighbors(file: &str) -> Result<NeighborsPlan, String> {
-    NeighborsPlan::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+fn read_neighbors(file: &str) -> Result<GossipConfig, String> {
+    GossipConfig::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
 }
 
-fn read_metrics(file: &str) -> Result<MetricsPlan, String> {
+fn read_metrics(file: &str) -> Result<MetricsConfig, String> {
     let no_key = |_: &str| Err("no key file".to_owned());
-    MetricsPlan::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
+    MetricsConfig::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
 }
 
 fn read_leases(file: &str) -> Result<LeaseConfig, String> {
@@ -116,18 +116,18 @@
 
 #[test]
 fn a_neighbors_file_of_the_previous_version_means_what_it_meant() {
-    let meant = NeighborsPlan {
+    let meant = GossipConfig {
         fleet: "example".into(),
         port: 7500,
         seeds: vec![address("127.0.0.1:7500"), address("127.0.0.2:7500")],
-        witnesses: 3,
-        plain: false,
+        probers_per_endpoint: 3,
+        plain_network: false,
     };
     assert_eq!(read_neighbors("neighbors.conf"), Ok(meant));
 }
 
-fn sink(name: &str, protocol: Protocol, at: &str) -> Sink {
-    Sink {
+fn sink(name: &str, protocol: Protocol, at: &str) -> ExporterConfig {
+    ExporterConfig {
         name: name.into(),
         protocol,
         address: address(at),
@@ -143,28 +143,28 @@
 fn a_metrics_file_of_the_previous_version_means_what_it_meant() {
     let plan = read_metrics("metrics.conf").expect("a sound file");
     let meant = [
-        sink("graphite", Protocol::GraphiteLines(Paths::Nodes), "127.0.0.1:2003"),
+        sink("graphite", Protocol::GraphiteLines(PathStyle::Nodes), "127.0.0.1:2003"),
         sink("collectd", Protocol::Collectd(Security::None), "127.0.0.1:25826"),
     ];
-    assert_eq!(plan.sinks, meant);
-    assert_eq!((plan.cap, plan.state), (64, None));
+    assert_eq!(plan.exporters, meant);
+    assert_eq!((plan.series_cap, plan.state_directory), (64, None));
 }
 
 #[test]
 fn a_metrics_file_with_every_directive_changed_means_what_it_meant() {
     let text = fixture_text("metrics-all.conf");
     let key = |file: &str| Ok((format!("user of {file}"), "secret".to_owned()));
-    let plan = MetricsPlan::read("metrics-all.conf", &text, key).expect("a sound file");
+    let plan = MetricsConfig::read("metrics-all.conf", &text, key).expect("a sound file");
     let security = |file: &str| (format!("user of {file}"), "secret".to_owned());
     let (signer, encrypter) = (security("sign.key"), security("encrypt.key"));
     let meant = [
-        Sink {
+        ExporterConfig {
             interval: Duration::from_secs(2),
             prefix: "edge".into(),
             buffer: 8 << 10,
             spool: 64 << 20,
             fill: 7.0,
-            ..sink("pickles", Protocol::GraphitePickle(Paths::Tags), "127.0.0.1:2004")
+            ..sink("pickles", Protocol::GraphitePickle(PathStyle::Tags), "127.0.0.1:2004")
         },
         sink(
             "signed",
@@ -177,8 +177,8 @@
             "127.0.0.1:25827",
         ),
     ];
-    assert_eq!(plan.sinks, meant);
-    assert_eq!((plan.cap, plan.state), (9, Some("counts".into())));
+    assert_eq!(plan.exporters, meant);
+    assert_eq!((plan.series_cap, plan.state_directory), (9, Some("counts".into())));
 }
 
 #[test]
@@ -198,7 +198,7 @@
 #[test]
 fn a_plain_network_is_allowed_by_the_same_word_as_before() {
     let neighbors = read_neighbors("neighbors-plain.conf").expect("a sound file");
-    assert!(neighbors.plain);
+    assert!(neighbors.plain_network);
     assert_eq!(neighbors.seeds, [address("192.0.2.1:7500")]);
     let leases = read_leases("leases-plain.conf").expect("a sound file");
     assert_eq!(leases.servers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
