--- a/crates/testbed/src/scenarios/simulation/connections.rs
+++ b/crates/testbed/src/scenarios/simulation/connections.rs
@@ -57,7 +57,12 @@
         if !self.endpoints[endpoint].up {
             let mut out = Vec::new();
             self.relays[relay].connection_ended(id);
-            self.relays[relay].endpoint_signal(self.now, &endpoint_id, EndpointSignal::Silent, &mut out);
+            self.relays[relay].endpoint_signal_received(
+                self.now,
+                &endpoint_id,
+                EndpointSignal::Unresponsive,
+                &mut out,
+            );
             self.perform(relay, out);
             return self.reconnect_later(client);
         }
--- a/crates/testbed/src/scenarios/simulation/relays.rs
+++ b/crates/testbed/src/scenarios/simulation/relays.rs
@@ -53,9 +53,9 @@
     fn check_health(&mut self, relay: usize, id: &EndpointId) {
         let Some(endpoint) = self.by_id.get(id).copied() else { return };
         let alive = self.endpoints[endpoint].up;
-        let signal = if alive { EndpointSignal::Alive } else { EndpointSignal::Silent };
+        let signal = if alive { EndpointSignal::Responsive } else { EndpointSignal::Unresponsive };
         let mut out = Vec::new();
-        self.relays[relay].endpoint_signal(self.now, id, signal, &mut out);
+        self.relays[relay].endpoint_signal_received(self.now, id, signal, &mut out);
         if alive {
             let report = self.endpoints[endpoint].model.report(self.now);
             self.relays[relay].load_reported(self.now, id, report.x0);
--- a/crates/zone-failover/src/capacity_survey.rs
+++ b/crates/zone-failover/src/capacity_survey.rs
@@ -105,7 +105,7 @@
             zone.silent = false;
             return;
         }
-        let min_silent = self.config.min_silent_endpoints.min(survey.endpoints);
+        let min_silent = self.config.min_unresponsive_endpoints.min(survey.endpoints);
         let is_suspect = survey.silent_endpoints > 0 && survey.silent_endpoints >= min_silent;
         zone.suspected_since = zone.suspected_since.or(Some(now)).filter(|_| is_suspect);
         zone.silent = zone
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -40,7 +40,7 @@
     /// Time after which a lost zone that has stayed above `lost_threshold` recovers too, in microseconds.
     pub partial_recovery_delay: Micros,
     /// Number of silent endpoints, without a sign of life from the zone, that show the whole zone to be silent.
-    pub min_silent_endpoints: u32,
+    pub min_unresponsive_endpoints: u32,
     /// Least time after which a recovering zone gets its full share of new connections, in microseconds.
     pub ramp_duration: Micros,
     /// Time within which relays begin the recovery ramp out of step, in microseconds.
@@ -61,7 +61,7 @@
     pub max_update_skew: Micros,
     /// Time over which a relay whose zone was lost after others takes up its part of the spill limit, in
     /// microseconds.
-    pub claim_ramp_duration: Micros,
+    pub spill_ramp_duration: Micros,
     /// Time after which half of a zone's usual capacity is forgotten, in microseconds.
     pub usual_capacity_half_life: Micros,
     /// `Retry-After` of rejected clients.
@@ -95,7 +95,7 @@
             lost_threshold: 0.1,
             recovered_threshold: 0.4,
             partial_recovery_delay: 5_000_000,
-            min_silent_endpoints: 2,
+            min_unresponsive_endpoints: 2,
             ramp_duration: 9_000_000,
             ramp_spread: 1_500_000,
             settle_time: 5_000_000,
@@ -105,7 +105,7 @@
             migrations_per_second: 4.0,
             rebalance_threshold: 0.55,
             max_update_skew: 3_000_000,
-            claim_ramp_duration: 10_000_000,
+            spill_ramp_duration: 10_000_000,
             usual_capacity_half_life: 600_000_000,
             retry_after: RetryAfterRange { min: 150_000, max: 600_000 },
         }
--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -89,7 +89,7 @@
         set(&mut self.lost_threshold, top.value("lost-below", &share));
         set(&mut self.recovered_threshold, top.value("back-above", &share));
         set(&mut self.partial_recovery_delay, top.value("small-after", micros(0, MAX_SHORT_DURATION)));
-        set(&mut self.min_silent_endpoints, top.value("silent-servers", units::number(1..=1000)));
+        set(&mut self.min_unresponsive_endpoints, top.value("silent-servers", units::number(1..=1000)));
         set(&mut self.ramp_duration, top.value("ramp", micros(0, MAX_SHORT_DURATION)));
         set(&mut self.ramp_spread, top.value("spread", micros(0, MAX_SHORT_DURATION)));
         set(&mut self.settle_time, top.value("settle", micros(0, HOUR)));
@@ -104,7 +104,7 @@
         set(&mut self.migrations_per_second, top.value("moves", units::rate(0.0..=10_000.0)));
         set(&mut self.rebalance_threshold, top.value("home-below", &load));
         set(&mut self.max_update_skew, top.value("news-skew", micros(0, MAX_SHORT_DURATION)));
-        set(&mut self.claim_ramp_duration, top.value("claim", micros(0, HOUR)));
+        set(&mut self.spill_ramp_duration, top.value("claim", micros(0, HOUR)));
         set(&mut self.usual_capacity_half_life, top.value("usual-half", micros(1_000, MAX_LONG_DURATION)));
     }
 
--- a/crates/zone-failover/src/endpoint.rs
+++ b/crates/zone-failover/src/endpoint.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointSignal {
     /// The endpoint responded.
-    Alive,
+    Responsive,
     /// The endpoint did not respond.
-    Silent,
+    Unresponsive,
 }
 
 /// A load report.
@@ -46,11 +46,11 @@
 
     pub(crate) fn record_signal(&mut self, now: Micros, signal: EndpointSignal) {
         match signal {
-            EndpointSignal::Alive => {
+            EndpointSignal::Responsive => {
                 self.consecutive_failures = 0;
                 self.last_alive_at = now;
             }
-            EndpointSignal::Silent => {
+            EndpointSignal::Unresponsive => {
                 self.consecutive_failures = self.consecutive_failures.saturating_add(1);
             }
         }
--- a/crates/zone-failover/src/endpoint_updates.rs
+++ b/crates/zone-failover/src/endpoint_updates.rs
@@ -100,13 +100,13 @@
     }
 
     /// Records what an attempt or a health check shows about its endpoint.
-    pub fn endpoint_signal(
+    pub fn endpoint_signal_received(
         &mut self, now: Micros, id: &EndpointId, signal: EndpointSignal, actions: &mut Vec<ZoneAction>,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let was_silent = endpoint.is_silent();
         endpoint.record_signal(now, signal);
-        let zone_answers = signal == EndpointSignal::Alive && self.zones[endpoint.zone.0].silent;
+        let zone_answers = signal == EndpointSignal::Responsive && self.zones[endpoint.zone.0].silent;
         if was_silent != endpoint.is_silent() || zone_answers {
             self.survey_capacity(now, actions);
         }
--- a/crates/zone-failover/src/spill_limit.rs
+++ b/crates/zone-failover/src/spill_limit.rs
@@ -65,7 +65,7 @@
             self.claims.earlier_claims > u32::from(zone.claims_since_before(short_since));
         if others_claimed_before {
             let delay = self.config.max_update_skew + self.claims.first_migration_time;
-            let duration = self.config.claim_ramp_duration.max(self.claims.give_back_time / 2).max(1);
+            let duration = self.config.spill_ramp_duration.max(self.claims.give_back_time / 2).max(1);
             let progress = (age.saturating_sub(delay) as f64 / duration as f64).min(1.0);
             progress * full_share
         } else if age < self.config.max_update_skew {
--- a/crates/zone-failover/tests/fleet/mod.rs
+++ b/crates/zone-failover/tests/fleet/mod.rs
@@ -124,9 +124,10 @@
                 ZoneAction::CheckHealth(endpoint) => {
                     let zone = NAMES.iter().position(|n| endpoint.0.starts_with(n)).expect("a zone");
                     let alive = !self.silent_zones.contains(&zone);
-                    let signal = if alive { EndpointSignal::Alive } else { EndpointSignal::Silent };
+                    let signal =
+                        if alive { EndpointSignal::Responsive } else { EndpointSignal::Unresponsive };
                     let mut out = Vec::new();
-                    self.relays[relay].endpoint_signal(self.now, &endpoint, signal, &mut out);
+                    self.relays[relay].endpoint_signal_received(self.now, &endpoint, signal, &mut out);
                     if alive {
                         self.relays[relay].load_reported(self.now, &endpoint, self.load[zone]);
                     }
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -184,7 +184,12 @@
     fleet.silent_zones.push(2);
     let mut out = Vec::new();
     for number in [0, 0, 1, 1] {
-        fleet.relays[2].endpoint_signal(fleet.now, &endpoint_id(2, number), EndpointSignal::Silent, &mut out);
+        fleet.relays[2].endpoint_signal_received(
+            fleet.now,
+            &endpoint_id(2, number),
+            EndpointSignal::Unresponsive,
+            &mut out,
+        );
     }
     fleet.apply(2, out);
     fleet.advance(2 * S);
@@ -197,7 +202,12 @@
     // A zone in which other endpoints respond is not silent.
     let mut out = Vec::new();
     for number in [0, 0, 1, 1] {
-        fleet.relays[0].endpoint_signal(fleet.now, &endpoint_id(0, number), EndpointSignal::Silent, &mut out);
+        fleet.relays[0].endpoint_signal_received(
+            fleet.now,
+            &endpoint_id(0, number),
+            EndpointSignal::Unresponsive,
+            &mut out,
+        );
     }
     fleet.apply(0, out);
     fleet.advance(2 * S);
@@ -214,10 +224,10 @@
     let mut out = Vec::new();
     for zone in 0..4 {
         for number in (0..ENDPOINTS_PER_ZONE).chain(0..ENDPOINTS_PER_ZONE) {
-            fleet.relays[1].endpoint_signal(
+            fleet.relays[1].endpoint_signal_received(
                 fleet.now,
                 &endpoint_id(zone, number),
-                EndpointSignal::Silent,
+                EndpointSignal::Unresponsive,
                 &mut out,
             );
         }
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -58,8 +58,8 @@
 /// Returns what an outcome shows about its endpoint; nothing where it shows neither life nor silence.
 fn endpoint_signal(outcome: Outcome) -> Option<EndpointSignal> {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(EndpointSignal::Alive),
-        Outcome::Timeout | Outcome::ConnectFailed => Some(EndpointSignal::Silent),
+        Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(EndpointSignal::Responsive),
+        Outcome::Timeout | Outcome::ConnectFailed => Some(EndpointSignal::Unresponsive),
         Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
@@ -167,7 +167,7 @@
     pub(in crate::relay) fn zone_connection_established(&mut self, id: RequestId, endpoint: &EndpointId) {
         self.with_zone_failover(|zone_failover, now, actions| {
             zone_failover.connection_established(now, id);
-            zone_failover.endpoint_signal(now, endpoint, EndpointSignal::Alive, actions);
+            zone_failover.endpoint_signal_received(now, endpoint, EndpointSignal::Responsive, actions);
         });
     }
 
@@ -183,7 +183,7 @@
         self.with_zone_failover(|zone_failover, now, actions| {
             zone_failover.connection_ended(id);
             if let Some(signal) = signal {
-                zone_failover.endpoint_signal(now, endpoint, signal, actions);
+                zone_failover.endpoint_signal_received(now, endpoint, signal, actions);
             }
         });
     }
@@ -194,12 +194,12 @@
     ) {
         // A health check costs next to nothing, so a reset is not load shedding.
         let signal = match outcome {
-            Outcome::Reset => Some(EndpointSignal::Silent),
+            Outcome::Reset => Some(EndpointSignal::Unresponsive),
             _ => endpoint_signal(outcome),
         };
         self.with_zone_failover(|zone_failover, now, actions| {
             if let Some(signal) = signal {
-                zone_failover.endpoint_signal(now, endpoint, signal, actions);
+                zone_failover.endpoint_signal_received(now, endpoint, signal, actions);
             }
             if let Some(load) = load {
                 zone_failover.load_reported(now, endpoint, load);
