--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns the endpoint of a connection's current attempt.
-    pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
+    pub fn current_endpoint(&self, id: RequestId) -> Option<EndpointId> {
         self.connections.attempt(id).map(|attempt| attempt.endpoint.clone())
     }
 
@@ -166,9 +166,9 @@
 
     /// A message of the client was answered after this time.
     pub fn message_latency_measured(&mut self, id: RequestId, latency: Micros) {
-        if let Some(endpoint) = self.endpoint_of(id) {
+        if let Some(endpoint) = self.current_endpoint(id) {
             self.update_metrics(|metrics| metrics.record(MetricFamily::MessageLatency, latency));
-            self.note_message_latency(endpoint, latency as f64 / 1e3, LatencySource::ClientLine);
+            self.record_message_latency(endpoint, latency as f64 / 1e3, LatencySource::ClientLine);
         }
     }
 
--- a/src/relay/connection_table.rs
+++ b/src/relay/connection_table.rs
@@ -43,7 +43,7 @@
 
 impl ConnectionEntry {
     /// Returns the endpoint that the connection is established at.
-    pub(in crate::relay) fn established_at(&self) -> Option<&EndpointId> {
+    pub(in crate::relay) fn established_endpoint(&self) -> Option<&EndpointId> {
         self.attempt.as_ref().filter(|_| self.established).map(|attempt| &attempt.endpoint)
     }
 }
@@ -109,12 +109,12 @@
 
     /// Returns the endpoint of each established connection, in the order of the connections' ids.
     pub(in crate::relay) fn established_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
-        self.entries.values().filter_map(ConnectionEntry::established_at)
+        self.entries.values().filter_map(ConnectionEntry::established_endpoint)
     }
 
     /// Returns the first connection that is established at an endpoint.
-    pub(in crate::relay) fn first_established_at(&self, endpoint: &EndpointId) -> Option<RequestId> {
-        let there = |entry: &ConnectionEntry| entry.established_at() == Some(endpoint);
+    pub(in crate::relay) fn first_connection_to(&self, endpoint: &EndpointId) -> Option<RequestId> {
+        let there = |entry: &ConnectionEntry| entry.established_endpoint() == Some(endpoint);
         self.entries.iter().find(|(_, entry)| there(entry)).map(|(id, _)| *id)
     }
 }
@@ -128,7 +128,7 @@
     pub(in crate::relay) fn reserve(&self, id: &str) -> Option<ConnectionIdGuard> {
         let id: Rc<str> = id.into();
         let inserted = self.0.borrow_mut().insert(id.clone());
-        inserted.then(|| ConnectionIdGuard { open_ids: self.clone(), id })
+        inserted.then(|| ConnectionIdGuard { open_connection_ids: self.clone(), id })
     }
 
     /// Returns how many ids are open.
@@ -140,12 +140,12 @@
 /// The id of a client's connection, open until this is dropped.
 #[derive(Debug)]
 pub struct ConnectionIdGuard {
-    open_ids: OpenConnectionIds,
+    open_connection_ids: OpenConnectionIds,
     id: Rc<str>,
 }
 
 impl Drop for ConnectionIdGuard {
     fn drop(&mut self) {
-        self.open_ids.0.borrow_mut().remove(&self.id);
+        self.open_connection_ids.0.borrow_mut().remove(&self.id);
     }
 }
--- a/src/relay/connections/downstream_buffer.rs
+++ b/src/relay/connections/downstream_buffer.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether the client has received complete lines only, and nothing waits to be sent.
-    pub(super) fn line_fits(&self) -> bool {
+    pub(super) fn at_line_boundary(&self) -> bool {
         self.sendable.is_empty() && !self.cut_line
     }
 }
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -66,7 +66,7 @@
         let end = self.lines.run(&mut self.commands).await;
         let outcome = outcome_of(end, self.lines.last_line());
         let end_reason = connection_end_reason(end, self.lines.last_line());
-        let endpoint = self.relay.borrow().endpoint_of(self.guard.id);
+        let endpoint = self.relay.borrow().current_endpoint(self.guard.id);
         self.relay.borrow_mut().record_connection_ended(end_reason);
         if end == ConnectionEnd::EndpointSilent {
             self.relay.borrow_mut().record_silent_migration();
--- a/src/relay/connections/graceful_close.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -56,11 +56,11 @@
     }
 }
 
-/// Sends a client away to reconnect, if `line_fits` between what was sent to it, and closes both sides.
+/// Sends a client away to reconnect, if `at_line_boundary` between what was sent to it, and closes both sides.
 pub(super) async fn migrate(
-    timers: &Rc<Timers>, downstream: TcpStream, upstream: TcpStream, line_fits: bool,
+    timers: &Rc<Timers>, downstream: TcpStream, upstream: TcpStream, at_line_boundary: bool,
 ) {
-    if line_fits {
+    if at_line_boundary {
         // Nothing else waits to be sent, so the socket's buffer has space for it.
         let _ = downstream.try_write(MIGRATE);
     }
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -125,7 +125,7 @@
             match self.downstream.stream.read_buf(received).await {
                 Ok(0) if !received.is_empty() => return Err(ProtocolError::FirstLineTruncated),
                 Ok(0) | Err(_) => return Ok(None),
-                Ok(_) if protocol::may_open(received) => self.slot.mark_receiving(),
+                Ok(_) if protocol::is_open_request_prefix(received) => self.slot.mark_receiving(),
                 Ok(_) => {}
             }
         }
--- a/src/relay/connections/line_relay.rs
+++ b/src/relay/connections/line_relay.rs
@@ -124,7 +124,7 @@
 
     /// Closes what is left: the other side as the first was closed, or both after a migration.
     pub(super) async fn close(self, end: ConnectionEnd) {
-        let line_fits = self.to_downstream.line_fits();
+        let at_line_boundary = self.to_downstream.at_line_boundary();
         let LineRelay { streams: Streams { downstream, upstream }, timers, .. } = self;
         match end {
             ConnectionEnd::UpstreamClosed(kind) => {
@@ -134,7 +134,7 @@
                 graceful_close::close_like(kind, &timers, upstream).await
             }
             ConnectionEnd::Migrated | ConnectionEnd::EndpointSilent | ConnectionEnd::Transferred => {
-                graceful_close::migrate(&timers, downstream, upstream, line_fits).await;
+                graceful_close::migrate(&timers, downstream, upstream, at_line_boundary).await;
             }
         }
     }
--- a/src/relay/connections/protocol/mod.rs
+++ b/src/relay/connections/protocol/mod.rs
@@ -16,7 +16,7 @@
 pub use error::ProtocolError;
 pub(super) use line_tracker::LastLine;
 pub use line_tracker::LineTracker;
-pub use open_request::{OpenRequest, may_open};
+pub use open_request::{OpenRequest, is_open_request_prefix};
 
 /// The protocol counts in milliseconds, the relay in microseconds.
 pub(super) const MICROS_PER_MILLISECOND: Micros = 1_000;
@@ -66,6 +66,6 @@
 }
 
 /// Parses an address that can be connected to: its port is not 0.
-pub fn socket_address(text: &str) -> Option<SocketAddr> {
+pub fn parse_socket_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok().filter(|address: &SocketAddr| address.port() != 0)
 }
--- a/src/relay/connections/protocol/open_request.rs
+++ b/src/relay/connections/protocol/open_request.rs
@@ -69,7 +69,7 @@
 }
 
 /// Whether these bytes may be the beginning of a request that opens a connection.
-pub fn may_open(bytes: &[u8]) -> bool {
+pub fn is_open_request_prefix(bytes: &[u8]) -> bool {
     bytes.iter().zip(OPEN_PREFIX.as_bytes()).all(|(received, expected)| received == expected)
 }
 
--- a/src/relay/connections/transfer.rs
+++ b/src/relay/connections/transfer.rs
@@ -52,11 +52,11 @@
     pub fn migrate(self, timers: &Rc<Timers>) {
         let ConnectionTransfer { snapshot, downstream, upstream } = self;
         // What waits is at most the beginning of a line; if nothing does, the client has complete lines.
-        let line_fits = complete_lines_len(&snapshot.to_downstream) == 0
+        let at_line_boundary = complete_lines_len(&snapshot.to_downstream) == 0
             && (!snapshot.to_downstream.is_empty() || snapshot.line_tracker.between_lines());
         let timers = timers.clone();
         tokio::task::spawn_local(async move {
-            graceful_close::migrate(&timers, downstream, upstream, line_fits).await;
+            graceful_close::migrate(&timers, downstream, upstream, at_line_boundary).await;
         });
     }
 }
--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -46,13 +46,13 @@
 }
 
 /// Returns how many descriptors of the process's limit are for connections and health checks, the reserve included.
-pub(in crate::relay) fn connection_descriptors(process_limit: usize, admin_enabled: bool) -> usize {
+pub(in crate::relay) fn connection_descriptor_limit(process_limit: usize, admin_enabled: bool) -> usize {
     process_limit.saturating_sub(if admin_enabled { admin::server::MAX_DESCRIPTORS } else { 0 })
 }
 
 impl Relay {
     /// Returns how many descriptors this process may hold: all processes of a relay share one limit.
-    fn max_descriptors(&self) -> usize {
+    fn descriptor_limit(&self) -> usize {
         let min_share = self.max_descriptors / MIN_SHARE_DIVISOR;
         self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(min_share)
     }
@@ -60,20 +60,20 @@
     /// Takes a descriptor, unless they would run out; when they are short, an idle connection is closed for it.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         let in_use = self.descriptors_in_use.get();
-        let max_descriptors = self.max_descriptors();
-        let short = in_use >= max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
-        let available = in_use < max_descriptors.saturating_sub(MIN_FREE_DESCRIPTORS);
+        let descriptor_limit = self.descriptor_limit();
+        let short = in_use >= descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS);
+        let available = in_use < descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
         (!short || available && self.idle_connections.evict_one())
             .then(|| DescriptorPermit::new(&self.descriptors_in_use))
     }
 
     /// Makes room for one more idle connection; false while there is none.
     pub(in crate::relay) fn make_room_for_idle_connection(&self) -> bool {
-        let max_descriptors = self.max_descriptors();
-        if self.idle_connections.len() >= max_descriptors / IDLE_CONNECTIONS_DIVISOR {
+        let descriptor_limit = self.descriptor_limit();
+        if self.idle_connections.len() >= descriptor_limit / IDLE_CONNECTIONS_DIVISOR {
             self.idle_connections.evict_one();
         }
-        let full = self.descriptors_in_use.get() >= max_descriptors.saturating_sub(MIN_FREE_DESCRIPTORS);
+        let full = self.descriptors_in_use.get() >= descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
         if full {
             self.idle_connections.evict_one();
         }
--- a/src/relay/endpoint_events.rs
+++ b/src/relay/endpoint_events.rs
@@ -7,7 +7,7 @@
 
 impl Relay {
     /// A message took this many milliseconds at an endpoint.
-    pub(in crate::relay) fn note_message_latency(
+    pub(in crate::relay) fn record_message_latency(
         &mut self, endpoint: EndpointId, latency_ms: f64, source: LatencySource,
     ) {
         if self.message_latencies.record(self.timers.clock.now(), &endpoint, latency_ms, source) {
@@ -16,7 +16,7 @@
     }
 
     /// Reports again the latencies that last, as far as they were observed recently.
-    pub(in crate::relay) fn report_lasting_latencies(&mut self) {
+    pub(in crate::relay) fn repeat_latency_reports(&mut self) {
         for (endpoint, latency_ms) in self.message_latencies.due_reports(self.timers.clock.now()) {
             self.report_message_latency(&endpoint, latency_ms);
         }
@@ -37,7 +37,7 @@
 
     /// Reports a latency on one of the connections established at the endpoint.
     fn report_message_latency(&mut self, endpoint: &EndpointId, latency_ms: f64) {
-        if let Some(id) = self.connections.first_established_at(endpoint) {
+        if let Some(id) = self.connections.first_connection_to(endpoint) {
             self.connection_updated(id, ConnectionUpdate::MessageLatency(latency_ms));
         }
     }
@@ -54,7 +54,7 @@
         let latency_ms = report.as_ref().and_then(|report| report.latency_ms);
         self.handle_event(Event::HealthCheckEnded { endpoint: endpoint.clone(), outcome, elapsed, report });
         if let Some(latency_ms) = latency_ms {
-            self.note_message_latency(endpoint, latency_ms, LatencySource::LoadReport);
+            self.record_message_latency(endpoint, latency_ms, LatencySource::LoadReport);
         }
     }
 }
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -5,7 +5,7 @@
 use honeyknot_balancer::{CellId, Endpoint, EndpointId, EndpointState, Micros};
 use serde_json::Value;
 
-use crate::relay::connections::protocol::socket_address;
+use crate::relay::connections::protocol::parse_socket_address;
 use crate::settings::NameTable;
 
 /// An endpoint list, or changes of one, with the endpoints' addresses.
@@ -69,7 +69,7 @@
     let mut update = EndpointListUpdate { version, full, endpoints: Vec::new(), addresses: Vec::new() };
     for server in servers {
         let endpoint = parse_endpoint(server, names)?;
-        match server.get("addr").and_then(Value::as_str).and_then(socket_address) {
+        match server.get("addr").and_then(Value::as_str).and_then(parse_socket_address) {
             Some(address) => update.addresses.push((endpoint.id.clone(), address)),
             None if endpoint.state == EndpointState::Removed => {}
             None => return Err(EndpointListError::MissingAddress),
--- a/src/relay/endpoints/discovery_client/task.rs
+++ b/src/relay/endpoints/discovery_client/task.rs
@@ -87,7 +87,7 @@
 impl DiscoveryClient {
     async fn run(mut self) {
         loop {
-            self.relay.borrow_mut().list_state = self.poller.state();
+            self.relay.borrow_mut().discovery_state = self.poller.state();
             let next_poll_at = self.poller.next_poll_at();
             tokio::select! {
                 biased;
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -50,7 +50,7 @@
 
 async fn run(relay: SharedRelay, endpoint: EndpointId, mut commands: UnboundedReceiver<HealthCheckCommand>) {
     let timers = relay.borrow().timers.clone();
-    let idle_timeout = relay.borrow().idle_close();
+    let idle_timeout = relay.borrow().idle_timeout();
     let mut connection = None;
     loop {
         let command = tokio::select! {
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -38,7 +38,7 @@
         if let Some(latency_ms) = report.as_ref().and_then(|report| report.latency_ms) {
             let load = report.as_ref().and_then(|report| report.load);
             self.message_latencies.measurement_ended(now, &endpoint, load);
-            self.note_message_latency(endpoint.clone(), latency_ms, LatencySource::LoadReport);
+            self.record_message_latency(endpoint.clone(), latency_ms, LatencySource::LoadReport);
         }
         self.events.push_back(Event::HealthCheckEnded { endpoint, outcome, elapsed: 0, report });
     }
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -72,5 +72,5 @@
     NoEndpointList,
     /// Another process still accepts its clients.
     #[error("not taken over yet")]
-    NotTakenOver,
+    TakeoverPending,
 }
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -13,7 +13,7 @@
 use honeyknot_zone_failover::ZoneFailoverConfig;
 use serde_json::Value;
 
-use crate::relay::connections::protocol::socket_address;
+use crate::relay::connections::protocol::parse_socket_address;
 use crate::relay::endpoints::discovery_client::{EndpointListUpdate, parse_endpoint_list};
 use crate::settings::{self, NameTable};
 pub use error::{ConfigError, KeyFileError, LoadConfigError};
@@ -179,7 +179,7 @@
 
     fn address(&self, key: &'static str, variable: &'static str) -> Result<SocketAddr, ConfigError> {
         let value = self.text(key, variable)?;
-        socket_address(&value).ok_or(ConfigError::NotAnAddress { key, value })
+        parse_socket_address(&value).ok_or(ConfigError::NotAnAddress { key, value })
     }
 
     fn admin_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
@@ -188,7 +188,7 @@
         let in_file = self.json.get(KEY);
         let text = (self.variable)("EDGE_ADMIN_ADDR").or_else(|| Some(in_file?.as_str()?.to_owned()));
         match (text, in_file) {
-            (Some(text), _) => socket_address(&text).map(Some).ok_or_else(|| not_an_address(text)),
+            (Some(text), _) => parse_socket_address(&text).map(Some).ok_or_else(|| not_an_address(text)),
             (None, None | Some(Value::Null)) => Ok(None),
             (None, Some(other)) => Err(not_an_address(other.to_string())),
         }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns how long a connection may be unused before it is closed.
-    pub fn idle_close(&self) -> Micros {
+    pub fn idle_timeout(&self) -> Micros {
         self.settings.permissions.idle_timeout.max(MIN_IDLE_TIMEOUT)
     }
 
@@ -49,7 +49,7 @@
     /// must not count as their fault.
     pub fn reserve_connection_id(&self, open: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(open.class()?)?;
-        self.open_ids.reserve(open.connection_id())
+        self.open_connection_ids.reserve(open.connection_id())
     }
 
     /// Returns whether another request may be admitted.
@@ -79,7 +79,7 @@
             return Err(NotReady::NoEndpointList);
         }
         if self.listener_ownership.accept_task.is_none() && !self.listener_ownership.handed_over() {
-            return Err(NotReady::NotTakenOver);
+            return Err(NotReady::TakeoverPending);
         }
         Ok(())
     }
--- a/src/relay/metrics/stats.rs
+++ b/src/relay/metrics/stats.rs
@@ -23,11 +23,11 @@
         json!({
             "results": results,
             "forwards": classes.iter().map(|class| count(MetricFamily::AttemptsForwarded, class)).sum::<u64>(),
-            "outstanding": self.open_ids.count(),
+            "outstanding": self.open_connection_ids.count(),
             "discovered": self.maintenance.endpoint_count(),
             "ejected": self.maintenance.count_excluded(self.balancer.ejected_endpoints()),
             "list": {
-                "state": self.list_state.as_str(),
+                "state": self.discovery_state.as_str(),
                 "version": self.endpoint_list_version,
                 "answered": self.has_discovery_answered(),
                 "heard_ms_ago": self.timers.clock.now().saturating_sub(self.discovery_answered_at) / 1_000,
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -80,7 +80,7 @@
 ) -> Result<(), ServeError> {
     let (name, listen, discovery) = (config.name.clone(), config.listen, config.discovery);
     let metrics = config.metrics.clone();
-    let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
+    let (relay, discovery_poller, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
         // The successor is bound by all updates that its predecessor received: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
@@ -88,7 +88,7 @@
     if let Some(metrics) = metrics {
         start_metrics(&relay, &metrics, &name);
     }
-    let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
+    let client = discovery_client::run(relay.clone(), discovery, discovery_poller, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
     let ownership =
@@ -163,7 +163,7 @@
     let timers = relay.borrow().timers.clone();
     loop {
         timers.sleep(message_latency::CHECK_INTERVAL).await;
-        relay.borrow_mut().report_lasting_latencies();
+        relay.borrow_mut().repeat_latency_reports();
         relay.borrow_mut().measure_message_latency();
         relay.borrow_mut().run_zone_failover();
     }
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -15,7 +15,7 @@
 use super::clock::Clock;
 use super::connection_table::{ConnectionTable, OpenConnectionIds};
 use super::connections::idle::IdleConnections;
-use super::descriptors::{DescriptorCounter, connection_descriptors};
+use super::descriptors::{DescriptorCounter, connection_descriptor_limit};
 use super::endpoint_table::EndpointTable;
 use super::endpoints::discovery_client::{self, DiscoveryCommand, EndpointListUpdate};
 use super::endpoints::message_latency::MessageLatencies;
@@ -45,7 +45,7 @@
     pub(in crate::relay) connections: ConnectionTable,
     pub(in crate::relay) idle_connections: IdleConnections,
     /// Ids of the clients' connections that are open.
-    pub(in crate::relay) open_ids: OpenConnectionIds,
+    pub(in crate::relay) open_connection_ids: OpenConnectionIds,
     pub(in crate::relay) endpoints: EndpointTable,
     pub(in crate::relay) endpoint_list_version: u64,
     /// The endpoint list by discovery, and the endpoints in maintenance.
@@ -66,7 +66,7 @@
     pub(in crate::relay) discovery_answered_at: Micros,
     pub(in crate::relay) discovery_failing: bool,
     /// What the relay is doing about its endpoint list.
-    pub(in crate::relay) list_state: DiscoveryState,
+    pub(in crate::relay) discovery_state: DiscoveryState,
     pub(in crate::relay) descriptors_in_use: DescriptorCounter,
     pub(in crate::relay) max_descriptors: usize,
     pub(in crate::relay) admin_enabled: bool,
@@ -128,7 +128,7 @@
                 events: VecDeque::new(),
                 connections: ConnectionTable::default(),
                 idle_connections: IdleConnections::default(),
-                open_ids: OpenConnectionIds::default(),
+                open_connection_ids: OpenConnectionIds::default(),
                 endpoints: EndpointTable::default(),
                 endpoint_list_version: 0,
                 maintenance: MaintenanceOverlay::default(),
@@ -141,9 +141,9 @@
                 discovery_commands,
                 discovery_answered_at: started_at,
                 discovery_failing: false,
-                list_state: DiscoveryState::Starting,
+                discovery_state: DiscoveryState::Starting,
                 descriptors_in_use: DescriptorCounter::default(),
-                max_descriptors: connection_descriptors(config.max_descriptors, config.admin.is_some()),
+                max_descriptors: connection_descriptor_limit(config.max_descriptors, config.admin.is_some()),
                 admin_enabled: config.admin.is_some(),
                 shutting_down: false,
                 listener_ownership: ListenerOwnership::default(),
@@ -179,7 +179,7 @@
     ///
     /// The endpoint list stays in use until discovery at the new address sends its own.
     pub fn reconfigure(&mut self, config: &Config) {
-        self.max_descriptors = connection_descriptors(config.max_descriptors, self.admin_enabled);
+        self.max_descriptors = connection_descriptor_limit(config.max_descriptors, self.admin_enabled);
         self.reconfigure_zone_failover(config);
         self.send_discovery_command(DiscoveryCommand::ChangeAddress(config.discovery));
     }
