--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -12,7 +12,7 @@
 
 /// What to show.
 #[derive(Debug, clap::Subcommand)]
-pub enum Show {
+pub enum MetricsCommand {
     /// List all metrics: name, kind, unit, tag, its values, meaning; separated by tabs.
     Names,
     /// Print a captured collectd packet, a Graphite pickle or a snapshot of counters.
@@ -75,10 +75,10 @@
 ///
 /// # Errors
 /// If a file cannot be read or decoded, or the output cannot be written.
-pub fn show(what: &Show) -> Result<(), InspectError> {
-    let text = match what {
-        Show::Names => list_names(),
-        Show::Decode { file, key } => decode(file, key.as_deref())?,
+pub fn run(command: &MetricsCommand) -> Result<(), InspectError> {
+    let text = match command {
+        MetricsCommand::Names => list_names(),
+        MetricsCommand::Decode { file, key } => decode(file, key.as_deref())?,
     };
     match io::stdout().lock().write_all(text.as_bytes()) {
         // The reader has closed the pipe, such as `head` does.
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -14,7 +14,7 @@
 
 /// How records are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     /// Unix time, level, part, message and fields in a line of text.
     #[default]
     Text,
@@ -49,7 +49,7 @@
 }
 
 /// Sends the records of at least this level to standard error.
-pub fn start(level: LevelFilter, form: Form) {
+pub fn start(level: LevelFilter, form: LogFormat) {
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
@@ -58,7 +58,7 @@
         .log_internal_errors(false);
     // A second start keeps the first log.
     let _ = match form {
-        Form::Text => log.event_format(Line).try_init().is_ok(),
-        Form::Json => log.json().flatten_event(true).with_timer(UnixTime).try_init().is_ok(),
+        LogFormat::Text => log.event_format(Line).try_init().is_ok(),
+        LogFormat::Json => log.json().flatten_event(true).with_timer(UnixTime).try_init().is_ok(),
     };
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,11 +7,11 @@
 use clap::{Args, Parser, Subcommand};
 use honeyknot_relay::admin::client;
 use honeyknot_relay::config_summary;
-use honeyknot_relay::inspect::{self, Show};
+use honeyknot_relay::inspect::{self, MetricsCommand};
 use honeyknot_relay::lease_client::admin_commands::{self, AdminCommand};
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_relay::lease_server::{self, LeaseServerOptions};
-use honeyknot_relay::logger::{self, Form};
+use honeyknot_relay::logger::{self, LogFormat};
 use honeyknot_relay::relay;
 use honeyknot_relay::relay::lifecycle::config::{Config, OperatorFiles};
 use tracing::level_filters::LevelFilter;
@@ -37,7 +37,7 @@
     log: LevelFilter,
     /// How records are written.
     #[arg(long, value_enum, default_value = "text", env = "HONEYKNOT_LOG_FORM")]
-    log_form: Form,
+    log_form: LogFormat,
 }
 
 impl LogOptions {
@@ -63,7 +63,7 @@
     /// List the names of all metrics, or print captured packets and snapshots of metrics.
     Metrics {
         #[command(subcommand)]
-        show: Show,
+        command: MetricsCommand,
     },
     /// Send an admin command and print the answer; the exit status is 1 for a `NO`, 2 if nobody answers.
     #[command(alias = "call")]
@@ -111,7 +111,7 @@
             relay::serve(files)?;
         }
         Command::CheckConfig { files } => config_summary::print(&Config::from_environment(&files)?),
-        Command::Metrics { show } => inspect::show(&show)?,
+        Command::Metrics { command } => inspect::run(&command)?,
         Command::Admin { address, words } => return send_admin_command(address, &words),
         Command::LeaseServer { leases, options, log } => {
             log.start();
--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -54,7 +54,7 @@
     /// Returns how many descriptors this process may hold: all processes of a relay share one limit.
     fn max_descriptors(&self) -> usize {
         let min_share = self.max_descriptors / MIN_SHARE_DIVISOR;
-        self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(min_share)
+        self.max_descriptors.saturating_sub(self.listener_ownership.predecessor_descriptors()).max(min_share)
     }
 
     /// Takes a descriptor, unless they would run out; when they are short, an idle connection is closed for it.
--- a/src/relay/lifecycle/config/error.rs
+++ b/src/relay/lifecycle/config/error.rs
@@ -42,7 +42,7 @@
     SeedNotHex(String),
     /// The number of descriptors is not a whole number.
     #[error("`limits.sockets` is no whole number")]
-    DescriptorsNotWhole,
+    DescriptorLimitNotWhole,
     /// The settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -97,7 +97,7 @@
     AccessibleToOthers,
     /// The path names no regular file, or a large one.
     #[error("not a file of at most {max_bytes} bytes")]
-    NotASmallFile {
+    NotRegularOrTooLarge {
         /// The largest size in bytes.
         max_bytes: u64,
     },
--- a/src/relay/lifecycle/config/key_file.rs
+++ b/src/relay/lifecycle/config/key_file.rs
@@ -22,7 +22,7 @@
         return Err(KeyFileError::AccessibleToOthers);
     }
     if !metadata.is_file() || metadata.len() > MAX_KEY_FILE_BYTES {
-        return Err(KeyFileError::NotASmallFile { max_bytes: MAX_KEY_FILE_BYTES });
+        return Err(KeyFileError::NotRegularOrTooLarge { max_bytes: MAX_KEY_FILE_BYTES });
     }
     let text = fs::read_to_string(path)?;
     let (user, password) = text.trim().split_once(':').ok_or(KeyFileError::Malformed)?;
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -202,7 +202,7 @@
     fn max_descriptors(&self) -> Result<usize, ConfigError> {
         let limit = match self.json.pointer("/limits/sockets") {
             None | Some(Value::Null) => DEFAULT_MAX_DESCRIPTORS,
-            Some(value) => value.as_u64().ok_or(ConfigError::DescriptorsNotWhole)?,
+            Some(value) => value.as_u64().ok_or(ConfigError::DescriptorLimitNotWhole)?,
         };
         Ok(usize::try_from(limit).unwrap_or(usize::MAX))
     }
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// If the signals cannot be received.
-pub fn signal() -> Result<impl Future<Output = ()>, SignalError> {
+pub fn termination_signal() -> Result<impl Future<Output = ()>, SignalError> {
     let mut terminate = signals::receive(SignalKind::terminate())?;
     let mut interrupt = signals::receive(SignalKind::interrupt())?;
     Ok(async move {
--- a/src/relay/lifecycle/hot_restart/link.rs
+++ b/src/relay/lifecycle/hot_restart/link.rs
@@ -57,7 +57,7 @@
     if !relay.borrow().is_shutting_down() {
         warn!(target: "hot_restart", "the successor has ended; accepting clients again");
         listener::start_accepting(&relay, &listener);
-        successor::offer_again(relay, directory, listener);
+        successor::listen_for_successors_again(relay, directory, listener);
     }
 }
 
@@ -128,7 +128,8 @@
             HotRestartMessage::TakeOver if self.listener.is_some() => self.hand_over().await,
             HotRestartMessage::SetMaintenance { id, in_maintenance, number } => {
                 let now = self.relay.borrow().timers.clock.now();
-                let (id, change) = (EndpointId(id.as_str().into()), MaintenanceChange::of(in_maintenance));
+                let (id, change) =
+                    (EndpointId(id.as_str().into()), MaintenanceChange::from_in_maintenance(in_maintenance));
                 self.relay.borrow_mut().apply_maintenance_command(now, &id, change);
                 self.send(&HotRestartMessage::Confirmed { number }).await
             }
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -25,7 +25,7 @@
 
 impl MaintenanceChange {
     /// Returns the change by which an endpoint is in maintenance or not.
-    pub fn of(in_maintenance: bool) -> MaintenanceChange {
+    pub fn from_in_maintenance(in_maintenance: bool) -> MaintenanceChange {
         if in_maintenance { MaintenanceChange::Start } else { MaintenanceChange::End }
     }
 }
@@ -47,7 +47,7 @@
     let directory = relay.borrow().listener_ownership.directory.clone();
     if let Some(directory) = directory {
         // The change holds while a process runs; guards against a file that says otherwise later.
-        directory.save(relay).await.map_err(SetMaintenanceError::NotSaved)?;
+        directory.save_maintenance(relay).await.map_err(SetMaintenanceError::NotSaved)?;
     }
     match confirmed {
         Some(confirmed) => wait_for_confirmation(relay, confirmed).await,
--- a/src/relay/lifecycle/hot_restart/mod.rs
+++ b/src/relay/lifecycle/hot_restart/mod.rs
@@ -46,12 +46,12 @@
     relay.borrow_mut().listener_ownership.directory = Some(directory.clone());
     match predecessor {
         None => {
-            let saved = directory.read();
+            let saved = directory.load_maintenance();
             relay.borrow_mut().restore_maintenance(saved);
             listener::start_accepting(&relay, &listener);
         }
         Some(predecessor) => predecessor::take_over(&relay, &directory, &listener, predecessor).await?,
     }
-    successor::offer(relay, directory, listener).await;
+    successor::listen_for_successors(relay, directory, listener).await;
     Ok(())
 }
--- a/src/relay/lifecycle/hot_restart/ownership.rs
+++ b/src/relay/lifecycle/hot_restart/ownership.rs
@@ -56,7 +56,7 @@
 
 impl ListenerOwnership {
     /// Returns how many descriptors of the common limit are the predecessor's.
-    pub fn lent(&self) -> usize {
+    pub fn predecessor_descriptors(&self) -> usize {
         let predecessor = self.link.as_ref().filter(|link| link.stage == RestartStage::TookOver);
         predecessor.map_or(0, |link| link.peer_descriptors + UNCOUNTED_DESCRIPTORS)
     }
--- a/src/relay/lifecycle/hot_restart/predecessor.rs
+++ b/src/relay/lifecycle/hot_restart/predecessor.rs
@@ -36,7 +36,7 @@
 pub async fn connect_to_predecessor(
     directory: &StateDirectory,
 ) -> Result<Option<(TcpListener, Predecessor)>, HotRestartError> {
-    let Some(mut channel) = TakeoverChannel::connect(&directory.socket()).await else { return Ok(None) };
+    let Some(mut channel) = TakeoverChannel::connect(&directory.socket_path()).await else { return Ok(None) };
     let request = async {
         channel.send(&HotRestartMessage::Hello, &[]).await.ok()?;
         channel.next().await
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns the path of the socket that the process that serves listens on.
-    pub fn socket(&self) -> PathBuf {
+    pub fn socket_path(&self) -> PathBuf {
         self.file(SOCKET)
     }
 
@@ -103,17 +103,17 @@
     ///
     /// # Errors
     /// If the socket cannot be bound or renamed.
-    pub fn publish(&self) -> Result<UnixListener, StateDirectoryError> {
+    pub fn bind_socket(&self) -> Result<UnixListener, StateDirectoryError> {
         let new_socket = self.file(&format!("new-{}", std::process::id()));
         let failed = |source| io_error(&self.path, source);
         let _ = fs::remove_file(&new_socket);
         let listener = UnixListener::bind(&new_socket).map_err(failed)?;
-        fs::rename(&new_socket, self.socket()).map_err(failed)?;
+        fs::rename(&new_socket, self.socket_path()).map_err(failed)?;
         Ok(listener)
     }
 
     /// Reads the maintenance state that an earlier process has saved; a file that cannot be used is ignored.
-    pub fn read(&self) -> MaintenanceState {
+    pub fn load_maintenance(&self) -> MaintenanceState {
         let path = self.file(MAINTENANCE_FILE);
         match read_file(&path) {
             Ok(state) => state,
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// If the file cannot be written.
-    pub async fn save(&self, relay: &SharedRelay) -> io::Result<()> {
+    pub async fn save_maintenance(&self, relay: &SharedRelay) -> io::Result<()> {
         // One write at a time, so that the last one has the latest state.
         let _writing = self.writing.lock().await;
         let bytes = relay.borrow().maintenance_state().to_file_bytes();
--- a/src/relay/lifecycle/hot_restart/successor.rs
+++ b/src/relay/lifecycle/hot_restart/successor.rs
@@ -14,8 +14,10 @@
 use crate::relay::SharedRelay;
 
 /// Offers the relay to new processes, one at a time, as long as it runs.
-pub(super) async fn offer(relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>) {
-    match directory.publish() {
+pub(super) async fn listen_for_successors(
+    relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>,
+) {
+    match directory.bind_socket() {
         Ok(socket) => accept_successors(relay, directory, listener, socket).await,
         Err(error) => {
             warn!(target: "hot_restart", %error, "hot restart unavailable");
@@ -25,8 +27,10 @@
 }
 
 /// Offers the relay again after a successor has ended.
-pub(super) fn offer_again(relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>) {
-    match directory.publish() {
+pub(super) fn listen_for_successors_again(
+    relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>,
+) {
+    match directory.bind_socket() {
         Ok(socket) => {
             // Boxed because accepting a successor runs a link, which in the end offers the relay again.
             let accepting: Pin<Box<dyn Future<Output = ()>>> =
@@ -46,7 +50,7 @@
             timers.sleep(ANSWER_TIMEOUT).await;
             continue;
         };
-        let Some(channel) = greet(stream).await else { continue };
+        let Some(channel) = receive_hello(stream).await else { continue };
         if relay.borrow().listener_ownership.link.is_some() {
             let _ = channel.send(&HotRestartMessage::TakeoverInProgress, &[]).await;
             continue;
@@ -58,7 +62,7 @@
 }
 
 /// Returns the channel to a process that asks for the listener in time.
-async fn greet(stream: UnixStream) -> Option<TakeoverChannel> {
+async fn receive_hello(stream: UnixStream) -> Option<TakeoverChannel> {
     let mut channel = TakeoverChannel::new(stream);
     let first = tokio::time::timeout(Duration::from_micros(ANSWER_TIMEOUT), channel.next()).await;
     matches!(first, Ok(Some(HotRestartMessage::Hello))).then_some(channel)
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -18,7 +18,9 @@
 ///
 /// # Errors
 /// If the signal cannot be received.
-pub fn signal(read: impl Fn() -> Result<Config, LoadConfigError> + 'static) -> Result<Reloads, SignalError> {
+pub fn on_sighup(
+    read: impl Fn() -> Result<Config, LoadConfigError> + 'static,
+) -> Result<Reloads, SignalError> {
     let mut hangup = signals::receive(SignalKind::hangup())?;
     let (sender, reloads) = unbounded_channel();
     tokio::task::spawn_local(
@@ -28,7 +30,7 @@
 }
 
 /// Applies the configurations until the relay ends. One that cannot be used, or is only half written, changes nothing.
-pub async fn follow(relay: SharedRelay, mut reloads: Reloads) {
+pub async fn apply_reloads(relay: SharedRelay, mut reloads: Reloads) {
     while let Some(reload) = reloads.recv().await {
         match reload {
             Ok(config) => apply(&relay, &config),
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -45,8 +45,8 @@
 }
 
 async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), ServeError> {
-    let stop = graceful_shutdown::signal()?;
-    let reloads = reload::signal(move || Config::reread(&files))?;
+    let stop = graceful_shutdown::termination_signal()?;
+    let reloads = reload::on_sighup(move || Config::reread(&files))?;
     let state_directory =
         config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
     let found = match &state_directory {
@@ -123,7 +123,7 @@
     if let Some(admin) = admin {
         tokio::task::spawn_local(admin::server::serve(relay.clone(), admin));
     }
-    tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
+    tokio::task::spawn_local(reload::apply_reloads(relay.clone(), reloads));
 }
 
 /// Accepts clients, once a predecessor has handed over if there is one; the task ends only if it cannot take over.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -26,7 +26,7 @@
     },
     /// A list of names holds something that is not a string.
     #[error("setting `{path}` holds no names")]
-    NotNames {
+    NotStrings {
         /// Path of the setting.
         path: String,
     },
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -90,10 +90,10 @@
     /// Reads a list of names.
     ///
     /// # Errors
-    /// [`SettingsError::NotNames`] if an entry is not a string.
+    /// [`SettingsError::NotStrings`] if an entry is not a string.
     pub(super) fn names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
-        let not_names = || SettingsError::NotNames { path: self.full_path(path) };
-        let name = |value: &Value| value.as_str().map(str::to_owned).ok_or_else(not_names);
+        let not_strings = || SettingsError::NotStrings { path: self.full_path(path) };
+        let name = |value: &Value| value.as_str().map(str::to_owned).ok_or_else(not_strings);
         self.array(path)?.iter().map(name).collect()
     }
 
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -181,7 +181,7 @@
     let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
     let path = scratch.0.join(MEETING_FOLDER);
     fs::write(path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("a file");
-    assert_eq!(folder.read(), maintenance_record());
+    assert_eq!(folder.load_maintenance(), maintenance_record());
     let relay = start_relay(known_endpoints(), Some(folder)).await;
     while !path.join(SOCKET).exists() {
         sleep(Duration::from_millis(5)).await;
@@ -212,7 +212,7 @@
         let mut changed = whole.clone();
         changed[place] ^= 1;
         fs::write(&file, changed).expect("a file");
-        assert_eq!(folder.read(), MaintenanceState::default(), "byte {place}");
+        assert_eq!(folder.load_maintenance(), MaintenanceState::default(), "byte {place}");
     }
 }
 
