--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::ids::{
-    AffinityGroup, AttemptId, CellId, ClassId, EndpointId, KindId, Micros, RequestId, SessionKey, TenantId,
-    TimerToken, ZoneId, ZoneSet,
+    AffinityGroup, AttemptId, CellId, ClassId, EndpointId, MachineTypeId, Micros, RequestId, SessionKey,
+    TenantId, TimerToken, ZoneId, ZoneSet,
 };
 
 /// An endpoint's load report; what it does not report is absent.
@@ -46,7 +46,7 @@
     /// Its id.
     pub id: EndpointId,
     /// Its machine type.
-    pub kind: Option<KindId>,
+    pub machine_type: Option<MachineTypeId>,
     /// Its capacity against other endpoints', see [`crate::WeightSemantics`].
     pub weight: f64,
     /// When it last started; 0 for long ago.
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -70,7 +70,7 @@
 
 /// Identifies a machine type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub usize);
+pub struct MachineTypeId(pub usize);
 
 /// Identifies a cell: endpoints that share their memory of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -51,8 +51,8 @@
     ConnectionUpdate, Endpoint, EndpointState, EndpointUpdate, Event, LoadReport, Outcome, Request,
 };
 pub use ids::{
-    AffinityGroup, AttemptId, CellId, ClassId, EndpointId, KindId, Micros, RequestId, SessionKey, TenantId,
-    TimerToken, ZoneId, ZoneSet,
+    AffinityGroup, AttemptId, CellId, ClassId, EndpointId, MachineTypeId, Micros, RequestId, SessionKey,
+    TenantId, TimerToken, ZoneId, ZoneSet,
 };
 pub use maintenance::MaintenanceOverlay;
 pub use settings::{
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -222,7 +222,7 @@
     /// Whether connections end at the balancer.
     pub forward_mode: ForwardMode,
     /// How long an endpoint keeps a connection without packets.
-    pub park_timeout: Micros,
+    pub endpoint_idle_timeout: Micros,
     /// Connections of an affinity group share work on an endpoint.
     pub affinity_groups: bool,
     /// [`crate::ConnectionUpdate::Load`] is sent.
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -37,7 +37,7 @@
         load_reports: LoadReportSource::HealthChecks,
         weights: WeightSemantics::Nominal,
         forward_mode: ForwardMode::PassThrough,
-        park_timeout: 5 * SECOND,
+        endpoint_idle_timeout: 5 * SECOND,
         affinity_groups: true,
         reports_connection_load: true,
         reports_message_latency: true,
@@ -79,7 +79,7 @@
 pub fn ready_endpoint(name: &str) -> Endpoint {
     Endpoint {
         id: endpoint_id(name),
-        kind: None,
+        machine_type: None,
         weight: 1.0,
         started_at: 0,
         zone: None,
--- a/crates/discovery/tests/simulated_service/mod.rs
+++ b/crates/discovery/tests/simulated_service/mod.rs
@@ -157,7 +157,7 @@
 pub fn endpoint(id: &str, state: EndpointState, started_at: Micros) -> Endpoint {
     Endpoint {
         id: EndpointId(id.into()),
-        kind: None,
+        machine_type: None,
         weight: 1.0,
         started_at,
         zone: None,
--- a/crates/testbed/src/scenarios/simulation/endpoint_updates.rs
+++ b/crates/testbed/src/scenarios/simulation/endpoint_updates.rs
@@ -51,7 +51,7 @@
             let endpoint = &self.endpoints[*n];
             Endpoint {
                 id: endpoint.id.clone(),
-                kind: None,
+                machine_type: None,
                 weight: endpoint.model.parameters().weight,
                 started_at: endpoint.model.started(),
                 zone: Some(ZoneId(endpoint.site)),
--- a/crates/zone-failover/tests/fleet/mod.rs
+++ b/crates/zone-failover/tests/fleet/mod.rs
@@ -23,7 +23,7 @@
 pub fn endpoint(zone: usize, number: usize, state: EndpointState, started_at: Micros) -> Endpoint {
     Endpoint {
         id: endpoint_id(zone, number),
-        kind: None,
+        machine_type: None,
         weight: 1.0,
         started_at,
         zone: Some(ZoneId(zone)),
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -1,6 +1,6 @@
 //! Names from the settings, by which later messages refer to classes, tenants, zones and machine types.
 
-use honeyknot_balancer::{ClassId, KindId, LoadReport, TenantId, ZoneId};
+use honeyknot_balancer::{ClassId, LoadReport, MachineTypeId, TenantId, ZoneId};
 
 /// Maps the names in one settings object to the identifiers that the balancer uses.
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
     }
 
     /// Returns the machine type of that name.
-    pub fn kind(&self, name: &str) -> Option<KindId> {
-        position(&self.kinds, name).map(KindId)
+    pub fn kind(&self, name: &str) -> Option<MachineTypeId> {
+        position(&self.kinds, name).map(MachineTypeId)
     }
 
     /// Returns the zone of that name.
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -60,7 +60,7 @@
         load_reports: reader.choice("telemetry.source", &LOAD_REPORT_SOURCES)?,
         weights: reader.choice("weights", &WEIGHT_SEMANTICS)?,
         forward_mode: reader.choice("familyInfo.mode", &FORWARD_MODES)?,
-        park_timeout: reader.duration("familyInfo.parkUs", 0)?,
+        endpoint_idle_timeout: reader.duration("familyInfo.parkUs", 0)?,
         affinity_groups: reader.bool("familyInfo.groups", false)?,
         reports_connection_load: reader.bool("familyInfo.tellsLoad", false)?,
         reports_message_latency: reader.bool("familyInfo.tellsDelay", false)?,
--- a/src/simulator/endpoint_list.rs
+++ b/src/simulator/endpoint_list.rs
@@ -32,7 +32,7 @@
         };
         let endpoint = Endpoint {
             id: entry.endpoint(2)?,
-            kind: None,
+            machine_type: None,
             weight: entry.optional_f64(1)?.unwrap_or(1.0),
             started_at: entry.u64_or(3, 0)?,
             zone: None,
@@ -45,7 +45,11 @@
     }
 
     fn resolve(&self, names: &NameTable) -> Endpoint {
-        Endpoint { kind: names.kind(&self.kind), zone: names.zone(&self.zone), ..self.endpoint.clone() }
+        Endpoint {
+            machine_type: names.kind(&self.kind),
+            zone: names.zone(&self.zone),
+            ..self.endpoint.clone()
+        }
     }
 }
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -380,7 +380,7 @@
         self.add("telemetry.source", report_source(settings.load_reports));
         self.add("weights", weights(settings.weights));
         self.add("familyInfo.mode", forward_mode(settings.forward_mode));
-        self.add("familyInfo.parkUs", settings.park_timeout);
+        self.add("familyInfo.parkUs", settings.endpoint_idle_timeout);
         self.add("familyInfo.groups", settings.affinity_groups);
         self.add("familyInfo.tellsLoad", settings.reports_connection_load);
         self.add("familyInfo.tellsDelay", settings.reports_message_latency);
@@ -500,7 +500,7 @@
 
     fn add_entry(&mut self, path: &str, entry: &Endpoint) {
         self.add(format!("{path}.id"), &entry.id.0);
-        self.add(format!("{path}.kind"), place(entry.kind.map(|kind| kind.0)));
+        self.add(format!("{path}.kind"), place(entry.machine_type.map(|kind| kind.0)));
         self.add(format!("{path}.weight"), entry.weight);
         self.add(format!("{path}.started in us"), entry.started_at);
         self.add(format!("{path}.zone"), place(entry.zone.map(|zone| zone.0)));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -191,7 +191,7 @@
     let mut day = Day { balancer, now, timers: BTreeMap::new(), serial: 0, outcomes: 0, answered: 0 };
     let entry = |i: u64, started, state| Endpoint {
         id: EndpointId(Arc::from(format!("s-{i}"))),
-        kind: None,
+        machine_type: None,
         weight: 1.0 + i as f64,
         started_at: started,
         zone: config.settings.zone.map(|_| ZoneId(i as usize % 2)),
