--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -291,11 +291,11 @@
     for (input, expected) in [
         (
             with("/rules/startCapacity", json!(1.5)),
-            "batch 1, line 2: settings: start_capacity is not within 0 and 1",
+            "batch 1, line 2: settings: `rules.startCapacity` must be a number from 0 to 1",
         ),
         (
             with("/rules/overloadFactor", json!(0.0)),
-            "batch 1, line 2: settings: overload_factor is not a positive number",
+            "batch 1, line 2: settings: `rules.overloadFactor` must be a number greater than 0",
         ),
         (
             with("/rules/coldUs", json!(40_000_000_000_000_u64)),
@@ -303,7 +303,7 @@
         ),
         (
             with("/services/0/worth", json!(-1.0)),
-            "batch 1, line 2: settings: a class has a worth that is not a number of 0 or more",
+            "batch 1, line 2: settings: `worth` must be a number of 0 or more in every entry of `services`",
         ),
         (
             with("/services/0/worth", json!("much")),
@@ -311,7 +311,7 @@
         ),
         (
             with("/tariffs", json!({"moves": -1.0})),
-            "batch 1, line 2: settings: a price is not a number of 0 or more",
+            "batch 1, line 2: settings: `tariffs.crossZone` and `tariffs.moves` must be numbers of 0 or more",
         ),
         (
             with("/permissions/probing", json!("yes")),
@@ -380,7 +380,7 @@
         self.add("telemetry.source", report_source(settings.load_reports));
         self.add("weights", weights(settings.weights));
         self.add("familyInfo.mode", forward_mode(settings.forward_mode));
-        self.add("familyInfo.parkUs", settings.park_timeout);
+        self.add("familyInfo.parkUs", settings.endpoint_idle_timeout);
         self.add("familyInfo.groups", settings.affinity_groups);
         self.add("familyInfo.tellsLoad", settings.reports_connection_load);
         self.add("familyInfo.tellsDelay", settings.reports_message_latency);
@@ -500,7 +500,7 @@
 
     fn add_entry(&mut self, path: &str, entry: &Endpoint) {
         self.add(format!("{path}.id"), &entry.id.0);
-        self.add(format!("{path}.kind"), place(entry.kind.map(|kind| kind.0)));
+        self.add(format!("{path}.kind"), place(entry.machine_type.map(|kind| kind.0)));
         self.add(format!("{path}.weight"), entry.weight);
         self.add(format!("{path}.started in us"), entry.started_at);
         self.add(format!("{path}.zone"), place(entry.zone.map(|zone| zone.0)));
