--- a/crates/discovery/src/backoff.rs
+++ b/crates/discovery/src/backoff.rs
@@ -1,4 +1,4 @@
-//! When the next request is made after one that failed.
+//! Backoff: when the next request is made after one that failed.
 
 use honeyknot_balancer::Micros;
 use rand::Rng;
@@ -8,31 +8,36 @@
 use crate::poller::{DiscoveryPoller, MIN_PAUSE};
 use crate::schedule::{FULL_LIST_COST, MAX_SECOND_REQUEST_TIME};
 
-/// Least mean backoff after a failed request, in microseconds; doubled by further failures.
+/// Mean backoff after the first failed request, in microseconds, unless the fleet size requires a longer one.
+/// Each further failure doubles it.
 const INITIAL_BACKOFF: Micros = 500_000;
-/// Longest backoff of relays without a list and of fleets too large for the notification deadline, in microseconds.
+/// Maximum backoff, in microseconds, of a relay without a list or in a fleet that is too large for the
+/// service to answer every relay within the notification deadline.
 const MAX_BACKOFF: Micros = 24_000_000;
-/// Most doublings of the backoff after consecutive failures.
+/// Maximum number of doublings of the backoff after consecutive failures.
 const MAX_DOUBLINGS: u32 = 3;
-/// Most signs of overload that are counted; each doubles the fleet's part of the backoff.
-pub(crate) const MAX_OVERLOADS: u32 = 3;
-/// Least cost of any request to the service, in microseconds.
+/// Maximum overload level. Each level above the first doubles the backoff that the fleet size requires.
+pub(crate) const MAX_OVERLOAD_LEVEL: u32 = 3;
+/// Minimum time that the service needs for any request, in microseconds.
 const MIN_REQUEST_COST: Micros = 5_000;
-/// Age of a request below which a broken connection was not waiting in a queue, in microseconds.
+/// Age of a request, in microseconds, below which it is assumed not to have waited in the service's queue
+/// when its connection breaks.
 const MIN_QUEUED_TIME: Micros = 1_000_000;
-/// Most consecutive requests without backoff after one that timed out.
+/// Maximum number of consecutive retries without backoff after a request timed out.
 const MAX_IMMEDIATE_RETRIES: u32 = 4;
-/// Spread per relay of requests without backoff, in microseconds.
+/// Random spread of retries without backoff for each relay of the fleet, in microseconds.
 const IMMEDIATE_RETRY_SPREAD_PER_RELAY: Micros = 1_000;
-/// Longest spread of requests without backoff, in microseconds.
+/// Maximum random spread of retries without backoff, in microseconds.
 const MAX_IMMEDIATE_RETRY_SPREAD: Micros = 150_000;
-/// Initial mean backoff while a new service has not answered yet, in microseconds.
+/// Mean backoff after the first failed request to a new service that has not answered yet, in microseconds.
+/// Each further failure doubles it.
 const SERVICE_CHANGE_BACKOFF: Micros = 200_000;
-/// Longest `Retry-After` that is heeded, in microseconds: the rest of the longest pause spreads the relays.
+/// Maximum `Retry-After` that is honored, in microseconds. The rest of [`MAX_PAUSE`] is left for the random
+/// spread of the relays.
 const MAX_RETRY_AFTER: Micros = MAX_PAUSE / 2;
 
 impl DiscoveryPoller {
-    /// Takes the failure of the request in flight and schedules the next one.
+    /// Records that the request in flight failed and schedules the next one.
     pub fn poll_failed(&mut self, now: Micros, error: DiscoveryErrorKind) {
         let elapsed = self.in_flight.take().map_or(0, |in_flight| now.saturating_sub(in_flight.started_at));
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -47,8 +52,9 @@
 
     /// Decides whether the next request is made without backoff.
     ///
-    /// That is so after a request that timed out, as the changes that it missed are about to count as notified, and
-    /// after requests since then that failed without a sign that the service is down or overloaded.
+    /// This is the case after a timeout, because the changes that the request missed are about to count as
+    /// notified. It is also the case after the failures that follow, unless they show that the service is
+    /// down or overloaded.
     fn retries_immediately(&mut self, error: DiscoveryErrorKind, elapsed: Micros) -> bool {
         let immediately = match error {
             DiscoveryErrorKind::Timeout => {
@@ -58,7 +64,7 @@
             DiscoveryErrorKind::ConnectionBroken | DiscoveryErrorKind::InvalidResponse => {
                 self.immediate_retries > 0 && elapsed < MIN_QUEUED_TIME
             }
-            // The service was reached or is down: the notification deadline starts anew.
+            // The service either answered or is down, so the notification deadline starts again.
             DiscoveryErrorKind::ConnectionRefused | DiscoveryErrorKind::Overloaded { .. } => {
                 self.immediate_retries = 0;
                 false
@@ -89,12 +95,12 @@
             _ => 0,
         };
         let limit = match error {
-            // The service was reached, so a change held back by the invalid response counts as notified soon.
+            // The service was reached, so a change lost with the invalid response counts as notified soon.
             DiscoveryErrorKind::InvalidResponse => MAX_PAUSE / 2,
             _ => self.max_backoff() - retry_after,
         };
-        let least_mean = if self.config.is_single_relay() { 0 } else { fleet_backoff };
-        let mean = (INITIAL_BACKOFF << self.doublings()).max(least_mean);
+        let min_mean = if self.config.is_single_relay() { 0 } else { fleet_backoff };
+        let mean = (INITIAL_BACKOFF << self.doublings()).max(min_mean);
         let range = if mean / 2 * 3 <= limit {
             mean / 2..=mean / 2 * 3
         } else if limit > MAX_PAUSE {
@@ -105,26 +111,27 @@
         retry_after + self.rng.random_range(range)
     }
 
-    /// Returns the least mean backoff that bounds the whole fleet's requests, and counts signs of overload.
+    /// Returns the minimum mean backoff, in microseconds, that bounds the whole fleet's load on the service.
+    /// Also updates the overload level.
     fn fleet_backoff(&mut self, error: DiscoveryErrorKind, elapsed: Micros) -> Micros {
         let fleet_backoff = self.config.relay_count() * FULL_LIST_COST / 5 * 6;
         match error {
-            // Such a request costs the service next to nothing.
+            // A refused connection costs the service almost nothing, so it is no sign of overload.
             DiscoveryErrorKind::ConnectionRefused => fleet_backoff,
             DiscoveryErrorKind::ConnectionBroken if elapsed < MIN_QUEUED_TIME => fleet_backoff,
             DiscoveryErrorKind::ConnectionBroken | DiscoveryErrorKind::Overloaded { .. } => {
-                self.overloads = (self.overloads + 1).min(MAX_OVERLOADS);
-                fleet_backoff << self.overloads.saturating_sub(1)
+                self.overload_level = (self.overload_level + 1).min(MAX_OVERLOAD_LEVEL);
+                fleet_backoff << self.overload_level.saturating_sub(1)
             }
-            // The timeout itself has kept the relay from making requests.
+            // The wait for the timeout has already kept the relay from making requests.
             DiscoveryErrorKind::Timeout | DiscoveryErrorKind::InvalidResponse => 0,
         }
     }
 
-    /// Returns the longest backoff in microseconds.
+    /// Returns the maximum backoff, in microseconds.
     ///
-    /// A relay that serves from a list is bound by the notification deadline, unless the fleet is so large that the
-    /// service could not answer all relays within it.
+    /// A relay that serves from a list is bound by the notification deadline, unless the fleet is so large
+    /// that the service could not answer all relays within it.
     fn max_backoff(&self) -> Micros {
         if self.validator.is_empty() {
             return MAX_BACKOFF;
--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -1,21 +1,21 @@
-//! The kinds of failed requests.
+//! Kinds of errors of discovery requests.
 
 use honeyknot_balancer::Micros;
 
 /// How a request to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryErrorKind {
-    /// The connection was refused: the service is down, and the request cost it nothing.
+    /// The connection was refused: the service is down and spent no work on the request.
     ConnectionRefused,
     /// The connection broke before the response was complete.
     ConnectionBroken,
-    /// The service rejected the request for lack of capacity.
+    /// The service rejected the request because it lacks capacity.
     Overloaded {
-        /// Delay that the service asked for, in microseconds.
+        /// Delay that the service asked for, in microseconds; `None` if it asked for none.
         retry_after: Option<Micros>,
     },
-    /// There was no connection or no response in time.
+    /// No connection was established, or no response arrived, within the timeout.
     Timeout,
-    /// The response could not be understood.
+    /// The response could not be parsed.
     InvalidResponse,
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,13 +1,14 @@
-//! Decides when one relay polls discovery, what it requests, and which endpoint lists it accepts.
+//! Decides when a relay polls discovery, what it requests, and which endpoint lists it accepts.
 //!
-//! [`DiscoveryPoller`] is a state machine without I/O: it opens no socket, reads no clock and chooses no endpoint.
-//! Events go in with the time at which they happened ([`DiscoveryPoller::poll_succeeded`],
-//! [`DiscoveryPoller::poll_failed`]); the next request and its timeout come out ([`DiscoveryPoller::next_poll_at`],
-//! [`DiscoveryPoller::start_poll`]). Every random draw comes from the relay's seed.
+//! [`DiscoveryPoller`] is a state machine without I/O: it opens no socket, reads no clock and chooses no
+//! endpoint. The caller passes in events with the time at which they happened
+//! ([`DiscoveryPoller::poll_succeeded`], [`DiscoveryPoller::poll_failed`]) and makes the requests that the
+//! poller schedules ([`DiscoveryPoller::next_poll_at`], [`DiscoveryPoller::start_poll`]). All random numbers
+//! come from the configured seed.
 //!
-//! A relay has at most one request in flight and keeps a few words of memory for each listed endpoint. Relays share
-//! no state; the spread of first requests, the jitter of watches and the backoff bound what a whole fleet asks of
-//! the one service.
+//! A relay has at most one request in flight and uses a few words of memory for each listed endpoint. Relays
+//! share no state. The spread of first requests, the jitter of watches and the backoff bound the load of the
+//! whole fleet on the service.
 
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
--- a/crates/discovery/src/list_validation.rs
+++ b/crates/discovery/src/list_validation.rs
@@ -1,45 +1,47 @@
-//! Decides which endpoint lists are accepted in full and which in part.
+//! Decides whether an endpoint list is accepted in full or in part.
 //!
-//! - A version that is not older than the one held is accepted at once and in full: an endpoint that it lacks is
-//!   removed. The rule on drains counts from the moment at which the list was written to the relay, so acceptance
-//!   may not be delayed.
-//! - An older version comes from a service that restarted or from a replica that lags. Endpoints that it adds are
-//!   accepted, and so are endpoints that it lists as draining. Endpoints that it lacks stay listed, and an endpoint
-//!   that was draining or removed stays so unless it has restarted since. The list is accepted in full once it is
-//!   received again after [`GRACE_PERIOD`], or once its version is as high as the one held before.
+//! - A list whose version is not older than the current one is accepted at once and in full: endpoints that
+//!   it does not name are removed. Acceptance must not be delayed, because the time within which sends to a
+//!   draining endpoint must stop is counted from when the service wrote the list to the relay.
+//! - A list with an older version comes from a service that restarted or from a replica that lags behind.
+//!   Endpoints that it adds or lists as draining are accepted. Endpoints that it does not name stay listed,
+//!   and an endpoint that was draining or removed stays so unless it has restarted since. The list is
+//!   accepted in full once it is received again after [`GRACE_PERIOD`], or once its version has reached the
+//!   previous one.
 
 use std::collections::BTreeMap;
 
 use honeyknot_balancer::{Endpoint, EndpointId, EndpointState, Micros};
 
-/// Time that a service has for filling its list after a restart before endpoints that it lacks are removed, in
-/// microseconds.
+/// Time that a restarted service is given to fill its list before endpoints that the list does not name are
+/// removed, in microseconds.
 const GRACE_PERIOD: Micros = 12_000_000;
-/// Endpoints kept in memory, removed ones included, for each listed one.
+/// Maximum number of known endpoints, including removed ones, for each listed endpoint.
 const MAX_KNOWN_PER_LISTED: usize = 4;
-/// Listed endpoints that are assumed in addition when the limit on known endpoints is computed.
+/// Number added to the listed endpoints when the limit on known endpoints is computed, so that a short list
+/// does not make the limit tiny.
 const LISTED_ALLOWANCE: usize = 16;
 
-/// An endpoint list, or changes of one.
+/// An endpoint list, or the changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
-    /// Version that the service gave it.
+    /// Version that the service assigned.
     pub version: u64,
-    /// Whether it names all endpoints and not only those that changed.
+    /// Whether the list names all endpoints, not only those that changed.
     pub full: bool,
-    /// The endpoints.
+    /// The listed or changed endpoints.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// An older list that has not been accepted in full.
+/// State kept while an older list has not been accepted in full.
 #[derive(Debug)]
 struct OlderList {
-    /// Version held before it.
+    /// Version of the list that was current before the older list arrived.
     previous_version: u64,
-    /// From then on the full list is accepted, whatever its version.
+    /// When [`GRACE_PERIOD`] ends; from then on a full list is accepted whatever its version.
     grace_ends_at: Micros,
-    /// When the full list is requested.
-    check_at: Micros,
+    /// When the full list is requested next.
+    recheck_at: Micros,
 }
 
 #[derive(Debug)]
@@ -48,13 +50,13 @@
     started_at: Micros,
 }
 
-/// The endpoints known so far, as far as the validation of further lists needs them.
+/// Validates endpoint lists against the endpoints known so far.
 #[derive(Debug)]
 pub(crate) struct ListValidator {
     version: u64,
     known: BTreeMap<EndpointId, KnownEndpoint>,
     older_list: Option<OlderList>,
-    /// Another service, with version numbers of its own, has not answered yet.
+    /// Whether another service, whose version numbers are unrelated, was configured and has not answered yet.
     service_changed: bool,
 }
 
@@ -78,42 +80,46 @@
         self.older_list.is_some()
     }
 
-    /// Whether no list has been received yet.
+    /// Returns whether no list has been received yet.
     pub(crate) fn is_empty(&self) -> bool {
         self.version == 0 && self.known.is_empty()
     }
 
-    /// Whether the next request must be for the full list.
+    /// Returns whether the next request must be for the full list.
     pub(crate) fn needs_full_list(&self, now: Micros) -> bool {
-        self.service_changed || self.is_empty() || self.check_at().is_some_and(|at| now >= at)
+        self.service_changed || self.is_empty() || self.recheck_at().is_some_and(|at| now >= at)
     }
 
-    /// When an older list is checked against the full list.
-    pub(crate) fn check_at(&self) -> Option<Micros> {
-        self.older_list.as_ref().map(|older| older.check_at)
+    /// Returns when the full list is requested to replace an older list that was accepted in part; `None` if
+    /// the current list was accepted in full.
+    pub(crate) fn recheck_at(&self) -> Option<Micros> {
+        self.older_list.as_ref().map(|older| older.recheck_at)
     }
 
-    /// Whether another service has been configured and has not answered yet.
+    /// Returns whether another service was configured and has not answered yet.
     pub(crate) fn service_changed(&self) -> bool {
         self.service_changed
     }
 
-    /// Expects the next list from another service.
+    /// Records that the next list comes from another service.
     pub(crate) fn change_service(&mut self) {
         self.service_changed = true;
         self.older_list = None;
     }
 
-    /// Validates a received list and returns the part that is accepted.
+    /// Validates a received list and returns the accepted part.
     ///
-    /// `check_delay` is a random delay that keeps the relays' checks of a common older list out of step.
-    pub(crate) fn validate(&mut self, now: Micros, list: EndpointList, check_delay: Micros) -> EndpointList {
+    /// `recheck_delay` is a random delay, in microseconds. It spreads the full-list requests of relays that
+    /// received the same older list.
+    pub(crate) fn validate(
+        &mut self, now: Micros, list: EndpointList, recheck_delay: Micros,
+    ) -> EndpointList {
         let service_changed = std::mem::take(&mut self.service_changed);
         if service_changed && list.full {
             self.known.clear();
         }
         if service_changed || self.accepts_in_full(now, &list) {
-            // Changes alone do not prove what the older list did not name.
+            // Changes do not say whether endpoints that the older list did not name still exist.
             if list.full {
                 self.older_list = None;
             }
@@ -121,9 +127,10 @@
             self.record(&list);
             return list;
         }
-        self.schedule_check(now, check_delay);
+        self.schedule_recheck(now, recheck_delay);
         self.version = list.version;
-        let endpoints = list.endpoints.into_iter().filter(|endpoint| self.accepts(endpoint)).collect();
+        let endpoints =
+            list.endpoints.into_iter().filter(|endpoint| self.accepts_endpoint(endpoint)).collect();
         let accepted = EndpointList { version: list.version, full: false, endpoints };
         self.record(&accepted);
         accepted
@@ -136,24 +143,26 @@
         }
     }
 
-    /// Sets or renews the time at which an older list is checked against the full list.
-    fn schedule_check(&mut self, now: Micros, check_delay: Micros) {
+    /// Schedules the request for the full list after an older list, or reschedules it once it is overdue.
+    fn schedule_recheck(&mut self, now: Micros, recheck_delay: Micros) {
         match &mut self.older_list {
             None => {
                 let grace_ends_at = now + GRACE_PERIOD;
                 self.older_list = Some(OlderList {
                     previous_version: self.version,
                     grace_ends_at,
-                    check_at: grace_ends_at + check_delay,
+                    recheck_at: grace_ends_at + recheck_delay,
                 });
             }
-            Some(older) if now >= older.check_at => older.check_at = now + GRACE_PERIOD / 4 + check_delay,
+            Some(older) if now >= older.recheck_at => {
+                older.recheck_at = now + GRACE_PERIOD / 4 + recheck_delay
+            }
             Some(_) => {}
         }
     }
 
-    /// Whether an endpoint of an older list is accepted.
-    fn accepts(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint of an older list is accepted.
+    fn accepts_endpoint(&self, endpoint: &Endpoint) -> bool {
         let Some(known) = self.known.get(&endpoint.id) else { return true };
         if endpoint.state != EndpointState::Ready {
             return true;
@@ -164,7 +173,9 @@
         }
     }
 
-    /// Records an accepted list. Removed endpoints stay known, within bounds, as an older list could list them again.
+    /// Records an accepted list.
+    ///
+    /// A limited number of removed endpoints stays known, so that an older list cannot add them again.
     fn record(&mut self, list: &EndpointList) {
         if list.full {
             self.known.values_mut().for_each(|known| known.state = EndpointState::Removed);
--- a/crates/discovery/src/poller.rs
+++ b/crates/discovery/src/poller.rs
@@ -1,10 +1,10 @@
-//! The poller of one relay: requests go out and results come in, one at a time.
+//! State machine that schedules the discovery requests of one relay, one at a time.
 
 use honeyknot_balancer::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::backoff::MAX_OVERLOADS;
+use crate::backoff::MAX_OVERLOAD_LEVEL;
 use crate::config::DiscoveryConfig;
 use crate::list_validation::{EndpointList, ListValidator};
 use crate::request::{DiscoveryRequest, InFlightRequest, Poll};
@@ -14,57 +14,60 @@
 use crate::stale_list::StaleListDetector;
 use crate::state::DiscoveryState;
 
-/// Least pause after a request, in microseconds: well below the 200 ms within which a watch goes on.
+/// Minimum pause after a request, in microseconds; well below the 200 ms within which a watch must be
+/// continued.
 pub(crate) const MIN_PAUSE: Micros = 20_000;
-/// Spread per relay of the requests that follow a change, in microseconds.
+/// Random spread of the requests that follow a change, for each relay of the fleet, in microseconds.
 const CHANGE_SPREAD_PER_RELAY: Micros = 500;
-/// Longest spread of the requests that follow a change, in microseconds.
+/// Maximum random spread of the requests that follow a change, in microseconds.
 const MAX_CHANGE_SPREAD: Micros = 130_000;
-/// Most doublings of the pause after responses that came at once without a change.
+/// Maximum number of doublings of the pause after early responses without changes.
 const MAX_EMPTY_DOUBLINGS: u32 = 7;
-/// Lateness of a response from which on the service counts as overloaded, in microseconds.
+/// Lateness of a response above which the service is considered overloaded, in microseconds.
 const OVERLOAD_LATENESS: Micros = 400_000;
-/// Longest lateness by which the pause is lengthened where no list age bounds it, in microseconds.
+/// Maximum mean pause after a late response if the configuration sets no maximum list age, in microseconds.
 const MAX_OVERLOAD_PAUSE: Micros = 3_000_000;
 
-/// Decides when one relay polls discovery, and validates the lists that it receives.
+/// Decides when a relay polls discovery, and validates the lists that it receives.
 #[derive(Debug)]
 pub struct DiscoveryPoller {
     pub(crate) config: DiscoveryConfig,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) validator: ListValidator,
-    /// When the next request is due; none while one is in flight.
+    /// When the next request is due; `None` while one is in flight.
     pub(crate) next_poll_at: Option<Micros>,
     pub(crate) in_flight: Option<InFlightRequest>,
-    /// The next request is for the full list.
+    /// Whether the next request is for the full list.
     full_list_requested: bool,
     pub(crate) consecutive_failures: u32,
-    /// Signs of overload that have not been outweighed by timely responses.
-    pub(crate) overloads: u32,
-    /// Consecutive responses that came at once without a change.
-    consecutive_empty: u32,
-    /// Decaying maximum of the time by which responses came late, in microseconds.
+    /// Incremented by each sign that the service is overloaded, up to [`MAX_OVERLOAD_LEVEL`]; decremented by
+    /// each timely response.
+    pub(crate) overload_level: u32,
+    /// Number of consecutive early responses without changes, up to [`MAX_EMPTY_DOUBLINGS`].
+    consecutive_empty_responses: u32,
+    /// Decaying maximum of the lateness of responses, in microseconds.
     pub(crate) lateness: Micros,
-    /// Consecutive requests made without backoff since one timed out.
+    /// Number of consecutive retries without backoff since a request timed out.
     pub(crate) immediate_retries: u32,
-    /// When another service was last configured.
+    /// When another service was last configured; `None` if the service is still the first one.
     pub(crate) service_changed_at: Option<Micros>,
+    /// Whether any request has been answered.
     pub(crate) answered: bool,
     stale_list: StaleListDetector,
 }
 
-/// What the arrival of a response says about the service.
+/// What the time at which a response arrived says about the service.
 struct ResponseTiming {
-    /// Time beyond what the request allowed the service, in microseconds.
-    late: Micros,
-    /// It came at once and without a change.
-    is_empty: bool,
+    /// Time beyond the wait that the request allowed, in microseconds.
+    lateness: Micros,
+    /// Whether the response arrived well before the end of the wait and has no changes.
+    is_early_and_empty: bool,
 }
 
 impl DiscoveryPoller {
-    /// Creates the poller of a relay that starts now with this list, which may be empty.
+    /// Creates the poller of a relay that starts at `now` with the list `initial`, which may be empty.
     pub fn new(config: DiscoveryConfig, initial: &EndpointList, now: Micros) -> DiscoveryPoller {
-        // An agent is asked by its own relay only.
+        // A local agent is polled by its own relay only.
         let fleet_size = if config.agent_drain_grace.is_some() { 1 } else { config.fleet_size };
         let config = DiscoveryConfig { fleet_size, ..config };
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
@@ -77,8 +80,8 @@
             in_flight: None,
             full_list_requested: false,
             consecutive_failures: 0,
-            overloads: 0,
-            consecutive_empty: 0,
+            overload_level: 0,
+            consecutive_empty_responses: 0,
             lateness: initial_lateness(&config),
             immediate_retries: 0,
             service_changed_at: None,
@@ -87,12 +90,12 @@
         }
     }
 
-    /// Returns when the next request is due; none while one is in flight.
+    /// Returns when the next request is due; `None` while one is in flight.
     pub fn next_poll_at(&self) -> Option<Micros> {
         self.next_poll_at
     }
 
-    /// Returns the version since which changes are requested.
+    /// Returns the version of the current list, since which changes are requested.
     pub fn version(&self) -> u64 {
         self.validator.version()
     }
@@ -112,32 +115,32 @@
 
     /// Records that an endpoint listed as ready refused a connection.
     ///
-    /// Returns true if the request in flight is to be abandoned as timed out: the list is stale and the watch that
-    /// should have brought the change has gone silent.
+    /// Returns true if the caller must abandon the request in flight as timed out: the list is stale and the
+    /// watch that should have delivered the change has stalled.
     pub fn connection_refused(&mut self, now: Micros) -> bool {
         let Some(in_flight) = self.in_flight else { return false };
         self.stale_list.record_refusal(now, in_flight)
     }
 
-    /// Makes the next request one for the full list.
+    /// Makes the next request ask for the full list.
     pub fn request_full_list(&mut self) {
         self.full_list_requested = true;
     }
 
-    /// Switches to another service, whose full list is requested soon; a request in flight is forgotten.
+    /// Switches to another service and schedules a request for its full list. A request in flight is dropped.
     pub fn change_service(&mut self, now: Micros) {
         self.in_flight = None;
         self.service_changed_at = Some(now);
         self.consecutive_failures = 0;
-        self.overloads = 0;
-        self.consecutive_empty = 0;
+        self.overload_level = 0;
+        self.consecutive_empty_responses = 0;
         self.immediate_retries = 0;
         self.validator.change_service();
         self.next_poll_at = Some(now + service_change_delay(&self.config, &mut self.rng));
     }
 
     /// Starts the request that is due. It is in flight until [`poll_succeeded`](Self::poll_succeeded) or
-    /// [`poll_failed`](Self::poll_failed).
+    /// [`poll_failed`](Self::poll_failed) is called.
     pub fn start_poll(&mut self, now: Micros) -> Poll {
         let full = std::mem::take(&mut self.full_list_requested) || self.validator.needs_full_list(now);
         let request = match full {
@@ -152,10 +155,10 @@
         Poll { request, timeout: self.request_timeout(now, request) }
     }
 
-    /// Takes the response to the request in flight and returns the part of it that is accepted.
+    /// Handles the response to the request in flight and returns the accepted part of its list.
     ///
-    /// A list that is not accepted in full is returned as changes, so that endpoints that it does not name stay
-    /// listed. Without a request in flight the list is returned as it is.
+    /// A list that is not accepted in full is returned as changes, so that endpoints that it does not name
+    /// stay listed. If no request is in flight, the list is returned unchanged.
     pub fn poll_succeeded(&mut self, now: Micros, list: EndpointList) -> EndpointList {
         let Some(in_flight) = self.in_flight.take() else { return list };
         let has_changes = !list.endpoints.is_empty() || list.version != self.validator.version();
@@ -163,35 +166,35 @@
         self.immediate_retries = 0;
         self.answered = true;
         let timing = response_timing(in_flight, now, has_changes);
-        self.consecutive_empty = match timing.is_empty {
-            true => (self.consecutive_empty + 1).min(MAX_EMPTY_DOUBLINGS),
+        self.consecutive_empty_responses = match timing.is_early_and_empty {
+            true => (self.consecutive_empty_responses + 1).min(MAX_EMPTY_DOUBLINGS),
             false => 0,
         };
-        // A change ends a watch early, so its time says nothing about the service.
+        // A change ends a watch early, so the time of the response says nothing about the service's load.
         if !has_changes || in_flight.request == DiscoveryRequest::FullList {
-            self.lateness = timing.late.max(self.lateness / 4 * 3);
+            self.lateness = timing.lateness.max(self.lateness / 4 * 3);
         }
-        self.next_poll_at = Some(now + self.draw_pause(timing.late, has_changes));
-        let check_spread = (self.config.relay_count() * FULL_LIST_COST).min(MAX_FIRST_REQUEST_SPREAD);
-        let check_delay = self.rng.random_range(0..=check_spread);
-        self.validator.validate(now, list, check_delay)
+        self.next_poll_at = Some(now + self.draw_pause(timing.lateness, has_changes));
+        let recheck_spread = (self.config.relay_count() * FULL_LIST_COST).min(MAX_FIRST_REQUEST_SPREAD);
+        let recheck_delay = self.rng.random_range(0..=recheck_spread);
+        self.validator.validate(now, list, recheck_delay)
     }
 
-    /// Draws the pause between a response and the next request.
-    fn draw_pause(&mut self, late: Micros, has_changes: bool) -> Micros {
+    /// Draws the pause between a response and the next request, in microseconds.
+    fn draw_pause(&mut self, lateness: Micros, has_changes: bool) -> Micros {
         let mut pause = MIN_PAUSE;
         if self.config.fleet_size > 1 && has_changes {
             let spread = (self.config.relay_count() * CHANGE_SPREAD_PER_RELAY).min(MAX_CHANGE_SPREAD);
             pause += self.rng.random_range(0..=spread);
         }
-        if self.consecutive_empty > 0 {
-            pause = MIN_PAUSE << self.consecutive_empty;
+        if self.consecutive_empty_responses > 0 {
+            pause = MIN_PAUSE << self.consecutive_empty_responses;
         }
-        if late > OVERLOAD_LATENESS {
-            self.overloads = (self.overloads + 1).min(MAX_OVERLOADS);
-            pause = pause.max(self.draw_overload_pause(late));
+        if lateness > OVERLOAD_LATENESS {
+            self.overload_level = (self.overload_level + 1).min(MAX_OVERLOAD_LEVEL);
+            pause = pause.max(self.draw_overload_pause(lateness));
         } else {
-            self.overloads = self.overloads.saturating_sub(1);
+            self.overload_level = self.overload_level.saturating_sub(1);
         }
         match self.config.agent_watch_wait() {
             Some(wait) => pause.min(wait / 2),
@@ -199,11 +202,11 @@
         }
     }
 
-    /// Draws the pause after a late response: about as long as it was late.
-    fn draw_overload_pause(&mut self, late: Micros) -> Micros {
+    /// Draws the pause after a late response: on average its lateness, up to a limit.
+    fn draw_overload_pause(&mut self, lateness: Micros) -> Micros {
         let limit =
             if self.config.max_list_age > 0 { self.config.max_list_age / 4 } else { MAX_OVERLOAD_PAUSE };
-        let mean = late.min(limit);
+        let mean = lateness.min(limit);
         self.rng.random_range(mean / 2..=mean / 2 * 3)
     }
 }
@@ -211,10 +214,10 @@
 fn response_timing(in_flight: InFlightRequest, now: Micros, has_changes: bool) -> ResponseTiming {
     let elapsed = now.saturating_sub(in_flight.started_at);
     match in_flight.request {
-        DiscoveryRequest::FullList => ResponseTiming { late: elapsed, is_empty: !has_changes },
+        DiscoveryRequest::FullList => ResponseTiming { lateness: elapsed, is_early_and_empty: !has_changes },
         DiscoveryRequest::Watch { max_wait, .. } => ResponseTiming {
-            late: elapsed.saturating_sub(max_wait),
-            is_empty: !has_changes && elapsed < max_wait / 2,
+            lateness: elapsed.saturating_sub(max_wait),
+            is_early_and_empty: !has_changes && elapsed < max_wait / 2,
         },
     }
 }
--- a/crates/discovery/src/request.rs
+++ b/crates/discovery/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests that a relay makes of discovery.
+//! Requests that a relay makes to discovery.
 
 use honeyknot_balancer::Micros;
 
@@ -7,9 +7,9 @@
 pub enum DiscoveryRequest {
     /// The full endpoint list.
     FullList,
-    /// Changes since a version, answered when there are any or when the wait is over.
+    /// The changes since a version. The service responds as soon as there are any, or when the wait is over.
     Watch {
-        /// The version that the relay holds.
+        /// Version of the list that the relay has.
         since_version: u64,
         /// How long the service may wait for a change, in microseconds.
         max_wait: Micros,
@@ -29,6 +29,6 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlightRequest {
     pub(crate) request: DiscoveryRequest,
-    /// When it was made.
+    /// When the request was sent.
     pub(crate) started_at: Micros,
 }
--- a/crates/discovery/src/schedule.rs
+++ b/crates/discovery/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When the first request is made, how long watches wait and when a request is abandoned.
+//! Delay of the first request, wait of watches, and timeouts of requests.
 
 use honeyknot_balancer::Micros;
 use rand::Rng;
@@ -9,54 +9,59 @@
 use crate::poller::DiscoveryPoller;
 use crate::request::DiscoveryRequest;
 
-/// Time that the service is assumed to need for a full list, in microseconds: the spread of requests per relay.
+/// Time that the service is assumed to need for a full list, in microseconds. Requests are spread by this
+/// time for each relay of the fleet.
 pub(crate) const FULL_LIST_COST: Micros = 20_000;
-/// Spread of first requests by relays without a list, in percent of [`FULL_LIST_COST`].
+/// Spread of the first requests of relays that start without a list, in percent of [`FULL_LIST_COST`] per
+/// relay.
 const EMPTY_START_PERCENT: Micros = 80;
-/// Spread of first requests by relays with a list, in percent of [`FULL_LIST_COST`].
+/// Spread of the first requests of relays that start with a cached list, in percent of [`FULL_LIST_COST`] per
+/// relay.
 const CACHED_START_PERCENT: Micros = 60;
-/// Longest spread of first requests, in microseconds.
+/// Maximum spread of first requests, in microseconds.
 pub(crate) const MAX_FIRST_REQUEST_SPREAD: Micros = 8_000_000;
-/// Shortest spread of first requests of more than one relay, in microseconds.
+/// Minimum spread of first requests in a fleet of more than one relay, in microseconds.
 const MIN_FIRST_REQUEST_SPREAD: Micros = 50_000;
 
 /// Mean wait of a watch, in microseconds.
 const WATCH_WAIT: Micros = 5_000_000;
-/// Increase of the first watch's mean wait per relay, in microseconds.
+/// Increase of the first watch's mean wait for each relay of the fleet, in microseconds.
 const FIRST_WATCH_WAIT_PER_RELAY: Micros = 60_000;
-/// Longest mean wait of the first watch, in microseconds.
+/// Maximum mean wait of the first watch, in microseconds.
 const MAX_FIRST_WATCH_WAIT: Micros = 16_600_000;
-/// Least mean wait of a watch per relay, in microseconds.
+/// Minimum mean wait of a watch for each relay of the fleet, in microseconds.
 const WATCH_WAIT_PER_RELAY: Micros = 20_000;
-/// Longest mean wait of a watch, in microseconds.
+/// Maximum mean wait of a watch, in microseconds.
 const MAX_WATCH_WAIT: Micros = 20_000_000;
-/// Shortest wait of any watch, in microseconds.
+/// Minimum wait of any watch, in microseconds.
 const MIN_WATCH_WAIT: Micros = 100_000;
 /// Unit of a watch's wait on the wire, in microseconds.
 const WATCH_WAIT_UNIT: Micros = 1_000;
 
-/// Least time left for a second request when one that went silent is abandoned, in microseconds.
+/// Minimum time that is left for a second request when a stalled one is abandoned, in microseconds.
 const MIN_SECOND_REQUEST_TIME: Micros = 600_000;
-/// Most time left for a second request, in microseconds.
+/// Maximum time that is left for a second request when a stalled one is abandoned, in microseconds.
 pub(crate) const MAX_SECOND_REQUEST_TIME: Micros = 1_400_000;
-/// Assumed lateness of responses at the start per relay, in microseconds.
+/// Lateness of responses that is assumed at the start for each relay of the fleet, in microseconds.
 const INITIAL_LATENESS_PER_RELAY: Micros = 5_000;
-/// Least timeout of a request to a new service, before the time for a second request is deducted; in microseconds.
+/// Minimum timeout of a request to a new service, before the time for a second request is subtracted, in
+/// microseconds.
 const MIN_SERVICE_CHANGE_TIMEOUT: Micros = 2_000_000;
 
-/// Spread per relay of first requests to a new service, in microseconds.
+/// Spread of first requests to a new service for each relay of the fleet, in microseconds.
 const SERVICE_CHANGE_SPREAD_PER_RELAY: Micros = 4_000;
-/// Longest spread of first requests to a new service, in microseconds.
+/// Maximum spread of first requests to a new service, in microseconds.
 const MAX_SERVICE_CHANGE_SPREAD: Micros = 1_200_000;
 
-/// Draws the delay of the first request after the relay's start.
+/// Draws the delay of the first request after the relay's start, in microseconds.
 pub(crate) fn first_request_delay(config: &DiscoveryConfig, has_list: bool, rng: &mut Pcg64Mcg) -> Micros {
     let percent = if has_list { CACHED_START_PERCENT } else { EMPTY_START_PERCENT };
     let mut spread = config.relay_count() * FULL_LIST_COST / 100 * percent;
     if has_list {
-        // A relay that serves from a list must have asked in time, whatever that costs the service.
-        let in_time = if config.max_list_age > 0 { config.max_list_age / 10 * 6 } else { Micros::MAX };
-        spread = spread.min(in_time).min(MAX_PAUSE);
+        // A relay that serves from a list must make its first request within the notification deadline and
+        // the maximum list age, even if that overloads the service.
+        let max_delay = if config.max_list_age > 0 { config.max_list_age / 10 * 6 } else { Micros::MAX };
+        spread = spread.min(max_delay).min(MAX_PAUSE);
     }
     let spread = match config.is_single_relay() {
         true => 0,
@@ -65,7 +70,7 @@
     rng.random_range(0..=spread)
 }
 
-/// Draws the delay of the first request to a new service.
+/// Draws the delay of the first request to a new service, in microseconds.
 pub(crate) fn service_change_delay(config: &DiscoveryConfig, rng: &mut Pcg64Mcg) -> Micros {
     let spread = match config.fleet_size {
         0 | 1 => 0,
@@ -74,16 +79,17 @@
     rng.random_range(0..=spread)
 }
 
-/// Returns how late responses are assumed to be before the first one.
+/// Returns the lateness of responses that is assumed before the first one, in microseconds.
 pub(crate) fn initial_lateness(config: &DiscoveryConfig) -> Micros {
     (config.relay_count() * INITIAL_LATENESS_PER_RELAY).min(MAX_SECOND_REQUEST_TIME)
 }
 
 impl DiscoveryPoller {
-    /// Returns the time after which a request made now is abandoned.
+    /// Returns the time after which a request made now is abandoned, in microseconds.
     ///
-    /// A second request must still fit before the changes that the first one missed count as notified. The time
-    /// left for it shrinks as responses get later.
+    /// A second request must still be answered before the changes that the first one missed count as
+    /// notified. The later responses have been, the less time is left for the second request, so that slow
+    /// responses are not cut off.
     pub(crate) fn request_timeout(&self, now: Micros, request: DiscoveryRequest) -> Micros {
         if let Some(wait) = self.config.agent_watch_wait() {
             let answer_time =
@@ -101,20 +107,21 @@
         deadline.saturating_sub(second_request_time)
     }
 
-    /// Draws how long a watch waits, out of step with the watches of other relays.
+    /// Draws how long a watch waits, in microseconds. The jitter keeps the watches of the fleet from
+    /// synchronizing.
     pub(crate) fn draw_watch_wait(&mut self, now: Micros) -> Micros {
         if let Some(wait) = self.config.agent_watch_wait() {
             return wait;
         }
         let relays = self.config.relay_count();
         let is_first = !self.answered && self.immediate_retries == 0 && !self.config.is_single_relay();
-        let usual = match is_first {
+        let min_mean = match is_first {
             true => (WATCH_WAIT + relays * FIRST_WATCH_WAIT_PER_RELAY).min(MAX_FIRST_WATCH_WAIT),
-            false => WATCH_WAIT << self.overloads.min(1),
+            false => WATCH_WAIT << self.overload_level.min(1),
         };
-        let mean = (relays * WATCH_WAIT_PER_RELAY).clamp(usual, MAX_WATCH_WAIT);
-        let drawn = self.rng.random_range(mean / 4 * 3..=mean / 4 * 5);
-        let limit = self.validator.check_at().map_or(drawn, |at| at.saturating_sub(now));
-        drawn.min(limit).max(MIN_WATCH_WAIT) / WATCH_WAIT_UNIT * WATCH_WAIT_UNIT
+        let mean = (relays * WATCH_WAIT_PER_RELAY).clamp(min_mean, MAX_WATCH_WAIT);
+        let wait = self.rng.random_range(mean / 4 * 3..=mean / 4 * 5);
+        let limit = self.validator.recheck_at().map_or(wait, |at| at.saturating_sub(now));
+        wait.min(limit).max(MIN_WATCH_WAIT) / WATCH_WAIT_UNIT * WATCH_WAIT_UNIT
     }
 }
--- a/crates/discovery/src/stale_list.rs
+++ b/crates/discovery/src/stale_list.rs
@@ -1,16 +1,16 @@
-//! Detects a stale endpoint list by endpoints that are listed as ready and refuse connections.
+//! Detects a stale endpoint list: endpoints that it lists as ready refuse connections.
 
 use honeyknot_balancer::Micros;
 
 use crate::request::{DiscoveryRequest, InFlightRequest};
 
-/// Refused connections within [`REFUSAL_WINDOW`] that show the list to be stale.
+/// Number of refused connections within [`REFUSAL_WINDOW`] from which the list is considered stale.
 const MIN_REFUSALS: u32 = 2;
 /// Time within which refused connections are counted together, in microseconds.
 const REFUSAL_WINDOW: Micros = 2_000_000;
-/// Least age of a watch that is abandoned, in microseconds.
+/// Minimum age of a watch that is abandoned, in microseconds.
 const MIN_WATCH_AGE: Micros = 1_000_000;
-/// Least time between two watches that are abandoned, in microseconds.
+/// Minimum time between the abandonment of two watches, in microseconds.
 const MIN_ABANDON_INTERVAL: Micros = 5_000_000;
 
 /// Counts refused connections and decides whether the watch in flight is abandoned.
@@ -18,7 +18,7 @@
 pub(crate) struct StaleListDetector {
     refusals: u32,
     window_started_at: Micros,
-    /// When a watch was last abandoned.
+    /// When a watch was last abandoned; `None` if none has been.
     abandoned_at: Option<Micros>,
 }
 
@@ -27,7 +27,7 @@
         StaleListDetector { refusals: 0, window_started_at: now, abandoned_at: None }
     }
 
-    /// Counts a refused connection and returns whether the request in flight is to be abandoned.
+    /// Counts a refused connection and returns whether the request in flight must be abandoned.
     pub(crate) fn record_refusal(&mut self, now: Micros, in_flight: InFlightRequest) -> bool {
         if now.saturating_sub(self.window_started_at) > REFUSAL_WINDOW {
             self.restart_window(now);
--- a/crates/discovery/src/state.rs
+++ b/crates/discovery/src/state.rs
@@ -1,13 +1,13 @@
-//! The state of a poller as operators see it.
+//! State of a poller as shown to operators.
 
-/// What a relay is doing about its endpoint list.
+/// State of a relay's endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryState {
     /// No request has been answered yet.
     Starting,
-    /// The last request was answered.
+    /// The last request was answered and its list was accepted in full.
     Following,
-    /// An older list was received and is accepted in part only.
+    /// A list with an older version was received and has been accepted only in part.
     ValidatingOlderList,
     /// The last request failed.
     Failing,
--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -1,5 +1,5 @@
-//! Notification deadlines: a model of the protocol's rules judges when changes reach a poller through silent
-//! requests, outages and reloads.
+//! Notification deadlines: a model of the protocol's rules computes when each change counts as notified, and
+//! the poller must receive it before, in spite of stalled requests, outages and reloads.
 
 mod simulated_service;
 
@@ -13,10 +13,10 @@
 use simulated_service::{S, endpoint_list};
 
 const MS: Micros = 1_000;
-/// Shortest time in which an endpoint may still be sent to after the notification of its drain, with the slack of
-/// sockets.
+/// Time for which requests may still be sent to an endpoint after the notification of its drain, including 50
+/// ms for delays of the sockets; in microseconds.
 const GRACE: Micros = 300 * MS + 50 * MS;
-/// Length of a scenario.
+/// Length of a scenario, in microseconds.
 const LENGTH: Micros = 60 * S;
 
 /// Events of one run of a poller.
@@ -27,54 +27,56 @@
     seed: u64,
     changes: Vec<Micros>,
     /// Requests in flight at these times get no response.
-    silent_requests_at: Vec<Micros>,
-    /// Start and end of a time in which the service is down.
+    stalled_requests_at: Vec<Micros>,
+    /// Start and end of an outage of the service; `None` if there is no outage.
     outage: Option<(Micros, Micros)>,
-    /// When another service is configured.
+    /// When a reload configures another service; `None` if there is no reload.
     reload: Option<Micros>,
-    /// Longest delay of a response.
+    /// Maximum delay of a response, in microseconds.
     max_delay: Micros,
-    /// One response in so many is invalid, never two consecutive ones; 0 for none.
+    /// One in this many responses is invalid, but never two consecutive ones; 0 if all are valid.
     invalid_one_in: u32,
 }
 
-/// A request as the model sees it.
+/// A request, with what the model needs to compute deadlines.
 #[derive(Clone, Copy, Debug)]
 struct RequestRecord {
     at: Micros,
     max_wait: Micros,
-    /// When it went silent.
-    silent_at: Option<Micros>,
+    /// When the request stalled; `None` if it did not.
+    stalled_at: Option<Micros>,
     ended: Micros,
-    /// Its response includes the changes up to then.
+    /// The response includes the changes up to this time.
     changes_until: Micros,
     failed: bool,
 }
 
-/// Returns when a change counts as notified by the protocol's rules.
+/// Returns when a change counts as notified according to the protocol.
 fn notified_at(change: Micros, requests: &[RequestRecord], scenario: &Scenario) -> Micros {
-    // 6 s after the service had it, whatever the requests since came to.
+    // 6 s after the service had the change, unless a later request sets another deadline.
     let mut deadline = change + 6 * S;
     for request in requests.iter().filter(|request| request.ended >= change) {
-        if let Some(silent) = request.silent_at.filter(|_| request.at < deadline) {
-            // A change missed by a silent request: 6 s after it went silent, or 2 s after its wait, if later.
-            deadline = change.max((silent + 6 * S).max(request.at + request.max_wait + 2 * S));
+        if let Some(stalled) = request.stalled_at.filter(|_| request.at < deadline) {
+            // A stalled request missed the change: 6 s after it stalled, or 2 s after its wait if that is
+            // later.
+            deadline = change.max((stalled + 6 * S).max(request.at + request.max_wait + 2 * S));
             break;
         }
         if !request.failed && request.changes_until >= change {
-            // The response includes the change.
+            // The response includes the change, so no deadline applies.
             deadline = Micros::MAX;
             break;
         }
     }
-    // While the service is down it cannot be reached: the 6 s begin at its return.
-    if let Some((down, back)) = scenario.outage
-        && change <= back
-        && down <= deadline
+    // The service cannot be reached while it is down: the 6 s begin when it is back.
+    if let Some((start, end)) = scenario.outage
+        && change <= end
+        && start <= deadline
     {
-        deadline = deadline.max(back + 6 * S);
+        deadline = deadline.max(end + 6 * S);
     }
-    // The list of another service counts 4 s after the reload, also changes that the old one had not sent by then.
+    // The other service's list counts as notified 4 s after the reload, including changes that the first
+    // service had not sent by then.
     if let Some(reload) = scenario.reload
         && change <= reload
         && reload <= deadline
@@ -84,7 +86,7 @@
     deadline
 }
 
-/// Runs a scenario and returns when each change was received, and the requests.
+/// Runs a scenario and returns when each change was received (`None` if it never was) and the requests.
 fn run(scenario: &Scenario) -> (Vec<Option<Micros>>, Vec<RequestRecord>) {
     let mut rng = Pcg64Mcg::seed_from_u64(scenario.seed ^ 77);
     let config = DiscoveryConfig {
@@ -107,12 +109,12 @@
         }
         now = due;
         let Poll { request, timeout } = poller.start_poll(now);
-        let down = |at: Micros| scenario.outage.is_some_and(|(from, to)| (from..to).contains(&at));
+        let is_down = |at: Micros| scenario.outage.is_some_and(|(from, to)| (from..to).contains(&at));
         let delay = rng.random_range(MS..=scenario.max_delay.max(2 * MS));
         let mut record = RequestRecord {
             at: now,
             max_wait: 0,
-            silent_at: None,
+            stalled_at: None,
             ended: now + delay,
             changes_until: now + delay,
             failed: false,
@@ -121,20 +123,20 @@
         if let DiscoveryRequest::Watch { since_version, max_wait } = request {
             record.max_wait = max_wait;
             let change = scenario.changes.get(since_version as usize - 1).map(|at| at + delay);
-            let over = now + max_wait + delay;
-            record.ended = change.map_or(over, |at| at.clamp(now + delay, over));
+            let wait_ends_at = now + max_wait + delay;
+            record.ended = change.map_or(wait_ends_at, |at| at.clamp(now + delay, wait_ends_at));
             record.changes_until = record.ended.saturating_sub(delay);
             response = Ok(version(record.changes_until));
         }
         let last_was_invalid =
-            requests.last().is_some_and(|last: &RequestRecord| last.failed && last.silent_at.is_none());
+            requests.last().is_some_and(|last: &RequestRecord| last.failed && last.stalled_at.is_none());
         if scenario.invalid_one_in > 0
             && !last_was_invalid
             && rng.random_range(0..scenario.invalid_one_in) == 0
         {
             response = Err(DiscoveryErrorKind::InvalidResponse);
         }
-        if down(now) {
+        if is_down(now) {
             record.ended = now + delay;
             response = Err(if rng.random() {
                 DiscoveryErrorKind::ConnectionRefused
@@ -146,15 +148,16 @@
         {
             (record.ended, response) = (from, Err(DiscoveryErrorKind::ConnectionBroken));
         }
-        if let Some(silent) = scenario.silent_requests_at.iter().find(|at| (now..=record.ended).contains(*at))
+        if let Some(stalled) =
+            scenario.stalled_requests_at.iter().find(|at| (now..=record.ended).contains(*at))
         {
-            record.silent_at = Some(*silent);
+            record.stalled_at = Some(*stalled);
         }
-        if record.silent_at.is_some() || record.ended > now + timeout {
+        if record.stalled_at.is_some() || record.ended > now + timeout {
             (record.ended, response) = (now + timeout, Err(DiscoveryErrorKind::Timeout));
         }
         if let Some(reload) = reload.filter(|at| *at < record.ended) {
-            // The request in flight is dropped.
+            // The reload drops the request in flight.
             (record.ended, record.failed) = (reload, true);
             requests.push(record);
             (reloaded, now) = (true, reload);
@@ -181,14 +184,14 @@
     (received_at, requests)
 }
 
-/// A scenario without events.
+/// Returns a scenario without changes or faults.
 fn quiet_scenario(fleet_size: u32, seed: u64) -> Scenario {
     Scenario {
         fleet_size,
         max_list_age: 10 * S,
         seed,
         changes: Vec::new(),
-        silent_requests_at: Vec::new(),
+        stalled_requests_at: Vec::new(),
         outage: None,
         reload: None,
         max_delay: 20 * MS,
@@ -196,17 +199,18 @@
     }
 }
 
-/// Returns by how much the latest change came after it counted as notified, in microseconds.
+/// Runs a scenario and returns the maximum time from the deadline of a change to its arrival, in
+/// microseconds. It is negative if all changes arrive before their deadlines.
 fn max_lateness(scenario: &Scenario) -> i64 {
     let (received_at, requests) = run(scenario);
-    let late =
+    let lateness =
         scenario.changes.iter().zip(&received_at).filter(|(change, _)| **change < LENGTH - 25 * S).map(
             |(change, received_at)| {
                 let deadline = notified_at(*change, &requests, scenario);
                 received_at.unwrap_or(LENGTH) as i64 - deadline.min(LENGTH * 2) as i64
             },
         );
-    late.max().unwrap_or(i64::MIN)
+    lateness.max().unwrap_or(i64::MIN)
 }
 
 #[test]
@@ -214,33 +218,33 @@
     for seed in 0..300 {
         for fleet_size in [1, 5, 40, 300] {
             let drains = |from: Micros| (0..8).map(|n| from + n * 250 * MS).collect::<Vec<_>>();
-            let rows = [
+            let scenarios = [
                 (
-                    "a watch goes silent in the first seconds, endpoints drain right after",
+                    "a watch stalls in the first seconds, and endpoints drain right after",
                     Scenario {
                         changes: drains(3 * S),
-                        silent_requests_at: vec![1_500 * MS],
+                        stalled_requests_at: vec![1_500 * MS],
                         ..quiet_scenario(fleet_size, seed)
                     },
                 ),
                 (
-                    "a watch goes silent in the middle of its wait",
+                    "a watch stalls in the middle of its wait",
                     Scenario {
                         changes: drains(24 * S),
-                        silent_requests_at: vec![23 * S],
+                        stalled_requests_at: vec![23 * S],
                         ..quiet_scenario(fleet_size, seed)
                     },
                 ),
                 (
-                    "the first request goes silent at once",
+                    "the first request stalls at once",
                     Scenario {
                         changes: drains(500 * MS),
-                        silent_requests_at: vec![20 * MS],
+                        stalled_requests_at: vec![20 * MS],
                         ..quiet_scenario(fleet_size, seed)
                     },
                 ),
                 (
-                    "the service is down and back, and endpoints drain within seconds",
+                    "endpoints drain within seconds after the service is back",
                     Scenario {
                         changes: drains(21 * S),
                         outage: Some((14 * S, 20 * S)),
@@ -248,7 +252,7 @@
                     },
                 ),
                 (
-                    "another service is configured, and has its own list",
+                    "a reload configures another service with its own list",
                     Scenario {
                         changes: drains(19 * S),
                         reload: Some(20 * S),
@@ -265,9 +269,12 @@
                     },
                 ),
             ];
-            for (name, scenario) in rows {
-                let late = max_lateness(&scenario);
-                assert!(late <= GRACE as i64, "{name}: {late} us late, {fleet_size} relays, seed {seed}");
+            for (name, scenario) in scenarios {
+                let lateness = max_lateness(&scenario);
+                assert!(
+                    lateness <= GRACE as i64,
+                    "{name}: {lateness} us after the deadline, {fleet_size} relays, seed {seed}"
+                );
             }
         }
     }
@@ -305,25 +312,25 @@
         let mut changes: Vec<Micros> =
             (0..rng.random_range(1..6)).map(|_| rng.random_range(MS..34 * S)).collect();
         changes.sort_unstable();
-        // Requests that go silent within the timeout of another count as one.
-        let silent_requests_at =
+        // Stalls are at least 23 s apart, because stalls within one timeout count as one.
+        let stalled_requests_at =
             (0..3).map(|n| (n * 27 + 1) * S + rng.random_range(0..4 * S)).collect::<Vec<_>>();
-        let silent_requests_at = silent_requests_at.into_iter().filter(|_| rng.random_bool(0.5)).collect();
-        let down = rng.random_range(8 * S..12 * S);
+        let stalled_requests_at = stalled_requests_at.into_iter().filter(|_| rng.random_bool(0.5)).collect();
+        let outage_start = rng.random_range(8 * S..12 * S);
         let scenario = Scenario {
             fleet_size,
             max_list_age: rng.random_range(4 * S..=10 * S),
             seed,
             changes,
-            silent_requests_at,
-            outage: rng.random_bool(0.3).then(|| (down, down + rng.random_range(S..5 * S))),
+            stalled_requests_at,
+            outage: rng.random_bool(0.3).then(|| (outage_start, outage_start + rng.random_range(S..5 * S))),
             reload: rng.random_bool(0.2).then(|| rng.random_range(26 * S..30 * S)),
             max_delay: [5, 50, 400][rng.random_range(0..3)] * MS,
             invalid_one_in: if rng.random_bool(0.2) { 5 } else { 0 },
         };
-        let late = max_lateness(&scenario);
-        assert!(late <= GRACE as i64, "{late} us too late: {scenario:?}");
-        worst = worst.max(late);
+        let lateness = max_lateness(&scenario);
+        assert!(lateness <= GRACE as i64, "{lateness} us after the deadline: {scenario:?}");
+        worst = worst.max(lateness);
     }
-    assert!(worst > -10 * S as i64, "no run came near the limit");
+    assert!(worst > -10 * S as i64, "no scenario came near the deadline");
 }
--- a/crates/discovery/tests/simulated_service/mod.rs
+++ b/crates/discovery/tests/simulated_service/mod.rs
@@ -1,6 +1,6 @@
-//! A discovery service and its relays on a simulated clock: one worker, requests in turn, watches, and requests
-//! that waited too long in the queue.
-#![allow(dead_code)] // each test file uses a part
+//! A discovery service and its relays on a simulated clock. A single worker serves queued requests in
+//! order, holds watches, and rejects requests that waited too long in the queue.
+#![allow(dead_code)] // no test file uses all of this module
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -10,13 +10,13 @@
     DiscoveryConfig, DiscoveryErrorKind, DiscoveryPoller, DiscoveryRequest, EndpointList, Poll,
 };
 
-/// A request that has waited longer than this is rejected.
+/// Time in the queue after which a request is rejected, in microseconds.
 const MAX_QUEUE_TIME: Micros = 2_000_000;
-/// Time that a rejection takes the service.
+/// Time that the service needs to reject a request, in microseconds.
 const REJECTION_COST: Micros = 200;
-/// Cost of a watch at its beginning, and again at its end, as a share of a full list's.
+/// Cost of starting a watch, and again of ending it, as a share of the cost of a full list.
 const WATCH_COST_SHARE: f64 = 0.05;
-/// Share of the endpoints that have changed since the lists that relays hold at the start.
+/// Share of the endpoints that have changed since the list that relays have at the start.
 const CHANGED_SHARE: f64 = 0.33;
 
 /// A second, in microseconds.
@@ -24,69 +24,69 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A relay's request is due.
+    /// The request of the relay with this index is due.
     PollDue(usize),
-    /// A relay's request of this number has timed out.
+    /// The request of this relay with this ID has timed out.
     RequestTimeout(usize, u64),
     /// The worker has finished a request.
     ServeFinished,
-    /// A watch's wait is over.
+    /// The wait of this relay's watch with this request ID is over.
     WatchEnds(usize, u64),
-    /// The change of this index happens to the service.
+    /// The change with this index in [`Scenario::changes`] happens.
     Change(usize),
 }
 
-/// What happens to the service.
+/// A change of the service's or the relays' condition during a scenario.
 #[derive(Clone, Copy, Debug)]
 pub enum ServiceChange {
     Down,
     Up,
-    /// A full list takes this long from now on.
+    /// The service needs this long for a full list from now on, in microseconds.
     FullListCost(Micros),
-    /// One endpoint changes.
+    /// An endpoint changes, so the list gets a new version.
     EndpointChange,
-    /// All relays are stopped until this time.
+    /// All relays are paused until this time.
     StopRelays(Micros),
-    /// Whether requests are rejected after a long time in the queue; without rejection, abandoned ones are served
-    /// too.
+    /// Whether requests are rejected after [`MAX_QUEUE_TIME`] in the queue. If not, abandoned requests are
+    /// served as well.
     RejectLate(bool),
 }
 
-/// What was counted at the service.
+/// Counters of the service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceStats {
     pub requests: u64,
     pub full_list_requests: u64,
     pub failed: u64,
     pub refused: u64,
-    /// Seconds of work.
-    pub work: f64,
-    /// Seconds of work for requests that were abandoned or rejected.
-    pub wasted: f64,
+    /// Work of the service, in seconds.
+    pub work_s: f64,
+    /// Work for requests that were abandoned or rejected, in seconds.
+    pub wasted_work_s: f64,
     pub longest_queue: usize,
-    /// Requests and refused connections in each second.
-    pub by_second: Vec<u64>,
-    /// When each relay first held the present list.
-    pub listed: Vec<Option<Micros>>,
+    /// Number of requests in each second, including refused connections.
+    pub requests_by_second: Vec<u64>,
+    /// When each relay first had the current list; `None` if it never did.
+    pub listed_at: Vec<Option<Micros>>,
 }
 
 impl ServiceStats {
-    /// When the last relay first held the present list, in seconds; none if one never did.
+    /// Returns when the last relay first had the current list, in seconds; `None` if some relay never did.
     pub fn last_listed(&self) -> Option<f64> {
-        self.listed.iter().copied().try_fold(0, |last, at| Some(last.max(at?))).map(|at| at as f64 / 1e6)
+        self.listed_at.iter().copied().try_fold(0, |last, at| Some(last.max(at?))).map(|at| at as f64 / 1e6)
     }
 }
 
 pub struct Scenario {
     pub relays: usize,
-    /// Number of relays that each relay is configured with.
+    /// Fleet size that each relay is configured with; 0 for unknown.
     pub configured_fleet_size: u32,
-    /// Version that relays hold at the start; 0 for none.
-    pub held_version: u64,
+    /// Version of the list that relays have at the start; 0 if they start without a list.
+    pub initial_version: u64,
     pub full_list_cost: Micros,
     pub max_list_age: Micros,
     pub seed: u64,
-    /// Relays start within this.
+    /// Time over which the starts of the relays are spread evenly, in microseconds.
     pub start_spread: Micros,
     pub changes: Vec<(Micros, ServiceChange)>,
     pub length: Micros,
@@ -97,7 +97,7 @@
         Scenario {
             relays: 300,
             configured_fleet_size: 300,
-            held_version: 3,
+            initial_version: 3,
             full_list_cost: 20_000,
             max_list_age: 10 * S,
             seed: 1,
@@ -126,13 +126,13 @@
     relay: usize,
     id: u64,
     request: DiscoveryRequest,
-    /// When it arrived, or when its watch ended.
+    /// When the request arrived or, for a watch, when its wait ended.
     queued_at: Micros,
-    /// It is a watch whose wait is over.
+    /// Whether this is a watch whose wait is over.
     wait_over: bool,
 }
 
-/// The request that the worker is busy with.
+/// The request that the worker is serving.
 struct Serving {
     queued: QueuedRequest,
     rejected: bool,
@@ -140,8 +140,8 @@
 
 pub struct Service {
     now: Micros,
-    heap: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    sequence_number: u64,
     relays: Vec<SimulatedRelay>,
     queue: VecDeque<QueuedRequest>,
     watches: Vec<QueuedRequest>,
@@ -171,26 +171,26 @@
     EndpointList { version, full, endpoints }
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario and returns the service's counters.
 pub fn simulate(scenario: &Scenario) -> ServiceStats {
-    let initial = match scenario.held_version {
+    let initial = match scenario.initial_version {
         0 => EndpointList::default(),
         version => endpoint_list(version, true, &["s-1"]),
     };
-    let relays = (0..scenario.relays).map(|n| {
+    let relays = (0..scenario.relays).map(|index| {
         let config = DiscoveryConfig {
             fleet_size: scenario.configured_fleet_size,
             max_list_age: scenario.max_list_age,
             agent_drain_grace: None,
-            seed: scenario.seed ^ (n as u64) << 20,
+            seed: scenario.seed ^ (index as u64) << 20,
         };
-        let started_at = n as Micros * scenario.start_spread / scenario.relays as Micros;
+        let started_at = index as Micros * scenario.start_spread / scenario.relays as Micros;
         SimulatedRelay { poller: DiscoveryPoller::new(config, &initial, started_at), in_flight: None }
     });
     let mut service = Service {
         now: 0,
-        heap: BinaryHeap::new(),
-        order: 0,
+        events: BinaryHeap::new(),
+        sequence_number: 0,
         relays: relays.collect(),
         queue: VecDeque::new(),
         watches: Vec::new(),
@@ -200,15 +200,15 @@
         relays_stopped_until: 0,
         version: 7,
         full_list_cost: scenario.full_list_cost,
-        stats: ServiceStats { listed: vec![None; scenario.relays], ..ServiceStats::default() },
+        stats: ServiceStats { listed_at: vec![None; scenario.relays], ..ServiceStats::default() },
     };
-    for n in 0..scenario.relays {
-        service.schedule_poll(n);
+    for index in 0..scenario.relays {
+        service.schedule_poll(index);
     }
     for (i, (at, _)) in scenario.changes.iter().enumerate() {
         service.schedule(*at, Event::Change(i));
     }
-    while let Some(Reverse((at, _, event))) = service.heap.pop() {
+    while let Some(Reverse((at, _, event))) = service.events.pop() {
         if at > scenario.length {
             break;
         }
@@ -220,31 +220,31 @@
 
 impl Service {
     fn schedule(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.heap.push(Reverse((at, self.order, event)));
+        self.sequence_number += 1;
+        self.events.push(Reverse((at, self.sequence_number, event)));
     }
 
     /// Schedules a relay's next request.
-    fn schedule_poll(&mut self, n: usize) {
-        if let Some(due) = self.relays[n].poller.next_poll_at() {
-            self.schedule(due.max(self.now).max(self.relays_stopped_until), Event::PollDue(n));
+    fn schedule_poll(&mut self, index: usize) {
+        if let Some(due) = self.relays[index].poller.next_poll_at() {
+            self.schedule(due.max(self.now).max(self.relays_stopped_until), Event::PollDue(index));
         }
     }
 
     fn handle_event(&mut self, event: Event, changes: &[(Micros, ServiceChange)]) {
         match event {
-            Event::PollDue(n) => self.poll_due(n),
-            Event::RequestTimeout(n, id) => {
+            Event::PollDue(index) => self.poll_due(index),
+            Event::RequestTimeout(index, id) => {
                 if self.now < self.relays_stopped_until {
                     return self.schedule(self.relays_stopped_until, event);
                 }
-                if self.relays[n].in_flight.is_some_and(|in_flight| in_flight.id == id) {
-                    self.finish(n, Err(DiscoveryErrorKind::Timeout));
+                if self.relays[index].in_flight.is_some_and(|in_flight| in_flight.id == id) {
+                    self.finish(index, Err(DiscoveryErrorKind::Timeout));
                 }
             }
             Event::ServeFinished => self.serve_finished(),
-            Event::WatchEnds(n, id) => {
-                if let Some(at) = self.watches.iter().position(|w| (w.relay, w.id) == (n, id)) {
+            Event::WatchEnds(index, id) => {
+                if let Some(at) = self.watches.iter().position(|w| (w.relay, w.id) == (index, id)) {
                     let queued = self.watches.swap_remove(at);
                     self.queue.push_back(QueuedRequest { queued_at: self.now, wait_over: true, ..queued });
                     self.serve_next();
@@ -281,30 +281,36 @@
         }
     }
 
-    fn poll_due(&mut self, n: usize) {
+    fn poll_due(&mut self, index: usize) {
         if self.now < self.relays_stopped_until {
-            return self.schedule(self.relays_stopped_until, Event::PollDue(n));
+            return self.schedule(self.relays_stopped_until, Event::PollDue(index));
         }
-        if self.relays[n].poller.next_poll_at().is_none_or(|due| due > self.now) {
+        if self.relays[index].poller.next_poll_at().is_none_or(|due| due > self.now) {
             return;
         }
-        let Poll { request, timeout } = self.relays[n].poller.start_poll(self.now);
-        self.order += 1;
-        let id = self.order;
-        self.relays[n].in_flight = Some(InFlight { id, request });
+        let Poll { request, timeout } = self.relays[index].poller.start_poll(self.now);
+        self.sequence_number += 1;
+        let id = self.sequence_number;
+        self.relays[index].in_flight = Some(InFlight { id, request });
         let second = (self.now / S) as usize;
-        if self.stats.by_second.len() <= second {
-            self.stats.by_second.resize(second + 1, 0);
+        if self.stats.requests_by_second.len() <= second {
+            self.stats.requests_by_second.resize(second + 1, 0);
         }
-        self.stats.by_second[second] += 1;
+        self.stats.requests_by_second[second] += 1;
         self.stats.requests += 1;
         self.stats.full_list_requests += u64::from(request == DiscoveryRequest::FullList);
         if !self.up {
             self.stats.refused += 1;
-            return self.finish(n, Err(DiscoveryErrorKind::ConnectionRefused));
+            return self.finish(index, Err(DiscoveryErrorKind::ConnectionRefused));
         }
-        self.schedule(self.now + timeout, Event::RequestTimeout(n, id));
-        self.queue.push_back(QueuedRequest { relay: n, id, request, queued_at: self.now, wait_over: false });
+        self.schedule(self.now + timeout, Event::RequestTimeout(index, id));
+        self.queue.push_back(QueuedRequest {
+            relay: index,
+            id,
+            request,
+            queued_at: self.now,
+            wait_over: false,
+        });
         self.stats.longest_queue = self.stats.longest_queue.max(self.queue.len());
         self.serve_next();
     }
@@ -327,50 +333,52 @@
             DiscoveryRequest::Watch { .. } => WATCH_COST_SHARE,
         };
         let cost = if rejected { REJECTION_COST as f64 } else { self.full_list_cost as f64 * share };
-        self.stats.work += cost / 1e6;
+        self.stats.work_s += cost / 1e6;
         if rejected || !self.is_awaited(&queued) {
-            self.stats.wasted += cost / 1e6;
+            self.stats.wasted_work_s += cost / 1e6;
         }
         self.serving = Some(Serving { queued, rejected });
         self.schedule(self.now + (cost as Micros).max(1), Event::ServeFinished);
     }
 
     fn serve_finished(&mut self) {
-        // The request of a service that went down meanwhile is gone.
+        // There is no request if the service went down meanwhile.
         let Some(Serving { queued, rejected }) = self.serving.take() else { return };
-        let (n, version) = (queued.relay, self.version);
+        let (index, version) = (queued.relay, self.version);
         match queued.request {
             _ if !self.is_awaited(&queued) => {}
-            _ if rejected => self.finish(n, Err(DiscoveryErrorKind::Overloaded { retry_after: None })),
+            _ if rejected => self.finish(index, Err(DiscoveryErrorKind::Overloaded { retry_after: None })),
             DiscoveryRequest::Watch { since_version, max_wait }
                 if since_version >= version && !queued.wait_over =>
             {
                 self.watches.push(queued);
-                self.schedule(self.now + max_wait, Event::WatchEnds(n, queued.id));
+                self.schedule(self.now + max_wait, Event::WatchEnds(index, queued.id));
             }
             DiscoveryRequest::Watch { since_version, .. } if since_version >= version => {
-                self.finish(n, Ok(EndpointList { version, full: false, endpoints: Vec::new() }));
+                self.finish(index, Ok(EndpointList { version, full: false, endpoints: Vec::new() }));
             }
-            DiscoveryRequest::FullList => self.finish(n, Ok(endpoint_list(version, true, &["s-1", "s-2"]))),
-            DiscoveryRequest::Watch { .. } => self.finish(n, Ok(endpoint_list(version, false, &["s-2"]))),
+            DiscoveryRequest::FullList => {
+                self.finish(index, Ok(endpoint_list(version, true, &["s-1", "s-2"])))
+            }
+            DiscoveryRequest::Watch { .. } => self.finish(index, Ok(endpoint_list(version, false, &["s-2"]))),
         }
         self.serve_next();
     }
 
-    fn finish(&mut self, n: usize, response: Result<EndpointList, DiscoveryErrorKind>) {
-        self.relays[n].in_flight = None;
+    fn finish(&mut self, index: usize, response: Result<EndpointList, DiscoveryErrorKind>) {
+        self.relays[index].in_flight = None;
         match response {
             Ok(list) => {
                 if list.version == self.version {
-                    self.stats.listed[n].get_or_insert(self.now);
+                    self.stats.listed_at[index].get_or_insert(self.now);
                 }
-                let _ = self.relays[n].poller.poll_succeeded(self.now, list);
+                let _ = self.relays[index].poller.poll_succeeded(self.now, list);
             }
             Err(error) => {
                 self.stats.failed += 1;
-                self.relays[n].poller.poll_failed(self.now, error);
+                self.relays[index].poller.poll_failed(self.now, error);
             }
         }
-        self.schedule_poll(n);
+        self.schedule_poll(index);
     }
 }
