--- a/crates/lease-consensus/src/replica/state_machine.rs
+++ b/crates/lease-consensus/src/replica/state_machine.rs
@@ -1,6 +1,6 @@
 //! Committed entries applied to the lease table, and the responses that follow.
 
-use honeyknot_lease::{Answer, Command, CommandResult, Rejection};
+use honeyknot_lease::{Command, CommandOutcome, CommandResult, Rejection};
 use raft::eraftpb;
 use serde::Deserialize;
 
@@ -39,14 +39,16 @@
     }
 
     fn apply_command(&mut self, now: Micros, command: &Command) -> CommandResult {
-        let answer = self.lease_table.apply(&self.settings.parameters, command);
-        let retry_after = match (&mut self.leadership, command, answer) {
-            (Some(leadership), Command::Acquire { task, .. }, Answer::Rejected(Rejection::SlotsTaken)) => {
-                leadership.acquire_backoff.retry_after(now, task)
-            }
+        let outcome = self.lease_table.apply(&self.settings.parameters, command);
+        let retry_after = match (&mut self.leadership, command, outcome) {
+            (
+                Some(leadership),
+                Command::Acquire { task, .. },
+                CommandOutcome::Rejected(Rejection::SlotsTaken),
+            ) => leadership.acquire_backoff.retry_after(now, task),
             _ => 0,
         };
-        CommandResult { answer, retry_after }
+        CommandResult { outcome, retry_after }
     }
 
     fn respond_to_entry(
--- a/crates/lease-consensus/tests/simulation/simulator.rs
+++ b/crates/lease-consensus/tests/simulation/simulator.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use honeyknot_lease::{
-    ClockDriftError, InjectedFault, LeaseClient, LeaseParameters, Micros, Permit, TaskOptions,
+    InjectedFault, LeaseClient, LeaseParameters, Micros, Permit, SimulatedClock, TaskOptions,
 };
 use honeyknot_lease_consensus::{PersistedState, Replica, ReplicaId, ReplicaSettings};
 use rand::{Rng, SeedableRng};
@@ -41,7 +41,7 @@
 }
 
 pub struct ReplicaProcess {
-    pub clock: ClockDriftError,
+    pub clock: SimulatedClock,
     /// `None` while it is down.
     pub replica: Option<Replica>,
     pub state: PersistedState,
@@ -50,7 +50,7 @@
 }
 
 pub struct ClientProcess {
-    pub clock: ClockDriftError,
+    pub clock: SimulatedClock,
     pub client: LeaseClient,
     pub actions: Vec<Action>,
 }
@@ -209,11 +209,11 @@
 }
 
 /// A clock at the bound of drift, or anywhere between.
-fn random_clock(parameters: &LeaseParameters, rng: &mut Pcg64Mcg) -> ClockDriftError {
+fn random_clock(parameters: &LeaseParameters, rng: &mut Pcg64Mcg) -> SimulatedClock {
     let bound = parameters.drift_ppm as i64;
-    ClockDriftError {
+    SimulatedClock {
         offset: rng.random_range(0..1_000 * LEASE),
-        ppm: [-bound, bound, rng.random_range(-bound..=bound)][rng.random_range(0..3)],
+        drift_ppm: [-bound, bound, rng.random_range(-bound..=bound)][rng.random_range(0..3)],
     }
 }
 
--- a/crates/lease/src/command.rs
+++ b/crates/lease/src/command.rs
@@ -70,7 +70,7 @@
 
 /// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum CommandOutcome {
     /// The lease is held with this token.
     Held(FencingToken),
     /// The slot is free.
--- a/crates/lease/src/lease_client/client.rs
+++ b/crates/lease/src/lease_client/client.rs
@@ -8,7 +8,8 @@
 use super::request::{CommandResult, LeaseRequest, SentRequest};
 use super::task::{Task, TaskOptions};
 use crate::{
-    Answer, Command, FencingToken, LeaseParameters, Micros, Permit, PermitError, Rejection, RequestTime,
+    Command, CommandOutcome, FencingToken, LeaseParameters, Micros, Permit, PermitError, Rejection,
+    RequestTime,
 };
 
 /// Maximum number of abandoned requests whose late responses still count.
@@ -161,22 +162,22 @@
     fn on_result(&mut self, now: Micros, sent_at: RequestTime, command: &Command, result: CommandResult) {
         let duration = self.parameters.lease_duration;
         let Some(task) = self.tasks.get_mut(command.task()) else { return };
-        match (command, result.answer) {
+        match (command, result.outcome) {
             (Command::Release { token, .. }, _) => task.released(now, *token, &self.parameters),
-            (_, Answer::Held(token)) => {
+            (_, CommandOutcome::Held(token)) => {
                 let third = duration / 3;
                 let renew_at = now + self.rng.random_range(third * 3 / 4..=third);
                 let recheck_at = now + duration / 64;
                 let due_at = if task.shutting_down { recheck_at } else { renew_at };
                 task.granted(sent_at, now, token, due_at);
             }
-            (Command::Renew { token, .. }, Answer::Rejected(Rejection::LeaseEnded)) => {
+            (Command::Renew { token, .. }, CommandOutcome::Rejected(Rejection::LeaseEnded)) => {
                 task.lease_ended(now, *token);
             }
-            (_, Answer::Rejected(Rejection::TooManyUnanswered)) => task.due_at = now,
+            (_, CommandOutcome::Rejected(Rejection::TooManyUnanswered)) => task.due_at = now,
             // A late answer takes nothing from what was granted since.
             _ if task.held_token(now).is_some() => {}
-            (_, Answer::Rejected(Rejection::SlotsTaken)) => {
+            (_, CommandOutcome::Rejected(Rejection::SlotsTaken)) => {
                 task.due_at = now + result.retry_after.max(duration / 8);
             }
             // The other rejections persist.
--- a/crates/lease/src/lease_client/request.rs
+++ b/crates/lease/src/lease_client/request.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, Command, Micros, RequestTime};
+use crate::{Command, CommandOutcome, Micros, RequestTime};
 
 /// The result of one command. The order of fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandResult {
     /// The outcome.
-    pub answer: Answer,
+    pub outcome: CommandOutcome,
     /// For an acquire whose slots are taken: retry after so many microseconds.
     pub retry_after: Micros,
 }
--- a/crates/lease/src/lease_holder.rs
+++ b/crates/lease/src/lease_holder.rs
@@ -49,7 +49,7 @@
     /// Takes note of a granted request. Answers may arrive late and out of order.
     pub fn granted(&mut self, requested_at: RequestTime, now: Micros, token: FencingToken) {
         let from = if fault_injected!(self.parameters, CountsFromAnswer) { now } else { requested_at.0 };
-        let usable_until = from.saturating_add(self.parameters.usable());
+        let usable_until = from.saturating_add(self.parameters.usable_duration());
         match self.held {
             // A renewal that is answered after the release must not bring the lease back.
             _ if token <= self.last_ended => {}
--- a/crates/lease/src/lease_table.rs
+++ b/crates/lease/src/lease_table.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, Command, FencingToken, Lease, LeaseParameters, Rejection, fault_injected};
+use crate::{Command, CommandOutcome, FencingToken, Lease, LeaseParameters, Rejection, fault_injected};
 
 /// Maximum number of tasks in a table; tasks are never removed, as their tokens must keep rising.
 pub const MAX_TASKS: usize = 4_096;
@@ -39,13 +39,13 @@
     }
 
     /// Applies a command. The parameters matter only for injected faults.
-    pub fn apply(&mut self, parameters: &LeaseParameters, command: &Command) -> Answer {
+    pub fn apply(&mut self, parameters: &LeaseParameters, command: &Command) -> CommandOutcome {
         match command {
             // A client whose requests arrive but that receives no answer would keep a task that it cannot act on.
             Command::Acquire { unanswered, .. } | Command::Renew { unanswered, .. }
                 if *unanswered > MAX_UNANSWERED_REQUESTS =>
             {
-                Answer::Rejected(Rejection::TooManyUnanswered)
+                CommandOutcome::Rejected(Rejection::TooManyUnanswered)
             }
             Command::Acquire { task, slots, holder, nonce, .. } => self.acquire(task, *slots, holder, *nonce),
             Command::Renew { task, token, .. } => self.renew(task, *token),
@@ -55,9 +55,9 @@
         }
     }
 
-    fn acquire(&mut self, name: &str, slots: u32, holder: &str, nonce: u64) -> Answer {
+    fn acquire(&mut self, name: &str, slots: u32, holder: &str, nonce: u64) -> CommandOutcome {
         if let Err(rejection) = self.check_acquire(name, slots, holder) {
-            return Answer::Rejected(rejection);
+            return CommandOutcome::Rejected(rejection);
         }
         let new_task = Task { last_token: self.tokens_from, leases: Vec::new() };
         let task = self.tasks.entry(name.to_owned()).or_insert(new_task);
@@ -65,22 +65,22 @@
         // the last one.
         if let Some(own) = task.leases.iter_mut().find(|lease| lease.holder == holder) {
             if own.nonce != nonce || own.revoked {
-                return Answer::Rejected(Rejection::SlotsTaken);
+                return CommandOutcome::Rejected(Rejection::SlotsTaken);
             }
             own.renewals += 1;
-            return Answer::Held(own.token);
+            return CommandOutcome::Held(own.token);
         }
         if task.leases.len() >= slots as usize {
-            return Answer::Rejected(Rejection::SlotsTaken);
+            return CommandOutcome::Rejected(Rejection::SlotsTaken);
         }
         if self.lease_count >= MAX_LEASES {
-            return Answer::Rejected(Rejection::TableFull);
+            return CommandOutcome::Rejected(Rejection::TableFull);
         }
         self.lease_count += 1;
         task.last_token += 1;
         let token = FencingToken(task.last_token);
         task.leases.push(Lease { holder: holder.to_owned(), nonce, token, renewals: 0, revoked: false });
-        Answer::Held(token)
+        CommandOutcome::Held(token)
     }
 
     fn check_acquire(&self, task: &str, slots: u32, holder: &str) -> Result<(), Rejection> {
@@ -96,52 +96,52 @@
         Ok(())
     }
 
-    fn renew(&mut self, task: &str, token: FencingToken) -> Answer {
+    fn renew(&mut self, task: &str, token: FencingToken) -> CommandOutcome {
         match self.lease_mut(task, token) {
             Some(lease) if !lease.revoked => {
                 lease.renewals += 1;
-                Answer::Held(token)
+                CommandOutcome::Held(token)
             }
-            _ => Answer::Rejected(Rejection::LeaseEnded),
+            _ => CommandOutcome::Rejected(Rejection::LeaseEnded),
         }
     }
 
-    fn revoke(&mut self, task: &str, token: FencingToken) -> Answer {
+    fn revoke(&mut self, task: &str, token: FencingToken) -> CommandOutcome {
         match self.lease_mut(task, token) {
             Some(lease) => {
                 lease.revoked = true;
-                Answer::Held(token)
+                CommandOutcome::Held(token)
             }
-            None => Answer::Rejected(Rejection::LeaseEnded),
+            None => CommandOutcome::Rejected(Rejection::LeaseEnded),
         }
     }
 
-    fn release(&mut self, parameters: &LeaseParameters, task: &str, token: FencingToken) -> Answer {
+    fn release(&mut self, parameters: &LeaseParameters, task: &str, token: FencingToken) -> CommandOutcome {
         let Some(task) = self.tasks.get_mut(task) else {
-            return Answer::Rejected(Rejection::LeaseEnded);
+            return CommandOutcome::Rejected(Rejection::LeaseEnded);
         };
         let count_before = task.leases.len();
         task.leases.retain(|lease| lease.token != token && !fault_injected!(parameters, OldRelease));
         let released = count_before - task.leases.len();
         self.lease_count -= released;
-        if released > 0 { Answer::Free } else { Answer::Rejected(Rejection::LeaseEnded) }
+        if released > 0 { CommandOutcome::Free } else { CommandOutcome::Rejected(Rejection::LeaseEnded) }
     }
 
     fn expire(
         &mut self, parameters: &LeaseParameters, task: &str, token: FencingToken, known_renewals: u64,
-    ) -> Answer {
+    ) -> CommandOutcome {
         let renewed = match self.lease_mut(task, token) {
             Some(lease) => lease.renewals > known_renewals,
-            None => return Answer::Rejected(Rejection::LeaseEnded),
+            None => return CommandOutcome::Rejected(Rejection::LeaseEnded),
         };
         if renewed && !fault_injected!(parameters, ExpiresRenewed) {
-            return Answer::Rejected(Rejection::LeaseRenewed);
+            return CommandOutcome::Rejected(Rejection::LeaseRenewed);
         }
         if let Some(task) = self.tasks.get_mut(task) {
             task.leases.retain(|lease| lease.token != token);
             self.lease_count -= 1;
         }
-        Answer::Free
+        CommandOutcome::Free
     }
 
     fn lease_mut(&mut self, task: &str, token: FencingToken) -> Option<&mut Lease> {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -5,14 +5,12 @@
 //! On the servers' side the [`LeaseTable`] is the replicated state machine; the leader adds an [`ExpiryTracker`] and an
 //! [`AcquireBackoff`]. On the clients' side a [`LeaseHolder`] covers one task and a [`LeaseClient`] all tasks of one process.
 //!
-//! [`Command`]s are applied to the table in log order and give [`Answer`]s. All times are microseconds of the monotonic clock of
+//! [`Command`]s are applied to the table in log order and give [`CommandOutcome`]s. All times are microseconds of the monotonic clock of
 //! the process at hand; nothing here reads a clock, sends a message or knows the consensus engine. Guarantees and assumptions
 //! are in `docs/design/leases.md`.
 
 mod acquire_backoff;
 mod clock_drift;
-#[cfg(feature = "injected-faults")]
-mod clock_drift_error;
 mod command;
 mod expiry_tracker;
 mod fault_injection;
@@ -22,12 +20,12 @@
 mod lease_table;
 mod parameters;
 mod permit;
+#[cfg(feature = "injected-faults")]
+mod simulated_clock;
 
 pub use acquire_backoff::AcquireBackoff;
 pub use clock_drift::{ClockDriftChange, ClockDriftMonitor};
-#[cfg(feature = "injected-faults")]
-pub use clock_drift_error::ClockDriftError;
-pub use command::{Answer, Command, Rejection};
+pub use command::{Command, CommandOutcome, Rejection};
 pub use expiry_tracker::{ExpiryTracker, LeaseTimes};
 #[cfg(feature = "injected-faults")]
 pub use fault_injection::InjectedFault;
@@ -41,5 +39,7 @@
 };
 pub use parameters::{LeaseParameters, Micros};
 pub use permit::{Permit, PermitError};
+#[cfg(feature = "injected-faults")]
+pub use simulated_clock::SimulatedClock;
 
 pub(crate) use fault_injection::fault_injected;
--- a/crates/lease/src/parameters.rs
+++ b/crates/lease/src/parameters.rs
@@ -32,7 +32,7 @@
     }
 
     /// How long a holder may act on a lease, counted from when it sent its request, in microseconds.
-    pub fn usable(&self) -> Micros {
+    pub fn usable_duration(&self) -> Micros {
         self.lease_duration.saturating_sub(self.drift(self.lease_duration)).saturating_sub(self.margin)
     }
 
--- a/crates/lease/tests/model/state.rs
+++ b/crates/lease/tests/model/state.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use honeyknot_lease::{
-    Answer, Command, ExpiryTracker, FencingToken, HolderState, LeaseHolder, LeaseParameters, LeaseTable,
-    Micros, Permit, Rejection,
+    Command, CommandOutcome, ExpiryTracker, FencingToken, HolderState, LeaseHolder, LeaseParameters,
+    LeaseTable, Micros, Permit, Rejection,
 };
 
 pub const TASK: &str = "t";
@@ -113,7 +113,7 @@
     pub reply: Reply,
 }
 
-/// An [`Answer`] with an order.
+/// An [`CommandOutcome`] with an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reply {
     Held { token: u64 },
@@ -121,11 +121,11 @@
     Other,
 }
 
-impl From<Answer> for Reply {
-    fn from(answer: Answer) -> Reply {
-        match answer {
-            Answer::Held(token) => Reply::Held { token: token.0 },
-            Answer::Rejected(Rejection::LeaseEnded) => Reply::Ended,
+impl From<CommandOutcome> for Reply {
+    fn from(outcome: CommandOutcome) -> Reply {
+        match outcome {
+            CommandOutcome::Held(token) => Reply::Held { token: token.0 },
+            CommandOutcome::Rejected(Rejection::LeaseEnded) => Reply::Ended,
             _ => Reply::Other,
         }
     }
--- a/crates/lease/tests/model/transitions.rs
+++ b/crates/lease/tests/model/transitions.rs
@@ -47,12 +47,12 @@
             state.requests_in_transit.remove(&request);
         }
         let command = request.command();
-        let answer = state.lease_table.apply(&self.parameters, &command);
+        let outcome = state.lease_table.apply(&self.parameters, &command);
         let now = self.fast_clock(state);
         // The injected fault that counts from the request counts from when the holder sent it.
         let requested_at = self.slow_to_fast(request.sent_at);
         state.expiry_tracker.commands_applied(requested_at, now, &state.lease_table, &[command]);
-        let reply = Reply::from(answer);
+        let reply = Reply::from(outcome);
         if let (Request::Acquire { .. }, Reply::Held { token }) = (request.request, reply)
             && !state.granted.contains(&token)
         {
--- a/crates/lease/tests/simulation/clients.rs
+++ b/crates/lease/tests/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a simulation: requests, actions and effects.
 
-use honeyknot_lease::{Answer, Command, FencingToken, Micros, Rejection, RequestTime};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, Micros, Rejection, RequestTime};
 use rand::Rng;
 
 use crate::event::{Event, Request};
@@ -87,14 +87,14 @@
         self.report.last_effect = self.now;
     }
 
-    pub fn answer_arrives(&mut self, request: &Request, answer: Answer) {
+    pub fn response_arrives(&mut self, request: &Request, outcome: CommandOutcome) {
         let client = &mut self.clients[request.client];
         let now = client.clock.at(self.now);
-        match (&request.command, answer) {
-            (Command::Acquire { .. } | Command::Renew { .. }, Answer::Held(token)) => {
+        match (&request.command, outcome) {
+            (Command::Acquire { .. } | Command::Renew { .. }, CommandOutcome::Held(token)) => {
                 client.holder.granted(request.sent_at, now, token);
             }
-            (Command::Renew { token, .. }, Answer::Rejected(Rejection::LeaseEnded)) => {
+            (Command::Renew { token, .. }, CommandOutcome::Rejected(Rejection::LeaseEnded)) => {
                 client.holder.lease_ended(*token);
             }
             _ => {}
--- a/crates/lease/tests/simulation/event.rs
+++ b/crates/lease/tests/simulation/event.rs
@@ -1,6 +1,6 @@
 //! Events of a simulation.
 
-use honeyknot_lease::{Answer, Command, Micros, RequestTime};
+use honeyknot_lease::{Command, CommandOutcome, Micros, RequestTime};
 
 /// A client's request with one command.
 #[derive(Clone)]
@@ -26,9 +26,9 @@
         command: Command,
         received_at: Micros,
     },
-    AnswerArrives {
+    ResponseArrives {
         request: Request,
-        answer: Answer,
+        outcome: CommandOutcome,
     },
     Fault,
 }
--- a/crates/lease/tests/simulation/servers.rs
+++ b/crates/lease/tests/simulation/servers.rs
@@ -1,6 +1,6 @@
 //! The replicas of a simulation: requests, proposals and commits.
 
-use honeyknot_lease::{Answer, Command, FencingToken, Micros};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, Micros};
 use rand::Rng;
 
 use crate::event::{Event, Request};
@@ -34,18 +34,18 @@
         self.log.push(command.clone());
         let leader = &mut self.replicas[self.leader];
         leader.applied = self.log.len();
-        let answer = leader.lease_table.apply(&self.parameters, command);
+        let outcome = leader.lease_table.apply(&self.parameters, command);
         let now = leader.clock.at(self.now);
         let commands = std::slice::from_ref(command);
         self.expiry_tracker.commands_applied(received_at, now, &leader.lease_table, commands);
-        if let (Command::Acquire { .. }, Answer::Held(token)) = (command, answer) {
+        if let (Command::Acquire { .. }, CommandOutcome::Held(token)) = (command, outcome) {
             self.check_grant(token);
         }
         if let Some(request) = request
             && self.rng.random_range(0..10) > 0
         {
             let delay = self.random_delay();
-            self.schedule(delay, Event::AnswerArrives { request, answer });
+            self.schedule(delay, Event::ResponseArrives { request, outcome });
         }
     }
 
--- a/crates/lease/tests/simulation/simulator.rs
+++ b/crates/lease/tests/simulation/simulator.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use honeyknot_lease::{
-    ClockDriftError, Command, ExpiryTracker, FencingToken, InjectedFault, LeaseHolder, LeaseParameters,
-    LeaseTable, Micros, Permit,
+    Command, ExpiryTracker, FencingToken, InjectedFault, LeaseHolder, LeaseParameters, LeaseTable, Micros,
+    Permit, SimulatedClock,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,14 +21,14 @@
 pub const LAST_FAULT: Micros = 32 * LEASE;
 
 pub struct Replica {
-    pub clock: ClockDriftError,
+    pub clock: SimulatedClock,
     pub lease_table: LeaseTable,
     /// Number of entries of the log that are applied.
     pub applied: usize,
 }
 
 pub struct Client {
-    pub clock: ClockDriftError,
+    pub clock: SimulatedClock,
     pub holder: LeaseHolder,
     pub action: Option<Action>,
     pub nonce: u64,
@@ -148,7 +148,7 @@
                     self.committed(request, &command, received_at);
                 }
             }
-            Event::AnswerArrives { request, answer } => self.answer_arrives(&request, answer),
+            Event::ResponseArrives { request, outcome } => self.response_arrives(&request, outcome),
             Event::Fault => self.fault(),
         }
     }
@@ -157,7 +157,7 @@
     fn process_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::ClientStep(client) => Some(REPLICAS + client),
-            Event::AnswerArrives { request, .. } => Some(REPLICAS + request.client),
+            Event::ResponseArrives { request, .. } => Some(REPLICAS + request.client),
             Event::RequestArrives { replica, .. } => Some(*replica),
             Event::LeaderTick | Event::Committed { .. } => Some(self.leader),
             Event::Fault => None,
@@ -166,10 +166,10 @@
 }
 
 /// A clock at the bound of drift, or anywhere between.
-fn random_clock(parameters: &LeaseParameters, rng: &mut Pcg64Mcg) -> ClockDriftError {
+fn random_clock(parameters: &LeaseParameters, rng: &mut Pcg64Mcg) -> SimulatedClock {
     let bound = parameters.drift_ppm as i64;
-    ClockDriftError {
+    SimulatedClock {
         offset: rng.random_range(0..1_000 * LEASE),
-        ppm: [-bound, bound, rng.random_range(-bound..=bound)][rng.random_range(0..3)],
+        drift_ppm: [-bound, bound, rng.random_range(-bound..=bound)][rng.random_range(0..3)],
     }
 }
--- a/crates/lease/tests/support/server.rs
+++ b/crates/lease/tests/support/server.rs
@@ -1,7 +1,7 @@
 //! A lease server of one replica that applies each command at once.
 
 use honeyknot_lease::{
-    AcquireBackoff, Answer, Command, CommandResult, ExpiryTracker, LeaseClient, LeaseParameters,
+    AcquireBackoff, Command, CommandOutcome, CommandResult, ExpiryTracker, LeaseClient, LeaseParameters,
     LeaseRequest, LeaseTable, Micros, Rejection,
 };
 
@@ -37,11 +37,11 @@
     }
 
     pub fn apply(&mut self, now: Micros, command: &Command) -> CommandResult {
-        let answer = self.lease_table.apply(&self.parameters, command);
+        let outcome = self.lease_table.apply(&self.parameters, command);
         self.expiry_tracker.commands_applied(now, now, &self.lease_table, std::slice::from_ref(command));
-        let taken = answer == Answer::Rejected(Rejection::SlotsTaken);
+        let taken = outcome == CommandOutcome::Rejected(Rejection::SlotsTaken);
         let retry_after = if taken { self.acquire_backoff.retry_after(now, command.task()) } else { 0 };
-        CommandResult { answer, retry_after }
+        CommandResult { outcome, retry_after }
     }
 
     pub fn expire_leases(&mut self, now: Micros) {
--- a/crates/testbed/src/fleet/lease_options.rs
+++ b/crates/testbed/src/fleet/lease_options.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use honeyknot_lease::{ClockDriftError, InjectedFault};
+use honeyknot_lease::{InjectedFault, SimulatedClock};
 use honeyknot_relay::lease_client::{Clock, boot_clock};
 use serde::{Deserialize, Serialize};
 
@@ -33,7 +33,7 @@
 
     /// Returns the clock of a process, by its index among lease servers first and holders after them.
     pub fn clock(&self, process: usize) -> Clock {
-        let ppm = self.clock_error_ppm.get(process).copied().unwrap_or(0);
-        Rc::new(move || ClockDriftError { offset: 0, ppm }.at(boot_clock()))
+        let drift_ppm = self.clock_error_ppm.get(process).copied().unwrap_or(0);
+        Rc::new(move || SimulatedClock { offset: 0, drift_ppm }.at(boot_clock()))
     }
 }
--- a/crates/testbed/src/leases/lease_server.rs
+++ b/crates/testbed/src/leases/lease_server.rs
@@ -2,7 +2,7 @@
 
 use std::io::BufRead;
 
-use honeyknot_relay::lease_server::{LeaseServerOptions, run};
+use honeyknot_relay::lease_server::{LeaseServerOptions, serve_with_clock};
 
 use crate::fleet::Plan;
 
@@ -22,10 +22,10 @@
     let options = LeaseServerOptions {
         number: number as u64,
         folder: plan.folder.join(format!("k{number}")),
-        found: (bootstrap == 1).then_some(0),
+        bootstrap_tokens_from: (bootstrap == 1).then_some(0),
     };
     std::thread::spawn(move || {
-        let why = run(&leases, &options, plan.leases.clock(number - 1));
+        let why = serve_with_clock(&leases, &options, plan.leases.clock(number - 1));
         eprintln!("keeper {number}: {why:?}");
         std::process::exit(2);
     });
--- a/src/lease_client/admin_commands.rs
+++ b/src/lease_client/admin_commands.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use honeyknot_lease::{Answer, Command, FencingToken, Rejection};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, Rejection};
 use honeyknot_lease_consensus::{LeaseView, Response};
 use thiserror::Error;
 
@@ -101,7 +101,7 @@
         Response::Results(results) => results,
         other => return Err(AdminError::UnexpectedResponse(other)),
     };
-    if let Some(Answer::Rejected(rejection)) = results.first().map(|result| result.answer) {
+    if let Some(CommandOutcome::Rejected(rejection)) = results.first().map(|result| result.outcome) {
         return Err(AdminError::Rejected { task: task.to_owned(), rejection });
     }
     let max_wait = seconds(config.parameters.lease_duration);
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -145,7 +145,7 @@
 /// Checks that holders can use at least half of a lease, and that an election does not outlast a lease.
 fn check_durations(section: &mut Section, parameters: &LeaseParameters, election_timeout: Micros) {
     let lease_duration = parameters.lease_duration;
-    if parameters.usable() < lease_duration / 2
+    if parameters.usable_duration() < lease_duration / 2
         && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
     {
         section.error(&directive.name, "margin and drift leave less than half of the lease".into());
--- a/src/lease_server/mod.rs
+++ b/src/lease_server/mod.rs
@@ -20,4 +20,4 @@
 pub use error::LeaseServerError;
 pub use event::QUEUE_CAPACITY;
 pub use options::LeaseServerOptions;
-pub use server::{run, serve};
+pub use server::{serve, serve_with_clock};
--- a/src/lease_server/options.rs
+++ b/src/lease_server/options.rs
@@ -15,6 +15,6 @@
     pub folder: PathBuf,
     /// Create the database, once: the fleet is new, and tokens rise from here. Where an earlier fleet lost its servers, create all
     /// anew, above all tokens that were ever given, and after the longest lease has run out.
-    #[arg(long, value_name = "TOKENS_FROM")]
-    pub found: Option<u64>,
+    #[arg(long = "found", value_name = "TOKENS_FROM")]
+    pub bootstrap_tokens_from: Option<u64>,
 }
--- a/src/lease_server/server.rs
+++ b/src/lease_server/server.rs
@@ -34,14 +34,16 @@
 /// # Errors
 /// It does not start, or its storage or replica fails.
 pub fn serve(config: &LeaseConfig, options: &LeaseServerOptions) -> Result<(), LeaseServerError> {
-    run(config, options, Rc::new(boot_clock))
+    serve_with_clock(config, options, Rc::new(boot_clock))
 }
 
 /// As [`serve`], with another clock.
 ///
 /// # Errors
 /// As [`serve`].
-pub fn run(config: &LeaseConfig, options: &LeaseServerOptions, clock: Clock) -> Result<(), LeaseServerError> {
+pub fn serve_with_clock(
+    config: &LeaseConfig, options: &LeaseServerOptions, clock: Clock,
+) -> Result<(), LeaseServerError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -56,7 +58,7 @@
     let address = config.servers.get(&id).copied();
     let address = address.ok_or(LeaseServerError::UnknownNumber { number: id, server_count })?;
     let owner = DatabaseOwner { fleet: config.fleet.clone(), server_count, server: id };
-    let (database, content) = LeaseDatabase::open(&options.folder, owner, options.found)?;
+    let (database, content) = LeaseDatabase::open(&options.folder, owner, options.bootstrap_tokens_from)?;
     let tick_interval =
         (config.election_timeout / TICKS_PER_ELECTION_TIMEOUT).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL);
     let settings = ReplicaSettings {
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use honeyknot_lease::{Answer, Command, CommandResult, Rejection};
+use honeyknot_lease::{Command, CommandOutcome, CommandResult, Rejection};
 use honeyknot_lease_consensus::{LeaseView, Response};
 use honeyknot_relay::lease_client::codec::{FrameReader, send};
 use honeyknot_relay::lease_client::frame::Frame;
@@ -27,13 +27,13 @@
     Frame::Response { id, response }
 }
 
-fn results(answers: Vec<(Answer, u64)>) -> Response {
-    let results = answers.into_iter().map(|(answer, retry_after)| CommandResult { answer, retry_after });
+fn results(answers: Vec<(CommandOutcome, u64)>) -> Response {
+    let results = answers.into_iter().map(|(outcome, retry_after)| CommandResult { outcome, retry_after });
     Response::Results(results.collect())
 }
 
-fn rejected(refusal: Rejection) -> Answer {
-    Answer::Rejected(refusal)
+fn rejected(refusal: Rejection) -> CommandOutcome {
+    CommandOutcome::Rejected(refusal)
 }
 
 fn lease_view() -> LeaseView {
@@ -55,8 +55,8 @@
     vec![
         ("request_commands", request(501, commands)),
         ("request_all_leases", request(502, Vec::new())),
-        ("answer_held", response(503, results(vec![(Answer::Held(fencing_token(70_001)), 0)]))),
-        ("answer_free", response(504, results(vec![(Answer::Free, 0)]))),
+        ("answer_held", response(503, results(vec![(CommandOutcome::Held(fencing_token(70_001)), 0)]))),
+        ("answer_free", response(504, results(vec![(CommandOutcome::Free, 0)]))),
         ("answer_taken", response(505, results(vec![(rejected(Rejection::SlotsTaken), 2_500_000)]))),
         ("answer_ended", refused(506, Rejection::LeaseEnded)),
         ("answer_renewed", refused(507, Rejection::LeaseRenewed)),
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -1,6 +1,6 @@
 //! Commands in log entries, and the snapshot of the lease table.
 
-use honeyknot_lease::{Answer, Command, FencingToken, LeaseParameters, LeaseTable};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, LeaseParameters, LeaseTable};
 use honeyknot_lease_consensus::{Entry, HardState, PersistedState, Snapshot};
 
 use super::fixture::{all, assert_labels, decode, encode, one};
@@ -159,8 +159,8 @@
 fn a_recorded_lease_table_gives_the_next_fencing_token_of_each_task() {
     let mut table: LeaseTable = decode(&one(TABLE, "table"));
     for (task, next) in [("audit", 70_002), ("rebuild", 70_002), ("sweep", 70_003), ("new", 70_001)] {
-        let answer = table.apply(&lease_parameters(), &acquire(task, 3, "relay-d", 905, 0));
-        assert_eq!(answer, Answer::Held(fencing_token(next)), "{task}");
+        let outcome = table.apply(&lease_parameters(), &acquire(task, 3, "relay-d", 905, 0));
+        assert_eq!(outcome, CommandOutcome::Held(fencing_token(next)), "{task}");
     }
 }
 
--- a/tests/lease_servers/cluster.rs
+++ b/tests/lease_servers/cluster.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use honeyknot_lease::{Answer, Command as LeaseCommand};
+use honeyknot_lease::{Command as LeaseCommand, CommandOutcome};
 use honeyknot_lease_consensus::Response;
 use honeyknot_relay::lease_client::config::LeaseConfig;
 use honeyknot_relay::lease_client::leader_request::{self, NoLeaderError};
@@ -134,11 +134,11 @@
         }
     }
 
-    pub fn acquire(&self, task: &str, holder: &str) -> Answer {
+    pub fn acquire(&self, task: &str, holder: &str) -> CommandOutcome {
         let Response::Results(results) = self.request(vec![acquire_command(task, holder)]) else {
             panic!("results of an acquire");
         };
-        results[0].answer
+        results[0].outcome
     }
 }
 
--- a/tests/lease_servers/disk_full.rs
+++ b/tests/lease_servers/disk_full.rs
@@ -3,7 +3,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use honeyknot_lease::{Answer, Command as LeaseCommand};
+use honeyknot_lease::{Command as LeaseCommand, CommandOutcome};
 use honeyknot_lease_consensus::Response;
 
 use crate::cluster::{Cluster, ERROR_STATUS, acquire_command, file_length};
@@ -57,7 +57,7 @@
     let error = last_error(start_with_limit(&cluster, Some(0), 1));
     assert!(error.contains("k3/keeper.founding: ") && error.contains("File too large"), "{error}");
     cluster.start_all(Some(0));
-    assert!(matches!(cluster.acquire("probes", "a"), Answer::Held(_)));
+    assert!(matches!(cluster.acquire("probes", "a"), CommandOutcome::Held(_)));
     cluster.kill(SERVER);
     let length = file_length(&cluster.server_folder(SERVER).join("keeper.redb"));
     let server = start_with_limit(&cluster, None, length / BLOCK + 64);
@@ -68,5 +68,5 @@
     // Without the limit it starts again and counts for a majority.
     cluster.start(SERVER, None);
     cluster.kill(1);
-    assert!(matches!(cluster.acquire("after", "b"), Answer::Held(_)));
+    assert!(matches!(cluster.acquire("after", "b"), CommandOutcome::Held(_)));
 }
--- a/tests/lease_servers/recovery.rs
+++ b/tests/lease_servers/recovery.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use honeyknot_lease::{Answer, Command, FencingToken, Rejection};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, Rejection};
 use honeyknot_lease_consensus::Response;
 
 use crate::cluster::{ANSWER_TIMEOUT, Cluster};
 
 const TASK: &str = "probes";
 
-fn held(token: u64) -> Answer {
-    Answer::Held(FencingToken(token))
+fn held(token: u64) -> CommandOutcome {
+    CommandOutcome::Held(FencingToken(token))
 }
 
-const TAKEN: Answer = Answer::Rejected(Rejection::SlotsTaken);
+const TAKEN: CommandOutcome = CommandOutcome::Rejected(Rejection::SlotsTaken);
 
 #[test]
 fn leases_and_tokens_survive_a_kill_of_all_servers_at_once() {
@@ -33,7 +33,7 @@
     let deadline = Instant::now() + ANSWER_TIMEOUT;
     let token = loop {
         match cluster.acquire(TASK, "b") {
-            Answer::Held(token) => break token,
+            CommandOutcome::Held(token) => break token,
             other => assert!(Instant::now() < deadline, "{other:?}"),
         }
         std::thread::sleep(Duration::from_millis(100));
