--- a/crates/lease-consensus/src/client.rs
+++ b/crates/lease-consensus/src/client.rs
@@ -5,7 +5,7 @@
 
 use crate::{Micros, ReplicaId};
 
-/// A client's request: commands that share one entry of the log, in order.
+/// A client's request. All of its commands are in one entry of the log, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
     /// Identifies the client to the caller.
@@ -23,10 +23,11 @@
     Results(Vec<CommandResult>),
     /// All leases, linearizable.
     Leases(Vec<LeaseView>),
-    /// The replica is not the leader or lost its leadership, so that the commands may or may not be committed. With the leader, if
-    /// it is known.
+    /// The replica is not the leader, or it lost its leadership while the request was pending and the
+    /// commands may or may not be committed. Has the leader, or `None` if the replica does not know it.
     NotLeader(Option<ReplicaId>),
-    /// Too many requests are pending.
+    /// The replica does not accept the request: too many requests are pending, the request has too many
+    /// commands, or the engine rejects the entry.
     Overloaded,
 }
 
@@ -41,9 +42,9 @@
     pub token: FencingToken,
     /// Number of renewals.
     pub renewals: u64,
-    /// How long this leader has known the lease, in microseconds.
+    /// Time since this leader learned of the lease, in microseconds.
     pub age: Micros,
-    /// Time until it expires unless it is renewed, in microseconds.
+    /// Time until the lease expires unless it is renewed, in microseconds.
     pub remaining: Micros,
     /// Whether renewals are rejected.
     pub revoked: bool,
--- a/crates/lease-consensus/src/error.rs
+++ b/crates/lease-consensus/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors after which a replica cannot go on.
+//! Errors after which a replica cannot continue.
 
 use std::fmt;
 
@@ -6,12 +6,14 @@
 
 use crate::ReplicaId;
 
-/// Why a replica cannot go on: its persisted state is missing, damaged or of another fleet.
+/// Why a replica cannot continue, for example because its persisted state is incomplete, damaged or of
+/// another fleet.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// A leader relies on entries that this replica acknowledged and no longer has.
     #[error(
-        "the folder has lost entries: keeper {leader} counts on entry {expected}, the log ends with {last}; an old copy?"
+        "the log lacks entries that this lease server acknowledged: leader {leader} expects entry {expected}, \
+         but the last entry is {last}; the folder may be an old copy"
     )]
     MissingEntries {
         /// The leader.
@@ -23,7 +25,8 @@
     },
     /// A committed entry differs from the leader's.
     #[error(
-        "entry {index} was agreed on and differs from what keeper {leader} holds: a folder of another fleet?"
+        "committed entry {index} differs from the entry of leader {leader}; \
+         the folder may belong to another fleet"
     )]
     ConflictingEntry {
         /// Index of the entry.
@@ -32,18 +35,18 @@
         leader: ReplicaId,
     },
     /// A committed entry or snapshot cannot be decoded.
-    #[error("{item} {index} cannot be read: written by another version?")]
+    #[error("cannot decode {item} {index}; it may have been written by another version")]
     Unreadable {
         /// What cannot be decoded.
         item: StoredItem,
-        /// Its index.
+        /// Index of the entry, or of the last entry in the snapshot.
         index: u64,
     },
     /// The persisted state is inconsistent.
     #[error(transparent)]
     InvalidState(#[from] StateError),
     /// The consensus engine failed.
-    #[error("the engine: {0}")]
+    #[error("consensus engine: {0}")]
     Engine(#[from] raft::Error),
 }
 
@@ -69,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
     /// The log has a gap.
-    #[error("entry {missing} of the log is missing: the next one there is {found}")]
+    #[error("entry {missing} of the log is missing; the next stored entry is {found}")]
     MissingEntry {
         /// Index of the missing entry.
         missing: u64,
@@ -77,7 +80,7 @@
         found: u64,
     },
     /// The log ends before the last committed entry.
-    #[error("entry {commit} was agreed on, but the log ends before entry {end}")]
+    #[error("entry {commit} is committed, but the log ends before entry {end}")]
     MissingCommittedEntry {
         /// Index of the last committed entry.
         commit: u64,
--- a/crates/lease-consensus/src/lib.rs
+++ b/crates/lease-consensus/src/lib.rs
@@ -2,10 +2,11 @@
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 //! One replica of the lease service, without I/O: raft with the lease table as its state machine.
 //!
-//! Ticks, [`PeerMessage`]s and [`ClientRequest`]s go into a [`Replica`] with the time. What has to be persisted comes out as a
-//! [`ReplicaWrite`]; once that is on disk, messages and responses come out as [`ReplicaAction`]s. A replica opens no file or
-//! socket, reads no clock and draws no random numbers: the same events give the same actions. The choice of the engine and the
-//! guarantees are in `docs/design/leases.md`.
+//! A [`Replica`] takes ticks, [`PeerMessage`]s and [`ClientRequest`]s with the current time. It returns what
+//! must be persisted as a [`ReplicaWrite`] and, once that is durable, messages and responses as
+//! [`ReplicaAction`]s. A replica opens no file or socket, reads no clock and draws no random numbers, so the
+//! same events give the same actions. The choice of the engine and the guarantees are in
+//! `docs/design/leases.md`.
 
 mod client;
 mod error;
--- a/crates/lease-consensus/src/log.rs
+++ b/crates/lease-consensus/src/log.rs
@@ -1,5 +1,5 @@
-//! The engine's view of the log: a copy in memory of what is persisted, with some entries before the last snapshot for followers
-//! that lag a little.
+//! The engine's view of the log: a copy of the persisted log in memory, with some entries before the last
+//! snapshot, so that followers that lag slightly need no snapshot.
 
 use raft::eraftpb::{self, ConfState};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -45,7 +45,7 @@
         self.entries.iter().filter(|entry| entry.index >= index).cloned().collect()
     }
 
-    /// Replaces everything by another replica's snapshot.
+    /// Replaces the whole log with another replica's snapshot.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.before_first = position_of(&snapshot);
         self.entries.clear();
@@ -53,7 +53,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes over an own snapshot and drops entries that are far behind it.
+    /// Installs a snapshot that this replica took, and drops the entries that are far before it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let last_dropped = snapshot.index.saturating_sub(ENTRIES_BEFORE_SNAPSHOT);
         let offset = self.offset(last_dropped).filter(|offset| *offset < self.entries.len());
@@ -64,7 +64,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Adds entries; those that stand in their place, and all after, are removed.
+    /// Appends entries, after the removal of all existing entries from the index of the first one on.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first() else { return };
         if let Some(offset) = self.offset(first.index) {
@@ -81,7 +81,8 @@
         self.hard_state.commit = self.hard_state.commit.max(index);
     }
 
-    /// Offset of an index in `entries`, which may be beyond their end.
+    /// Returns the offset of an index in `entries`, which may be beyond their end, or `None` if the index is
+    /// before the first.
     fn offset(&self, index: u64) -> Option<usize> {
         index.checked_sub(self.before_first.index + 1).map(|offset| offset as usize)
     }
--- a/crates/lease-consensus/src/peer_message.rs
+++ b/crates/lease-consensus/src/peer_message.rs
@@ -1,11 +1,13 @@
-//! Messages between replicas as a plain type: the engine's protobuf decoder never reads from a socket.
+//! Messages between replicas as a plain type, so that the engine's protobuf decoder never reads from a
+//! socket.
 
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
 use crate::{Entry, ReplicaId, Snapshot};
 
-/// Kinds of message that replicas send each other. The engine's other kinds are local and are refused from a socket.
+/// Kinds of message that replicas send each other. The engine's other kinds are local and are ignored if a
+/// peer sends them.
 const ACCEPTED_KINDS: [MessageType; 9] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -41,22 +43,24 @@
 }
 
 impl PeerMessage {
-    /// The sender's term.
+    /// Returns the sender's term.
     pub(crate) fn term(&self) -> u64 {
         self.term
     }
 
-    /// Whether it carries a snapshot, the delivery of which is to be reported to its sender.
+    /// Returns whether the message has a snapshot, whose delivery must be reported to the sending replica's
+    /// engine.
     pub fn has_snapshot(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// For a heartbeat, the index of the last committed entry that the leader believes the receiver to have.
+    /// Returns the commit index of a heartbeat, up to which the leader expects the receiver to have all
+    /// entries; `None` for other messages.
     pub(crate) fn heartbeat_commit(&self) -> Option<u64> {
         (self.kind == MessageType::MsgHeartbeat as u8).then_some(self.commit)
     }
 
-    /// The engine's form, or `None` for a kind that is not accepted.
+    /// Converts the message to the engine's type. Returns `None` for a kind that is not accepted.
     pub(crate) fn into_raft(self, voters: &[ReplicaId]) -> Option<eraftpb::Message> {
         let mut message = eraftpb::Message::default();
         message.set_msg_type(accepted_kind(self.kind)?);
--- a/crates/lease-consensus/src/persisted_state.rs
+++ b/crates/lease-consensus/src/persisted_state.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk, and the writes that change it.
+//! The state that a replica persists, and the writes that change it.
 
 use crate::{Entry, HardState, Snapshot, StateError};
 
@@ -7,34 +7,36 @@
 pub struct PersistedState {
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The last snapshot, if there was one.
+    /// The last snapshot; `None` before the first.
     pub snapshot: Option<Snapshot>,
     /// All entries after the snapshot, in order.
     pub entries: Vec<Entry>,
 }
 
-/// An atomic change of the persisted state, which has to be durable before anything that follows from it is sent.
+/// An atomic change of the persisted state, which must be durable before any message or response that depends
+/// on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaWrite {
-    /// The new hard state.
+    /// The new hard state; `None` if it is unchanged.
     pub hard_state: Option<HardState>,
-    /// The new snapshot, which replaces all entries up to its index.
+    /// The new snapshot, which replaces all entries up to its index; `None` if there is none.
     pub snapshot: Option<Snapshot>,
-    /// All entries from this index on are removed before the new ones are added.
+    /// All entries from this index on are removed before the new ones are appended; `None` if none are
+    /// removed.
     pub truncate_from: Option<u64>,
     /// The new entries.
     pub entries: Vec<Entry>,
 }
 
 impl ReplicaWrite {
-    /// Whether it changes nothing.
+    /// Returns whether the write changes nothing.
     pub fn is_empty(&self) -> bool {
         *self == ReplicaWrite::default()
     }
 }
 
 impl PersistedState {
-    /// Applies a write, for storage in memory.
+    /// Applies a write to this copy in memory.
     pub fn write(&mut self, write: ReplicaWrite) {
         if let Some(hard_state) = write.hard_state {
             self.hard_state = hard_state;
--- a/crates/lease-consensus/src/raft_types.rs
+++ b/crates/lease-consensus/src/raft_types.rs
@@ -1,5 +1,5 @@
-//! Raft's entry, snapshot and hard state as plain types with a stable encoding, and their conversion from and to the engine's
-//! protobuf types. The order of fields is the stored and wire format.
+//! Raft's entry, snapshot and hard state as plain types with a stable encoding, and their conversion from and
+//! to the engine's protobuf types. The order of fields is the stored and wire format.
 
 use raft::eraftpb::{self, EntryType};
 use serde::{Deserialize, Serialize};
@@ -9,15 +9,15 @@
 /// An entry of the log: encoded commands, or nothing in a new leader's first entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its index.
+    /// Index of the entry in the log.
     pub index: u64,
     /// The term of the leader that proposed it.
     pub term: u64,
-    /// The encoded commands.
+    /// The encoded commands; empty in a new leader's first entry.
     pub data: Vec<u8>,
 }
 
-/// The lease table after an entry, in place of all entries up to it.
+/// The lease table after an entry, which replaces all entries up to that one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Index of the last applied entry.
@@ -28,7 +28,7 @@
     pub lease_table: Vec<u8>,
 }
 
-/// What raft requires a replica to persist beside its log.
+/// The state that raft requires a replica to persist in addition to its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The current term.
@@ -64,7 +64,8 @@
 }
 
 impl Snapshot {
-    /// The engine's form. The voters are those of this replica's settings: membership never changes by a message.
+    /// Converts the snapshot to the engine's type. The voters are those of this replica's settings, because
+    /// membership never changes by a message.
     pub(crate) fn into_raft(self, voters: &[ReplicaId]) -> eraftpb::Snapshot {
         let mut converted = eraftpb::Snapshot::default();
         converted.mut_metadata().index = self.index;
--- a/crates/lease-consensus/src/replica.rs
+++ b/crates/lease-consensus/src/replica.rs
@@ -22,12 +22,13 @@
 use pending_requests::{PendingRequest, PendingRequests, ProposedEntry};
 use state_machine::decode;
 
-/// Maximum number of requests that wait for a proposal or a commit; more are answered with [`Response::Overloaded`].
+/// Maximum number of requests that wait for a proposal or a commit; further ones are answered with
+/// [`Response::Overloaded`].
 const MAX_PENDING_REQUESTS: usize = 8_192;
 /// Maximum number of commands in one entry.
 const MAX_COMMANDS_PER_ENTRY: usize = 4_096;
 
-/// What the owner of a replica is to do next.
+/// What the caller of [`Replica::advance`] must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaAction {
     /// Send a message to another replica; it may be lost.
@@ -53,20 +54,21 @@
     /// Set while this replica is the leader.
     leadership: Option<Leadership>,
     requests: PendingRequests,
-    /// Index of the entry that expires leases, until it is applied.
+    /// Index of the proposed entry that expires leases, until it is applied; `None` if there is none.
     expiry_index: Option<u64>,
     /// The engine's output that is being persisted.
     ready: Option<Ready>,
-    /// An own snapshot that is not yet persisted.
+    /// A snapshot that this replica took and has not yet persisted.
     new_snapshot: Option<Snapshot>,
+    /// Actions that the next [`Replica::advance`] returns.
     actions: Vec<ReplicaAction>,
 }
 
 impl Replica {
-    /// A replica with its persisted state, which is empty for a new one.
+    /// Creates a replica from its persisted state, which is empty for a new replica.
     ///
     /// # Errors
-    /// The state is inconsistent or cannot be decoded, or the engine refuses the settings.
+    /// The state is inconsistent or cannot be decoded, or the engine rejects the settings.
     pub fn new(settings: ReplicaSettings, state: PersistedState) -> Result<Replica, ReplicaError> {
         state.check()?;
         let voters: Vec<ReplicaId> = (1..=settings.replica_count).collect();
@@ -94,8 +96,8 @@
         })
     }
 
-    /// Advances the engine's logical clock and proposes to expire leases that have run out. To be called at
-    /// [`ReplicaSettings::tick_interval`].
+    /// Advances the engine's logical clock and proposes to end the leases that have expired. Must be called
+    /// at [`ReplicaSettings::tick_interval`].
     pub fn tick(&mut self, now: Micros) {
         self.node.tick();
         let Some(leadership) = &self.leadership else { return };
@@ -110,19 +112,20 @@
         self.expiry_index = self.propose(now, &expired, Vec::new());
     }
 
-    /// Handles another replica's message. One that is not addressed to this replica, or not from another, is ignored.
+    /// Handles another replica's message. A message that is not addressed to this replica or not sent by
+    /// another replica is ignored.
     ///
     /// # Errors
     /// The message shows that this replica has lost entries or belongs to another fleet.
     pub fn step(&mut self, message: PeerMessage) -> Result<(), ReplicaError> {
         if let Some(message) = self.check_message(message)? {
-            // Stale messages are errors that the engine expects its caller to ignore.
+            // The engine returns errors for stale messages, which its caller is expected to ignore.
             let _ = self.node.step(message);
         }
         Ok(())
     }
 
-    /// Reports that another replica is unreachable: the engine sends it less.
+    /// Reports that another replica is unreachable, upon which the engine sends it fewer messages.
     pub fn report_unreachable(&mut self, replica: ReplicaId) {
         self.node.report_unreachable(replica);
         self.node.report_snapshot(replica, raft::SnapshotStatus::Failure);
@@ -133,7 +136,7 @@
         self.node.report_snapshot(replica, raft::SnapshotStatus::Finish);
     }
 
-    /// Accepts a client's request; the response is an action of a later [`Replica::advance`].
+    /// Accepts a client's request. A later [`Replica::advance`] returns the response as an action.
     pub fn request(&mut self, now: Micros, request: ClientRequest) {
         let ClientRequest { client, id, .. } = request;
         if self.leadership.is_none() {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// If this replica is the leader, asks the follower with the longest log to take over.
+    /// If this replica is the leader, starts to transfer the leadership to the follower with the longest log.
     pub fn transfer_leadership(&mut self) {
         if self.node.raft.state != StateRole::Leader {
             return;
@@ -161,29 +164,30 @@
         }
     }
 
-    /// The leader, if this replica knows it.
+    /// Returns the leader, or `None` if this replica does not know it.
     pub fn leader(&self) -> Option<ReplicaId> {
         Some(self.node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
-    /// Whether this replica is the leader.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// Proposes the requests that arrived since the last proposal, as few entries as possible.
+    /// Proposes the requests that arrived since the last proposal, in as few entries as possible.
     fn propose_requests(&mut self, now: Micros) {
         while let Some(batch) = self.requests.take_batch(now, MAX_COMMANDS_PER_ENTRY) {
             self.propose(batch.requested_at, &batch.commands, batch.requests);
         }
     }
 
-    /// Proposes an entry and returns its index. If the engine refuses it, its clients are answered that the replica is overloaded.
+    /// Proposes an entry and returns its index. If the engine rejects it, responds [`Response::Overloaded`]
+    /// to its requests and returns `None`.
     fn propose(
         &mut self, requested_at: Micros, commands: &[Command], requests: Vec<PendingRequest>,
     ) -> Option<u64> {
@@ -209,7 +213,7 @@
         self.actions.push(ReplicaAction::Respond { client, request_id, response });
     }
 
-    /// The log's entries in memory from an index on, for tests that compare replicas.
+    /// Returns the log's entries in memory from an index on, for tests that compare replicas.
     pub fn log_entries_from(&self, index: u64) -> Vec<Entry> {
         self.node.store().entries_from(index)
     }
--- a/crates/lease-consensus/src/replica/leadership.rs
+++ b/crates/lease-consensus/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! Gaining and losing the leadership.
+//! Begin and end of this replica's leadership.
 
 use honeyknot_lease::{AcquireBackoff, ExpiryTracker};
 use raft::StateRole;
@@ -15,7 +15,7 @@
 }
 
 impl Replica {
-    /// Follows a change of the engine's role.
+    /// Begins or ends the leadership if the engine's role or term has changed.
     pub(super) fn follow_role(&mut self, now: Micros) {
         let is_leader = self.node.raft.state == StateRole::Leader;
         let is_new_term =
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Answers all pending requests with the new leader, if it is known.
+    /// Ends the leadership and answers all pending requests with [`Response::NotLeader`].
     fn end_leadership(&mut self) {
         self.leadership = None;
         self.expiry_index = None;
--- a/crates/lease-consensus/src/replica/message_check.rs
+++ b/crates/lease-consensus/src/replica/message_check.rs
@@ -1,4 +1,5 @@
-//! Checks of messages from other replicas before they reach the engine, which panics on some that contradict its log.
+//! Checks messages from other replicas before they reach the engine, which panics on some that contradict its
+//! log.
 
 use raft::eraftpb::{Message, MessageType};
 
@@ -6,14 +7,14 @@
 use crate::{PeerMessage, ReplicaError, ReplicaId};
 
 impl Replica {
-    /// The engine's form of a message, or `None` if it is to be ignored.
+    /// Checks a message and converts it to the engine's type. Returns `None` if it must be ignored.
     pub(super) fn check_message(&self, message: PeerMessage) -> Result<Option<Message>, ReplicaError> {
         let (own_id, sender) = (self.settings.id, message.from);
         if message.to != own_id || sender == own_id || !self.voters.contains(&sender) {
             return Ok(None);
         }
         let last_index = self.node.raft.raft_log.last_index();
-        // A late message of an earlier term says nothing about what was committed since.
+        // A late message of an earlier term does not reflect what was committed since.
         let is_current_term = message.term() >= self.node.raft.term;
         let heartbeat_commit = message.heartbeat_commit().filter(|commit| *commit > last_index);
         if let Some(expected) = heartbeat_commit.filter(|_| is_current_term) {
@@ -29,7 +30,7 @@
         Ok(Some(message))
     }
 
-    /// Checks that a leader's entries are those that are committed here.
+    /// Checks that a leader's entries have the same terms as the entries that are committed here.
     fn check_committed_entries(&self, message: &Message, leader: ReplicaId) -> Result<(), ReplicaError> {
         let log = &self.node.raft.raft_log;
         for entry in message.get_entries().iter().take_while(|entry| entry.index <= log.committed) {
--- a/crates/lease-consensus/src/replica/pending_requests.rs
+++ b/crates/lease-consensus/src/replica/pending_requests.rs
@@ -6,7 +6,7 @@
 
 use crate::{ClientRequest, Micros};
 
-/// A request whose commands are in an entry.
+/// A request whose commands are proposed, or about to be proposed, in an entry.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) client: u64,
@@ -53,7 +53,8 @@
         self.queued.push_back(QueuedRequest { arrived_at, request });
     }
 
-    /// The next requests to propose: at least one if any is queued, and more while their commands fit.
+    /// Takes the next requests to propose: the first one and as many further ones as fit into `max_commands`.
+    /// Returns `None` if no request is queued.
     pub(super) fn take_batch(&mut self, now: Micros, max_commands: usize) -> Option<Batch> {
         let mut batch = Batch { requested_at: now, commands: Vec::new(), requests: Vec::new() };
         while let Some(queued) = self.queued.pop_front() {
@@ -78,7 +79,7 @@
         self.proposed.remove(&index)
     }
 
-    /// Removes all requests: those not yet proposed first.
+    /// Removes and returns all requests, those that are not yet proposed first.
     pub(super) fn drain(&mut self) -> Vec<PendingRequest> {
         let queued = self.queued.drain(..).map(|queued| PendingRequest {
             client: queued.request.client,
--- a/crates/lease-consensus/src/replica/persistence.rs
+++ b/crates/lease-consensus/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! What a replica persists, and how it continues once that is durable.
+//! The writes of a replica, and what follows once they are durable.
 
 use raft::{Ready, Storage};
 
@@ -7,7 +7,8 @@
 use crate::{Entry, Micros, ReplicaError, ReplicaWrite, Snapshot, StoredItem};
 
 impl Replica {
-    /// What has to be persisted next, if there is anything to do. [`Replica::advance`] follows, and nothing else before it.
+    /// Returns what must be persisted next, or `None` if there is nothing to do. The next call must be
+    /// [`Replica::advance`] with the write that was returned.
     pub fn ready(&mut self, now: Micros) -> Option<ReplicaWrite> {
         self.propose_requests(now);
         if !self.node.has_ready() && self.new_snapshot.is_none() && self.actions.is_empty() {
@@ -29,7 +30,7 @@
         Some(write)
     }
 
-    /// Continues after the write of [`Replica::ready`], given back here, is durable. Returns what follows from it.
+    /// Continues once the write that [`Replica::ready`] returned is durable. Returns the actions to perform.
     ///
     /// # Errors
     /// A committed entry or snapshot cannot be decoded.
@@ -71,7 +72,7 @@
         Ok(())
     }
 
-    /// Takes over another replica's snapshot.
+    /// Replaces the lease table and the log with another replica's snapshot.
     fn restore(&mut self, snapshot: Snapshot) -> Result<(), ReplicaError> {
         self.lease_table = decode(StoredItem::Snapshot, snapshot.index, &snapshot.lease_table)?;
         self.applied_index = snapshot.index;
--- a/crates/lease-consensus/src/replica/raft_config.rs
+++ b/crates/lease-consensus/src/replica/raft_config.rs
@@ -1,4 +1,4 @@
-//! Configuration of the consensus engine.
+//! Configuration of the raft engine.
 
 use raft::Config;
 
@@ -10,8 +10,8 @@
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
-/// The engine's configuration. Each replica has an election timeout of its own instead of a random one, so that the same events
-/// give the same actions.
+/// Returns the engine's configuration. Each replica has a fixed election timeout that depends on its number
+/// instead of a random one, so that the same events give the same actions.
 pub(super) fn raft_config(settings: &ReplicaSettings) -> Config {
     let election_ticks = settings.ticks(settings.election_timeout).max(MIN_ELECTION_TICKS);
     let stagger = (election_ticks / 4).max(1);
--- a/crates/lease-consensus/src/replica/state_machine.rs
+++ b/crates/lease-consensus/src/replica/state_machine.rs
@@ -1,4 +1,4 @@
-//! Committed entries applied to the lease table, and the responses that follow.
+//! Applies committed entries to the lease table and answers their requests.
 
 use honeyknot_lease::{Command, CommandOutcome, CommandResult, Rejection};
 use raft::eraftpb;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// All leases, with their times as this leader measures them.
+    /// Returns all leases, with their times as this leader measures them.
     fn lease_views(&self, now: Micros) -> Vec<LeaseView> {
         let expiry_tracker = self.leadership.as_ref().map(|leadership| &leadership.expiry_tracker);
         let views = self.lease_table.leases().map(|(task, lease)| {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Decodes a stored part of the replicated state.
+/// Decodes an entry or snapshot.
 pub(super) fn decode<T: for<'bytes> Deserialize<'bytes>>(
     item: StoredItem, index: u64, bytes: &[u8],
 ) -> Result<T, ReplicaError> {
--- a/crates/lease-consensus/src/settings.rs
+++ b/crates/lease-consensus/src/settings.rs
@@ -15,17 +15,18 @@
     pub replica_count: u64,
     /// Interval at which [`crate::Replica::tick`] is called, in microseconds.
     pub tick_interval: Micros,
-    /// Minimum election timeout, in microseconds; each replica's own is longer by a part that depends on its number.
+    /// Minimum election timeout, in microseconds. The timeout of each replica is longer by a delay that
+    /// depends on its number.
     pub election_timeout: Micros,
-    /// Number of applied entries after the last snapshot that lead to the next one.
+    /// Number of entries that are applied after a snapshot before the next one is taken.
     pub compact_after: u64,
     /// Fencing tokens of a new fleet are greater than this.
     pub tokens_from: u64,
 }
 
 impl ReplicaSettings {
-    /// A span in ticks, rounded up, at least 1.
-    pub(crate) fn ticks(&self, span: Micros) -> usize {
-        usize::try_from(span.div_ceil(self.tick_interval.max(1))).unwrap_or(usize::MAX).max(1)
+    /// Converts a duration to ticks, rounded up, at least 1.
+    pub(crate) fn ticks(&self, duration: Micros) -> usize {
+        usize::try_from(duration.div_ceil(self.tick_interval.max(1))).unwrap_or(usize::MAX).max(1)
     }
 }
--- a/crates/lease-consensus/tests/simulation/action_history.rs
+++ b/crates/lease-consensus/tests/simulation/action_history.rs
@@ -1,11 +1,11 @@
-//! The actions on one task, by what they did in true time.
+//! The actions on one task and the true times of their effects.
 
 use honeyknot_lease::{FencingToken, Micros};
 
 use crate::simulator::LEASE;
 
-/// Actions are forgotten after this time without an effect: no permit is as long as a lease.
-const MEMORY: Micros = 8 * LEASE;
+/// Actions are dropped after this time without an effect, because no permit is as long as a lease.
+const RETENTION: Micros = 8 * LEASE;
 
 #[derive(Clone, Copy, Debug)]
 struct ActionRecord {
@@ -23,7 +23,7 @@
 pub struct EffectObservation {
     pub is_new_token: bool,
     pub follows_newer_token: bool,
-    /// The greatest number of actions that overlapped at one time of this action.
+    /// The greatest number of actions that were in progress at the same time during this action.
     pub concurrent_actions: usize,
 }
 
@@ -42,13 +42,14 @@
         }
         let follows_newer_token = records.iter().any(|other| other.token > token);
         let concurrent_actions = 1 + max_overlap(records, own.first_effect);
-        records.retain(|other| other.last_effect + MEMORY > now);
+        records.retain(|other| other.last_effect + RETENTION > now);
         records.push(own);
         EffectObservation { is_new_token, follows_newer_token, concurrent_actions }
     }
 }
 
-/// The greatest number of actions that were in progress at the last effect of one of them, not before `since`.
+/// Returns the greatest number of actions in progress at the last effect of any action, of effects not before
+/// `since`.
 fn max_overlap(records: &[ActionRecord], since: Micros) -> usize {
     let times = records.iter().map(|record| record.last_effect).filter(|time| *time >= since);
     let in_progress_at = |time: Micros| {
--- a/crates/lease-consensus/tests/simulation/clients.rs
+++ b/crates/lease-consensus/tests/simulation/clients.rs
@@ -69,11 +69,14 @@
         let observation = self.action_histories[task].record(self.now, action_number, token);
         let (name, slots) = (TASKS[task].name, TASKS[task].slots);
         if slots == 1 && observation.follows_newer_token {
-            self.report_violation(format!("{name}: an effect by token {} after one by a later one", token.0));
+            self.report_violation(format!(
+                "{name}: an effect with token {} follows one with a greater token",
+                token.0
+            ));
         }
         let concurrent = observation.concurrent_actions;
         if concurrent > slots as usize {
-            self.report_violation(format!("{name}: {concurrent} acts at once"));
+            self.report_violation(format!("{name}: {concurrent} concurrent actions"));
         }
         self.report.effects += 1;
         self.report.holder_changes += u64::from(observation.is_new_token);
--- a/crates/lease-consensus/tests/simulation/event.rs
+++ b/crates/lease-consensus/tests/simulation/event.rs
@@ -1,4 +1,4 @@
-//! Events of a simulation. Replicas and clients are counted from 0.
+//! Events of a simulation. Replicas and clients are numbered from 0.
 
 use honeyknot_lease_consensus::{ClientRequest, PeerMessage, Response};
 
@@ -16,7 +16,7 @@
         request_id: u64,
         response: Response,
     },
-    /// A client acts and sends requests.
+    /// A client performs effects and sends requests.
     ClientStep(usize),
     Fault,
     /// A replica starts from its persisted state.
--- a/crates/lease-consensus/tests/simulation/faults.rs
+++ b/crates/lease-consensus/tests/simulation/faults.rs
@@ -53,7 +53,7 @@
     pub fn crash(&mut self, number: usize) {
         self.replicas[number].replica = None;
         self.report.crashes += 1;
-        if self.fault == Some(SimulatedFault::EmptyStateVotes) {
+        if self.fault == Some(SimulatedFault::LosesPersistedState) {
             self.replicas[number].state = PersistedState::default();
         }
         let delay = self.rng.random_range(0..LEASE);
--- a/crates/lease-consensus/tests/simulation/main.rs
+++ b/crates/lease-consensus/tests/simulation/main.rs
@@ -1,7 +1,8 @@
-//! Seeded simulations of replicas with the real engine and of fifty clients on a virtual clock: messages that are delayed, lost,
-//! duplicated and reordered, links cut in one direction, processes that are paused, replicas that crash between a write and what
-//! follows from it, clocks as far apart as the drift bound allows. No action with an older token may follow one with a newer token,
-//! no more clients act than a task has slots, and no committed entry ever differs.
+//! Seeded simulations of replicas with the real engine and of fifty clients on a virtual clock: messages that
+//! are delayed, lost, duplicated and reordered, links cut in one direction, processes that are paused,
+//! replicas that crash between a write and the messages that depend on it, clocks as far apart as the drift
+//! bound allows. No effect with a smaller token may follow one with a greater token, no more clients may act
+//! than a task has slots, and no committed entry may differ between replicas.
 //!
 //! `HONEYKNOT_DAYS` sets the number of seeds.
 
@@ -46,7 +47,7 @@
         for (task, last_effect) in TASKS.iter().zip(report.last_effects) {
             assert!(
                 last_effect >= DURATION - 4 * LEASE,
-                "seed {seed}: nobody acts on {} after {last_effect}",
+                "seed {seed}: no effect on {} after {last_effect}",
                 task.name
             );
         }
@@ -61,7 +62,7 @@
     );
     assert!(
         total.holder_changes > 20 * seeds && total.crashes > 2 * seeds && total.terms > 3 * seeds,
-        "the simulations show little: {total:?}"
+        "too few events to test the invariants: {total:?}"
     );
 }
 
@@ -75,7 +76,7 @@
 #[test]
 fn every_injected_fault_is_detected() {
     let lease_faults = InjectedFault::ALL.map(SimulatedFault::Lease);
-    let replica_faults = [SimulatedFault::EmptyStateVotes, SimulatedFault::AnswersBeforeWriting];
+    let replica_faults = [SimulatedFault::LosesPersistedState, SimulatedFault::RespondsBeforePersisting];
     let faults = lease_faults.into_iter().chain(replica_faults);
     let workers: Vec<_> = faults
         .map(|fault| {
--- a/crates/lease-consensus/tests/simulation/replicas.rs
+++ b/crates/lease-consensus/tests/simulation/replicas.rs
@@ -13,7 +13,7 @@
         match Replica::new(settings, self.replicas[number].state.clone()) {
             Ok(replica) => self.replicas[number].replica = Some(replica),
             Err(error) => {
-                self.report_violation(format!("keeper {} does not start: {error}", number + 1));
+                self.report_violation(format!("replica {} does not start: {error}", number + 1));
             }
         }
     }
@@ -44,10 +44,10 @@
     }
 
     fn replica_failed(&mut self, number: usize, error: &ReplicaError) {
-        self.report_violation(format!("keeper {}: {error}", number + 1));
+        self.report_violation(format!("replica {}: {error}", number + 1));
     }
 
-    /// A write takes its time, rarely a lot of it.
+    /// Schedules a write after a random delay, which is rarely a long one.
     fn schedule_persist(&mut self, number: usize) {
         if !std::mem::replace(&mut self.replicas[number].is_persist_scheduled, true) {
             let is_slow = self.rng.random_range(0..200) == 0;
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Persists a replica's writes and performs what follows, until there is nothing more. It may crash before a write is durable, or
-    /// after it and before anything that follows is sent.
+    /// Persists a replica's writes and performs the actions that follow, until there are none. The replica
+    /// may crash before a write is durable, or after it and before its messages are sent.
     pub fn persist(&mut self, number: usize) {
         self.replicas[number].is_persist_scheduled = false;
         loop {
@@ -67,7 +67,7 @@
             let Some(write) = replica.ready(now) else { break };
             let crashes = self.now < LAST_FAULT && self.rng.random_range(0..1_500) == 0;
             let is_durable = !crashes || self.rng.random_bool(0.5);
-            let sends_early = self.fault == Some(SimulatedFault::AnswersBeforeWriting);
+            let sends_early = self.fault == Some(SimulatedFault::RespondsBeforePersisting);
             if is_durable && !(sends_early && crashes) {
                 process.state.write(write.clone());
             }
@@ -85,7 +85,7 @@
         self.check_committed(number);
     }
 
-    /// Checks that committed entries are the same at all replicas, for ever.
+    /// Checks that a committed entry is the same at all replicas and at all times.
     fn check_committed(&mut self, number: usize) {
         let process = &self.replicas[number];
         let Some(replica) = &process.replica else { return };
@@ -97,7 +97,7 @@
         for entry in entries.iter().take_while(|entry| entry.index <= commit) {
             let hash = hash(entry);
             if *self.committed.entry(entry.index).or_insert(hash) != hash {
-                violation = Some(format!("entry {} differs at keeper {}", entry.index, number + 1));
+                violation = Some(format!("entry {} differs at replica {}", entry.index, number + 1));
             }
         }
         self.report.terms = self.report.terms.max(replica.term());
--- a/crates/lease-consensus/tests/simulation/report.rs
+++ b/crates/lease-consensus/tests/simulation/report.rs
@@ -9,12 +9,12 @@
     pub effects: u64,
     pub holder_changes: u64,
     pub crashes: u64,
-    /// The greatest term.
+    /// The greatest term of any replica.
     pub terms: u64,
     /// True time of the last effect on each task.
     pub last_effects: [Micros; TASKS.len()],
     /// Hash of all committed entries.
     pub log_hash: u64,
-    /// The first violated invariant.
+    /// The first violation of an invariant.
     pub violation: Option<String>,
 }
--- a/crates/lease-consensus/tests/simulation/simulator.rs
+++ b/crates/lease-consensus/tests/simulation/simulator.rs
@@ -29,23 +29,23 @@
     pub slots: u32,
 }
 
-/// A fault that a simulation must detect.
+/// An injected fault that a simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SimulatedFault {
-    /// In the lease table, the expiry tracker or the holder.
+    /// A fault in the lease table, the expiry tracker or the holder.
     Lease(InjectedFault),
-    /// A replica that restarts without its persisted state votes as if it had never voted.
-    EmptyStateVotes,
-    /// A replica answers before the write that the answer depends on.
-    AnswersBeforeWriting,
+    /// A crash loses the persisted state, so that the replica votes as if it had never voted.
+    LosesPersistedState,
+    /// A replica sends messages and responses before the write that they depend on is durable.
+    RespondsBeforePersisting,
 }
 
 pub struct ReplicaProcess {
     pub clock: SimulatedClock,
-    /// `None` while it is down.
+    /// `None` while the replica is down.
     pub replica: Option<Replica>,
     pub state: PersistedState,
-    /// Whether a write is scheduled: until then messages and requests gather.
+    /// Whether a write is scheduled. Messages and requests that arrive before it share the write.
     pub is_persist_scheduled: bool,
 }
 
@@ -75,13 +75,13 @@
     pub settings: ReplicaSettings,
     pub replicas: Vec<ReplicaProcess>,
     pub clients: Vec<ClientProcess>,
-    /// Until when each process is paused: replicas first, then clients.
+    /// Until when each process is paused, in true time: replicas first, then clients.
     pub paused_until: Vec<Micros>,
-    /// Until when messages from one replica to another are lost.
+    /// Until when messages from one replica to another are lost, in true time.
     pub links_cut_until: BTreeMap<(ReplicaId, ReplicaId), Micros>,
     pub action_count: u64,
     pub action_histories: [ActionHistory; TASKS.len()],
-    /// Hash of each committed entry by index, as the first replica that knew it to be committed had it.
+    /// Hash of each committed entry by index, from the first replica that knew it to be committed.
     pub committed: BTreeMap<u64, u64>,
     pub report: Report,
 }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The process that handles an event, by its place in `paused_until`.
+    /// Returns the index in `paused_until` of the process that handles an event.
     fn process_of(&self, event: &Event) -> Option<usize> {
         match event {
             Event::ReplicaTick(replica) | Event::Persist(replica) | Event::RequestArrives { replica, .. } => {
@@ -208,7 +208,7 @@
     }
 }
 
-/// A clock at the bound of drift, or anywhere between.
+/// Creates a clock whose rate error is the drift bound in either direction or a random value in between.
 fn random_clock(parameters: &LeaseParameters, rng: &mut Pcg64Mcg) -> SimulatedClock {
     let bound = parameters.drift_ppm as i64;
     SimulatedClock {
@@ -217,7 +217,7 @@
     }
 }
 
-/// A client that wants all tasks; every other one holds them for a limited time.
+/// Creates a client that wants all tasks. Clients with even numbers release a task after a maximum hold time.
 fn random_client(number: usize, settings: &ReplicaSettings, rng: &mut Pcg64Mcg) -> ClientProcess {
     let parameters = settings.parameters;
     let clock = random_clock(&parameters, rng);
