--- a/crates/lease-consensus/src/replica/state_machine.rs
+++ b/crates/lease-consensus/src/replica/state_machine.rs
@@ -1,6 +1,6 @@
-//! Committed entries applied to the lease table, and the responses that follow.
+//! Applies committed entries to the lease table and answers their requests.
 
-use honeyknot_lease::{Answer, Command, CommandResult, Rejection};
+use honeyknot_lease::{Command, CommandOutcome, CommandResult, Rejection};
 use raft::eraftpb;
 use serde::Deserialize;
 
@@ -39,14 +39,16 @@
     }
 
     fn apply_command(&mut self, now: Micros, command: &Command) -> CommandResult {
-        let answer = self.lease_table.apply(&self.settings.parameters, command);
-        let retry_after = match (&mut self.leadership, command, answer) {
-            (Some(leadership), Command::Acquire { task, .. }, Answer::Rejected(Rejection::SlotsTaken)) => {
-                leadership.acquire_backoff.retry_after(now, task)
-            }
+        let outcome = self.lease_table.apply(&self.settings.parameters, command);
+        let retry_after = match (&mut self.leadership, command, outcome) {
+            (
+                Some(leadership),
+                Command::Acquire { task, .. },
+                CommandOutcome::Rejected(Rejection::SlotsTaken),
+            ) => leadership.acquire_backoff.retry_after(now, task),
             _ => 0,
         };
-        CommandResult { answer, retry_after }
+        CommandResult { outcome, retry_after }
     }
 
     fn respond_to_entry(
@@ -64,7 +66,7 @@
         }
     }
 
-    /// All leases, with their times as this leader measures them.
+    /// Returns all leases, with their times as this leader measures them.
     fn lease_views(&self, now: Micros) -> Vec<LeaseView> {
         let expiry_tracker = self.leadership.as_ref().map(|leadership| &leadership.expiry_tracker);
         let views = self.lease_table.leases().map(|(task, lease)| {
@@ -83,7 +85,7 @@
     }
 }
 
-/// Decodes a stored part of the replicated state.
+/// Decodes an entry or snapshot.
 pub(super) fn decode<T: for<'bytes> Deserialize<'bytes>>(
     item: StoredItem, index: u64, bytes: &[u8],
 ) -> Result<T, ReplicaError> {
--- a/crates/lease/tests/model/transitions.rs
+++ b/crates/lease/tests/model/transitions.rs
@@ -6,7 +6,7 @@
 use crate::state::{Expiry, Reply, Request, SentReply, SentRequest, State, Step, TASK};
 
 impl LeaseModel {
-    /// The state after a step, or `None` if the step changes nothing.
+    /// Returns the state after a step, or `None` if the step changes nothing.
     pub fn transition(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
@@ -47,20 +47,20 @@
             state.requests_in_transit.remove(&request);
         }
         let command = request.command();
-        let answer = state.lease_table.apply(&self.parameters, &command);
+        let outcome = state.lease_table.apply(&self.parameters, &command);
         let now = self.fast_clock(state);
-        // The injected fault that counts from the request counts from when the holder sent it.
+        // The injected fault that measures leases from the request uses the time when the holder sent it.
         let requested_at = self.slow_to_fast(request.sent_at);
         state.expiry_tracker.commands_applied(requested_at, now, &state.lease_table, &[command]);
-        let reply = Reply::from(answer);
+        let reply = Reply::from(outcome);
         if let (Request::Acquire { .. }, Reply::Held { token }) = (request.request, reply)
             && !state.granted.contains(&token)
         {
             state.has_token_regression |= state.granted.last().is_some_and(|newest| *newest >= token);
             state.granted.push(token);
         }
-        let changes_holder = !matches!(request.request, Request::Release { .. }) && reply != Reply::Other;
-        if changes_holder {
+        let is_reply_needed = !matches!(request.request, Request::Release { .. }) && reply != Reply::Other;
+        if is_reply_needed {
             state.replies_in_transit.insert(SentReply { to: request, reply });
         }
     }
