--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's actions.
+//! Executes the balancer's actions.
 
 use honeyknot_balancer::{Action, AttemptId, EndpointId, Event, Micros, Outcome, RequestId};
 use honeyknot_metrics::MetricFamily;
@@ -31,11 +31,11 @@
                 self.send_health_check_command(endpoint, HealthCheckCommand::Close)
             }
             Action::SetTimer { delay, token } => self.timers.set_balancer_timer(delay, token),
-            // The discovery client follows the endpoint list all the time and paces its own polls.
+            // The discovery client watches the endpoint list continuously and schedules its own polls.
             Action::Watch(_) => {}
             Action::FetchEndpoints => self.send_discovery_command(DiscoveryCommand::FetchFullList),
             Action::Log(text) => info!(target: "balancer", "{text}"),
-            // The settings tell the balancer that relays cannot send messages to each other.
+            // Never requested: the settings tell the balancer that relays cannot send messages to each other.
             Action::SendPeerMessage { .. } => {}
         }
     }
@@ -47,32 +47,35 @@
         self.send_command(id, ConnectionCommand::Reject(retry_after));
     }
 
-    /// Starts an attempt, or ends it at once where it may not be started; a `timeout` of 0 is the client's deadline.
+    /// Starts an attempt, or reports its end without starting it if it is not permitted or the endpoint has
+    /// no known address. A `timeout` of 0 stands for the time until the client's deadline.
     fn start_attempt(
         &mut self, id: RequestId, endpoint: EndpointId, timeout: Micros, send_before: Option<Micros>,
     ) {
         let now = self.timers.clock.now();
         let max_attempts = self.settings.permissions.max_attempts;
         let Some(entry) = self.connections.get_mut(id) else { return };
-        let attempt = AttemptId(entry.attempts);
-        entry.attempts += 1;
+        let attempt = AttemptId(entry.attempts_started);
+        entry.attempts_started += 1;
         let time_left = entry.deadline.saturating_sub(now);
         if attempt.0 >= max_attempts || time_left == 0 || entry.established {
-            return self.attempt_not_started(id, attempt, endpoint, Outcome::NotSent);
+            return self.end_unstarted_attempt(id, attempt, endpoint, Outcome::NotSent);
         }
         let Some(address) = self.endpoints.address(&endpoint) else {
-            return self.attempt_not_started(id, attempt, endpoint, Outcome::ConnectFailed);
+            return self.end_unstarted_attempt(id, attempt, endpoint, Outcome::ConnectFailed);
         };
         let timeout = if timeout == 0 { time_left } else { timeout.min(time_left) };
-        entry.attempt = Some(CurrentAttempt { id: attempt, endpoint: endpoint.clone(), started_at: now });
+        entry.current_attempt =
+            Some(CurrentAttempt { id: attempt, endpoint: endpoint.clone(), started_at: now });
         let request = AttemptRequest { attempt, endpoint: endpoint.clone(), address, timeout, send_before };
         let _ = entry.commands.send(ConnectionCommand::Forward(request));
         self.zone_attempt_started(id, &endpoint);
         self.record_attempt_started(attempt, &endpoint);
     }
 
-    /// Queues the end of an attempt, to be handled after the actions under way.
-    fn attempt_not_started(
+    /// Queues the event that ends an attempt that was not started. The balancer handles it after the current
+    /// actions.
+    fn end_unstarted_attempt(
         &mut self, id: RequestId, attempt: AttemptId, endpoint: EndpointId, outcome: Outcome,
     ) {
         let (closed, elapsed, report) = (false, 0, None);
@@ -89,7 +92,8 @@
 
     pub(in crate::relay) fn send_command(&mut self, id: RequestId, command: ConnectionCommand) {
         if let Some(entry) = self.connections.get(id) {
-            // A connection that has just ended does not receive; `connection_closed` settles its request.
+            // Sending fails if the connection's task has just ended; `connection_closed` then settles the
+            // request.
             let _ = entry.commands.send(command);
         }
     }
@@ -99,7 +103,7 @@
     ) {
         let Some(relay) = self.weak_self.upgrade() else { return };
         let start = || health_check::start(relay, endpoint.clone());
-        let _ = self.endpoints.health_check(&endpoint, start).send(command);
+        let _ = self.endpoints.health_check_queue(&endpoint, start).send(command);
     }
 
     pub(in crate::relay) fn send_discovery_command(&self, command: DiscoveryCommand) {
--- a/src/relay/command.rs
+++ b/src/relay/command.rs
@@ -1,4 +1,4 @@
-//! What the relay asks of a connection's task.
+//! Commands from the relay to the task of a connection.
 
 use std::net::SocketAddr;
 
@@ -9,29 +9,29 @@
 pub enum ConnectionCommand {
     /// Start an attempt at an endpoint.
     Forward(AttemptRequest),
-    /// Reject the request; the client may retry after this many microseconds.
+    /// Reject the request. The client may retry after this many microseconds; 0 names no time.
     Reject(Micros),
-    /// Answer the client that the request failed.
+    /// Tell the client that the request failed.
     Fail,
     /// Ask the client to reconnect.
     Migrate,
-    /// Pass the connection on to the process that replaces this one.
+    /// Transfer the connection to the process that replaces this one.
     Transfer,
-    /// Give up this attempt.
+    /// Cancel this attempt.
     Cancel(AttemptId),
 }
 
-/// An attempt to be made.
+/// An attempt that a connection's task is to make.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// Its number within the connection.
+    /// Number of the attempt within the connection, from 0.
     pub attempt: AttemptId,
-    /// The endpoint.
+    /// The endpoint to connect to.
     pub endpoint: EndpointId,
-    /// Where this relay reaches the endpoint.
+    /// Address at which this relay reaches the endpoint.
     pub address: SocketAddr,
-    /// How long the answer may take.
+    /// Time until the attempt fails without a response, in microseconds.
     pub timeout: Micros,
-    /// When the request must have been written, if it is a retry.
+    /// Time by which the request must be sent, in Unix microseconds; `None` if there is no such limit.
     pub send_before: Option<Micros>,
 }
--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -1,4 +1,4 @@
-//! What happens to connections, as events of the balancer.
+//! Reports what happens on client connections to the balancer, to zone failover and to the metrics.
 
 use honeyknot_balancer::{
     AffinityGroup, AttemptId, ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome, Request,
@@ -15,13 +15,13 @@
 use super::metrics::recorder::RequestResult;
 use super::{ConnectionCommand, Relay};
 
-/// A registered connection: its id, and the queue of its commands.
+/// The id of a registered connection and the queue on which its task receives commands.
 type RegisteredConnection = (RequestId, UnboundedReceiver<ConnectionCommand>);
 
 impl Relay {
-    /// Registers a client's request and has it routed; none if its class is unknown.
+    /// Registers a client's request and passes it to the balancer; returns `None` if its class is unknown.
     ///
-    /// Commands come by the queue until [`Relay::connection_closed`].
+    /// Commands arrive on the returned queue until [`Relay::connection_closed`] is called.
     pub fn request_connection(&mut self, open: &OpenRequest) -> Option<RegisteredConnection> {
         let mut request = self.build_request(open)?;
         let registered = self.register_connection(&request);
@@ -31,7 +31,7 @@
                 request.allowed_zones = zones;
                 self.handle_event(Event::Request(request));
             }
-            // Without an allowed zone there is nothing to route, so the balancer does not hear of the request.
+            // No zone may serve the request, so it is rejected without asking the balancer.
             ZoneDecision::Reject { retry_after } => {
                 self.record_rejected(RejectionReason::ZoneLimit, Some(0));
                 self.send_command(request.id, ConnectionCommand::Reject(retry_after));
@@ -40,7 +40,8 @@
         Some(registered)
     }
 
-    /// Registers a connection that was established at an endpoint before this relay started.
+    /// Registers a connection that was established at an endpoint before this relay started; returns `None`
+    /// if its class is unknown.
     pub fn adopt_connection(
         &mut self, open: &OpenRequest, endpoint: EndpointId,
     ) -> Option<RegisteredConnection> {
@@ -48,7 +49,8 @@
         self.restore_connection(open, endpoint)
     }
 
-    /// Registers a connection that another process has established.
+    /// Registers a connection that another process of this relay established; returns `None` if its class is
+    /// unknown.
     pub fn restore_connection(
         &mut self, open: &OpenRequest, endpoint: EndpointId,
     ) -> Option<RegisteredConnection> {
@@ -56,8 +58,9 @@
         let (id, commands) = self.register_connection(&request);
         let started_at = self.timers.clock.now();
         if let Some(entry) = self.connections.get_mut(id) {
-            (entry.attempts, entry.established) = (1, true);
-            entry.attempt = Some(CurrentAttempt { id: AttemptId(0), endpoint: endpoint.clone(), started_at });
+            (entry.attempts_started, entry.established) = (1, true);
+            entry.current_attempt =
+                Some(CurrentAttempt { id: AttemptId(0), endpoint: endpoint.clone(), started_at });
         }
         self.zone_connection_adopted(&request, &endpoint);
         self.handle_event(Event::ConnectionAdopted(request, endpoint));
@@ -69,9 +72,9 @@
         let requested_at = self.timers.clock.now();
         let entry = ConnectionEntry {
             commands,
-            attempts: 0,
+            attempts_started: 0,
             deadline: requested_at.saturating_add(request.time_remaining),
-            attempt: None,
+            current_attempt: None,
             established: false,
             class: request.class,
             affinity_group: request.affinity_group.clone(),
@@ -81,6 +84,7 @@
         (request.id, queue)
     }
 
+    /// Returns the balancer's form of a client's request, or `None` if its class is unknown.
     fn build_request(&mut self, open: &OpenRequest) -> Option<Request> {
         let class = self.names.class(open.class()?)?;
         let deadline = self.settings.classes.get(class.0)?.deadline;
@@ -100,11 +104,11 @@
         })
     }
 
-    /// An endpoint has accepted the connection.
+    /// Reports that an endpoint has accepted the connection.
     pub fn connection_established(&mut self, id: RequestId) {
         let Some(entry) = self.connections.get_mut(id) else { return };
         entry.established = true;
-        let Some(attempt) = entry.attempt.clone() else { return };
+        let Some(attempt) = entry.current_attempt.clone() else { return };
         let (requested_at, class) = (entry.requested_at, entry.class);
         self.record_request_result(Some(class), RequestResult::Established);
         let setup_time = self.timers.clock.now().saturating_sub(requested_at);
@@ -115,11 +119,13 @@
         self.handle_event(Event::ConnectionEstablished { id, attempt, endpoint, elapsed });
     }
 
-    /// The current attempt has ended; `closed` if that has answered the client.
+    /// Reports the end of the current attempt. `closed` tells whether the request is finished, so that
+    /// the client is owed no further response.
     pub fn attempt_ended(
         &mut self, id: RequestId, outcome: Outcome, closed: bool, report: Option<LoadReport>,
     ) {
-        let Some(attempt) = self.connections.get_mut(id).and_then(|entry| entry.attempt.take()) else {
+        let Some(attempt) = self.connections.get_mut(id).and_then(|entry| entry.current_attempt.take())
+        else {
             return;
         };
         let CurrentAttempt { id: attempt, endpoint, started_at } = attempt;
@@ -131,32 +137,35 @@
         self.handle_event(Event::AttemptEnded { id, attempt, outcome, closed, endpoint, elapsed, report });
     }
 
-    /// The client of a connection that is not established gets its answer.
+    /// Records the response to the client of a connection that is not established.
     pub(in crate::relay) fn request_answered(&mut self, id: RequestId, answer: RequestResult) {
         let class = self.connections.get(id).map(|entry| entry.class);
         self.record_request_result(class, answer);
     }
 
-    /// The connection's task ends; its attempt is settled, and its client's request unless it was `answered`.
+    /// Removes a connection whose task ends.
+    ///
+    /// Reports the end of its attempt, if one is in progress, and a failed request if the client was not
+    /// `answered` and the connection was never established.
     pub fn connection_closed(&mut self, id: RequestId, answered: bool) {
         let Some(entry) = self.connections.get(id) else { return };
-        let (attempt_under_way, class) = (entry.attempt.is_some(), entry.class);
+        let (attempt_in_progress, class) = (entry.current_attempt.is_some(), entry.class);
         if !answered && !entry.established {
             self.record_request_result(Some(class), RequestResult::Failed);
             self.handle_event(Event::ClientLeft(id));
         }
-        if attempt_under_way {
+        if attempt_in_progress {
             self.attempt_ended(id, Outcome::Cancelled, true, None);
         }
         self.connections.remove(id);
     }
 
-    /// Returns the endpoint of a connection's current attempt.
+    /// Returns the endpoint of a connection's current attempt, or `None` if no attempt is in progress.
     pub fn current_endpoint(&self, id: RequestId) -> Option<EndpointId> {
-        self.connections.attempt(id).map(|attempt| attempt.endpoint.clone())
+        self.connections.current_attempt(id).map(|attempt| attempt.endpoint.clone())
     }
 
-    /// The endpoint has reported the connection's load.
+    /// Reports the load of a connection as its endpoint has sent it.
     pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
         if let Some(zone_failover) = &mut self.zone_failover {
             zone_failover.connection_load_reported(id, load);
@@ -164,7 +173,7 @@
         self.connection_updated(id, ConnectionUpdate::Load(load));
     }
 
-    /// A message of the client was answered after this time.
+    /// Reports the time in microseconds from a client's message to the endpoint's response.
     pub fn message_latency_measured(&mut self, id: RequestId, latency: Micros) {
         if let Some(endpoint) = self.current_endpoint(id) {
             self.update_metrics(|metrics| metrics.record(MetricFamily::MessageLatency, latency));
@@ -173,7 +182,7 @@
     }
 
     pub(in crate::relay) fn connection_updated(&mut self, id: RequestId, update: ConnectionUpdate) {
-        let Some(attempt) = self.connections.attempt(id).cloned() else { return };
+        let Some(attempt) = self.connections.current_attempt(id).cloned() else { return };
         let CurrentAttempt { id: attempt, endpoint, .. } = attempt;
         self.handle_event(Event::ConnectionUpdated { id, attempt, endpoint, update });
     }
--- a/src/relay/connection_table.rs
+++ b/src/relay/connection_table.rs
@@ -1,4 +1,5 @@
-//! The connections that the relay serves, pending and established, and the ids that clients have open.
+//! The connections that the relay serves, pending and established, and the connection ids that clients have
+//! open.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,46 +10,46 @@
 
 use super::ConnectionCommand;
 
-/// The attempt that a connection waits for, or the one that established it.
+/// The attempt in progress on a connection, or the one that established it.
 #[derive(Clone, Debug)]
 pub(in crate::relay) struct CurrentAttempt {
-    /// Its number within the connection.
+    /// Number of the attempt within the connection, from 0.
     pub(in crate::relay) id: AttemptId,
-    /// The endpoint it goes to.
+    /// Endpoint of the attempt.
     pub(in crate::relay) endpoint: EndpointId,
-    /// When it was started.
+    /// Time at which the attempt was started, in Unix microseconds.
     pub(in crate::relay) started_at: Micros,
 }
 
-/// A connection as the relay knows it.
+/// The relay's record of a connection.
 #[derive(Debug)]
 pub(in crate::relay) struct ConnectionEntry {
-    /// The queue of its task.
+    /// Queue of commands to the connection's task.
     pub(in crate::relay) commands: UnboundedSender<ConnectionCommand>,
-    /// Attempts that were started.
-    pub(in crate::relay) attempts: u32,
-    /// When the client's patience ends.
+    /// Number of attempts started so far.
+    pub(in crate::relay) attempts_started: u32,
+    /// Time until which the client waits for a response, in Unix microseconds.
     pub(in crate::relay) deadline: Micros,
-    /// The attempt under way.
-    pub(in crate::relay) attempt: Option<CurrentAttempt>,
-    /// Whether an endpoint has accepted it.
+    /// The attempt in progress, or the one that established the connection; `None` between attempts.
+    pub(in crate::relay) current_attempt: Option<CurrentAttempt>,
+    /// Whether an endpoint has accepted the connection.
     pub(in crate::relay) established: bool,
-    /// Its class.
+    /// Class of the request.
     pub(in crate::relay) class: ClassId,
-    /// Its affinity group.
+    /// Affinity group that the client named, if any; always `None` if the settings disable affinity groups.
     pub(in crate::relay) affinity_group: Option<AffinityGroup>,
-    /// When the client asked for it.
+    /// Time at which the client's request was registered, in Unix microseconds.
     pub(in crate::relay) requested_at: Micros,
 }
 
 impl ConnectionEntry {
-    /// Returns the endpoint that the connection is established at.
+    /// Returns the endpoint at which the connection is established, or `None` if it is not established.
     pub(in crate::relay) fn established_endpoint(&self) -> Option<&EndpointId> {
-        self.attempt.as_ref().filter(|_| self.established).map(|attempt| &attempt.endpoint)
+        self.current_attempt.as_ref().filter(|_| self.established).map(|attempt| &attempt.endpoint)
     }
 }
 
-/// All connections that have asked for an endpoint, by the request's id.
+/// All registered connections, by request id.
 #[derive(Debug, Default)]
 pub(in crate::relay) struct ConnectionTable {
     entries: BTreeMap<RequestId, ConnectionEntry>,
@@ -56,7 +57,7 @@
 }
 
 impl ConnectionTable {
-    /// Returns an id for the next request.
+    /// Returns a new request id.
     pub(in crate::relay) fn next_request_id(&mut self) -> RequestId {
         self.last_request_id = self.last_request_id.wrapping_add(1);
         RequestId(self.last_request_id)
@@ -77,14 +78,14 @@
         self.entries.get(&id)
     }
 
-    /// Returns a connection to be changed.
+    /// Returns a connection for modification.
     pub(in crate::relay) fn get_mut(&mut self, id: RequestId) -> Option<&mut ConnectionEntry> {
         self.entries.get_mut(&id)
     }
 
-    /// Returns a connection's attempt under way.
-    pub(in crate::relay) fn attempt(&self, id: RequestId) -> Option<&CurrentAttempt> {
-        self.get(id)?.attempt.as_ref()
+    /// Returns the attempt in progress on a connection, or the one that established it.
+    pub(in crate::relay) fn current_attempt(&self, id: RequestId) -> Option<&CurrentAttempt> {
+        self.get(id)?.current_attempt.as_ref()
     }
 
     /// Returns whether an endpoint has accepted a connection.
@@ -112,19 +113,19 @@
         self.entries.values().filter_map(ConnectionEntry::established_endpoint)
     }
 
-    /// Returns the first connection that is established at an endpoint.
+    /// Returns the connection with the lowest id that is established at an endpoint, if there is one.
     pub(in crate::relay) fn first_connection_to(&self, endpoint: &EndpointId) -> Option<RequestId> {
-        let there = |entry: &ConnectionEntry| entry.established_endpoint() == Some(endpoint);
-        self.entries.iter().find(|(_, entry)| there(entry)).map(|(id, _)| *id)
+        let matches = |entry: &ConnectionEntry| entry.established_endpoint() == Some(endpoint);
+        self.entries.iter().find(|(_, entry)| matches(entry)).map(|(id, _)| *id)
     }
 }
 
-/// The ids of the clients' connections that are open.
+/// The connection ids that clients have open.
 #[derive(Clone, Debug, Default)]
 pub(in crate::relay) struct OpenConnectionIds(Rc<RefCell<BTreeSet<Rc<str>>>>);
 
 impl OpenConnectionIds {
-    /// Marks an id as open; none if it is open already.
+    /// Reserves an id until the returned guard is dropped; returns `None` if it is already open.
     pub(in crate::relay) fn reserve(&self, id: &str) -> Option<ConnectionIdGuard> {
         let id: Rc<str> = id.into();
         let inserted = self.0.borrow_mut().insert(id.clone());
@@ -137,7 +138,7 @@
     }
 }
 
-/// The id of a client's connection, open until this is dropped.
+/// A reserved connection id of a client; dropping the guard releases it.
 #[derive(Debug)]
 pub struct ConnectionIdGuard {
     open_connection_ids: OpenConnectionIds,
--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -1,4 +1,4 @@
-//! The relay's budget of file descriptors: who holds one, and who may take another.
+//! The relay's budget of file descriptors for connections and health checks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,16 +6,18 @@
 use super::Relay;
 use crate::admin;
 
-/// Descriptors kept for everything that is no connection: standard streams, the runtime, the listeners, discovery.
+/// Descriptors reserved for everything but connections: standard streams, the runtime, the listeners,
+/// discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// What is left of the reserve when accepting pauses.
+/// Number of free descriptors at or below which accepting pauses and no permit is granted.
 const MIN_FREE_DESCRIPTORS: usize = 12;
-/// Idle connections hold at most one descriptor in this many: an established connection takes two, and needs the rest.
+/// Idle connections may hold at most one descriptor in this many; the rest is for established connections,
+/// which take two each.
 const IDLE_CONNECTIONS_DIVISOR: usize = 4;
-/// A process keeps at least one descriptor in this many while it shares the limit with its successor.
+/// During a hot restart a process may use at least one descriptor in this many of the shared limit.
 const MIN_SHARE_DIVISOR: usize = 4;
 
-/// The number of descriptors in use, shared by all permits.
+/// A counter of the descriptors in use, shared by all permits.
 #[derive(Clone, Debug, Default)]
 pub(in crate::relay) struct DescriptorCounter(Rc<Cell<usize>>);
 
@@ -26,12 +28,12 @@
     }
 }
 
-/// One descriptor in use; dropping it returns it to the budget.
+/// Permission to use one descriptor; dropping it returns the descriptor to the budget.
 #[derive(Debug)]
 pub struct DescriptorPermit(DescriptorCounter);
 
 impl DescriptorPermit {
-    /// Counts one more descriptor, whether or not the limit allows it.
+    /// Counts one more descriptor as in use, without checking the limit.
     pub(in crate::relay) fn new(counter: &DescriptorCounter) -> DescriptorPermit {
         counter.0.set(counter.get() + 1);
         DescriptorPermit(counter.clone())
@@ -45,38 +47,44 @@
     }
 }
 
-/// Returns how many descriptors of the process's limit are for connections and health checks, the reserve included.
+/// Returns how many descriptors the process's limit leaves without those for operators' connections; the
+/// reserve of `RESERVED_DESCRIPTORS` is still included.
 pub(in crate::relay) fn connection_descriptor_limit(process_limit: usize, admin_enabled: bool) -> usize {
     process_limit.saturating_sub(if admin_enabled { admin::server::MAX_DESCRIPTORS } else { 0 })
 }
 
 impl Relay {
-    /// Returns how many descriptors this process may hold: all processes of a relay share one limit.
+    /// Returns how many descriptors this process may use, without those that its predecessor still holds:
+    /// during a hot restart both processes share one limit.
     fn descriptor_limit(&self) -> usize {
         let min_share = self.max_descriptors / MIN_SHARE_DIVISOR;
         self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(min_share)
     }
 
-    /// Takes a descriptor, unless they would run out; when they are short, an idle connection is closed for it.
+    /// Returns a permit for one descriptor, or `None` if too few are free.
+    ///
+    /// If only the reserve is left, an idle connection is evicted for each permit.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         let in_use = self.descriptors_in_use.get();
         let descriptor_limit = self.descriptor_limit();
-        let short = in_use >= descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS);
-        let available = in_use < descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
-        (!short || available && self.idle_connections.evict_one())
+        let only_reserve_left = in_use >= descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS);
+        let reserve_available = in_use < descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
+        (!only_reserve_left || reserve_available && self.idle_connections.evict_one())
             .then(|| DescriptorPermit::new(&self.descriptors_in_use))
     }
 
-    /// Makes room for one more idle connection; false while there is none.
+    /// Makes room for one more idle connection, by eviction if necessary. Returns `false` if descriptors are
+    /// exhausted: the caller tries again once the evicted connection has been closed.
     pub(in crate::relay) fn make_room_for_idle_connection(&self) -> bool {
         let descriptor_limit = self.descriptor_limit();
         if self.idle_connections.len() >= descriptor_limit / IDLE_CONNECTIONS_DIVISOR {
             self.idle_connections.evict_one();
         }
-        let full = self.descriptors_in_use.get() >= descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
-        if full {
+        let is_exhausted =
+            self.descriptors_in_use.get() >= descriptor_limit.saturating_sub(MIN_FREE_DESCRIPTORS);
+        if is_exhausted {
             self.idle_connections.evict_one();
         }
-        !full
+        !is_exhausted
     }
 }
--- a/src/relay/endpoint_events.rs
+++ b/src/relay/endpoint_events.rs
@@ -1,4 +1,4 @@
-//! What is observed of endpoints, as events of the balancer: message latencies and health checks.
+//! Reports message latencies and health checks of endpoints to the balancer.
 
 use honeyknot_balancer::{ConnectionUpdate, EndpointId, Event, LoadReport, Micros, Outcome};
 
@@ -6,7 +6,8 @@
 use super::endpoints::message_latency::LatencySource;
 
 impl Relay {
-    /// A message took this many milliseconds at an endpoint.
+    /// Records the latency of a message at an endpoint in milliseconds, and reports it if it is high or has
+    /// just recovered.
     pub(in crate::relay) fn record_message_latency(
         &mut self, endpoint: EndpointId, latency_ms: f64, source: LatencySource,
     ) {
@@ -15,14 +16,15 @@
         }
     }
 
-    /// Reports again the latencies that last, as far as they were observed recently.
+    /// Repeats the reports of latencies that are still high, if they were observed recently.
     pub(in crate::relay) fn repeat_latency_reports(&mut self) {
         for (endpoint, latency_ms) in self.message_latencies.due_reports(self.timers.clock.now()) {
             self.report_message_latency(&endpoint, latency_ms);
         }
     }
 
-    /// Checks the health of the endpoint with established connections that was measured longest ago.
+    /// Requests a health check of the endpoint whose measurement has been due for longest, among those with
+    /// established connections.
     pub(in crate::relay) fn measure_message_latency(&mut self) {
         if self.shutting_down {
             return;
@@ -35,14 +37,15 @@
         }
     }
 
-    /// Reports a latency on one of the connections established at the endpoint.
+    /// Reports an endpoint's latency on one of the connections that are established there; without one, the
+    /// report is dropped.
     fn report_message_latency(&mut self, endpoint: &EndpointId, latency_ms: f64) {
         if let Some(id) = self.connections.first_connection_to(endpoint) {
             self.connection_updated(id, ConnectionUpdate::MessageLatency(latency_ms));
         }
     }
 
-    /// A health check has ended.
+    /// Reports the result of a health check; `elapsed` is its duration in microseconds.
     pub fn health_check_ended(
         &mut self, endpoint: EndpointId, outcome: Outcome, elapsed: Micros, report: Option<LoadReport>,
     ) {
--- a/src/relay/endpoint_table.rs
+++ b/src/relay/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! What the relay knows of each endpoint: address, zone, draining state and the health check task.
+//! The relay's record of each endpoint: address, zone, draining state and health check task.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,22 +8,23 @@
 
 use super::endpoints::health_check::HealthCheckCommand;
 
-/// One endpoint as the relay knows it.
+/// The relay's record of an endpoint.
 #[derive(Debug, Default)]
 struct EndpointEntry {
-    /// Where this relay reaches it, by the last update that named an address.
+    /// Address at which this relay reaches the endpoint, from the last update that contained one.
     address: Option<SocketAddr>,
-    /// Its zone, by the last update that named one.
+    /// Zone of the endpoint, from the last update that contained one.
     zone: Option<ZoneId>,
-    /// Whether it is draining or removed.
+    /// Whether the endpoint is draining or removed.
     draining: bool,
-    /// The task that checks its health, once one was asked for.
-    health_check: Option<UnboundedSender<HealthCheckCommand>>,
+    /// Queue of the endpoint's health check task; `None` until the first health check is requested.
+    health_check_queue: Option<UnboundedSender<HealthCheckCommand>>,
 }
 
 /// All endpoints that discovery has listed since the start, by id.
 ///
-/// Address, zone and draining state outlast an endpoint's removal from the list; its health check does not.
+/// Address, zone and draining state are kept when an endpoint is removed from the list; its health check task
+/// ends.
 #[derive(Debug, Default)]
 pub(in crate::relay) struct EndpointTable {
     entries: BTreeMap<EndpointId, EndpointEntry>,
@@ -34,14 +35,14 @@
         self.entries.entry(id.clone()).or_default()
     }
 
-    /// Notes where endpoints are reached.
+    /// Sets the addresses of endpoints.
     pub(in crate::relay) fn set_addresses(&mut self, addresses: Vec<(EndpointId, SocketAddr)>) {
         for (id, address) in addresses {
             self.entry(&id).address = Some(address);
         }
     }
 
-    /// Returns where this relay reaches an endpoint.
+    /// Returns the address at which this relay reaches an endpoint, or `None` if it is unknown.
     pub(in crate::relay) fn address(&self, id: &EndpointId) -> Option<SocketAddr> {
         self.entries.get(id)?.address
     }
@@ -51,28 +52,28 @@
         self.entries.iter().filter(|(_, entry)| entry.address.is_some()).map(|(id, _)| id)
     }
 
-    /// Returns the endpoints whose address is known and that take connections, in the order of their ids.
+    /// Returns the endpoints that accept connections and whose address is known, in the order of their ids.
     pub(in crate::relay) fn serving(&self) -> impl Iterator<Item = &EndpointId> {
         let serving = |entry: &EndpointEntry| entry.address.is_some() && !entry.draining;
         self.entries.iter().filter(move |(_, entry)| serving(entry)).map(|(id, _)| id)
     }
 
-    /// Notes an endpoint's zone.
+    /// Sets an endpoint's zone.
     pub(in crate::relay) fn set_zone(&mut self, id: &EndpointId, zone: ZoneId) {
         self.entry(id).zone = Some(zone);
     }
 
-    /// Returns an endpoint's zone.
+    /// Returns an endpoint's zone, or `None` if it is unknown.
     pub(in crate::relay) fn zone(&self, id: &EndpointId) -> Option<ZoneId> {
         self.entries.get(id)?.zone
     }
 
-    /// Notes that an endpoint is draining or removed; true if it was not before.
+    /// Marks an endpoint as draining or removed; returns `false` if it was marked already.
     pub(in crate::relay) fn start_draining(&mut self, id: &EndpointId) -> bool {
         !std::mem::replace(&mut self.entry(id).draining, true)
     }
 
-    /// Notes that an endpoint takes connections.
+    /// Marks an endpoint as accepting connections.
     pub(in crate::relay) fn stop_draining(&mut self, id: &EndpointId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.draining = false;
@@ -89,17 +90,17 @@
         self.entries.iter().filter(|(_, entry)| entry.draining).map(|(id, _)| id)
     }
 
-    /// Returns the queue of an endpoint's health check task, which `start` starts if there is none.
-    pub(in crate::relay) fn health_check(
+    /// Returns the queue of an endpoint's health check task; `start` starts the task if there is none.
+    pub(in crate::relay) fn health_check_queue(
         &mut self, id: &EndpointId, start: impl FnOnce() -> UnboundedSender<HealthCheckCommand>,
     ) -> &UnboundedSender<HealthCheckCommand> {
-        self.entry(id).health_check.get_or_insert_with(start)
+        self.entry(id).health_check_queue.get_or_insert_with(start)
     }
 
     /// Ends an endpoint's health check task.
     pub(in crate::relay) fn stop_health_check(&mut self, id: &EndpointId) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.health_check = None;
+            entry.health_check_queue = None;
         }
     }
 }
--- a/src/relay/error.rs
+++ b/src/relay/error.rs
@@ -1,4 +1,4 @@
-//! Why a relay does not start, ends early, or is not ready.
+//! Errors of starting and serving, and the reasons why a relay is not ready.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,66 +11,66 @@
 use super::lifecycle::signals::SignalError;
 use crate::gossip::JoinGossipError;
 
-/// Why a relay cannot be made of its configuration.
+/// An error that prevents a relay from being created from its configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Zone failover cannot work with these settings.
+    /// Zone failover cannot be started with these settings.
     #[error(transparent)]
     ZoneFailover(#[from] ZoneFailoverStartError),
-    /// The relay cannot take part in gossip.
+    /// The relay cannot join gossip.
     #[error(transparent)]
     Gossip(#[from] JoinGossipError),
     /// The balancer does not accept the settings.
-    #[error("settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[source] SettingsError),
 }
 
-/// Why a relay ends without being asked to.
+/// An error that ends a relay.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] LoadConfigError),
-    /// The runtime does not start.
-    #[error("the runtime does not start: {0}")]
+    /// The asynchronous runtime cannot be started.
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// Signals cannot be received.
     #[error(transparent)]
     Signal(#[from] SignalError),
     /// The address for clients cannot be listened on.
-    #[error("{address}: {source}")]
+    #[error("cannot listen for clients on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The address for operators cannot be listened on.
-    #[error("`admin_addr` {address}: {source}")]
+    #[error("cannot listen for operators on `admin_addr` {address}: {source}")]
     ListenAdmin {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The relay cannot be made.
+    /// The relay cannot be created from its configuration.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The process that serves so far cannot be replaced.
+    /// The running process of this relay cannot be replaced.
     #[error(transparent)]
     HotRestart(#[from] HotRestartError),
 }
 
-/// Why a relay does not accept clients.
+/// The reason why a relay does not accept clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotReady {
-    /// It is shutting down.
-    #[error("on its way out")]
+    /// The relay is shutting down.
+    #[error("shutting down")]
     ShuttingDown,
-    /// It has no endpoint list yet.
-    #[error("no server roll yet")]
+    /// The endpoint list has no entries, for example because discovery has not sent one yet.
+    #[error("no endpoint list from discovery yet, or an empty one")]
     NoEndpointList,
-    /// Another process still accepts its clients.
-    #[error("not taken over yet")]
+    /// The previous process of this relay still accepts its clients.
+    #[error("the previous process of this relay still accepts its clients")]
     TakeoverPending,
 }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -1,21 +1,22 @@
-//! Timeouts, admission and readiness, as the relay's tasks ask for them.
+//! Timeouts, admission checks and readiness of the relay.
 
 use honeyknot_balancer::{Micros, RequestId};
 
 use super::connections::protocol::OpenRequest;
 use super::{ConnectionIdGuard, NotReady, Relay};
 
-/// Time to connect to an endpoint where the settings give none.
+/// Timeout for connecting to an endpoint if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
-/// The shortest time after which an unused connection is closed.
+/// Minimum time after which an idle connection to an endpoint is closed.
 const MIN_IDLE_TIMEOUT: Micros = 1_000_000;
-/// Connections that were established before the relay started can be adopted for this long after its start.
+/// Time after the relay's start within which connections that were established earlier can be adopted.
 const ADOPTION_PERIOD: Micros = 40_000_000;
-/// A connection that asks to be adopted later than that waits at most this long for its endpoint to be listed.
+/// Maximum time for which a connection waits for its endpoint to be listed if it asks for adoption later than
+/// that.
 const LATE_ADOPTION_TIMEOUT: Micros = 2_000_000;
 
 impl Relay {
-    /// Returns how long connecting to an endpoint may take.
+    /// Returns the timeout for connecting to an endpoint, in microseconds.
     pub fn connect_timeout(&self) -> Micros {
         match self.settings.permissions.connect_timeout {
             0 => DEFAULT_CONNECT_TIMEOUT,
@@ -23,54 +24,58 @@
         }
     }
 
-    /// Returns how long a connection may be unused before it is closed.
+    /// Returns the time in microseconds after which an idle health check connection to an endpoint is closed.
     pub fn idle_timeout(&self) -> Micros {
         self.settings.permissions.idle_timeout.max(MIN_IDLE_TIMEOUT)
     }
 
-    /// Returns how long after its deadline a request is overdue.
+    /// Returns the time in microseconds after its deadline at which a request without a response is overdue.
     pub fn answer_grace(&self) -> Micros {
         self.settings.rules.answer_grace
     }
 
-    /// Returns the longest time that a rejected client may be asked to stay away.
+    /// Returns the maximum time in microseconds that a rejected client may be asked to wait before it
+    /// retries; 0 if the settings do not permit a time.
     pub fn max_retry_after(&self) -> Micros {
         if self.settings.permissions.retry_after { self.settings.permissions.max_retry_after } else { 0 }
     }
 
-    /// Returns the longest deadline of any class.
+    /// Returns the longest deadline of all classes, in microseconds.
     pub fn max_deadline(&self) -> Micros {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// Reserves the id of a client's connection; none if it is open already, or if the class does not exist.
+    /// Reserves the connection id of a client's request; returns `None` if the id is open already or the
+    /// class is unknown.
     ///
-    /// Guards against a client that uses the id of another's open request: endpoints reject the second one, which
-    /// must not count as their fault.
+    /// Endpoints reject a second request with the id of an open one. Checking it here keeps a client that
+    /// reuses an id from making endpoints look faulty.
     pub fn reserve_connection_id(&self, open: &OpenRequest) -> Option<ConnectionIdGuard> {
         self.names.class(open.class()?)?;
         self.open_connection_ids.reserve(open.connection_id())
     }
 
-    /// Returns whether another request may be admitted.
+    /// Returns whether another request can be admitted.
     pub fn can_admit(&self) -> bool {
-        // After a hot restart this process still serves what it accepted before: no other process will.
+        // After a hot restart this process still serves the connections that it accepted: no other process
+        // can.
         (!self.shutting_down || self.listener_ownership.handed_over())
             && (self.connections.count() as u64) < self.settings.permissions.max_open_requests
     }
 
-    /// Returns until when a connection established before the relay started may wait for its endpoint to be listed.
+    /// Returns the time in Unix microseconds until which a connection to be adopted waits for its endpoint to
+    /// be listed.
     ///
-    /// The time is long at the start, when the endpoint list may be incomplete, and short later. Guards against
-    /// clients that name an unknown endpoint to hold a connection.
+    /// The wait is long after the relay's start, when the endpoint list may be incomplete. It is short later,
+    /// so that clients cannot occupy connections by naming an unknown endpoint.
     pub fn adoption_deadline(&self) -> Micros {
         (self.started_at + ADOPTION_PERIOD).max(self.timers.clock.now() + LATE_ADOPTION_TIMEOUT)
     }
 
-    /// Checks that clients are accepted here and can be routed.
+    /// Checks that this process accepts clients and can route their requests.
     ///
     /// # Errors
-    /// If they cannot: the reason.
+    /// The reason, if it does not.
     pub fn check_ready(&self) -> Result<(), NotReady> {
         if self.shutting_down {
             return Err(NotReady::ShuttingDown);
@@ -89,7 +94,7 @@
         self.shutting_down
     }
 
-    /// Returns the established connections, and how many are pending.
+    /// Returns the established connections, and the number of pending ones.
     pub(in crate::relay) fn open_connections(&self) -> (Vec<RequestId>, usize) {
         let established = self.connections.established();
         let pending = self.connections.count() - established.len();
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,14 +1,14 @@
-//! The relay: one [`Balancer`](honeyknot_balancer::Balancer) whose events come from sockets and whose actions are
-//! carried out on them.
+//! The relay: feeds events from sockets to one [`Balancer`](honeyknot_balancer::Balancer) and executes its
+//! actions on them.
 //!
-//! Everything runs on one thread. Each connection is a task that calls the [`Relay`] directly and receives its
-//! [`ConnectionCommand`]s from a queue of its own; no borrow of the relay is held across an await.
+//! Everything runs on one thread. Each connection is a task that calls the [`Relay`] directly and receives
+//! [`ConnectionCommand`]s on its own queue. No task holds a borrow of the relay across an await.
 //!
-//! - `state` holds the [`Relay`] itself and its queue of events;
-//! - `connection_events` and `endpoint_events` turn what happens on sockets into events of the balancer;
-//! - `actions` carries out what the balancer decides;
-//! - `limits` answers what a task needs to know before it goes on;
-//! - `serve` starts the tasks and runs them until the relay stops.
+//! - `state` holds the [`Relay`] and its event queue;
+//! - `connection_events` and `endpoint_events` turn socket activity into events of the balancer;
+//! - `actions` executes the balancer's actions;
+//! - `limits` provides timeouts, admission checks and readiness;
+//! - `serve` opens the listeners, starts the tasks and runs them until the relay stops.
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod actions;
@@ -24,7 +24,8 @@
 mod error;
 pub mod lifecycle;
 mod limits;
-#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)] // to be brought to them
+// This module does not pass these lints yet.
+#[allow(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports)]
 pub mod metrics;
 mod serve;
 mod state;
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a relay: opens its listeners, starts its tasks, and drains it at the end.
+//! Runs a relay: opens its listeners, starts its tasks, and drains it when it is stopped.
 
 use std::rc::Rc;
 
@@ -19,24 +19,25 @@
 use super::{Relay, ServeError, SharedRelay};
 use crate::admin;
 
-/// What a relay is reached by.
+/// The listeners of a relay, and what it needs for a hot restart.
 #[derive(Debug)]
 pub struct Listeners {
     /// The listener for clients.
     pub clients: TcpListener,
-    /// The listener for operators, if they can call.
+    /// The listener for operators; `None` without an admin address.
     pub admin: Option<TcpListener>,
-    /// The folder in which processes of this relay meet, if they do.
+    /// The directory in which processes of this relay find each other; `None` if hot restart is not
+    /// available.
     pub state_directory: Option<Rc<StateDirectory>>,
-    /// The process that has served here so far, if one lives.
+    /// The running process to be replaced, if there is one.
     pub predecessor: Option<Predecessor>,
 }
 
-/// Serves until the process is asked to stop; SIGHUP has the files read again.
+/// Serves until the process receives SIGTERM or SIGINT. On SIGHUP the configuration files are read again.
 ///
 /// # Errors
-/// If the configuration cannot be used, an address cannot be listened on, or a running process of this relay cannot
-/// be replaced.
+/// If the configuration is not valid, the relay cannot listen on an address, or a running process of this
+/// relay cannot be replaced.
 pub fn serve(files: OperatorFiles) -> Result<(), ServeError> {
     let config = Config::from_environment(&files)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -70,11 +71,11 @@
 
 /// Serves the connections of its listeners until `stop` resolves, and then drains the relay.
 ///
-/// It must run on a [`LocalSet`]. Configurations received from `reloads` are applied as far as they can be while it
-/// runs.
+/// Must run on a [`LocalSet`]. Of the configurations received from `reloads`, only the parts that can change
+/// at run time are applied.
 ///
 /// # Errors
-/// If the relay cannot be made of its configuration, or cannot take over from its predecessor.
+/// If the relay cannot be created from its configuration, or cannot take over from its predecessor.
 pub async fn serve_with_listeners(
     listeners: Listeners, config: Config, stop: impl Future<Output = ()>, reloads: reload::Reloads,
 ) -> Result<(), ServeError> {
@@ -82,7 +83,8 @@
     let metrics = config.metrics.clone();
     let (relay, discovery_poller, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
-        // The successor is bound by all updates that its predecessor received: it needs the full list now.
+        // The successor must know every update that its predecessor received, so it fetches the full list at
+        // once.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
     }
     if let Some(metrics) = metrics {
@@ -113,7 +115,7 @@
     exporter::apply_config(relay, config, relay_name);
 }
 
-/// Starts the tasks that run as long as the relay.
+/// Starts the tasks that run until the relay stops.
 fn start_tasks(relay: &SharedRelay, admin: Option<TcpListener>, reloads: reload::Reloads) {
     tokio::task::spawn_local(run_timers(relay.clone()));
     tokio::task::spawn_local(run_periodic_checks(relay.clone()));
@@ -126,7 +128,8 @@
     tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
 }
 
-/// Accepts clients, once a predecessor has handed over if there is one; the task ends only if it cannot take over.
+/// Starts accepting clients; if there is a predecessor, not before it has handed over. The returned task ends
+/// only if this process cannot take over.
 fn start_accepting(
     relay: &SharedRelay, clients: TcpListener, state_directory: Option<Rc<StateDirectory>>,
     predecessor: Option<Predecessor>,
@@ -143,7 +146,7 @@
     }
 }
 
-/// Fires the timers that are due, of tasks and of the balancer.
+/// Fires the timers of tasks and of the balancer when they are due.
 async fn run_timers(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
@@ -158,7 +161,7 @@
     }
 }
 
-/// Reports message latencies, measures the next endpoint, and runs zone failover, at each interval.
+/// Reports message latencies, measures the next endpoint and runs zone failover, once per interval.
 async fn run_periodic_checks(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     loop {
--- a/src/relay/state.rs
+++ b/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! The relay's state and its queue of events.
+//! The relay's state and its event queue.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -29,14 +29,14 @@
 use crate::gossip::GossipHandle;
 use crate::settings::NameTable;
 
-/// The relay as its tasks share it.
+/// A reference to the relay that its tasks share.
 pub type SharedRelay = Rc<RefCell<Relay>>;
 
-/// The one owner of the balancer and of what it needs to know of the sockets.
+/// Owns the balancer and the state that connects it to sockets.
 pub struct Relay {
-    /// Clock and timer wheel.
+    /// The relay's clock and timer wheel.
     pub timers: Rc<Timers>,
-    /// The settings' names.
+    /// Maps names in requests, load reports and the endpoint list to the identifiers of the balancer.
     pub names: NameTable,
     pub(in crate::relay) settings: Settings,
     pub(in crate::relay) balancer: Balancer,
@@ -44,28 +44,28 @@
     pub(in crate::relay) events: VecDeque<Event>,
     pub(in crate::relay) connections: ConnectionTable,
     pub(in crate::relay) idle_connections: IdleConnections,
-    /// Ids of the clients' connections that are open.
+    /// Connection ids that clients have open.
     pub(in crate::relay) open_connection_ids: OpenConnectionIds,
     pub(in crate::relay) endpoints: EndpointTable,
     pub(in crate::relay) endpoint_list_version: u64,
-    /// The endpoint list by discovery, and the endpoints in maintenance.
+    /// The endpoint list from discovery, with the endpoints in maintenance.
     pub(in crate::relay) maintenance: MaintenanceOverlay,
-    /// How long messages take at the endpoints.
+    /// Latencies of messages at the endpoints.
     pub(in crate::relay) message_latencies: MessageLatencies,
-    /// Zone failover, where operators have switched it on.
+    /// Zone failover; `None` unless operators have enabled it.
     pub(in crate::relay) zone_failover: Option<ZoneFailover>,
-    /// Gossip with other relays, where operators have switched it on.
+    /// Gossip with other relays; `None` unless operators have enabled it.
     pub(in crate::relay) gossip: Option<GossipHandle>,
     pub(in crate::relay) metrics: MetricsRegistry,
-    /// Where counters outlast the process, if anywhere.
+    /// Stores counters across restarts; `None` without a state directory for metrics.
     pub(in crate::relay) persistent_counters: Option<PersistentCounters>,
     /// The running exporters, by name.
     pub(in crate::relay) exporters: BTreeMap<String, exporter::Exporter>,
     pub(in crate::relay) discovery_commands: UnboundedSender<DiscoveryCommand>,
-    /// When discovery last answered.
+    /// Time of the last response from discovery, or of the relay's start, in Unix microseconds.
     pub(in crate::relay) discovery_answered_at: Micros,
     pub(in crate::relay) discovery_failing: bool,
-    /// What the relay is doing about its endpoint list.
+    /// State of fetching the endpoint list from discovery.
     pub(in crate::relay) discovery_state: DiscoveryState,
     pub(in crate::relay) descriptors_in_use: DescriptorCounter,
     pub(in crate::relay) max_descriptors: usize,
@@ -77,11 +77,11 @@
     pub(in crate::relay) weak_self: Weak<RefCell<Relay>>,
 }
 
-/// A new relay, its discovery client's state machine, and the commands to that client.
+/// A new relay, the state machine of its discovery client, and the queue of commands to that client.
 type NewRelay = (SharedRelay, DiscoveryPoller, UnboundedReceiver<DiscoveryCommand>);
 
 impl fmt::Debug for Relay {
-    /// Shows what tells relays apart in a log; the whole state would fill pages.
+    /// Shows only a few fields: the whole state is too large for a log.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut fields = formatter.debug_struct("Relay");
         fields.field("endpoint_list_version", &self.endpoint_list_version);
@@ -91,7 +91,7 @@
 }
 
 impl Relay {
-    /// Makes a relay of its configuration, together with the discovery client's state machine and command queue.
+    /// Creates a relay from its configuration, with its discovery client's state machine and command queue.
     ///
     /// # Errors
     /// If the settings contradict each other, or the gossip socket cannot be opened.
@@ -155,13 +155,13 @@
         Ok((relay, discovery, command_queue))
     }
 
-    /// Has the balancer handle an event, and carries out its actions in order.
+    /// Passes an event to the balancer and executes the resulting actions in order.
     pub(in crate::relay) fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
         self.process_events();
     }
 
-    /// Has the balancer handle the events that are queued, those included that its actions add.
+    /// Passes all queued events to the balancer, including those that its actions add.
     pub(in crate::relay) fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -174,10 +174,10 @@
         }
     }
 
-    /// Applies what can change of the configuration while connections are established: discovery's address, the
-    /// number of descriptors, and zone failover.
+    /// Applies the parts of a configuration that can change at run time: the address of discovery, the
+    /// maximum number of descriptors, and zone failover.
     ///
-    /// The endpoint list stays in use until discovery at the new address sends its own.
+    /// The endpoint list stays in use until discovery at the new address sends another one.
     pub fn reconfigure(&mut self, config: &Config) {
         self.max_descriptors = connection_descriptor_limit(config.max_descriptors, self.admin_enabled);
         self.reconfigure_zone_failover(config);
--- a/src/relay/timer_wheel.rs
+++ b/src/relay/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! Timers as coarse ticks on a hashed wheel, and the sleeps of tasks on it.
+//! A hashed timer wheel with coarse ticks, for timers of the balancer and sleeping tasks.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -13,21 +13,22 @@
 
 use super::clock::Clock;
 
-/// Length of a tick, well under the simulator's step of 5 ms.
+/// Length of a tick in microseconds, well below the simulator's step of 5 ms.
 pub const TICK: Micros = 2_000;
-/// Slots of the wheel: one turn takes about two seconds, and an entry that is due later stays for several turns.
+/// Number of slots. One turn of the wheel takes about two seconds; an entry that is due later stays in its
+/// slot for several turns.
 const SLOTS: u64 = 1024;
-/// The wheel is advanced after this many ticks at the latest, so that entries due later need not be looked for.
+/// Maximum number of ticks between two advances of the wheel, which bounds the search for the next due entry.
 const MAX_TICKS_AHEAD: u64 = 128;
 
-/// Identifies an entry of the wheel, to remove it.
+/// Identifies an entry of the wheel for its removal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerHandle {
     tick: u64,
     serial: u64,
 }
 
-/// A hashed timer wheel.
+/// A hashed timer wheel that holds items of type `T`.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     slots: Vec<Vec<(TimerHandle, T)>>,
@@ -40,13 +41,13 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// Returns an empty wheel at this time.
+    /// Returns an empty wheel that starts at this time.
     pub fn new(now: Micros) -> TimerWheel<T> {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
         TimerWheel { slots, current_tick: now / TICK, last_serial: 0 }
     }
 
-    /// Inserts an item for the first tick at or after its time that has not passed.
+    /// Inserts an item that is due at the first tick at or after `due` that has not passed yet.
     pub fn insert(&mut self, due: Micros, item: T) -> TimerHandle {
         self.last_serial += 1;
         let tick = due.div_ceil(TICK).max(self.current_tick + 1);
@@ -55,26 +56,27 @@
         handle
     }
 
-    /// Removes an item, if the wheel still holds it.
+    /// Removes and returns an item, or returns `None` if the wheel no longer holds it.
     pub fn remove(&mut self, handle: TimerHandle) -> Option<T> {
         let slot = &mut self.slots[slot_of(handle.tick)];
         let index = slot.iter().position(|(entry, _)| *entry == handle)?;
         Some(slot.swap_remove(index).1)
     }
 
-    /// Returns the tick at which the wheel must be advanced next: the first with an entry that is due, or the last
-    /// one that is looked at.
+    /// Returns the tick at which the wheel must be advanced next: the first with a due entry, or the end of
+    /// the search range of `MAX_TICKS_AHEAD` ticks.
     pub fn next_tick(&self) -> u64 {
         let last = self.current_tick + MAX_TICKS_AHEAD;
         let holds_due = |tick: &u64| self.slots[slot_of(*tick)].iter().any(|(entry, _)| entry.tick <= *tick);
         (self.current_tick + 1..last).find(holds_due).unwrap_or(last)
     }
 
-    /// Advances to this time and returns the items that are due, in the order of their ticks and of insertion.
+    /// Advances to this time and returns the items that are due, in the order of their ticks and of
+    /// insertion.
     pub fn advance(&mut self, now: Micros) -> Vec<T> {
         let target = now / TICK;
         let mut due = Vec::new();
-        // After a long pause one turn visits every slot.
+        // One turn visits every slot, which is enough even after a long pause.
         for tick in (self.current_tick + 1..=target).take(SLOTS as usize) {
             let slot = &mut self.slots[slot_of(tick)];
             let entries = std::mem::take(slot).into_iter();
@@ -88,12 +90,12 @@
     }
 }
 
-/// What the wheel holds.
+/// An event of the relay's timer wheel.
 #[derive(Debug)]
 pub enum TimerEvent {
-    /// A timer of the balancer.
+    /// A timer of the balancer fires.
     Balancer(TimerToken),
-    /// A task that sleeps.
+    /// A sleeping task is woken.
     Wake(Waker),
 }
 
@@ -102,9 +104,9 @@
     /// The relay's clock.
     pub clock: Clock,
     wheel: RefCell<TimerWheel<TimerEvent>>,
-    /// The tick until which [`Timers::wait`] waits.
+    /// The tick until which [`Timers::wait`] sleeps.
     wakes_at_tick: Cell<u64>,
-    /// Notified when an entry is due before that.
+    /// Notified when an entry is inserted that is due before that tick.
     earlier_entry: Notify,
 }
 
@@ -115,13 +117,13 @@
 }
 
 impl Timers {
-    /// Returns an empty wheel at the clock's time.
+    /// Returns an empty timer wheel that starts at the clock's current time.
     pub fn new(clock: Clock) -> Rc<Timers> {
         let wheel = RefCell::new(TimerWheel::new(clock.now()));
         Rc::new(Timers { clock, wheel, wakes_at_tick: Cell::new(0), earlier_entry: Notify::new() })
     }
 
-    /// Sets a timer of the balancer.
+    /// Sets a timer of the balancer that fires after `delay` microseconds.
     pub fn set_balancer_timer(&self, delay: Micros, token: TimerToken) {
         self.insert(self.clock.now().saturating_add(delay), TimerEvent::Balancer(token));
     }
@@ -134,9 +136,10 @@
         handle
     }
 
-    /// Waits until the wheel must be advanced, and returns by how much that is late.
+    /// Waits until the wheel must be advanced, and returns the delay after the due time in microseconds.
     ///
-    /// An idle relay wakes some times a second and not at every tick: hundreds of them may share a machine.
+    /// An idle relay wakes a few times a second rather than at every tick, as hundreds of relays may share a
+    /// machine.
     pub async fn wait(&self) -> Micros {
         loop {
             let next = self.wheel.borrow().next_tick();
@@ -164,13 +167,13 @@
         Sleep { timers: self.clone(), deadline, handle: None }
     }
 
-    /// Waits for a duration.
+    /// Waits for a duration in microseconds.
     pub fn sleep(self: &Rc<Timers>, duration: Micros) -> Sleep {
         self.sleep_until(self.clock.now().saturating_add(duration))
     }
 }
 
-/// A task's wait on the wheel; dropping it removes its entry.
+/// A future that completes at its deadline; dropping it removes its entry from the wheel.
 #[derive(Debug)]
 pub struct Sleep {
     timers: Rc<Timers>,
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -166,14 +166,17 @@
 fn a_process_says_yes_only_while_it_can_serve() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
-        assert_eq!(relay.admin_command("status\r\n").await, "NO no server roll yet\r\n");
+        assert_eq!(
+            relay.admin_command("status\r\n").await,
+            "NO no endpoint list from discovery yet, or an empty one\r\n"
+        );
         let relay = Relay::start(&[("s-1", listen().await.1, "active")], 256).await;
         assert_eq!(relay.admin_command("status\r\n").await, "YES\r\n");
         let _ = relay.stop.send(());
         sleep(Duration::from_millis(50)).await;
         let mut caller = BufReader::new(TcpStream::connect(relay.admin).await.expect("a connection"));
         send(&mut caller, "status\r\n").await;
-        assert_eq!(receive_to_end(caller).await, "NO on its way out\r\n");
+        assert_eq!(receive_to_end(caller).await, "NO shutting down\r\n");
     });
 }
 
