--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,52 +1,52 @@
-//! Admin commands of one line each, parsed without I/O.
+//! The admin protocol's commands, one line each, and their parser.
 
-/// The longest command in bytes, with its end of line.
+/// The longest command, in bytes, including its line end.
 pub const MAX_COMMAND_BYTES: usize = 256;
 
 /// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Return whether this process can serve.
+    /// Report whether this process accepts clients.
     Status,
     /// Return the statistics.
     Stats,
-    /// Put an endpoint in maintenance.
+    /// Start the maintenance of the endpoint with this id.
     MaintOn(String),
-    /// End an endpoint's maintenance.
+    /// End the maintenance of the endpoint with this id.
     MaintOff(String),
 }
 
-/// Why a line is not a command.
+/// Why a line is not a valid command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminCommandError {
-    /// Nothing but spaces.
-    #[error("an empty call")]
+    /// The line is empty or has only spaces.
+    #[error("the command is empty")]
     Empty,
-    /// No end of the line within [`MAX_COMMAND_BYTES`] bytes.
-    #[error("a call of over 256 bytes")]
+    /// There is no line feed within [`MAX_COMMAND_BYTES`] bytes.
+    #[error("the command is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
-    /// The connection's sending side ended before the line did.
-    #[error("a call without an end of its line")]
+    /// The client closed its sending side, or a timeout passed, before a line feed was received.
+    #[error("the command does not end with a line feed")]
     Incomplete,
-    /// Bytes that are no printable ASCII.
-    #[error("a call that is not plain text")]
+    /// The line has bytes other than printable ASCII, spaces and tabs.
+    #[error("the command is not printable ASCII")]
     NotAscii,
     /// The first word is not a command.
-    #[error("no such call; there are status, stats, maint-on ID, maint-off ID")]
+    #[error("unknown command; expected status, stats, maint-on ID or maint-off ID")]
     UnknownCommand,
     /// The endpoint's id is missing.
-    #[error("the id of a card server is missing")]
+    #[error("the endpoint id is missing")]
     MissingId,
     /// There are more words than the command takes.
-    #[error("words beyond the call")]
+    #[error("the command has too many words")]
     ExtraWords,
 }
 
-/// Parses a command from what was received so far; none while its line is incomplete.
+/// Parses a command from the bytes received so far. Returns `None` while its line is incomplete.
 ///
 /// # Errors
 ///
-/// If the line is not a command or too long.
+/// If the line is too long or not a valid command.
 pub fn parse_buffered(bytes: &[u8]) -> Option<Result<AdminCommand, AdminCommandError>> {
     match bytes.iter().take(MAX_COMMAND_BYTES).position(|b| *b == b'\n') {
         Some(end) => Some(parse_line(&bytes[..end])),
@@ -54,11 +54,11 @@
     }
 }
 
-/// Parses a whole line without its LF; a CR before it and spaces around words are ignored.
+/// Parses a line without its LF; a CR at its end and spaces around words are ignored.
 ///
 /// # Errors
 ///
-/// If the line is not a command.
+/// If the line is not a valid command.
 pub fn parse_line(line: &[u8]) -> Result<AdminCommand, AdminCommandError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let plain = line.iter().all(|b| b.is_ascii_graphic() || matches!(b, b' ' | b'\t'));
--- a/src/relay/endpoints/discovery_client/error.rs
+++ b/src/relay/endpoints/discovery_client/error.rs
@@ -15,41 +15,42 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The connection was not established in time.
-    #[error("no connection in time")]
+    #[error("connecting to discovery timed out")]
     ConnectTimeout,
     /// There was no response in time.
-    #[error("no answer in time")]
+    #[error("discovery did not respond in time")]
     ResponseTimeout,
     /// The connection was closed before the response was complete.
-    #[error("the answer ends early")]
+    #[error("discovery closed the connection before its response was complete")]
     ResponseTruncated,
-    /// Discovery rejected the request for lack of capacity.
-    #[error("status {status}")]
+    /// Discovery rejected the request because it is overloaded.
+    #[error("discovery is overloaded: HTTP status {status}")]
     Overloaded {
-        /// HTTP status.
+        /// The HTTP status: 429 or 503.
         status: u16,
-        /// Delay that discovery asked for, in microseconds.
+        /// The delay in `Retry-After`, in microseconds; `None` if it is absent or not a number of seconds.
         retry_after: Option<Micros>,
     },
-    /// The response has a status that has no meaning here.
-    #[error("status {0}")]
+    /// The response's HTTP status is none of 200, 429 and 503.
+    #[error("unexpected HTTP status {0} from discovery")]
     UnexpectedStatus(u16),
     /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
     /// The body is not valid JSON.
-    #[error("not JSON: {0}")]
+    #[error("the body of discovery's response is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The body is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
-    /// Endpoints listed as ready refuse connections, so the watch in flight was abandoned.
-    #[error("listed card servers are gone and no news came")]
+    /// Endpoints listed as ready refuse connections while the watch in flight reports no change, so the watch
+    /// was abandoned.
+    #[error("endpoints listed as ready refuse connections, and discovery has reported no change")]
     StaleList,
 }
 
 impl DiscoveryError {
-    /// Returns the kind that the schedule of further requests depends on.
+    /// Returns the kind of error, which determines when the next request is made.
     pub fn kind(&self) -> DiscoveryErrorKind {
         match self {
             DiscoveryError::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
--- a/src/relay/endpoints/discovery_client/http.rs
+++ b/src/relay/endpoints/discovery_client/http.rs
@@ -5,9 +5,9 @@
 
 /// Largest body that is accepted, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Most headers of a response.
+/// Largest number of headers in a response.
 const MAX_HEADERS: usize = 32;
-/// Length of the line end after a chunk, in bytes.
+/// Length of the CRLF after a chunk, in bytes.
 const CHUNK_END_BYTES: usize = 2;
 
 /// A complete HTTP response.
@@ -15,9 +15,9 @@
 pub struct HttpResponse {
     /// Status code.
     pub status: u16,
-    /// Whether the service will close the connection.
+    /// Whether the server closes the connection after this response.
     pub closes: bool,
-    /// `Retry-After`, where it is given in seconds; in microseconds.
+    /// The delay in `Retry-After`, in microseconds; `None` if it is absent or not a number of seconds.
     pub retry_after: Option<Micros>,
     /// The body.
     pub body: Vec<u8>,
@@ -26,30 +26,30 @@
 /// Why a response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// Status line or headers are malformed.
+    /// The status line or a header is malformed.
     #[error(transparent)]
     InvalidHead(#[from] httparse::Error),
-    /// The head or the body is too long.
-    #[error("the answer is too long")]
+    /// The response exceeds [`MAX_BODY_BYTES`].
+    #[error("the HTTP response is larger than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// `Content-Length` is no number, or too large.
-    #[error("the answer's length is no good")]
+    /// `Content-Length` is not a number, or exceeds [`MAX_BODY_BYTES`].
+    #[error("`Content-Length` of the HTTP response is not a number of at most {MAX_BODY_BYTES}")]
     InvalidLength,
-    /// The size of a chunk is malformed.
-    #[error("a chunk is malformed")]
+    /// A chunk's size is malformed.
+    #[error("a chunk of the HTTP response has a malformed size")]
     InvalidChunk,
 }
 
-/// A body and the number of bytes that it takes on the wire.
+/// A body, and the number of bytes that it took on the wire with its chunk headers.
 struct ReceivedBody {
     body: Vec<u8>,
     wire_bytes: usize,
 }
 
-/// Takes a response off the bytes received so far; none while it is incomplete.
+/// Removes a response from the front of the bytes received so far. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// If the bytes are no valid response, or it is too long.
+/// If the bytes are not a valid response, or the response is too large.
 pub fn take_response(bytes: &mut BytesMut) -> Result<Option<HttpResponse>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -77,7 +77,8 @@
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-/// Takes a body with a `Content-Length`, which is 0 where it is missing.
+/// Parses a body whose length is `Content-Length`, or 0 if that is absent. Returns `None` while the body is
+/// incomplete.
 fn sized_body(bytes: &[u8], content_length: Option<&str>) -> Result<Option<ReceivedBody>, HttpError> {
     let length = content_length.map_or(Ok(0), |value| value.parse::<usize>());
     let length = length.ok().filter(|length| *length <= MAX_BODY_BYTES).ok_or(HttpError::InvalidLength)?;
@@ -85,7 +86,7 @@
     Ok(body.map(|body| ReceivedBody { body: body.to_vec(), wire_bytes: length }))
 }
 
-/// Takes a chunked body.
+/// Parses a chunked body. Returns `None` while it is incomplete.
 fn chunked_body(bytes: &[u8]) -> Result<Option<ReceivedBody>, HttpError> {
     let (mut body, mut position) = (Vec::new(), 0);
     loop {
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -1,4 +1,5 @@
-//! Discovery's JSON form of endpoint lists. Its words (`servers`, `leaving`, `left`, `addr`) occur here only.
+//! Discovery's JSON encoding of endpoint lists. Its field names and states (`servers`, `leaving`, `left`,
+//! `addr`) are used in this module only.
 
 use std::net::SocketAddr;
 
@@ -8,57 +9,57 @@
 use crate::relay::connections::protocol::socket_address;
 use crate::settings::NameTable;
 
-/// An endpoint list, or changes of one, with the endpoints' addresses.
+/// A full endpoint list, or the changes since an earlier one, with the endpoints' addresses.
 #[derive(Debug, Default, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Version that discovery gave it.
+    /// The list's version, assigned by discovery.
     pub version: u64,
-    /// Whether it names all endpoints and not only those that changed.
+    /// Whether this is the full list and not only the endpoints that changed.
     pub full: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// Addresses at which this relay reaches them.
+    /// The addresses by which this relay reaches the endpoints; removed endpoints may have none.
     pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
-/// Why an endpoint list cannot be used.
+/// Why an endpoint list is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// `version` is missing or not a whole number.
-    #[error("the roll has no version")]
+    #[error("`version` of the endpoint list is missing or not a whole number")]
     MissingVersion,
     /// `full` is missing or not a boolean.
-    #[error("the roll does not say if it is whole")]
+    #[error("`full` of the endpoint list is missing or not a boolean")]
     MissingFull,
     /// `servers` is missing or not an array.
-    #[error("the roll has no servers")]
+    #[error("`servers` of the endpoint list is missing or not an array")]
     MissingEndpoints,
-    /// An endpoint has no `id`.
-    #[error("a card server has no id")]
+    /// An endpoint's `id` is missing, empty or not a string.
+    #[error("an entry of `servers` has no `id`")]
     MissingId,
     /// An endpoint that is not removed has no valid `addr`.
-    #[error("a card server has no address")]
+    #[error("an entry of `servers` has no valid `addr`, an IP address with a port")]
     MissingAddress,
     /// An endpoint's `state` is missing or unknown.
-    #[error("{id} has no known state")]
+    #[error("endpoint {id}: `state` is missing or none of `active`, `leaving` and `left`")]
     UnknownState {
-        /// The endpoint.
+        /// The endpoint's id.
         id: String,
     },
     /// A field of an endpoint is not a number of 0 or more.
-    #[error("{id}: `{field}` is no number")]
+    #[error("endpoint {id}: `{field}` is not a number of 0 or more")]
     NotANumber {
-        /// The endpoint.
+        /// The endpoint's id.
         id: String,
-        /// Name of the field.
+        /// The field's name.
         field: &'static str,
     },
 }
 
 /// Parses an endpoint list.
 ///
-/// # Errors
-/// If a field is missing or has no valid value. Unknown kinds and zones are ignored.
+/// # Errors If a required field is missing or a value is invalid. An unknown kind or zone is not an error:
+/// the endpoint then has none.
 pub fn parse_endpoint_list(
     value: &Value, names: &NameTable,
 ) -> Result<EndpointListUpdate, EndpointListError> {
--- a/src/relay/lifecycle/config/key_file.rs
+++ b/src/relay/lifecycle/config/key_file.rs
@@ -1,4 +1,4 @@
-//! Key files: the user and password of an exporter.
+//! Key files, which hold the user and password that an exporter signs or encrypts with.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -7,15 +7,15 @@
 
 /// The largest key file that is read, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 4096;
-/// The longest user name, in bytes.
+/// The longest user name, in bytes; the text of [`KeyFileError::Malformed`] states it too.
 const MAX_USER_BYTES: usize = 128;
-/// The permission bits of group and others.
+/// The permission bits of the file's group and of others.
 const ACCESSIBLE_TO_OTHERS: u32 = 0o077;
 
 /// Reads a key file and returns its user and password.
 ///
-/// # Errors
-/// If the file cannot be read, if others than its owner may use it, or if it is not one line `USER: PASSWORD`.
+/// # Errors If the file cannot be read, if its group or others have access to it, or if it is not one line
+/// `USER: PASSWORD`.
 pub fn read_key_file(path: &str) -> Result<(String, String), KeyFileError> {
     let metadata = fs::metadata(path)?;
     if metadata.permissions().mode() & ACCESSIBLE_TO_OTHERS != 0 {
--- a/src/relay/lifecycle/config/mod.rs
+++ b/src/relay/lifecycle/config/mod.rs
@@ -1,4 +1,5 @@
-//! The relay's configuration: the platform's JSON file, variables of the environment, and the operators' files.
+//! The relay's configuration: the platform's JSON file, environment variables that override it, and operator
+//! files.
 
 mod error;
 mod key_file;
@@ -19,24 +20,25 @@
 pub use error::{ConfigError, KeyFileError, LoadConfigError};
 pub use key_file::read_key_file;
 
-/// Descriptors that the process may hold where the configuration gives no limit.
+/// Limit on the process's file descriptors where the configuration gives none.
 const DEFAULT_MAX_DESCRIPTORS: u64 = 1024;
 
-/// Returns a variable of the environment; an empty one counts as not set.
+/// Returns the value of an environment variable, or `None` if it is not set or empty.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// Files by which operators switch on what the platform's configuration does not speak of.
+/// Files by which operators enable features that the platform's configuration does not cover.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct OperatorFiles {
-    /// Zone failover, its tiers and limits: an operator file such as deploy/sites.conf.
+    /// Operator file that enables zone failover and sets its tiers and limits, such as deploy/sites.conf.
     #[arg(long = "sites", value_name = "FILE", env = "HONEYKNOT_SITES")]
     pub zone_failover: Option<PathBuf>,
-    /// Exporters of metrics: an operator file such as deploy/metrics.conf.
+    /// Operator file that enables exporters of metrics, such as deploy/metrics.conf.
     #[arg(long, value_name = "FILE", env = "HONEYKNOT_METRICS")]
     pub metrics: Option<PathBuf>,
-    /// Gossip with other relays, and shared health checks: an operator file such as deploy/neighbors.conf.
+    /// Operator file that enables gossip with other relays and shared health checks, such as
+    /// deploy/neighbors.conf.
     #[arg(long = "neighbors", value_name = "FILE", env = "HONEYKNOT_NEIGHBORS")]
     pub gossip: Option<PathBuf>,
 }
@@ -45,32 +47,32 @@
 pub struct Config {
     /// The relay's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators connect, if they can.
+    /// The admin address; `None` if there is none.
     pub admin: Option<SocketAddr>,
-    /// Seeds the balancer's random numbers.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Limit on the process's file descriptors.
     pub max_descriptors: usize,
-    /// The endpoint list that was last known.
+    /// The endpoint list to start with; `None` if the configuration has none.
     pub known_endpoints: Option<EndpointListUpdate>,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The settings' names.
+    /// The names of classes, tenants, zones and machine types in the settings.
     pub names: NameTable,
-    /// Zone failover, if it is switched on.
+    /// The configuration of zone failover; `None` if it is disabled.
     pub zone_failover: Option<ZoneFailoverConfig>,
-    /// Exporters of metrics, if they are switched on.
+    /// The configuration of metrics exporters; `None` if there are none.
     pub metrics: Option<MetricsConfig>,
-    /// Gossip with other relays, if it is switched on.
+    /// The configuration of gossip with other relays; `None` if it is disabled.
     pub gossip: Option<GossipConfig>,
 }
 
 impl fmt::Debug for Config {
-    /// Leaves the operators' files out, which hold passwords.
+    /// Omits what comes from operator files, because the metrics configuration holds passwords.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut fields = formatter.debug_struct("Config");
         fields.field("name", &self.name).field("listen", &self.listen).field("discovery", &self.discovery);
@@ -79,7 +81,8 @@
 }
 
 impl Config {
-    /// Reads the file that `EDGE_CONFIG` names, and the operators' files; other variables override the file.
+    /// Reads the file that `EDGE_CONFIG` names and the operator files; other `EDGE_` variables override the
+    /// file's values.
     ///
     /// # Errors
     /// If a file cannot be read or used.
@@ -87,8 +90,10 @@
         Config::load(files, environment_variable)
     }
 
-    /// Reads the files again, with discovery's address from the file alone: the variable still holds the address of
-    /// the start. Guards against a reload that changes nothing.
+    /// Reads the files again for a reload, and ignores `EDGE_DISCOVERY`.
+    ///
+    /// The variable still holds the address that the process was started with, so a new address in the file
+    /// would otherwise never take effect.
     ///
     /// # Errors
     /// If a file cannot be read or used.
@@ -123,10 +128,10 @@
         Ok(config)
     }
 
-    /// Parses the platform's configuration; `variable` looks up the environment.
+    /// Parses the text of the platform's configuration file; `variable` looks up an environment variable.
     ///
     /// # Errors
-    /// If the text is not JSON, or a value is missing or cannot be used.
+    /// If the text is not valid JSON, or a value is missing or invalid.
     pub fn read(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let json: Value = serde_json::from_slice(text)?;
         let source = Source { json: &json, variable };
@@ -165,7 +170,7 @@
     fs::read_to_string(path).map_err(|source| LoadConfigError::Read { path: display(path), source })
 }
 
-/// The platform's configuration, and the variables that override it.
+/// The platform's configuration file, and the lookup of the environment variables that override it.
 struct Source<'a, V> {
     json: &'a Value,
     variable: V,
--- a/src/relay/lifecycle/hot_restart/maintenance_state.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance_state.rs
@@ -1,13 +1,13 @@
-//! The endpoints in maintenance, in the form that is sent to another process and kept in a file.
+//! The endpoints in maintenance, as sent to another process of this relay and saved in a file.
 
 use honeyknot_balancer::Micros;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What the file begins with: its format and version.
+/// The first bytes of the file: its format and version.
 const MAGIC: &str = "honeyknot-by-hand 1";
 
-/// The endpoints in maintenance, and those whose maintenance has ended.
+/// The endpoints in maintenance, and the last maintenance of those where it has ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceState {
     /// Endpoints in maintenance.
@@ -24,7 +24,7 @@
 pub struct OngoingMaintenance {
     /// The endpoint's id.
     pub id: String,
-    /// When it began, in Unix microseconds.
+    /// When the maintenance began, in Unix microseconds.
     pub since: Micros,
 }
 
@@ -46,9 +46,9 @@
 pub struct EndedMaintenance {
     /// The endpoint's id.
     pub id: String,
-    /// When it began, in Unix microseconds.
+    /// When the maintenance began, in Unix microseconds.
     pub from: Micros,
-    /// When it ended, in Unix microseconds.
+    /// When the maintenance ended, in Unix microseconds.
     pub to: Micros,
 }
 
@@ -64,38 +64,38 @@
     }
 }
 
-/// Why a file's bytes hold no maintenance state.
+/// Why a maintenance file cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum MaintenanceFileError {
     /// The bytes are not UTF-8.
-    #[error("it is no text")]
+    #[error("the file is not UTF-8 text")]
     NotText,
-    /// The bytes end before the state does.
-    #[error("it ends early")]
+    /// The file ends too early.
+    #[error("the file is truncated")]
     Truncated,
-    /// The file begins with another format or version.
-    #[error("it is of another form")]
+    /// The file does not begin with [`MAGIC`].
+    #[error("the file is not a maintenance file of this version")]
     UnknownFormat,
-    /// The checksum does not match.
-    #[error("its sum is wrong: it is torn or damaged")]
+    /// The checksum does not match the file's content.
+    #[error("checksum mismatch: the file is truncated or damaged")]
     ChecksumMismatch,
-    /// The body is not the state's JSON.
+    /// The body is not a maintenance state in JSON.
     #[error(transparent)]
     NotJson(#[from] serde_json::Error),
 }
 
 impl MaintenanceState {
-    /// Encodes the file's bytes: format and checksum on the first line, JSON on the second.
+    /// Encodes the file: format and checksum on the first line, JSON on the second.
     pub fn to_file_bytes(&self) -> Vec<u8> {
-        // A record of strings and numbers can always be encoded.
+        // Strings and numbers can always be encoded.
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("{MAGIC} {:016x}\n{body}\n", xxh3_64(body.as_bytes())).into_bytes()
     }
 
-    /// Decodes a file's bytes.
+    /// Decodes the bytes of a maintenance file.
     ///
     /// # Errors
-    /// If any byte is missing or changed, or the file is of another format.
+    /// If any byte is missing or changed, or the file has another format or version.
     pub fn from_file_bytes(bytes: &[u8]) -> Result<MaintenanceState, MaintenanceFileError> {
         let text = std::str::from_utf8(bytes).map_err(|_| MaintenanceFileError::NotText)?;
         let (head, body) = text.split_once('\n').ok_or(MaintenanceFileError::Truncated)?;
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -1,4 +1,4 @@
-//! Messages to events.
+//! Decodes the simulator's messages into events of the balancer.
 
 use honeyknot_balancer::{
     AffinityGroup, ConnectionUpdate, EndpointUpdate, Event, LoadReport, Request, SessionKey, TimerToken,
@@ -11,7 +11,7 @@
 use super::message::Message;
 use crate::settings::NameTable;
 
-/// Positions of a request's values in a message that describes one.
+/// The positions of a request's values in a message, counted from 0 after the message's name.
 struct RequestPositions {
     class: usize,
     session_key: usize,
@@ -67,7 +67,7 @@
     message.expect_at_most(max_values)
 }
 
-/// Decodes a message into an event of the instance whose names are given.
+/// Decodes a message into an event for the instance to which `names` belongs.
 pub(super) fn decode_event(
     message: &Message<'_>, names: &NameTable, lists: &EndpointLists,
 ) -> Result<Event, MessageError> {
@@ -135,7 +135,7 @@
         update: match message.u64(4)? {
             1 => ConnectionUpdate::Load(message.f64(5)?),
             2 => ConnectionUpdate::MessageLatency(message.f64(5)?),
-            _ => return Err(message.wrong(4, "a known kind of note")),
+            _ => return Err(message.wrong(4, "a known kind of update")),
         },
     })
 }
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,12 +1,12 @@
-//! Actions to lines.
+//! Encodes the balancer's actions as messages to the simulator.
 
 use honeyknot_balancer::Action;
 use serde_json::{Value, json};
 
-/// The peer number that stands for all peers.
+/// The peer number that addresses all peers.
 const ALL_PEERS: i64 = -1;
 
-/// Encodes an action of an instance.
+/// Encodes an action of the instance with this id.
 pub(super) fn encode_action(instance: &str, action: Action) -> Value {
     match action {
         Action::Forward { id, endpoint, timeout, .. } => {
@@ -28,12 +28,12 @@
     }
 }
 
-/// Encodes the end of a batch.
+/// Encodes the message that ends the reply to a batch.
 pub(super) fn encode_batch_end(batch: u64) -> Value {
     json!(["finished", batch])
 }
 
-/// Encodes that an instance has panicked.
+/// Encodes the message that an instance has panicked, with the panic's text.
 pub(super) fn encode_panic(instance: &str, text: &str) -> Value {
     json!(["broken", instance, text])
 }
--- a/src/simulator/endpoint_list.rs
+++ b/src/simulator/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists: sent once for all instances, their names resolved for each.
+//! Endpoint lists, which the simulator sends once for all instances. Names in them are resolved for each
+//! instance.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +11,7 @@
 use super::message::Message;
 use crate::settings::NameTable;
 
-/// An endpoint whose machine type and zone are still names: lists belong to the host, names to an instance.
+/// An endpoint whose machine type and zone are still names, because each instance has its own [`NameTable`].
 #[derive(Debug)]
 pub(super) struct UnresolvedEndpoint {
     endpoint: Endpoint,
@@ -19,10 +20,10 @@
 }
 
 impl UnresolvedEndpoint {
-    /// Decodes one entry of a list.
+    /// Decodes one entry of a list: kind, weight, id, start time, zone, cell and state.
     pub(super) fn decode(value: &Value) -> Result<UnresolvedEndpoint, MessageError> {
         let values = value.as_array().ok_or(MessageError::ListEntryNotAnArray)?;
-        let entry = Message { name: "page member", values };
+        let entry = Message { name: "page entry", values };
         entry.expect_at_most(7)?;
         let state = match entry.str(6)? {
             "Ready" => EndpointState::Ready,
@@ -49,17 +50,17 @@
     }
 }
 
-/// The lists that the simulator has sent, by their numbers.
+/// The lists that the simulator has sent, by number.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists(BTreeMap<u64, Vec<UnresolvedEndpoint>>);
 
 impl EndpointLists {
-    /// Stores a list; one of the same number is replaced.
+    /// Stores a list, which replaces an earlier one with the same number.
     pub(super) fn insert(&mut self, number: u64, endpoints: Vec<UnresolvedEndpoint>) {
         self.0.insert(number, endpoints);
     }
 
-    /// Returns the endpoints of a list with an instance's names resolved.
+    /// Returns the endpoints of a list, with their names resolved by an instance's table.
     ///
     /// # Errors
     /// [`MessageError::UnknownList`] if no list has this number.
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! Hosts balancers: reads batches of messages, runs each event and writes the actions.
+//! Hosts balancers: reads batches of messages, passes events to the instances and writes their actions.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 use super::{MessageError, SimulatorError};
 use crate::settings::{NameTable, parse_settings};
 
-/// Serves batches from `input` until it ends.
+/// Handles batches from `input` until it ends, and writes the reply to each batch to `output`.
 ///
 /// # Errors
-/// The first malformed line ends it, as does output that cannot be written.
+/// If a line is invalid, `input` ends within a batch or cannot be read, or `output` cannot be written.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
     let mut host = Host::default();
     for line in input.lines() {
@@ -34,13 +34,13 @@
     Ok(())
 }
 
-/// A balancer and the names of its settings.
+/// A balancer, and the names in its settings.
 struct Instance {
     balancer: Balancer,
     names: NameTable,
 }
 
-/// All instances, and the place in the input.
+/// All instances and lists, and the position in the input.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
@@ -49,7 +49,7 @@
     now: Micros,
     batch: u64,
     line: u64,
-    /// The lines of the reply to the batch so far.
+    /// The reply to the current batch so far.
     reply: String,
 }
 
@@ -58,7 +58,7 @@
         SimulatorError { batch: self.batch, line: self.line, source }
     }
 
-    /// Handles one line; at a batch's end, returns the whole reply.
+    /// Handles one line. Returns the complete reply at the end of a batch, and `None` otherwise.
     fn handle_line(&mut self, text: &str) -> Result<Option<String>, MessageError> {
         if text.trim().is_empty() {
             return Ok(None);
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,4 +1,4 @@
-//! One message: its name and typed access to its values by position.
+//! A message of the simulator: its name, and typed access to its values by position.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 
 use super::MessageError;
 
-/// A message of the simulator. Positions count from 0 after the name; trailing absent values may be left off.
+/// A message of the simulator. Values are indexed from 0 after the name; absent values at the end may be
+/// omitted.
 #[derive(Debug)]
 pub(super) struct Message<'a> {
     pub(super) name: &'a str,
@@ -15,10 +16,10 @@
 }
 
 impl<'a> Message<'a> {
-    /// Splits a decoded line into name and values.
+    /// Splits a line's JSON into the message's name and values.
     ///
     /// # Errors
-    /// If the line is not an array that begins with a string.
+    /// If the line is not a JSON array that begins with a string.
     pub(super) fn from_line(line: &'a Value) -> Result<Message<'a>, MessageError> {
         let fields = line.as_array().ok_or(MessageError::NotAnArray)?;
         let (first, values) = fields.split_first().ok_or(MessageError::NoName)?;
@@ -26,7 +27,7 @@
         Ok(Message { name, values })
     }
 
-    /// Checks that the message has at most so many values.
+    /// Checks that the message has at most `allowed` values.
     pub(super) fn expect_at_most(&self, allowed: usize) -> Result<(), MessageError> {
         let found = self.values.len();
         if found > allowed {
@@ -41,12 +42,12 @@
         self.optional(index).ok_or_else(missing)
     }
 
-    /// Returns a value, or none if it is absent or null.
+    /// Returns a value, or `None` if it is absent or null.
     pub(super) fn optional(&self, index: usize) -> Option<&'a Value> {
         self.values.get(index).filter(|value| !value.is_null())
     }
 
-    /// Returns the error that the value at this index is not of the expected form.
+    /// Returns the error for a value that is not what was expected.
     pub(super) fn wrong(&self, index: usize, expected: &'static str) -> MessageError {
         MessageError::WrongValue { message: self.name.to_owned(), position: index + 1, expected }
     }
@@ -68,7 +69,7 @@
 
     /// Reads a required string.
     pub(super) fn str(&self, index: usize) -> Result<&'a str, MessageError> {
-        self.required(index)?.as_str().ok_or_else(|| self.wrong(index, "text"))
+        self.required(index)?.as_str().ok_or_else(|| self.wrong(index, "a string"))
     }
 
     /// Reads a required array.
@@ -81,25 +82,25 @@
         self.required(index)?.as_f64().ok_or_else(|| self.wrong(index, "a number"))
     }
 
-    /// Reads a number, or none if it is absent.
+    /// Reads a number; returns `None` if it is absent.
     pub(super) fn optional_f64(&self, index: usize) -> Result<Option<f64>, MessageError> {
         if self.optional(index).is_some() { self.f64(index).map(Some) } else { Ok(None) }
     }
 
-    /// Reads a truth value; absent is false.
+    /// Reads a boolean, which is false if it is absent.
     pub(super) fn bool(&self, index: usize) -> Result<bool, MessageError> {
         match self.optional(index) {
             None => Ok(false),
-            Some(value) => value.as_bool().ok_or_else(|| self.wrong(index, "true or false")),
+            Some(value) => value.as_bool().ok_or_else(|| self.wrong(index, "a boolean")),
         }
     }
 
-    /// Reads a string, or none if it is absent.
+    /// Reads a string; returns `None` if it is absent.
     pub(super) fn optional_text(&self, index: usize) -> Result<Option<Arc<str>>, MessageError> {
         match self.optional(index) {
             None => Ok(None),
             Some(value) => {
-                value.as_str().map(|text| Some(Arc::from(text))).ok_or_else(|| self.wrong(index, "text"))
+                value.as_str().map(|text| Some(Arc::from(text))).ok_or_else(|| self.wrong(index, "a string"))
             }
         }
     }
@@ -119,7 +120,7 @@
         self.str(index).map(|id| EndpointId(Arc::from(id)))
     }
 
-    /// Reads how an attempt or a health check ended, as a status code.
+    /// Reads the outcome of an attempt or a health check, encoded as a status code.
     pub(super) fn outcome(&self, index: usize) -> Result<Outcome, MessageError> {
         match self.u64(index)? {
             200 => Ok(Outcome::Ok),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,9 @@
-//! The simulator's wire: JSON lines in batches on standard input, answers on standard output.
+//! The simulator's protocol: batches of JSON lines on standard input, and replies on standard output.
 //!
-//! [`run`] hosts any number of balancers: it decodes messages into [`Event`](honeyknot_balancer::Event)s, hands them to
-//! the instance they are for and encodes the [`Action`](honeyknot_balancer::Action)s. It decides nothing. The wire's own
-//! message names and numbers are translated to the balancer's terms in `decode` and `encode` and nowhere else.
+//! [`run`] hosts any number of balancers, called instances. It decodes messages into
+//! [`Event`](honeyknot_balancer::Event)s, passes each to its instance and encodes the resulting
+//! [`Action`](honeyknot_balancer::Action)s. The protocol's message names and status codes are translated to
+//! the balancer's terms in this module only.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/tests/compatibility/relay/command_line.rs
+++ b/tests/compatibility/relay/command_line.rs
@@ -85,7 +85,10 @@
         assert_eq!((status, errors), (Some(2), missing.clone()), "{words:?}");
     }
     let (status, _, errors) = run(&["check-config"]);
-    assert_eq!((status, errors), (Some(2), format!("{PROGRAM_NAME}: EDGE_CONFIG is not set\n")));
+    assert_eq!(
+        (status, errors),
+        (Some(2), format!("{PROGRAM_NAME}: EDGE_CONFIG is not set; it names the configuration file\n"))
+    );
 }
 
 #[test]
@@ -161,7 +164,10 @@
     let scratch = ScratchDirectory::new("frozen-wrong-config");
     let config = scratch.write("config.json", "{\"name\": \"n0\"}");
     let (status, _, errors) = run_with(&config, &[], &["check-config"]);
-    let wanted = format!("{PROGRAM_NAME}: {}: neither `listen` nor EDGE_LISTEN is given\n", config.display());
+    let wanted = format!(
+        "{PROGRAM_NAME}: {}: neither `listen` nor the environment variable EDGE_LISTEN is set\n",
+        config.display()
+    );
     assert_eq!((status, errors), (Some(2), wanted));
 }
 
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -299,7 +299,7 @@
         ),
         (
             with("/rules/coldUs", json!(40_000_000_000_000_u64)),
-            "batch 1, line 2: setting `rules.coldUs` is 40000000000000; at most a year, 31536000000000 us, is allowed",
+            "batch 1, line 2: setting `rules.coldUs` is 40000000000000 us; the maximum is one year, 31536000000000 us",
         ),
         (
             with("/services/0/worth", json!(-1.0)),
@@ -307,7 +307,7 @@
         ),
         (
             with("/services/0/worth", json!("much")),
-            "batch 1, line 2: setting `services[0].worth` has a wrong type",
+            "batch 1, line 2: setting `services[0].worth` has the wrong JSON type, or is negative where it must not be",
         ),
         (
             with("/tariffs", json!({"moves": -1.0})),
@@ -315,10 +315,13 @@
         ),
         (
             with("/permissions/probing", json!("yes")),
-            "batch 1, line 2: setting `permissions.probing` has a wrong type",
+            "batch 1, line 2: setting `permissions.probing` has the wrong JSON type, or is negative where it must not be",
+        ),
+        (with("/zones", json!([1])), "batch 1, line 2: setting `zones` has an entry that is not a string"),
+        (
+            after_start("{"),
+            "batch 2, line 2: the line is not valid JSON: EOF while parsing an object at line 1 column 1",
         ),
-        (with("/zones", json!([1])), "batch 1, line 2: setting `zones` holds no names"),
-        (after_start("{"), "batch 2, line 2: not JSON: EOF while parsing an object at line 1 column 1"),
         (after_start(r#"["nonsense","balancer_0"]"#), "batch 2, line 2: unknown message `nonsense`"),
         (
             after_start(r#"["reminder","balancer_9",1]"#),
@@ -330,14 +333,17 @@
         ),
         (
             after_start(r#"["fromPeer","balancer_0",1,"abc"]"#),
-            "batch 2, line 2: bytes are pairs of hex digits",
+            "batch 2, line 2: the payload is not pairs of hexadecimal digits",
         ),
         (
             after_start(r#"["dropped","balancer_0",4294967296]"#),
             "batch 2, line 2: `dropped`: value 2 is not a number below 2^32",
         ),
-        (after_start(r#"["dropped","balancer_0",1,2]"#), "batch 2, line 2: `dropped` has 3 values, not 2"),
-        (start(&json!([])), "batch 1, line 2: settings are an object"),
+        (
+            after_start(r#"["dropped","balancer_0",1,2]"#),
+            "batch 2, line 2: `dropped` has 3 values; at most 2 are allowed",
+        ),
+        (start(&json!([])), "batch 1, line 2: the settings are not a JSON object"),
     ] {
         assert_eq!(answer(input.as_bytes()).expect_err("a fault"), expected);
     }
@@ -641,19 +647,39 @@
 fn broken_configurations_of_serve_give_the_same_words() {
     let whole: Value = serde_json::from_slice(&settings_file("serve.json")).expect("JSON");
     for (path, value, expected) in [
-        ("/listen", json!("here"), "`listen` is no address: here"),
-        ("/seed", json!("xyz"), "`seed` is no hex number: xyz"),
-        ("/limits/sockets", json!("many"), "`limits.sockets` is no whole number"),
-        ("/known/servers/0/state", json!("odd"), "`known`: s-1 has no known state"),
-        ("/known/servers/0/addr", json!(null), "`known`: a card server has no address"),
-        ("/settings/services/0/aimUs", json!("soon"), "setting `services[0].aimUs` has a wrong type"),
+        (
+            "/listen",
+            json!("here"),
+            "`listen` is `here`, not an IP address with a port, such as 10.0.0.1:5000",
+        ),
+        ("/seed", json!("xyz"), "`seed` is `xyz`, not a hexadecimal number of at most 64 bits"),
+        ("/limits/sockets", json!("many"), "`limits.sockets` is not a whole number of 0 or more"),
+        (
+            "/known/servers/0/state",
+            json!("odd"),
+            "`known`: endpoint s-1: `state` is missing or none of `active`, `leaving` and `left`",
+        ),
+        (
+            "/known/servers/0/addr",
+            json!(null),
+            "`known`: an entry of `servers` has no valid `addr`, an IP address with a port",
+        ),
+        (
+            "/settings/services/0/aimUs",
+            json!("soon"),
+            "setting `services[0].aimUs` has the wrong JSON type, or is negative where it must not be",
+        ),
         (
             "/settings/familyInfo/parkUs",
             json!(40_000_000_000_000_u64),
-            "setting `familyInfo.parkUs` is 40000000000000; at most a year, 31536000000000 us, is allowed",
+            "setting `familyInfo.parkUs` is 40000000000000 us; the maximum is one year, 31536000000000 us",
+        ),
+        ("/settings", json!(null), "the settings are not a JSON object"),
+        (
+            "/admin_addr",
+            json!("10.0.0.4:5000"),
+            "`admin_addr` and `listen` are both 10.0.0.4:5000; clients and operators need different addresses",
         ),
-        ("/settings", json!(null), "settings are an object"),
-        ("/admin_addr", json!("10.0.0.4:5000"), "`admin_addr` is where clients connect: 10.0.0.4:5000"),
     ] {
         let mut broken = whole.clone();
         *broken.pointer_mut(path).expect("a place") = value;
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -120,8 +120,8 @@
 #[test]
 fn malformed_input_ends_with_a_plain_line_and_nothing_half_written() {
     let cases = [
-        ("this is no JSON", "not JSON"),
-        ("{\"a\":1}", "a message is an array"),
+        ("this is no JSON", "the line is not valid JSON"),
+        ("{\"a\":1}", "a message must be a JSON array"),
         ("[\"nonsense\",\"balancer_0\"]", "unknown message"),
         ("[\"dropped\",\"balancer_0\"]", "missing"),
         ("[\"dropped\",\"balancer_0\",1,2]", "values"),
@@ -133,7 +133,7 @@
         ("[\"targets\",\"balancer_0\",2,9,\"changes\"]", "never sent"),
         ("[\"targets\",\"balancer_0\",2,3,\"some\"]", "kind of list"),
         ("[\"jobIn\",\"balancer_0\",1,null,1000,\"other\"]", "known class"),
-        ("[\"hintUpdate\",\"balancer_0\",1,0,\"10.0.0.1:80\",3,1]", "kind of note"),
+        ("[\"hintUpdate\",\"balancer_0\",1,0,\"10.0.0.1:80\",3,1]", "kind of update"),
         ("[\"fromPeer\",\"balancer_0\",1,\"abc\"]", "hex"),
         ("[\"page\",1,[[\"big\",1,\"s:1\",0,\"x\",0,\"Odd\"]]]", "known state"),
         ("[\"configure\",\"balancer_1\",1,{\"fleetSize\":\"many\"}]", "fleetSize"),
