--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The admin address: each connection sends one command, gets one answer and is closed.
+//! The admin address, where operators send commands. A connection carries one command and its answer.
 //!
-//! It decides nothing and counts nothing: [`command`] parses commands, [`server`] accepts connections, and an
-//! [`AdminService`] carries the commands out. [`client`] is the other side, for the command line.
+//! [`command`] parses commands, [`server`] accepts connections, and an [`AdminService`] executes the
+//! commands. [`client`] sends commands from the command line.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -16,38 +16,39 @@
 use crate::relay::connections::graceful_close;
 use crate::relay::timer_wheel::Timers;
 
-/// The largest number of admin connections; their descriptors are reserved.
+/// The largest number of open admin connections; their descriptors are reserved.
 pub const MAX_CONNECTIONS: usize = 16;
-/// The largest number of descriptors that the admin address uses.
+/// The largest number of descriptors that the admin address uses: its connections, the listener, and a
+/// connection that was accepted before an older one is evicted.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// How long a connection may take to send a command, or to receive the answer, in microseconds.
+/// Timeout of receiving a command, and of sending its answer, in microseconds.
 const TIMEOUT: Micros = 5_000_000;
-/// How long a connection stays before a newer one may replace it, in microseconds.
+/// Age in microseconds below which a connection is not evicted for a newer one.
 const MIN_CONNECTION_AGE: Micros = 200_000;
-/// The pause after an accept that failed.
+/// The pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers commands until the relay ends.
+/// Accepts admin connections and answers their commands until the task is dropped.
 pub async fn serve(service: impl AdminService, listener: TcpListener) {
     let mut connections = AdminConnections::new(service.timers());
     loop {
         match listener.accept().await {
             Ok((stream, _)) => connections.start(service.clone(), stream).await,
             Err(error) => {
-                warn!(target: "admin", %error, "accept failed");
+                warn!(target: "admin", %error, "accepting an admin connection failed");
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// An open connection.
+/// A connection that is being served.
 struct AdminConnection {
     task: AbortHandle,
     accepted_at: Micros,
 }
 
-/// The open connections, the oldest first.
+/// The open connections, oldest first.
 struct AdminConnections {
     timers: Rc<Timers>,
     open: VecDeque<AdminConnection>,
@@ -58,7 +59,7 @@
         AdminConnections { timers, open: VecDeque::new() }
     }
 
-    /// Starts a connection's task and lets it read what has arrived.
+    /// Starts a connection's task, and evicts the oldest connection if there are too many.
     async fn start(&mut self, service: impl AdminService, stream: TcpStream) {
         self.open.retain(|connection| !connection.task.is_finished());
         if self.open.len() >= MAX_CONNECTIONS {
@@ -66,11 +67,12 @@
         }
         let task = tokio::task::spawn_local(answer(service, stream)).abort_handle();
         self.open.push_back(AdminConnection { task, accepted_at: self.timers.clock.now() });
-        // The command is read before another connection can evict this one.
+        // Lets the task read a command that has already arrived before another connection can evict this one.
         tokio::task::yield_now().await;
     }
 
-    /// Closes the oldest connection, so that connections without a command cannot block the address.
+    /// Closes the oldest connection once it has reached [`MIN_CONNECTION_AGE`], so that connections which
+    /// send no command cannot block the admin address.
     async fn evict_oldest(&mut self) {
         let Some(oldest) = self.open.pop_front() else { return };
         self.timers.sleep_until(oldest.accepted_at + MIN_CONNECTION_AGE).await;
@@ -78,7 +80,7 @@
     }
 }
 
-/// Reads the command of a connection, sends the answer and closes it.
+/// Receives a command, sends its answer and closes the connection.
 async fn answer(service: impl AdminService, mut stream: TcpStream) {
     let timers = service.timers();
     let _ = stream.set_nodelay(true);
@@ -92,7 +94,7 @@
         Some(Err(error)) => rejection(&error),
         None => return,
     };
-    // The answer has the line ends of the command.
+    // The answer uses the same line ends as the command.
     let uses_crlf = bytes.contains(&b'\r');
     let answer = if uses_crlf { answer.replace('\n', "\r\n") } else { answer };
     let sent = tokio::select! {
@@ -104,7 +106,7 @@
     }
 }
 
-/// Reads one command; none if the connection ended without a byte.
+/// Receives one command. Returns `None` if the connection broke, or was closed before any data.
 async fn read_command(
     stream: &mut TcpStream, bytes: &mut Vec<u8>,
 ) -> Option<Result<AdminCommand, AdminCommandError>> {
--- a/src/admin/service.rs
+++ b/src/admin/service.rs
@@ -1,4 +1,4 @@
-//! What the admin address needs of the process that serves it.
+//! The interface between the admin address and the relay.
 
 use std::error::Error;
 use std::future::Future;
@@ -6,26 +6,26 @@
 
 use crate::relay::timer_wheel::Timers;
 
-/// Carries out admin commands.
+/// Executes admin commands.
 pub trait AdminService: Clone + 'static {
-    /// Why the process does not serve.
+    /// Why the process does not accept clients.
     type ReadinessError: Error;
     /// Why an endpoint's maintenance cannot be changed.
     type MaintenanceError: Error;
 
-    /// Returns the clock and the timer wheel.
+    /// Returns the process's clock and timer wheel.
     fn timers(&self) -> Rc<Timers>;
 
     /// Returns the statistics as one line of JSON.
     fn stats(&self) -> String;
 
-    /// Checks that this process serves.
+    /// Checks that this process accepts clients.
     ///
     /// # Errors
     /// The reason why it does not.
     fn check_ready(&self) -> Result<(), Self::ReadinessError>;
 
-    /// Starts an endpoint's maintenance, which is in effect once this resolves.
+    /// Starts an endpoint's maintenance. It is in effect when the future resolves.
     ///
     /// # Errors
     /// The reason why it cannot be started.
@@ -33,7 +33,7 @@
         &self, endpoint_id: String,
     ) -> impl Future<Output = Result<(), Self::MaintenanceError>>;
 
-    /// Ends an endpoint's maintenance.
+    /// Ends an endpoint's maintenance. The change is in effect when the future resolves.
     ///
     /// # Errors
     /// The reason why it cannot be ended.
--- a/src/config_summary.rs
+++ b/src/config_summary.rs
@@ -1,4 +1,4 @@
-//! The summary of a configuration that `honeyknot-relay check-config` prints. Its words are those of the operators' files.
+//! The summary of a configuration that `honeyknot-relay check-config` prints.
 
 use honeyknot_gossip::GossipConfig;
 use honeyknot_zone_failover::ZoneFailoverConfig;
@@ -9,9 +9,9 @@
 pub fn print(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
     let known_endpoints = config.known_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
-    println!("{} descriptors, {known_endpoints} card servers known", config.max_descriptors);
+    println!("at most {} file descriptors, {known_endpoints} known endpoints", config.max_descriptors);
     if let Some(admin) = config.admin {
-        println!("operators call at {admin}");
+        println!("admin address {admin}");
     }
     if let Some(zone_failover) = &config.zone_failover {
         print_zone_failover(zone_failover);
@@ -21,18 +21,21 @@
     }
     if let Some(metrics) = &config.metrics {
         for exporter in &metrics.exporters {
-            println!("metrics: sink {} at {}", exporter.name, exporter.address);
+            println!("metrics: exporter {} sends to {}", exporter.name, exporter.address);
         }
     }
 }
 
 fn print_zone_failover(config: &ZoneFailoverConfig) {
     let (spill_percent, leave_percent) = (config.spill_limit * 100.0, config.leave_limit * 100.0);
-    println!("sites: spill up to {spill_percent}% of a site, {leave_percent}% of newcomers may leave theirs");
+    println!(
+        "zone failover: up to {spill_percent}% of a zone's capacity for other zones, up to {leave_percent}% of \
+         new connections may leave their zone"
+    );
 }
 
 fn print_gossip(config: &GossipConfig) {
     let (fleet, port, seeds) = (&config.fleet, config.port, config.seeds.len());
     let probers = config.probers_per_endpoint;
-    println!("neighbors: fleet {fleet}, port {port}, {seeds} seeds, {probers} witnesses a card server");
+    println!("gossip: fleet {fleet}, port {port}, {seeds} seeds, {probers} relays check each endpoint");
 }
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -1,4 +1,5 @@
-//! `honeyknot-relay metrics`: lists the names of all metrics, and prints captured packets and snapshots as text.
+//! `honeyknot-relay metrics`: lists all metrics, and prints captured export packets and counter snapshots as
+//! text.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -10,68 +11,69 @@
 
 use crate::relay::lifecycle::config::{KeyFileError, read_key_file};
 
-/// What to show.
+/// The sub-commands of `honeyknot-relay metrics`.
 #[derive(Debug, clap::Subcommand)]
 pub enum MetricsCommand {
-    /// List all metrics: name, kind, unit, tag, its values, meaning; separated by tabs.
+    /// List all metrics, one a line: name, kind, unit, tag, the tag's values and description, separated by
+    /// tabs.
     Names,
-    /// Print a captured collectd packet, a Graphite pickle or a snapshot of counters.
+    /// Print a captured collectd packet, a captured Graphite pickle or a counter snapshot as text.
     Decode {
-        /// The file.
+        /// The file to print.
         file: PathBuf,
-        /// The key file of a signed or encrypted packet; without it, a signature is not checked.
+        /// Key file for a signed or encrypted packet; without it, signatures are not verified.
         #[arg(long, value_name = "FILE")]
         key: Option<String>,
     },
 }
 
-/// Why metrics cannot be shown.
+/// Why a sub-command of `honeyknot-relay metrics` failed.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
     /// Standard output cannot be written.
-    #[error("standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[source] io::Error),
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The file is a snapshot that cannot be decoded.
+    /// The file begins as a counter snapshot, but cannot be decoded.
     #[error("{}: {source}", path.display())]
     Snapshot {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: stored::SnapshotError,
     },
-    /// The file is no collectd packet that can be decoded.
+    /// The file is neither a snapshot nor a pickle, and cannot be decoded as a collectd packet.
     #[error("{}: {source}", path.display())]
     Packet {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: collectd::PacketError,
     },
     /// The key file cannot be used.
     #[error("{path}: {source}")]
     KeyFile {
-        /// The key file.
+        /// Path of the key file.
         path: String,
-        /// Why.
+        /// The cause.
         source: KeyFileError,
     },
 }
 
-/// The user and password of a key file.
+/// The user and password from a key file.
 struct Credentials {
     user: String,
     password: String,
 }
 
-/// Writes what is asked for to standard output.
+/// Runs a sub-command and writes its result to standard output.
 ///
 /// # Errors
 /// If a file cannot be read or decoded, or the output cannot be written.
@@ -81,7 +83,7 @@
         MetricsCommand::Decode { file, key } => decode(file, key.as_deref())?,
     };
     match io::stdout().lock().write_all(text.as_bytes()) {
-        // The reader has closed the pipe, such as `head` does.
+        // Not an error: the reader, such as `head`, has closed the pipe.
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
         written => written.map_err(InspectError::Output),
     }
@@ -139,7 +141,7 @@
 
 fn describe_snapshot(snapshot: &StoredMetrics) -> String {
     let mut text = format!(
-        "relay {} at {:.3}, life {}\n",
+        "relay {} at {:.3}, incarnation {}\n",
         snapshot.relay,
         snapshot.timestamp as f64 / 1e6,
         snapshot.incarnation
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,6 +1,7 @@
-//! The log: one record a line on standard error, as text for people or as JSON for collectors.
+//! The log: one record a line on standard error, as text for people or as JSON for log collectors.
 //!
-//! A record's target is the part of the relay that logs it (`relay`, `discovery`, `zone_failover`, ...), not a path in the code.
+//! A record's target is the component that logs it (`relay`, `discovery`, `zone_failover`, ...), not a module
+//! path.
 
 use std::fmt;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,17 +13,17 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How records are written.
+/// The format of log records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
-    /// Unix time, level, part, message and fields in a line of text.
+    /// One line of text: Unix time, level, target, message and fields.
     #[default]
     Text,
-    /// One JSON object a line, its fields beside `timestamp`, `level`, `target` and `message`.
+    /// One JSON object a line: `timestamp`, `level`, `target`, `message` and the record's fields.
     Json,
 }
 
-/// The Unix time in seconds, to the millisecond.
+/// Formats the time as Unix time in seconds with three decimals.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
@@ -32,7 +33,7 @@
     }
 }
 
-/// `TIME LEVEL part: message name=value ...`
+/// Formats a record as `TIME LEVEL target: message name=value ...`.
 struct Line;
 
 impl<S, N> FormatEvent<S, N> for Line
@@ -48,15 +49,15 @@
     }
 }
 
-/// Sends the records of at least this level to standard error.
+/// Starts logging records of this level and above to standard error.
 pub fn start(level: LevelFilter, form: LogFormat) {
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        // A log that cannot be written must not take the relay down, as telling of it on standard error would.
+        // Reporting a failed write to standard error would panic if standard error itself is broken.
         .log_internal_errors(false);
-    // A second start keeps the first log.
+    // If logging was already started, the earlier configuration stays.
     let _ = match form {
         LogFormat::Text => log.event_format(Line).try_init().is_ok(),
         LogFormat::Json => log.json().flatten_event(true).with_timer(UnixTime).try_init().is_ok(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,9 +16,9 @@
 use honeyknot_relay::relay::lifecycle::config::{Config, OperatorFiles};
 use tracing::level_filters::LevelFilter;
 
-/// Exit status of an admin command that the relay has rejected.
+/// Exit status of an admin command that the relay answered with `NO`.
 const REJECTED: u8 = 1;
-/// Exit status of a command that failed.
+/// Exit status of any other failure.
 const FAILED: u8 = 2;
 
 /// Relay for long-lived connections.
@@ -29,13 +29,13 @@
     command: Command,
 }
 
-/// What and how to log.
+/// Options of the log.
 #[derive(Args)]
 struct LogOptions {
-    /// The lowest level that is logged: error, warn, info, debug, or trace (all events and actions of the balancer).
+    /// Lowest level to log: error, warn, info, debug, or trace (all events and actions of the balancer).
     #[arg(long, default_value = "info", env = "HONEYKNOT_LOG")]
     log: LevelFilter,
-    /// How records are written.
+    /// Format of log records.
     #[arg(long, value_enum, default_value = "text", env = "HONEYKNOT_LOG_FORM")]
     log_form: LogFormat,
 }
@@ -48,36 +48,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM. The configuration is the file that EDGE_CONFIG names.
+    /// Relay connections until SIGTERM. The variable EDGE_CONFIG names the configuration file.
     Serve {
         #[command(flatten)]
         log: LogOptions,
         #[command(flatten)]
         files: OperatorFiles,
     },
-    /// Read the configuration as `serve` would and print a summary.
+    /// Check the configuration that `serve` would use, and print a summary.
     CheckConfig {
         #[command(flatten)]
         files: OperatorFiles,
     },
-    /// List the names of all metrics, or print captured packets and snapshots of metrics.
+    /// List all metrics, or print captured export packets and counter snapshots.
     Metrics {
         #[command(subcommand)]
         command: MetricsCommand,
     },
-    /// Send an admin command and print the answer; the exit status is 1 for a `NO`, 2 if nobody answers.
+    /// Send an admin command and print the answer. The exit status is 1 if the answer is `NO`, 2 if there is
+    /// none.
     #[command(alias = "call")]
     Admin {
-        /// The relay's admin address.
+        /// The relay's admin address, IP:PORT.
         address: SocketAddr,
         /// The command: status, stats, maint-on ID or maint-off ID.
         #[arg(required = true)]
         words: Vec<String>,
     },
-    /// Run a lease server, one replica of three, five or seven, until SIGTERM.
+    /// Run a lease server, one of three, five or seven replicas, until SIGTERM.
     #[command(alias = "keeper")]
     LeaseServer {
-        /// The operators' file: the lease servers and the parameters of leases.
+        /// Operator file with the lease servers and the lease parameters, such as deploy/leases.conf.
         #[arg(long)]
         leases: String,
         #[command(flatten)]
@@ -85,15 +86,15 @@
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Ask the lease servers who holds which lease, or revoke one.
+    /// List, watch or revoke the leases that the lease servers have granted.
     Lease {
-        /// The operators' file: the lease servers and the parameters of leases.
+        /// Operator file with the lease servers and the lease parameters.
         #[arg(long, default_value = "deploy/leases.conf")]
         leases: String,
         #[command(subcommand)]
         command: AdminCommand,
     },
-    /// Print name and version.
+    /// Print the program's name and version.
     Version,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings object, from JSON to typed [`Settings`](honeyknot_balancer::Settings).
+//! Parses the JSON settings object into typed [`Settings`](honeyknot_balancer::Settings).
 //!
-//! The simulator's first message to an instance and the relay's configuration hold the same object. Its JSON keys, some
-//! of which use the protocol's own words, are translated to the balancer's terms here and nowhere else.
+//! The simulator's first message to an instance and the relay's configuration file hold the same object. Its
+//! JSON keys and values are translated to the balancer's terms in this module only.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -1,15 +1,17 @@
-//! Names from the settings, by which later messages refer to classes, tenants, zones and machine types.
+//! The names of classes, tenants, zones and machine types in the settings, which requests, endpoint lists and
+//! messages refer to.
 
 use honeyknot_balancer::{ClassId, KindId, LoadReport, TenantId, ZoneId};
 
-/// Maps the names in one settings object to the identifiers that the balancer uses.
+/// Maps the names in a settings object to the identifiers that the balancer uses: their positions in the
+/// settings' lists.
 #[derive(Debug, Default)]
 pub struct NameTable {
     pub(super) classes: Vec<String>,
     pub(super) tenants: Vec<String>,
     pub(super) zones: Vec<String>,
     pub(super) kinds: Vec<String>,
-    /// Whether load reports are about connections, so that `x0` and `x1` have a meaning.
+    /// Whether load reports are about connections; only then `x0` and `x1` are a load and a backlog.
     pub(super) reports_connections: bool,
 }
 
@@ -18,22 +20,22 @@
 }
 
 impl NameTable {
-    /// Returns the class of that name.
+    /// Returns the class with this name; `None` if there is none.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         position(&self.classes, name).map(ClassId)
     }
 
-    /// Returns the tenant of that name.
+    /// Returns the tenant with this name; `None` if there is none.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         position(&self.tenants, name).map(TenantId)
     }
 
-    /// Returns the machine type of that name.
+    /// Returns the machine type with this name; `None` if there is none.
     pub fn kind(&self, name: &str) -> Option<KindId> {
         position(&self.kinds, name).map(KindId)
     }
 
-    /// Returns the zone of that name.
+    /// Returns the zone with this name; `None` if there is none.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         position(&self.zones, name).map(ZoneId)
     }
@@ -48,10 +50,11 @@
         &self.zones
     }
 
-    /// Builds a load report from its figures by name: the simulator's name of a figure, or else the one on sockets.
+    /// Builds a load report. `figure` looks up a value by name: first by the name that the simulator uses,
+    /// then by the name in the line protocol of real endpoints.
     pub fn load_report(&self, figure: impl Fn(&str) -> Option<f64>) -> LoadReport {
         let finite = |name: &str| figure(name).filter(|value| value.is_finite());
-        let either = |simulator: &str, socket: &str| finite(simulator).or_else(|| finite(socket));
+        let either = |simulator: &str, line: &str| finite(simulator).or_else(|| finite(line));
         LoadReport {
             load: finite("x0").filter(|_| self.reports_connections),
             backlog_s: finite("x1").filter(|_| self.reports_connections),
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the whole settings object.
+//! Translates the JSON settings object into the balancer's settings.
 
 use honeyknot_balancer::{
     DeduplicationScope, DiscoveryMode, ForwardMode, Idempotency, LoadReportSource, Micros, ObjectiveWeights,
@@ -30,13 +30,14 @@
     ("cell", DeduplicationScope::Cell),
 ];
 
-/// Shortest interval between events, in microseconds, where the settings give none.
+/// Interval between events, in microseconds, where the settings give none.
 const DEFAULT_EVENT_INTERVAL: Micros = 1_000;
 
-/// Parses the settings object that starts a simulator's instance or stands in the relay's configuration.
+/// Parses the settings object of a simulator's instance or of the relay's configuration. Returns the settings
+/// and the names in them.
 ///
 /// # Errors
-/// A [`SettingsError`] that names the setting which cannot be used.
+/// A [`SettingsError`] that names the invalid setting.
 pub fn parse_settings(value: &Value) -> Result<(Settings, NameTable), SettingsError> {
     if !value.is_object() {
         return Err(SettingsError::NotAnObject);
@@ -87,7 +88,7 @@
     })
 }
 
-/// The number at an index of a list, or the default where there is none.
+/// Returns the number at an index of a list, or the default if there is none.
 fn number_at(list: &[Value], index: usize, default: f64) -> f64 {
     list.get(index).and_then(Value::as_f64).unwrap_or(default)
 }
@@ -126,7 +127,8 @@
     Ok(Idempotency::IdempotencyKey { scope, window })
 }
 
-/// The words of a class's effect. The strictest is first, as an unknown word takes the first choice.
+/// Returns the values of a class's `effect`. The strictest is first, because an unknown value selects the
+/// first choice.
 fn idempotency_choices(with_key: Idempotency) -> [(&'static str, Idempotency); 3] {
     [
         ("at_most_once", Idempotency::AtMostOnce),
