--- a/crates/zone-failover/src/admission.rs
+++ b/crates/zone-failover/src/admission.rs
@@ -1,4 +1,4 @@
-//! The decision on a new connection.
+//! Admission: decides in which zones a new connection may be placed.
 
 use honeyknot_balancer::{AffinityGroup, Micros, ZoneId, ZoneSet};
 
@@ -7,11 +7,13 @@
 use crate::recovery_ramp::RAMP_BURST;
 use crate::zone_health::ZoneState;
 
-/// New connections that may leave the home zone in a burst, beyond the configured share.
+/// Maximum number of new connections that may leave the home zone in a burst, beyond the configured share.
 pub(crate) const LEAVE_BURST: f64 = 5.0;
 
 impl ZoneFailover {
-    /// Decides on a new connection.
+    /// Decides in which zones a new connection may be placed.
+    ///
+    /// `group` is its affinity group, `None` if it has none.
     pub fn admit(&mut self, now: Micros, group: Option<&AffinityGroup>) -> ZoneDecision {
         self.leave_tokens = (self.leave_tokens + self.config.leave_limit).min(LEAVE_BURST);
         let mut zones = ZoneSet::EMPTY;
@@ -30,7 +32,7 @@
         ZoneDecision::Allow(zones)
     }
 
-    /// Whether the home zone takes one more connection; while it recovers, by the tokens of its ramp.
+    /// Returns whether the home zone takes one more connection. During its recovery the ramp limits the rate.
     fn home_admits(&mut self, now: Micros) -> bool {
         match self.home().health.state() {
             ZoneState::Up { .. } if !self.list_is_cached => true,
@@ -43,17 +45,17 @@
         }
     }
 
-    /// Whether new connections of the home zone may go to others.
+    /// Returns whether new connections may go to zones other than the home zone.
     fn home_spills(&self, now: Micros) -> bool {
         !self.home().health.is_up()
             || self.list_is_cached
             || self.zone_load(self.home_zone, now) >= self.config.spill_threshold
     }
 
-    /// Adds the zones of the first tier that take the connection.
+    /// Adds to `zones` the zones of the first tier in which any zone accepts the connection.
     fn with_first_open_tier(&self, zones: ZoneSet, now: Micros, group: Option<&AffinityGroup>) -> ZoneSet {
         for tier in &self.tiers {
-            let open = tier.iter().filter(|zone| self.takes_spill(**zone, now, group));
+            let open = tier.iter().filter(|zone| self.accepts_spill(**zone, now, group));
             let extended = open.fold(zones, |set, zone| set.with(*zone));
             if extended != zones {
                 return extended;
@@ -62,14 +64,14 @@
         zones
     }
 
-    /// Whether a zone takes one more spilled connection of this relay.
-    fn takes_spill(&self, zone_id: ZoneId, now: Micros, group: Option<&AffinityGroup>) -> bool {
+    /// Returns whether a zone accepts one more spilled connection of this relay.
+    fn accepts_spill(&self, zone_id: ZoneId, now: Micros, group: Option<&AffinityGroup>) -> bool {
         let zone = &self.zones[zone_id.0];
-        // A cached list proves nothing: an endpoint must have responded.
-        let is_proven = !self.list_is_cached || zone.capacity.proven;
+        // A cached list may be outdated, so an endpoint of the zone must have responded.
+        let is_confirmed = !self.list_is_cached || zone.capacity.has_responded;
         let is_overloaded =
             zone.spill_suspended || self.zone_load(zone_id, now) >= self.config.receive_threshold;
-        if !zone.health.is_up() || !is_proven || is_overloaded {
+        if !zone.health.is_up() || !is_confirmed || is_overloaded {
             return false;
         }
         let group_cost = self.config.affinity_group_cost;
--- a/crates/zone-failover/src/capacity_survey.rs
+++ b/crates/zone-failover/src/capacity_aggregation.rs
@@ -1,4 +1,4 @@
-//! Sums up the endpoints of each zone and derives the zones' states.
+//! Aggregates the endpoints of each zone and updates the zones' states.
 
 use honeyknot_balancer::{Micros, ZoneId};
 
@@ -8,43 +8,45 @@
 use crate::zone::ZoneCapacity;
 use crate::zone_health::{StateChange, TransitionContext};
 
-/// Time within which another endpoint of a zone with silent endpoints has to respond, in microseconds.
+/// Time within which another endpoint of a zone with unresponsive endpoints must respond, in microseconds.
+/// Otherwise the whole zone is considered unresponsive.
 const SUSPICION_TIMEOUT: Micros = 700_000;
-/// Load over capacity that is assumed without reports.
+/// Load, as a share of capacity, that is assumed for a zone without load reports.
 const DEFAULT_LOAD: f64 = 0.5;
-/// A zone takes spill again when its load has fallen this far below the threshold at which it stopped.
+/// Hysteresis of the receive threshold: a zone accepts spill again when its load has fallen this far below
+/// the threshold at which it stopped.
 const RECEIVE_HYSTERESIS: f64 = 0.08;
-/// Share of all capacity that seems silent from which on the fault is assumed to be this relay's own.
+/// Share of all capacity above which unresponsiveness is assumed to be a fault local to this relay.
 const LOCAL_FAULT_THRESHOLD: f64 = 0.67;
-/// Least share of its capacity that an endpoint is assumed to start with.
+/// Minimum share of its capacity that an endpoint is assumed to start with.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
-/// Sums over the endpoints of one zone that are listed as ready.
+/// Sums over those endpoints of a zone that are listed as ready.
 #[derive(Clone, Default)]
-struct ZoneSurvey {
+struct ZoneAggregate {
     capacity: ZoneCapacity,
-    /// Reported load, weighted by warm capacity.
+    /// Sum of the reported loads, weighted by warm capacity.
     weighted_load: f64,
-    /// Warm capacity with a report.
+    /// Warm capacity of the endpoints with a recent load report.
     reported_capacity: f64,
     endpoints: u32,
-    silent_endpoints: u32,
-    /// When an endpoint that is not silent last responded.
-    last_alive_at: Micros,
+    unresponsive_endpoints: u32,
+    /// When any responsive endpoint last responded; 0 if none has.
+    last_responded_at: Micros,
 }
 
-impl ZoneSurvey {
+impl ZoneAggregate {
     fn add(&mut self, endpoint: &EndpointRecord, warm_share: f64, now: Micros) {
         self.capacity.listed += endpoint.weight;
         self.endpoints += 1;
-        if endpoint.is_silent() {
-            self.silent_endpoints += 1;
+        if endpoint.is_unresponsive() {
+            self.unresponsive_endpoints += 1;
             return;
         }
-        self.last_alive_at = self.last_alive_at.max(endpoint.last_alive_at);
+        self.last_responded_at = self.last_responded_at.max(endpoint.last_responded_at);
         self.capacity.usable += endpoint.weight;
         self.capacity.warm += endpoint.weight * warm_share;
-        self.capacity.proven |= endpoint.last_alive_at > 0;
+        self.capacity.has_responded |= endpoint.last_responded_at > 0;
         if let Some(load) = endpoint.recent_load(now) {
             self.weighted_load += load * endpoint.weight * warm_share;
             self.reported_capacity += endpoint.weight * warm_share;
@@ -57,26 +59,30 @@
 }
 
 impl ZoneFailover {
-    /// Sums up each zone's endpoints and updates the zones' states and claims.
-    pub(crate) fn survey_capacity(&mut self, now: Micros, actions: &mut Vec<ZoneAction>) {
-        let mut surveys = vec![ZoneSurvey::default(); self.zones.len()];
+    /// Aggregates the endpoints of each zone and updates the zones' states and spill demand.
+    pub(crate) fn aggregate_capacity(&mut self, now: Micros, actions: &mut Vec<ZoneAction>) {
+        let mut aggregates = vec![ZoneAggregate::default(); self.zones.len()];
         for endpoint in self.endpoints.values().filter(|endpoint| endpoint.ready) {
-            surveys[endpoint.zone.0].add(endpoint, self.warm_share(endpoint, now), now);
+            aggregates[endpoint.zone.0].add(endpoint, self.warm_share(endpoint, now), now);
         }
-        self.detect_local_fault(now, &surveys, actions);
-        for (index, mut survey) in surveys.into_iter().enumerate() {
-            self.judge_silence(now, index, &mut survey);
-            survey.capacity.load = survey.mean_load();
-            self.update_zone(now, index, survey.capacity, actions);
+        self.detect_local_fault(now, &aggregates, actions);
+        for (index, mut aggregate) in aggregates.into_iter().enumerate() {
+            self.detect_unresponsive_zone(now, index, &mut aggregate);
+            aggregate.capacity.load = aggregate.mean_load();
+            self.update_zone(now, index, aggregate.capacity, actions);
         }
-        self.update_claims(now);
+        self.update_spill_demand(now);
     }
 
-    /// Suspects a fault of this relay's own where nearly all capacity seems silent.
-    fn detect_local_fault(&mut self, now: Micros, surveys: &[ZoneSurvey], actions: &mut Vec<ZoneAction>) {
-        let listed: f64 = surveys.iter().map(|survey| survey.capacity.listed).sum();
-        let silent: f64 = surveys.iter().map(|survey| survey.capacity.listed - survey.capacity.usable).sum();
-        let suspected = listed > 0.0 && self.zones.len() > 1 && silent > listed * LOCAL_FAULT_THRESHOLD;
+    /// Suspects a fault local to this relay if nearly all capacity is unresponsive, and then marks all zones
+    /// as up.
+    fn detect_local_fault(
+        &mut self, now: Micros, aggregates: &[ZoneAggregate], actions: &mut Vec<ZoneAction>,
+    ) {
+        let listed: f64 = aggregates.iter().map(|aggregate| aggregate.capacity.listed).sum();
+        let unresponsive: f64 =
+            aggregates.iter().map(|aggregate| aggregate.capacity.listed - aggregate.capacity.usable).sum();
+        let suspected = listed > 0.0 && self.zones.len() > 1 && unresponsive > listed * LOCAL_FAULT_THRESHOLD;
         if suspected == self.local_fault_suspected {
             return;
         }
@@ -87,37 +93,39 @@
         }
         actions.push(ZoneAction::Log(ZoneEvent::LocalFaultSuspected));
         for zone in self.zones.iter_mut().filter(|zone| zone.capacity.listed > 0.0) {
-            zone.health.restore(now);
+            zone.health.mark_up(now);
         }
     }
 
-    /// Takes a zone for silent if several of its endpoints are silent and none of the others has responded in time.
+    /// Marks a zone as unresponsive if several of its endpoints are unresponsive and none of the others has
+    /// responded in time.
     ///
-    /// The others need not be found silent one by one, at the cost of a client's timeout each. Under a suspected
-    /// local fault no zone is taken for silent.
-    fn judge_silence(&mut self, now: Micros, index: usize, survey: &mut ZoneSurvey) {
+    /// It does not wait until each endpoint is known to be unresponsive, because that would cost a client
+    /// timeout for each. While a local fault is suspected, no zone is marked.
+    fn detect_unresponsive_zone(&mut self, now: Micros, index: usize, aggregate: &mut ZoneAggregate) {
         let zone = &mut self.zones[index];
-        let capacity = &mut survey.capacity;
+        let capacity = &mut aggregate.capacity;
         if self.local_fault_suspected {
             capacity.usable = capacity.listed;
             capacity.warm = capacity.listed;
             zone.suspected_since = None;
-            zone.silent = false;
+            zone.unresponsive = false;
             return;
         }
-        let min_silent = self.config.min_unresponsive_endpoints.min(survey.endpoints);
-        let is_suspect = survey.silent_endpoints > 0 && survey.silent_endpoints >= min_silent;
-        zone.suspected_since = zone.suspected_since.or(Some(now)).filter(|_| is_suspect);
-        zone.silent = zone
+        let min_unresponsive = self.config.min_unresponsive_endpoints.min(aggregate.endpoints);
+        let is_suspected =
+            aggregate.unresponsive_endpoints > 0 && aggregate.unresponsive_endpoints >= min_unresponsive;
+        zone.suspected_since = zone.suspected_since.or(Some(now)).filter(|_| is_suspected);
+        zone.unresponsive = zone
             .suspected_since
-            .is_some_and(|since| survey.last_alive_at < since && now >= since + SUSPICION_TIMEOUT);
-        if zone.silent {
+            .is_some_and(|since| aggregate.last_responded_at < since && now >= since + SUSPICION_TIMEOUT);
+        if zone.unresponsive {
             capacity.usable = 0.0;
             capacity.warm = 0.0;
         }
     }
 
-    /// Updates a zone's capacity, whether it takes spill, and its state.
+    /// Updates a zone's capacity, whether it accepts spill, and its state.
     fn update_zone(
         &mut self, now: Micros, index: usize, capacity: ZoneCapacity, actions: &mut Vec<ZoneAction>,
     ) {
@@ -133,12 +141,12 @@
             rng: &mut self.rng,
         };
         if let Some(change) = zone.health.update_capacity(usable, listed, &mut context) {
-            self.zone_changed(now, ZoneId(index), change, actions);
+            self.zone_state_changed(now, ZoneId(index), change, actions);
         }
     }
 
-    /// Logs a zone's change of state; a ramp of the home zone begins without tokens.
-    pub(crate) fn zone_changed(
+    /// Logs a change of a zone's state. If the home zone is lost or recovers, its ramp starts without tokens.
+    pub(crate) fn zone_state_changed(
         &mut self, now: Micros, id: ZoneId, change: StateChange, actions: &mut Vec<ZoneAction>,
     ) {
         let zone = &self.zones[id.0];
@@ -159,7 +167,7 @@
         }
     }
 
-    /// Returns the least share of its capacity that an endpoint has by now.
+    /// Returns the share of its capacity that an endpoint has at least, considering its slow start.
     fn warm_share(&self, endpoint: &EndpointRecord, now: Micros) -> f64 {
         let age = now.saturating_sub(endpoint.started_at);
         if endpoint.started_at == 0 || age >= self.slow_start_duration {
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -1,79 +1,86 @@
-//! The operators' settings for zone failover.
+//! Operator configuration of zone failover.
 
 use std::collections::BTreeMap;
 
 use honeyknot_balancer::{Micros, ZoneId};
 
-/// Settings for zone failover. [`ZoneFailoverConfig::default`] holds what an empty file means.
+/// Configuration of zone failover. [`ZoneFailoverConfig::default`] is the configuration of an empty file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneFailoverConfig {
-    /// Tiers of preference by home zone: the zones of each tier, nearest first. A zone in no tier takes no spill. A
-    /// home zone without an entry has all other zones as its one tier.
+    /// Tiers of preference for each home zone, most preferred tier first, each a list of zones. Zones in no
+    /// tier receive no spill. A home zone without an entry has all other zones in a single tier.
     pub tiers: BTreeMap<String, Vec<Vec<String>>>,
-    /// Most of a receiving zone's capacity that spilled connections of all relays may hold, as a share.
+    /// Maximum share of a receiving zone's capacity that spilled connections of all relays together may use.
     pub spill_limit: f64,
-    /// The spill limit of single receiving zones.
+    /// Spill limits of receiving zones that differ from `spill_limit`, by zone name.
     pub receive_limits: BTreeMap<String, f64>,
-    /// Most of a relay's new connections that may leave its home zone, as a share.
+    /// Maximum share of a relay's new connections that may leave its home zone.
     pub leave_limit: f64,
-    /// Share of the spill limit for relays whose home zone is up but overloaded.
+    /// Share of the spill limit that is reserved for relays whose home zone is up but overloaded.
     pub overflow_share: f64,
-    /// Number of relays in each zone; spread evenly over zones that are not named.
+    /// Number of relays in each zone, by zone name. A zone without an entry is assumed to have an equal share
+    /// of the fleet.
     pub relays_per_zone: BTreeMap<String, u32>,
-    /// Factor by which the busiest relay's part of a limit may exceed an equal one. At 1 the limit holds for any
-    /// skew between relays; above 1 it holds while no more than one relay in so many uses its part.
+    /// Factor by which the busiest relay's share of a limit may exceed an equal share. At 1 the limit holds
+    /// for any skew of load between relays. At a higher value N it holds as long as at most one in N relays
+    /// uses up its share.
     pub relay_skew: f64,
-    /// Load of a usual connection on an endpoint of weight 1, as a share of its capacity.
+    /// Load of an average connection on an endpoint of weight 1, as a share of the endpoint's capacity.
     pub connection_load: f64,
-    /// Cost of an affinity group's first connection to an endpoint beyond its own load, in usual connections.
+    /// Additional load of an affinity group's first connection to an endpoint, in average connections.
     pub affinity_group_cost: f64,
-    /// Load of the home zone above which the next tier opens.
+    /// Load of the home zone from which new connections may spill to other zones.
     pub spill_threshold: f64,
-    /// Load of a receiving zone above which it takes no spill.
+    /// Load of a receiving zone from which it accepts no spill.
     pub receive_threshold: f64,
-    /// Load of a receiving zone above which its spilled connections are migrated away.
+    /// Load of a receiving zone from which spilled connections are migrated away.
     pub give_back_threshold: f64,
     /// Share of its usual capacity below which a zone is lost.
     pub lost_threshold: f64,
-    /// Share of its usual capacity above which a lost zone recovers.
+    /// Share of its usual capacity from which a lost zone recovers.
     pub recovered_threshold: f64,
-    /// Time after which a lost zone that has stayed above `lost_threshold` recovers too, in microseconds.
+    /// Time after which a lost zone whose capacity has stayed between `lost_threshold` and
+    /// `recovered_threshold` recovers as well, in microseconds.
     pub partial_recovery_delay: Micros,
-    /// Number of silent endpoints, without a sign of life from the zone, that show the whole zone to be silent.
+    /// Number of unresponsive endpoints from which a whole zone is considered unresponsive if no other
+    /// endpoint of the zone responds either.
     pub min_unresponsive_endpoints: u32,
-    /// Least time after which a recovering zone gets its full share of new connections, in microseconds.
+    /// Minimum duration of the recovery ramp, in microseconds. A recovering zone takes new connections
+    /// without limit after it.
     pub ramp_duration: Micros,
-    /// Time within which relays begin the recovery ramp out of step, in microseconds.
+    /// Time over which the relays randomly spread the start of the recovery ramp, in microseconds.
     pub ramp_spread: Micros,
-    /// Time after the ramp until spilled connections are rebalanced, in microseconds; doubled by each flap.
+    /// Time from the end of the ramp until spilled connections return, in microseconds. Each flap after the
+    /// first doubles it.
     pub settle_time: Micros,
-    /// Hold-down of a zone that flapped once, in microseconds; doubled by each further flap.
+    /// Base of the hold-down of a zone that has flapped, in microseconds. Each flap after the first doubles
+    /// it.
     pub hold_down: Micros,
-    /// Longest hold-down, in microseconds.
+    /// Maximum hold-down, in microseconds.
     pub max_hold_down: Micros,
-    /// Time after which a flap counts half, in microseconds.
+    /// Half-life of the number of flaps, in microseconds.
     pub flap_half_life: Micros,
-    /// Connections a second that all relays together migrate between zones.
+    /// Number of connections a second that all relays together migrate between zones.
     pub migrations_per_second: f64,
-    /// Load of the home zone below which spilled connections return.
+    /// Load of the home zone below which spilled connections return to it.
     pub rebalance_threshold: f64,
-    /// Most time by which an update reaches one relay later than another, in microseconds.
+    /// Maximum time by which an endpoint update reaches one relay later than another, in microseconds.
     pub max_update_skew: Micros,
-    /// Time over which a relay whose zone was lost after others takes up its part of the spill limit, in
-    /// microseconds.
+    /// Minimum time over which a relay whose zone was lost after others raises its use of the spill limit to
+    /// its share, in microseconds.
     pub spill_ramp_duration: Micros,
-    /// Time after which half of a zone's usual capacity is forgotten, in microseconds.
+    /// Half-life of a zone's remembered usual capacity, in microseconds.
     pub usual_capacity_half_life: Micros,
-    /// `Retry-After` of rejected clients.
+    /// Range of the `Retry-After` that rejected clients receive.
     pub retry_after: RetryAfterRange,
 }
 
 /// Range of `Retry-After` delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterRange {
-    /// Shortest delay, in microseconds.
+    /// Minimum delay, in microseconds.
     pub min: Micros,
-    /// Longest delay, in microseconds.
+    /// Maximum delay, in microseconds.
     pub max: Micros,
 }
 
@@ -118,12 +125,12 @@
         self.receive_limits.get(zone_name).copied().unwrap_or(self.spill_limit)
     }
 
-    /// Returns the number of relays in a zone: as configured, or spread evenly.
+    /// Returns the number of relays in a zone: the configured one, or else an equal share of the fleet.
     pub(crate) fn relays_in(&self, zone_name: &str, fleet_size: f64, zones: usize) -> f64 {
         self.relays_per_zone.get(zone_name).map_or(fleet_size / zones as f64, |count| f64::from(*count))
     }
 
-    /// Returns a home zone's tiers; all other zones as one tier where none are configured.
+    /// Returns the tiers of a home zone. If none are configured, all other zones form a single tier.
     pub(crate) fn tiers_of(&self, home: ZoneId, zone_names: &[String]) -> Vec<Vec<ZoneId>> {
         let zone_id = |name: &String| zone_names.iter().position(|other| other == name).map(ZoneId);
         match self.tiers.get(&zone_names[home.0]) {
--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Reads the operator file `sites.conf`.
+//! Parser of the operator file `sites.conf`.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,33 +10,37 @@
 use crate::config::{RetryAfterRange, ZoneFailoverConfig};
 
 const HOUR: Duration = Duration::from_secs(3600);
-/// Longest value of durations on the scale of a ramp.
+/// Maximum of settings for short durations, such as that of the recovery ramp.
 const MAX_SHORT_DURATION: Duration = Duration::from_secs(300);
-/// Longest value of durations over which observations are forgotten.
+/// Maximum of settings for half-lives.
 const MAX_LONG_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-/// Sets a field where the file has a value for it.
+/// Sets a field if the file has a valid value for it.
 fn set<T>(field: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *field = value;
     }
 }
 
+/// Returns a parser of durations from `min_ms` milliseconds to `max`.
 fn micros(min_ms: u64, max: Duration) -> impl Fn(&str) -> units::ParseResult<Micros> {
     units::micros(Duration::from_millis(min_ms)..=max)
 }
 
 impl ZoneFailoverConfig {
-    /// Reads the text of `sites.conf` against the names of the zones that exist; `file` is only named in errors.
+    /// Parses the text of `sites.conf`.
+    ///
+    /// `file` is the name of the file in errors, `zone_names` are the names of the zones in the settings.
     ///
     /// # Errors
     ///
-    /// Returns all errors of the file at once, each with file, line, word and what is allowed.
+    /// Returns all errors of the file at once, each with the file name, the position, the word and what is
+    /// allowed.
     pub fn read(file: &str, text: &str, zone_names: &[String]) -> Result<ZoneFailoverConfig, ConfigErrors> {
         let tree = parse(file, text)?;
-        let faults = RefCell::default();
-        let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &faults), zone_names);
-        Section::errors(faults).map(|()| config)
+        let errors = RefCell::default();
+        let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &errors), zone_names);
+        Section::errors(errors).map(|()| config)
     }
 
     fn from_section(mut top: Section, zone_names: &[String]) -> ZoneFailoverConfig {
@@ -68,7 +72,7 @@
         config
     }
 
-    /// Reads limits and load thresholds.
+    /// Reads the spill limits and the load thresholds.
     fn read_limits(&mut self, top: &mut Section) {
         let share = units::share(0.0..=1.0);
         let load = units::share(0.05..=1.0);
@@ -83,7 +87,7 @@
         set(&mut self.give_back_threshold, top.value("give-back-at", units::share(0.05..=2.0)));
     }
 
-    /// Reads when a zone is lost and how it recovers.
+    /// Reads the settings for the loss and the recovery of zones.
     fn read_recovery(&mut self, top: &mut Section) {
         let share = units::share(0.0..=1.0);
         set(&mut self.lost_threshold, top.value("lost-below", &share));
@@ -98,7 +102,7 @@
         set(&mut self.flap_half_life, top.value("forget-flap", micros(1_000, MAX_LONG_DURATION)));
     }
 
-    /// Reads the pace of rebalancing and the assumptions behind shared limits.
+    /// Reads the settings for rebalancing and for the relays' shares of the spill limits.
     fn read_rebalancing(&mut self, top: &mut Section) {
         let load = units::share(0.05..=1.0);
         set(&mut self.migrations_per_second, top.value("moves", units::rate(0.0..=10_000.0)));
@@ -110,34 +114,37 @@
 
     fn read_retry_after(&mut self, top: &mut Section) {
         let Some(directive) = top.only("come-back") else { return };
-        let [least, most] = &directive.words[..] else {
-            return top.error(&directive.name, "`come-back` takes the least and the longest time".into());
+        let [min_word, max_word] = &directive.words[..] else {
+            return top.error(
+                &directive.name,
+                "`come-back` takes two durations, the minimum and the maximum".into(),
+            );
         };
         let read = |word| top.word("come-back", word, micros(1, HOUR));
-        if let (Some(from), Some(to)) = (read(least), read(most)) {
+        if let (Some(from), Some(to)) = (read(min_word), read(max_word)) {
             if from > to {
-                top.error(least, "`come-back`: the least time is longer than the longest".into());
+                top.error(min_word, "`come-back`: the minimum is longer than the maximum".into());
             }
             self.retry_after = RetryAfterRange { min: from, max: to };
         }
     }
 
-    /// Reads `prefer HOME {` and a line `tier SITE ...` for each tier.
+    /// Reads a block `prefer HOME { ... }`, in which each line `tier SITE ...` is a tier.
     fn read_tiers(&mut self, top: &Section, directive: &Directive, zone_names: &[String]) {
         let mut block = top.block(directive);
-        let mut named: Vec<String> = Vec::new();
+        let mut listed_zones: Vec<String> = Vec::new();
         let mut zone = |section: &Section, word: &Word| {
-            let name = section.word("site", word, |text| known_zone(text, zone_names))?;
-            if named.contains(&name) {
-                section.error(word, format!("the site `{name}` is named again"));
+            let name = section.word("site", word, |text| parse_zone_name(text, zone_names))?;
+            if listed_zones.contains(&name) {
+                section.error(word, format!("the site `{name}` is already listed in this `prefer` block"));
             }
-            named.push(name.clone());
+            listed_zones.push(name.clone());
             Some(name)
         };
         let home = match &directive.words[..] {
             [home] => zone(top, home),
             _ => {
-                top.error(&directive.name, "`prefer` takes one site, the home".into());
+                top.error(&directive.name, "`prefer` takes exactly one site, the home site".into());
                 None
             }
         };
@@ -145,7 +152,7 @@
         for tier in block.each("tier") {
             block.no_block(tier);
             if tier.words.is_empty() {
-                block.error(&tier.name, "`tier` takes one site or more".into());
+                block.error(&tier.name, "`tier` takes one or more sites".into());
             }
             tiers.push(tier.words.iter().filter_map(|word| zone(&block, word)).collect());
         }
@@ -156,12 +163,12 @@
         }
     }
 
-    /// Checks values that are valid alone but contradict each other.
+    /// Checks for values that are valid on their own but contradict each other.
     fn check(&self, top: &mut Section) {
-        let mut order = |low: (&'static str, f64), high: (&'static str, f64)| {
+        let mut check_not_above = |low: (&'static str, f64), high: (&'static str, f64)| {
             if low.1 > high.1 {
                 let at = top.only(low.0).or_else(|| top.only(high.0));
-                let what = format!(
+                let message = format!(
                     "`{}` ({:.0}%) must not be above `{}` ({:.0}%)",
                     low.0,
                     low.1 * 100.0,
@@ -169,23 +176,25 @@
                     high.1 * 100.0
                 );
                 if let Some(directive) = at {
-                    top.error(&directive.name, what);
+                    top.error(&directive.name, message);
                 }
             }
         };
-        order(("lost-below", self.lost_threshold), ("back-above", self.recovered_threshold));
-        order(("yield-at", self.receive_threshold), ("give-back-at", self.give_back_threshold));
+        check_not_above(("lost-below", self.lost_threshold), ("back-above", self.recovered_threshold));
+        check_not_above(("yield-at", self.receive_threshold), ("give-back-at", self.give_back_threshold));
     }
 }
 
-fn known_zone(text: &str, zone_names: &[String]) -> units::ParseResult<String> {
+fn parse_zone_name(text: &str, zone_names: &[String]) -> units::ParseResult<String> {
     match zone_names.iter().any(|name| name == text) {
         true => Ok(text.to_owned()),
         false => Err(format!("no such site; the settings name {}", zone_names.join(", "))),
     }
 }
 
-/// Reads a directive of a zone and a value.
+/// Reads a directive with a zone name and a value. Reports an error if `earlier` already has the zone.
+///
+/// Returns `None` if either word is invalid.
 fn read_zone_value<T>(
     top: &Section, directive: &Directive, zone_names: &[String], earlier: &BTreeMap<String, T>,
     read: impl Fn(&str) -> units::ParseResult<T>,
@@ -196,7 +205,7 @@
         top.error(name, format!("`{}` takes a site and a value", name.text));
         return None;
     };
-    let found = top.word(&name.text, zone, |text| known_zone(text, zone_names));
+    let found = top.word(&name.text, zone, |text| parse_zone_name(text, zone_names));
     let value = top.word(&name.text, value, read);
     if found.as_ref().is_some_and(|found| earlier.contains_key(found)) {
         top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
--- a/crates/zone-failover/src/connections.rs
+++ b/crates/zone-failover/src/connections.rs
@@ -1,18 +1,18 @@
-//! Attempts and connections of this relay come and go.
+//! Tracks this relay's attempts and connections.
 
 use honeyknot_balancer::{AffinityGroup, EndpointId, Micros, RequestId};
 
 use crate::failover::ZoneFailover;
 use crate::spilled_connections::SpilledConnection;
 
-/// Most samples that the mean load of a connection is taken over.
+/// Maximum number of samples that the mean load of connections is averaged over.
 const MAX_LOAD_SAMPLES: u32 = 200;
-/// Least load of a connection, in usual connections.
+/// Minimum load of a connection, in average connections.
 const MIN_CONNECTION_UNITS: f64 = 0.1;
-/// Most load of a connection, in usual connections.
+/// Maximum load of a connection, in average connections.
 const MAX_CONNECTION_UNITS: f64 = 10.0;
 
-/// The mean load of connections, in the endpoints' own unit.
+/// Running mean of the load of connections, in the unit that endpoints report.
 #[derive(Debug, Default)]
 pub(crate) struct MeanConnectionLoad {
     mean: f64,
@@ -20,7 +20,7 @@
 }
 
 impl MeanConnectionLoad {
-    /// Adds a sample and returns the mean.
+    /// Adds a sample and returns the new mean.
     fn add(&mut self, load: f64) -> f64 {
         self.samples = (self.samples + 1).min(MAX_LOAD_SAMPLES);
         self.mean += (load - self.mean) / f64::from(self.samples);
@@ -29,7 +29,9 @@
 }
 
 impl ZoneFailover {
-    /// Records that the balancer has started a connection's attempt at an endpoint.
+    /// Records that the balancer has started an attempt to establish a connection to an endpoint.
+    ///
+    /// It replaces an earlier attempt for the same connection.
     pub fn attempt_started(
         &mut self, now: Micros, id: RequestId, endpoint: &EndpointId, group: Option<&AffinityGroup>,
     ) {
@@ -55,7 +57,7 @@
         self.spilled.insert(id, connection);
     }
 
-    /// Records that a connection from before this relay's start is established at an endpoint.
+    /// Records a connection to an endpoint that was established before this relay process started.
     pub fn connection_adopted(
         &mut self, now: Micros, id: RequestId, endpoint: &EndpointId, group: Option<&AffinityGroup>,
     ) {
@@ -65,17 +67,17 @@
         }
     }
 
-    /// Records that a connection is established at the endpoint of its last attempt.
+    /// Records that a connection has been established to the endpoint of its last attempt.
     pub fn connection_established(&mut self, now: Micros, id: RequestId) {
         self.spilled.establish(id, now);
     }
 
-    /// Records that a connection or its attempt has ended.
+    /// Records that a connection or an attempt has ended.
     pub fn connection_ended(&mut self, id: RequestId) {
         self.spilled.remove(id);
     }
 
-    /// Records a connection's load, in the endpoints' own unit.
+    /// Records the load of a connection, in the unit that endpoints report.
     pub fn connection_load_reported(&mut self, id: RequestId, load: f64) {
         if !load.is_finite() || load < 0.0 {
             return;
--- a/crates/zone-failover/src/endpoint.rs
+++ b/crates/zone-failover/src/endpoint.rs
@@ -1,10 +1,10 @@
-//! What is known of one endpoint.
+//! Record of what is known of an endpoint.
 
 use honeyknot_balancer::{Micros, ZoneId};
 
-/// Consecutive failures after which an endpoint counts as silent.
+/// Number of consecutive failures from which an endpoint is considered unresponsive.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// Age from which on a load report is ignored, in microseconds.
+/// Age from which a load report is ignored, in microseconds.
 const MAX_REPORT_AGE: Micros = 8_000_000;
 
 /// What an attempt or a health check shows about its endpoint.
@@ -19,28 +19,30 @@
 /// A load report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadSample {
-    /// Load over capacity.
+    /// Load as a share of capacity.
     pub(crate) load: f64,
     pub(crate) reported_at: Micros,
 }
 
-/// One listed endpoint.
+/// A listed endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointRecord {
     pub(crate) zone: ZoneId,
     pub(crate) weight: f64,
+    /// When the endpoint started; 0 if unknown.
     pub(crate) started_at: Micros,
-    /// It is listed as ready.
+    /// Whether the endpoint is listed as ready.
     pub(crate) ready: bool,
     pub(crate) consecutive_failures: u32,
-    /// When it last responded; 0 if it never did.
-    pub(crate) last_alive_at: Micros,
+    /// When the endpoint last responded; 0 if it never did.
+    pub(crate) last_responded_at: Micros,
+    /// The last load report; `None` if there has been none.
     pub(crate) load: Option<LoadSample>,
     pub(crate) health_check_requested_at: Micros,
 }
 
 impl EndpointRecord {
-    pub(crate) fn is_silent(&self) -> bool {
+    pub(crate) fn is_unresponsive(&self) -> bool {
         self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
 
@@ -48,7 +50,7 @@
         match signal {
             EndpointSignal::Responsive => {
                 self.consecutive_failures = 0;
-                self.last_alive_at = now;
+                self.last_responded_at = now;
             }
             EndpointSignal::Unresponsive => {
                 self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Returns the reported load unless the report is too old.
+    /// Returns the last reported load; `None` if there is no report or it is too old.
     pub(crate) fn recent_load(&self, now: Micros) -> Option<f64> {
         self.load.filter(|sample| now < sample.reported_at + MAX_REPORT_AGE).map(|sample| sample.load)
     }
--- a/crates/zone-failover/src/endpoint_updates.rs
+++ b/crates/zone-failover/src/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, signs of life and load reports come in.
+//! Processes endpoint lists, endpoint signals and load reports.
 
 use std::collections::BTreeSet;
 
@@ -9,12 +9,12 @@
 use crate::failover::ZoneFailover;
 use crate::zone_health::TransitionContext;
 
-/// Least weight of an endpoint.
+/// Minimum weight of an endpoint.
 const MIN_WEIGHT: f64 = 1e-3;
-/// Weight of an endpoint whose weight is not finite.
+/// Weight that is assumed for an endpoint whose listed weight is not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Weights of a zone's ready endpoints.
+/// Sums of the weights of a zone's ready endpoints.
 #[derive(Clone, Default)]
 struct StartedWeight {
     recently_started: f64,
@@ -22,7 +22,10 @@
 }
 
 impl ZoneFailover {
-    /// Takes an endpoint list or its changes. A cached list is from before this relay's start and is not relied on.
+    /// Applies an endpoint list or its changes.
+    ///
+    /// A cached list is from before this relay's start. It may be outdated, so connections are admitted
+    /// cautiously until discovery has responded.
     pub fn endpoints_updated(&mut self, now: Micros, update: &EndpointUpdate, actions: &mut Vec<ZoneAction>) {
         let (endpoints, is_full) = match update {
             EndpointUpdate::Failed => return,
@@ -41,11 +44,11 @@
         if !matches!(update, EndpointUpdate::Cached(_)) {
             self.list_is_cached = false;
         }
-        self.survey_capacity(now, actions);
+        self.aggregate_capacity(now, actions);
         self.detect_restarted_zones(now, actions);
     }
 
-    /// Records an endpoint; what was observed of it stays unless it has restarted.
+    /// Records a listed endpoint. Earlier observations of it are kept unless it has restarted.
     fn update_endpoint(&mut self, zone: ZoneId, endpoint: &Endpoint) {
         let known = self.endpoints.remove(&endpoint.id);
         if endpoint.state == EndpointState::Removed {
@@ -60,14 +63,15 @@
             started_at: endpoint.started_at,
             ready: endpoint.state == EndpointState::Ready,
             consecutive_failures: known.as_ref().map_or(0, |known| known.consecutive_failures),
-            last_alive_at: known.as_ref().map_or(0, |known| known.last_alive_at),
+            last_responded_at: known.as_ref().map_or(0, |known| known.last_responded_at),
             load: known.as_ref().and_then(|known| known.load),
             health_check_requested_at: known.as_ref().map_or(0, |known| known.health_check_requested_at),
         };
         self.endpoints.insert(endpoint.id.clone(), record);
     }
 
-    /// Begins the recovery of zones in which most endpoints have just started, though no update showed their loss.
+    /// Begins the recovery of zones in which most endpoints have just started although no update showed a
+    /// loss.
     fn detect_restarted_zones(&mut self, now: Micros, actions: &mut Vec<ZoneAction>) {
         let mut weights = vec![StartedWeight::default(); self.zones.len()];
         for endpoint in self.endpoints.values().filter(|endpoint| endpoint.ready) {
@@ -91,11 +95,11 @@
             };
             if let Some(change) = self.zones[index].health.endpoints_restarted(&mut context) {
                 any_restarted = true;
-                self.zone_changed(now, ZoneId(index), change, actions);
+                self.zone_state_changed(now, ZoneId(index), change, actions);
             }
         }
         if any_restarted {
-            self.update_claims(now);
+            self.update_spill_demand(now);
         }
     }
 
@@ -104,15 +108,15 @@
         &mut self, now: Micros, id: &EndpointId, signal: EndpointSignal, actions: &mut Vec<ZoneAction>,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        let was_silent = endpoint.is_silent();
+        let was_unresponsive = endpoint.is_unresponsive();
         endpoint.record_signal(now, signal);
-        let zone_answers = signal == EndpointSignal::Responsive && self.zones[endpoint.zone.0].silent;
-        if was_silent != endpoint.is_silent() || zone_answers {
-            self.survey_capacity(now, actions);
+        let zone_responds = signal == EndpointSignal::Responsive && self.zones[endpoint.zone.0].unresponsive;
+        if was_unresponsive != endpoint.is_unresponsive() || zone_responds {
+            self.aggregate_capacity(now, actions);
         }
     }
 
-    /// Records an endpoint's load over capacity.
+    /// Records the load of an endpoint, as a share of its capacity.
     pub fn load_reported(&mut self, now: Micros, id: &EndpointId, load: f64) {
         if !load.is_finite() || load < 0.0 {
             return;
--- a/crates/zone-failover/src/error.rs
+++ b/crates/zone-failover/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a relay's part in zone failover could not be set up.
+//! Errors of the setup of zone failover.
 
 use honeyknot_balancer::ZoneSet;
 
-/// What does not fit together in a [`ZoneFailoverSetup`](crate::ZoneFailoverSetup).
+/// An invalid or contradictory [`ZoneFailoverSetup`](crate::ZoneFailoverSetup).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ZoneFailoverError {
-    /// More zones than a [`ZoneSet`] can hold.
-    #[error("there are {count} sites; at most {} can be told apart", ZoneSet::MAX_ZONES)]
+    /// There are more zones than a [`ZoneSet`] can hold.
+    #[error("the settings name {count} sites, but at most {} are supported", ZoneSet::MAX_ZONES)]
     TooManyZones {
         /// Number of zones.
         count: usize,
     },
-    /// The relay's own zone is none of the settings' zones.
-    #[error("the relay's own site is not among the settings' sites")]
+    /// The relay's home zone is not among the zones in the settings.
+    #[error("the relay's own site is not among the sites in the settings")]
     UnknownHomeZone,
-    /// The operator file says that no relay stands in this relay's own zone.
-    #[error("`relays {zone}` is 0, yet this relay stands there")]
+    /// The operator file says that there are no relays in this relay's home zone.
+    #[error("`relays {zone} 0` contradicts the settings, in which this relay is in site `{zone}`")]
     NoRelayInHomeZone {
         /// Name of the zone.
         zone: String,
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -1,4 +1,4 @@
-//! The state of one relay's part, its creation and reconfiguration.
+//! State of zone failover in a relay, its creation and reconfiguration.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 use crate::recovery_ramp::RAMP_BURST;
 use crate::retry_after::RetryAfterSchedule;
 use crate::setup::ZoneFailoverSetup;
-use crate::spill_limit::ClaimTotals;
+use crate::spill_limit::SpillDemandTotals;
 use crate::spilled_connections::SpilledConnections;
 use crate::token_bucket::TokenBucket;
 use crate::zone::Zone;
@@ -24,50 +24,54 @@
 
 /// Time constant of the rate of admitted connections, in microseconds.
 const ADMISSION_RATE_TIME: f64 = 3e6;
-/// Keeps these draws apart from those of other parts with the same seed.
+/// Makes the random numbers differ from those of other components with the same seed.
 const SEED_SALT: u64 = 0x0051_74e5;
 
-/// One relay's part in zone failover.
+/// Zone failover of one relay.
 #[derive(Debug)]
 pub struct ZoneFailover {
     pub(crate) config: ZoneFailoverConfig,
     pub(crate) zone_names: Vec<String>,
     pub(crate) home_zone: ZoneId,
-    /// Zones that take the home zone's spill, by tier.
+    /// Zones that may receive spill of the home zone, by tier, most preferred tier first.
     pub(crate) tiers: Vec<Vec<ZoneId>>,
+    /// Number of relays in the fleet, at least 1.
     pub(crate) fleet_size: f64,
     /// Duration of the recovery ramp, in microseconds.
     pub(crate) ramp_duration: Micros,
+    /// Time from its start until an endpoint has its full capacity, in microseconds.
     pub(crate) slow_start_duration: Micros,
+    /// Minimum share of its capacity that an endpoint has at its start.
     pub(crate) initial_capacity: f64,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) endpoints: BTreeMap<EndpointId, EndpointRecord>,
     pub(crate) zones: Vec<Zone>,
     pub(crate) spilled: SpilledConnections,
-    /// How many more new connections may leave the home zone.
+    /// Number of further connections that may leave the home zone, limited by `leave_limit`; negative if
+    /// attempts have exceeded the limit.
     pub(crate) leave_tokens: f64,
     pub(crate) ramp_bucket: TokenBucket,
     pub(crate) migration_bucket: TokenBucket,
     pub(crate) retry_after: RetryAfterSchedule,
     pub(crate) recent_admissions: DecayingSum,
-    /// There are connections to migrate.
+    /// Whether connections are being migrated.
     pub(crate) migrating: bool,
-    /// The affinity group whose connections are being migrated.
+    /// Affinity group whose connections are being migrated; `None` for connections without a group.
     pub(crate) migrating_group: Option<AffinityGroup>,
-    /// The endpoint list is from before the start.
+    /// Whether the endpoint list is a cached one from before the relay's start.
     pub(crate) list_is_cached: bool,
     pub(crate) local_fault_suspected: bool,
-    pub(crate) claims: ClaimTotals,
+    pub(crate) spill_demand_totals: SpillDemandTotals,
     pub(crate) mean_load: MeanConnectionLoad,
 }
 
 impl ZoneFailover {
-    /// Creates a relay's part without endpoints; the endpoint list arrives as an update.
+    /// Creates the zone failover of a relay without endpoints. The endpoint list arrives as an update.
     ///
     /// # Errors
     ///
-    /// Returns an error if there are too many zones, the home zone is not among them, or the configuration says
-    /// that no relay stands in it.
+    /// Returns an error if there are too many zones, the home zone is not among them, or the configuration
+    /// says that there are no relays in it.
     pub fn new(setup: ZoneFailoverSetup, now: Micros) -> Result<ZoneFailover, ZoneFailoverError> {
         let ZoneFailoverSetup { config, zone_names, home_zone, .. } = setup;
         if zone_names.len() > ZoneSet::MAX_ZONES {
@@ -99,7 +103,7 @@
             migrating_group: None,
             list_is_cached: true,
             local_fault_suspected: false,
-            claims: ClaimTotals::default(),
+            spill_demand_totals: SpillDemandTotals::default(),
             mean_load: MeanConnectionLoad::default(),
             config,
             zone_names,
@@ -107,7 +111,7 @@
         })
     }
 
-    /// Takes another configuration; what is known of zones and connections stays.
+    /// Replaces the configuration. The state of zones and connections is kept.
     pub fn reconfigure(&mut self, config: ZoneFailoverConfig) {
         self.tiers = config.tiers_of(self.home_zone, &self.zone_names);
         for (zone, name) in self.zones.iter_mut().zip(&self.zone_names) {
@@ -119,12 +123,12 @@
         self.config = config;
     }
 
-    /// Returns a zone's name, `?` for an unknown zone.
+    /// Returns the name of a zone; `?` if the zone is unknown.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zone_names.get(zone.0).map_or("?", String::as_str)
     }
 
-    /// Returns a zone's state.
+    /// Returns the state of a zone; `None` if the zone is unknown.
     pub fn zone_state(&self, zone: ZoneId) -> Option<ZoneState> {
         self.zones.get(zone.0).map(|zone| zone.health.state())
     }
@@ -134,9 +138,9 @@
         self.spilled.established_count()
     }
 
-    /// Does the periodic work; to be called about five times a second.
+    /// Does the periodic work. The caller calls this about five times a second.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<ZoneAction>) {
-        self.survey_capacity(now, actions);
+        self.aggregate_capacity(now, actions);
         self.request_health_checks(now, actions);
         self.migrate_connections(now, actions);
     }
@@ -145,7 +149,7 @@
         &self.zones[self.home_zone.0]
     }
 
-    /// Returns a zone's load over capacity.
+    /// Returns the load of a zone, as a share of its capacity.
     pub(crate) fn zone_load(&self, zone: ZoneId, now: Micros) -> f64 {
         self.zones[zone.0].load(now, self.config.connection_load)
     }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,26 +1,27 @@
-//! Decides which zones a relay's new connections may go to when zones are lost or overloaded, and when connections
-//! return to their home zone.
+//! Decides which zones a relay's new connections may go to when zones are lost or overloaded, and when
+//! connections return to the home zone.
 //!
-//! [`ZoneFailover`] is the part of one relay. For each new connection it returns the zones within which the
-//! balancer may choose ([`ZoneDecision::Allow`]), or a rejection with a `Retry-After` ([`ZoneDecision::Reject`]).
-//! It never chooses an endpoint. Events go in with the time: endpoint lists, attempts and their outcomes, load
-//! reports. Actions come out ([`ZoneAction`]). It does no I/O, reads no clock and draws every random number from
-//! its seed.
+//! Each relay has a [`ZoneFailover`]. For each new connection it returns the zones from which the balancer
+//! may choose an endpoint ([`ZoneDecision::Allow`]), or a rejection with a `Retry-After`
+//! ([`ZoneDecision::Reject`]). It never chooses an endpoint itself. The caller passes in events with their
+//! time (endpoint lists, attempts and their outcomes, load reports) and carries out the actions that are
+//! returned ([`ZoneAction`]). The crate does no I/O, reads no clock and draws all random numbers from a seed.
 //!
-//! Relays share no state. Each keeps to its part of a limit that holds for all of them; the parts add up to no more
-//! than the whole as long as the configured assumptions hold ([`ZoneFailoverConfig::relay_skew`],
-//! [`ZoneFailoverConfig::max_update_skew`]). `docs/design/sites.md` derives the parts.
+//! Relays share no state. Each keeps to its share of a limit that applies to all of them together. The shares
+//! add up to no more than the limit as long as the configured assumptions hold
+//! ([`ZoneFailoverConfig::relay_skew`], [`ZoneFailoverConfig::max_update_skew`]). `docs/design/sites.md`
+//! derives the shares.
 //!
-//! A new connection takes O(zones) steps, a load report or outcome O(log endpoints), an endpoint list and each
-//! [`ZoneFailover::tick`] O(endpoints + zones). Memory grows with endpoints, zones and this relay's spilled
-//! connections.
+//! A new connection takes O(zones) time, a load report or an outcome O(log endpoints), an endpoint list and
+//! each [`ZoneFailover::tick`] O(endpoints + zones). Memory grows with the number of endpoints, zones and
+//! spilled connections of the relay.
 
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod action;
 mod admission;
-mod capacity_survey;
+mod capacity_aggregation;
 mod config;
 mod config_file;
 mod connections;
--- a/crates/zone-failover/src/recovery_ramp.rs
+++ b/crates/zone-failover/src/recovery_ramp.rs
@@ -1,20 +1,22 @@
-//! The pace at which a recovering home zone takes new connections.
+//! Recovery ramp: the rate at which a recovering home zone takes new connections.
 
 use honeyknot_balancer::Micros;
 
 use crate::failover::ZoneFailover;
 use crate::zone_health::ZoneState;
 
-/// Multiple of the pace that fills the zone over its ramp, scaled by the ramp's progress. It stays below the
-/// multiple of 3 at which cold endpoints are overloaded, as relays never get equal shares.
+/// Factor by which the rate exceeds the one that fills the zone within the ramp's duration; the rate is also
+/// scaled by the share of capacity that has warmed up. Endpoints that have just started are overloaded at a
+/// factor of 3. This one stays below it because relays never get equal shares of the connections.
 const RAMP_MARGIN: f64 = 2.0;
-/// Tokens of a ramp that may accumulate.
+/// Maximum number of tokens of a ramp.
 pub(crate) const RAMP_BURST: f64 = 2.0;
-/// Least share of their capacity that endpoints are assumed to start with.
+/// Minimum share of their capacity that endpoints are assumed to start with.
 const MIN_INITIAL_CAPACITY: f64 = 0.05;
 
 impl ZoneFailover {
-    /// Returns the new connections a second that this relay may send to its home zone during the recovery ramp.
+    /// Returns the number of new connections a second that this relay may place in its home zone during the
+    /// recovery ramp.
     pub(crate) fn ramp_rate(&self, now: Micros) -> f64 {
         let home = self.home();
         if !self.list_is_cached && !self.ramp_has_begun(now) {
--- a/crates/zone-failover/src/retry_after.rs
+++ b/crates/zone-failover/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! `Retry-After` delays that spread rejected clients.
+//! `Retry-After` delays that spread the retries of rejected clients.
 
 use honeyknot_balancer::Micros;
 use rand::Rng;
@@ -6,16 +6,17 @@
 
 use crate::config::RetryAfterRange;
 
-/// Least rate of admitted connections a second that is assumed for the distance of slots.
+/// Minimum rate of admitted connections, per second, that is assumed when the interval between slots is
+/// computed.
 const MIN_RATE: f64 = 0.1;
 
-/// Assigns rejected clients retry slots one after another, so that clients that are rejected together do not return
-/// together.
+/// Assigns successive retry slots to rejected clients, so that clients that are rejected together do not
+/// retry together.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryAfterSchedule {
     min: Micros,
     max: Micros,
-    /// The last slot that was assigned.
+    /// Time of the last slot that was assigned.
     last_slot: Micros,
 }
 
@@ -24,15 +25,17 @@
         RetryAfterSchedule { min: range.min.min(range.max), max: range.max, last_slot: 0 }
     }
 
-    /// Returns the delay of one more client, in microseconds, where `rate` clients a second can be admitted.
+    /// Returns the delay of the next rejected client, in microseconds, if about `rate` clients a second are
+    /// admitted.
     ///
-    /// Slots start anew once the last one is further away than the longest delay.
+    /// Once the next slot would be later than the maximum delay, slots start again at a random time in the
+    /// range.
     pub(crate) fn next_delay(&mut self, now: Micros, rate: f64, rng: &mut Pcg64Mcg) -> Micros {
         let span = self.max - self.min;
-        let distance = (1e6 / rate.max(MIN_RATE)).min(span as f64 / 4.0);
-        let distance = rng.random_range(0.5..=1.5) * distance;
+        let interval = (1e6 / rate.max(MIN_RATE)).min(span as f64 / 4.0);
+        let interval = rng.random_range(0.5..=1.5) * interval;
         let first_slot = now + self.min;
-        self.last_slot = self.last_slot.max(first_slot) + distance as Micros;
+        self.last_slot = self.last_slot.max(first_slot) + interval as Micros;
         if self.last_slot > now + self.max {
             self.last_slot = first_slot + rng.random_range(0..=span);
         }
--- a/crates/zone-failover/src/setup.rs
+++ b/crates/zone-failover/src/setup.rs
@@ -1,24 +1,24 @@
-//! What a relay's part needs at its start.
+//! Parameters of a new [`ZoneFailover`](crate::ZoneFailover).
 
 use honeyknot_balancer::{Micros, ZoneId};
 
 use crate::config::ZoneFailoverConfig;
 
-/// Settings of a [`ZoneFailover`](crate::ZoneFailover).
+/// Parameters of [`ZoneFailover::new`](crate::ZoneFailover::new).
 #[derive(Clone, Debug)]
 pub struct ZoneFailoverSetup {
-    /// The operators' settings.
+    /// Operator configuration.
     pub config: ZoneFailoverConfig,
-    /// Names of all zones; a [`ZoneId`] is an index.
+    /// Names of all zones. A [`ZoneId`] is an index into this list.
     pub zone_names: Vec<String>,
-    /// This relay's own zone.
+    /// Zone of this relay.
     pub home_zone: ZoneId,
     /// Number of relays in the fleet.
     pub fleet_size: u32,
-    /// Time after which an endpoint has its full capacity, in microseconds.
+    /// Time from its start until an endpoint has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// Least share of its capacity that an endpoint starts with.
+    /// Minimum share of its capacity that an endpoint has at its start.
     pub initial_capacity: f64,
-    /// Seed of all random draws; different at each relay, so that relays act out of step.
+    /// Seed of all random numbers. It must differ between relays, so that they do not act in lockstep.
     pub seed: u64,
 }
--- a/crates/zone-failover/src/spilled_connections.rs
+++ b/crates/zone-failover/src/spilled_connections.rs
@@ -1,49 +1,50 @@
-//! This relay's connections to other zones, and the capacity that they use there.
+//! This relay's connections to zones other than its home zone, and the capacity that they use there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use honeyknot_balancer::{AffinityGroup, EndpointId, Micros, RequestId, ZoneId};
 
-/// A connection, or an attempt at one, to another zone.
+/// A connection to another zone, or an attempt to establish one.
 #[derive(Debug)]
 pub(crate) struct SpilledConnection {
     pub(crate) endpoint: EndpointId,
     pub(crate) zone: ZoneId,
+    /// Affinity group of the connection; `None` if it has none.
     pub(crate) group: Option<AffinityGroup>,
-    /// Its load in usual connections.
+    /// Load of the connection, in average connections.
     pub(crate) units: f64,
-    /// When it was established, or when its attempt began.
+    /// When the connection was established or, before that, when the attempt started.
     pub(crate) since: Micros,
 }
 
-/// Capacity of a zone that connections use.
+/// Usage of a zone by this relay's connections.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneUsage {
-    /// In usual connections.
+    /// Load of the connections, in average connections.
     units: f64,
-    /// Pairs of an endpoint and an affinity group.
+    /// Number of pairs of an endpoint and an affinity group that has connections to it.
     groups: u32,
 }
 
-/// An established connection in the order of migration: one affinity group after another.
+/// An established connection. Sorts in the order of migration: one affinity group after another.
 type GroupedConnection = (Option<AffinityGroup>, RequestId);
 
-/// All connections that this relay has sent to other zones.
+/// All connections of this relay to other zones.
 ///
-/// A receiving zone is charged from the start of an attempt on, so that a burst of attempts cannot exceed a limit.
+/// Usage counts from the start of an attempt, so that a burst of attempts cannot exceed a limit.
 #[derive(Debug, Default)]
 pub(crate) struct SpilledConnections {
     connections: BTreeMap<RequestId, SpilledConnection>,
-    /// Connections of each affinity group to each endpoint.
+    /// Number of connections of each affinity group to each endpoint.
     group_connections: BTreeMap<(EndpointId, AffinityGroup), u32>,
-    /// Number of endpoints of each zone to which a group has connections.
+    /// Number of endpoints in each zone to which an affinity group has connections.
     group_endpoints: BTreeMap<(ZoneId, AffinityGroup), u32>,
     usage: BTreeMap<ZoneId, ZoneUsage>,
     established: BTreeMap<ZoneId, BTreeSet<GroupedConnection>>,
 }
 
 impl SpilledConnections {
-    /// Adds an attempt in place of what the connection used before.
+    /// Adds an attempt, replacing an earlier entry for the same connection.
     pub(crate) fn insert(&mut self, id: RequestId, connection: SpilledConnection) {
         self.remove(id);
         let usage = self.usage.entry(connection.zone).or_default();
@@ -60,7 +61,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Records that a connection is established.
+    /// Records that a connection has been established.
     pub(crate) fn establish(&mut self, id: RequestId, now: Micros) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.since = now;
@@ -68,7 +69,7 @@
         established.insert((connection.group.clone(), id));
     }
 
-    /// Changes a connection's load, in usual connections.
+    /// Changes the load of a connection, in average connections.
     pub(crate) fn set_load(&mut self, id: RequestId, units: f64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if let Some(usage) = self.usage.get_mut(&connection.zone) {
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Returns the capacity of a zone that connections use, in usual connections, where each group on an endpoint costs
-    /// `group_cost` more.
+    /// Returns the usage of a zone, in average connections, to which each affinity group on each endpoint
+    /// adds `group_cost`.
     pub(crate) fn used(&self, zone: ZoneId, group_cost: f64) -> f64 {
         self.usage.get(&zone).map_or(0.0, |usage| usage.units + f64::from(usage.groups) * group_cost)
     }
 
-    /// Whether an affinity group has a connection of this relay to a zone.
+    /// Returns whether an affinity group has a connection to a zone through this relay.
     pub(crate) fn has_group(&self, zone: ZoneId, group: &AffinityGroup) -> bool {
         self.group_endpoints.contains_key(&(zone, group.clone()))
     }
@@ -110,14 +111,16 @@
         self.established.values().map(BTreeSet::len).sum()
     }
 
-    /// Returns the number of established connections to one zone.
+    /// Returns the number of established connections to a zone.
     pub(crate) fn established_at(&self, zone: ZoneId) -> usize {
         self.established.get(&zone).map_or(0, BTreeSet::len)
     }
 
-    /// Returns the next connection to migrate, of one zone or any, among those established for at least `min_age`.
+    /// Returns the next connection to migrate among those established for at least `min_age`; `None` if there
+    /// is none. If `zone` is given, only connections to that zone are considered.
     ///
-    /// It is of `group`, or else of the first group after it, so that connections of a group follow each other.
+    /// The connection belongs to `group` or, if none of its connections is left, to the next group, so that
+    /// the connections of a group are migrated together.
     pub(crate) fn next_to_migrate(
         &self, zone: Option<ZoneId>, group: &Option<AffinityGroup>, now: Micros, min_age: Micros,
     ) -> Option<GroupedConnection> {
@@ -134,7 +137,7 @@
     }
 }
 
-/// Decrements a count and removes it at 0; true if it was removed.
+/// Decrements a count and removes it when it reaches 0. Returns whether it was removed.
 fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) -> bool {
     let Some(count) = counts.get_mut(key) else { return false };
     *count -= 1;
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -1,4 +1,4 @@
-//! What a relay knows of one zone.
+//! State of a zone as seen by a relay.
 
 use honeyknot_balancer::Micros;
 
@@ -6,44 +6,46 @@
 use crate::decaying_sum::DecayingSum;
 use crate::zone_health::ZoneHealth;
 
-/// Time after which load reports show a placed connection, in microseconds; own placements since then are added to
-/// reports.
+/// Time after which load reports include a placed connection, in microseconds. Until then this relay adds its
+/// own placements to the reported load.
 const REPORT_DELAY: f64 = 1e6;
 
-/// Capacity of a zone, summed over its endpoints that are listed as ready, in weights.
+/// Capacity of a zone, summed over its endpoints that are listed as ready, in endpoint weights.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneCapacity {
-    /// All of them.
+    /// Capacity of all endpoints.
     pub(crate) listed: f64,
-    /// Those that are not silent.
+    /// Capacity of the responsive endpoints.
     pub(crate) usable: f64,
-    /// Those that are not silent, as far as they have warmed up.
+    /// Capacity of the responsive endpoints as far as they have warmed up.
     pub(crate) warm: f64,
-    /// Mean load over capacity by reports.
+    /// Mean reported load, as a share of capacity.
     pub(crate) load: f64,
-    /// Whether an endpoint has responded.
-    pub(crate) proven: bool,
+    /// Whether any responsive endpoint has actually responded, so that it is not just assumed to be
+    /// responsive.
+    pub(crate) has_responded: bool,
 }
 
-/// One zone.
+/// A zone.
 #[derive(Debug)]
 pub(crate) struct Zone {
     pub(crate) health: ZoneHealth,
     pub(crate) capacity: ZoneCapacity,
-    /// Most of its capacity that spilled connections may hold, as a share.
+    /// Maximum share of the zone's capacity that spilled connections may use.
     pub(crate) spill_limit: f64,
     /// Number of relays whose home zone this is.
     pub(crate) relays: f64,
-    /// It takes no spill until its load has fallen.
+    /// Whether the zone accepts no spill until its load has fallen.
     pub(crate) spill_suspended: bool,
-    /// Own placements that its reports do not show yet.
+    /// Number of this relay's placements that load reports do not include yet.
     pub(crate) recent_placements: DecayingSum,
-    /// Since when several of its endpoints have been silent, while the others are checked.
+    /// Since when enough endpoints have been unresponsive that the whole zone is suspected to be; `None` if
+    /// it is not suspected.
     pub(crate) suspected_since: Option<Micros>,
-    /// All of it is silent, by what this relay has observed.
-    pub(crate) silent: bool,
-    /// Share of its connections for which its relays claim capacity of other zones, from 0 to 1.
-    pub(crate) claim: f64,
+    /// Whether this relay considers the whole zone unresponsive.
+    pub(crate) unresponsive: bool,
+    /// Share of the zone's connections that its relays need to place in other zones, from 0 to 1.
+    pub(crate) spill_demand: f64,
 }
 
 impl Zone {
@@ -58,12 +60,13 @@
             spill_suspended: false,
             recent_placements: DecayingSum::new(REPORT_DELAY, now),
             suspected_since: None,
-            silent: false,
-            claim: 0.0,
+            unresponsive: false,
+            spill_demand: 0.0,
         }
     }
 
-    /// Returns its load over capacity: reports, and what this relay has placed since.
+    /// Returns the load of the zone, as a share of its capacity: the reported load and this relay's
+    /// placements since.
     pub(crate) fn load(&self, now: Micros, connection_load: f64) -> f64 {
         if self.capacity.warm <= 0.0 {
             return self.capacity.load;
@@ -71,8 +74,8 @@
         self.capacity.load + self.recent_placements.value(now) * connection_load / self.capacity.warm
     }
 
-    /// Whether it has claimed capacity for longer than a claim that began then.
-    pub(crate) fn claims_since_before(&self, short_since: Micros) -> bool {
-        self.claim > 0.0 && self.health.short_since().is_none_or(|since| since < short_since)
+    /// Returns whether the zone has spill demand that began before a shortage that began at `shortage_since`.
+    pub(crate) fn has_spill_demand_since_before(&self, shortage_since: Micros) -> bool {
+        self.spill_demand > 0.0 && self.health.shortage_since().is_none_or(|since| since < shortage_since)
     }
 }
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -1,4 +1,4 @@
-//! The state of one zone: up, lost, held down or recovering.
+//! State machine of a zone: up, lost, held down or recovering.
 
 use honeyknot_balancer::Micros;
 use rand::Rng;
@@ -6,36 +6,37 @@
 
 use crate::config::ZoneFailoverConfig;
 
-/// Share of its usual capacity below which a zone claims capacity of others.
-const SHORT_THRESHOLD: f64 = 0.75;
-/// Flaps above which a zone is held down: the first loss is not yet a flap.
+/// Share of its usual capacity below which a zone has a shortage and needs capacity of other zones.
+const SHORTAGE_THRESHOLD: f64 = 0.75;
+/// Decayed number of flaps above which a zone is held down. It is above 1 so that the first loss causes no
+/// hold-down.
 const HOLD_DOWN_FLAPS: f64 = 1.2;
-/// Most flaps that lengthen a wait.
+/// Maximum number of flaps that lengthen a wait.
 const MAX_FLAPS: f64 = 30.0;
 
 /// The state of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneState {
-    /// It takes its own new connections without limit, and spill.
+    /// The zone takes its own new connections without limit, and may receive spill.
     Up {
-        /// When spilled connections may return.
+        /// When spilled connections may start to return.
         rebalance_from: Micros,
     },
-    /// It takes no connections.
+    /// The zone takes no connections.
     Lost {
-        /// Since when.
+        /// When the zone was lost.
         since: Micros,
     },
-    /// It is back, but has flapped and takes no connections yet.
+    /// The zone is back, but takes no connections yet because it has flapped.
     HeldDown {
-        /// Until when.
+        /// When the hold-down ends.
         until: Micros,
     },
-    /// It takes new connections of its own at the pace at which it warms up.
+    /// The zone takes new connections of its own relays at the rate at which it warms up.
     Recovering {
-        /// Since when; may lie ahead, as relays begin out of step.
+        /// When the ramp starts. This may be in the future, because relays spread the start.
         from: Micros,
-        /// When it is up.
+        /// When the ramp ends and the zone is up.
         until: Micros,
     },
 }
@@ -44,13 +45,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StateChange {
     Lost,
-    /// It is held down for this long, in microseconds.
+    /// The zone is held down for this time, in microseconds.
     HeldDown(Micros),
     Recovering,
     Up,
 }
 
-/// What a change of state depends on besides the zone.
+/// Inputs of a state transition besides the zone itself.
 pub(crate) struct TransitionContext<'a> {
     pub(crate) now: Micros,
     pub(crate) config: &'a ZoneFailoverConfig,
@@ -59,26 +60,27 @@
     pub(crate) rng: &'a mut Pcg64Mcg,
 }
 
-/// Tracks the state of one zone by its capacity.
+/// Tracks the state of a zone by its capacity.
 #[derive(Debug)]
 pub(crate) struct ZoneHealth {
     state: ZoneState,
-    /// Capacity that the zone usually has, in endpoint weights.
+    /// Capacity that the zone usually has, in endpoint weights: a decaying maximum.
     usual_capacity: f64,
     usual_capacity_updated_at: Micros,
-    /// Decaying number of losses during or soon after a recovery.
+    /// Decaying number of losses, each counted as a flap.
     flaps: f64,
     flaps_updated_at: Micros,
-    /// Since when it has had some capacity, though less than a recovery needs.
+    /// Since when the zone has had enough capacity not to be lost but less than a recovery needs; `None`
+    /// otherwise.
     partial_since: Option<Micros>,
-    /// Usable share of its usual capacity.
-    share: f64,
-    /// Since when that share has been too small.
-    short_since: Option<Micros>,
+    /// Usable capacity as a share of the usual capacity.
+    usable_share: f64,
+    /// Since when the zone has had a shortage of capacity; `None` if it has none.
+    shortage_since: Option<Micros>,
 }
 
 impl ZoneHealth {
-    /// Creates a zone that is up.
+    /// Creates the state of a zone that is up.
     pub(crate) fn new(now: Micros) -> ZoneHealth {
         ZoneHealth {
             state: ZoneState::Up { rebalance_from: 0 },
@@ -87,8 +89,8 @@
             flaps: 0.0,
             flaps_updated_at: now,
             partial_since: None,
-            share: 1.0,
-            short_since: None,
+            usable_share: 1.0,
+            shortage_since: None,
         }
     }
 
@@ -100,26 +102,28 @@
         matches!(self.state, ZoneState::Up { .. })
     }
 
-    /// Since when it has been short of capacity: lost, recovering, or up with a part of it.
-    pub(crate) fn short_since(&self) -> Option<Micros> {
-        self.short_since
+    /// Returns since when the zone has had a shortage of capacity: lost, held down, recovering, or up with
+    /// only a part of its usual capacity. `None` if it has no shortage.
+    pub(crate) fn shortage_since(&self) -> Option<Micros> {
+        self.shortage_since
     }
 
-    /// Returns the share of its new connections that it cannot be expected to carry, from 0 to 1.
+    /// Returns the share of its new connections that the zone cannot carry itself, from 0 to 1.
     pub(crate) fn missing_share(&self) -> f64 {
         match self.state {
-            ZoneState::Up { .. } if self.short_since.is_some() => (1.0 - self.share).max(0.0),
+            ZoneState::Up { .. } if self.shortage_since.is_some() => (1.0 - self.usable_share).max(0.0),
             ZoneState::Up { .. } => 0.0,
             _ => 1.0,
         }
     }
 
-    /// Returns its usual capacity, in endpoint weights.
+    /// Returns the usual capacity of the zone, in endpoint weights.
     pub(crate) fn usual_capacity(&self) -> f64 {
         self.usual_capacity
     }
 
-    /// Returns the progress of the recovery ramp, from 0 to 1; 1 where the zone is up.
+    /// Returns the progress of the recovery ramp: 0 before it, 1 once the zone is up. It exceeds 1 between
+    /// the end of the ramp and the next update.
     pub(crate) fn ramp_progress(&self, now: Micros) -> f64 {
         match self.state {
             ZoneState::Up { .. } => 1.0,
@@ -136,14 +140,14 @@
         self.flaps * 0.5f64.powf(age / config.flap_half_life as f64)
     }
 
-    /// Takes the zone for up at once, as what looked like its loss was a fault elsewhere.
-    pub(crate) fn restore(&mut self, now: Micros) {
+    /// Marks the zone as up without a recovery, because its apparent loss was a fault elsewhere.
+    pub(crate) fn mark_up(&mut self, now: Micros) {
         self.state = ZoneState::Up { rebalance_from: now };
-        self.short_since = None;
+        self.shortage_since = None;
     }
 
-    /// Records that most of its endpoints have just started, so that it was lost and is back though no update
-    /// showed the loss.
+    /// Records that most endpoints of the zone have just started: it was lost and is back although no update
+    /// showed the loss. Returns the change of state; `None` if the zone was not up.
     pub(crate) fn endpoints_restarted(&mut self, context: &mut TransitionContext) -> Option<StateChange> {
         self.is_up().then(|| {
             self.record_flap(context);
@@ -151,26 +155,28 @@
         })
     }
 
-    /// Takes the capacity that is usable and the capacity that is listed as ready, in endpoint weights.
+    /// Updates the usable capacity and the capacity that is listed as ready, in endpoint weights. Returns the
+    /// change of state, `None` if the state stays the same.
     pub(crate) fn update_capacity(
         &mut self, usable: f64, listed: f64, context: &mut TransitionContext,
     ) -> Option<StateChange> {
         self.update_usual_capacity(usable, listed, context);
-        // A zone that was never listed is not lost.
+        // A zone that has never had a listed endpoint is not lost.
         if self.usual_capacity <= 0.0 {
             return None;
         }
         let now = context.now;
-        let share = usable / self.usual_capacity;
-        let is_lost = usable <= 0.0 || share < context.config.lost_threshold;
-        let is_recovered = share >= context.config.recovered_threshold;
-        self.share = share;
-        let is_short = share < SHORT_THRESHOLD || !self.is_up() && self.short_since.is_some();
-        self.short_since = self.short_since.or(Some(now)).filter(|_| is_short);
+        let usable_share = usable / self.usual_capacity;
+        let is_lost = usable <= 0.0 || usable_share < context.config.lost_threshold;
+        let is_recovered = usable_share >= context.config.recovered_threshold;
+        self.usable_share = usable_share;
+        let has_shortage =
+            usable_share < SHORTAGE_THRESHOLD || !self.is_up() && self.shortage_since.is_some();
+        self.shortage_since = self.shortage_since.or(Some(now)).filter(|_| has_shortage);
         self.partial_since = self.partial_since.or(Some(now)).filter(|_| !is_lost && !is_recovered);
         match self.state {
             ZoneState::Lost { .. } => {
-                let may_recover = !is_lost && (is_recovered || self.was_partial_for_long(context));
+                let may_recover = !is_lost && (is_recovered || self.has_been_partial_long_enough(context));
                 may_recover.then(|| self.begin_recovery(context))
             }
             _ if is_lost => {
@@ -188,16 +194,16 @@
         }
     }
 
-    /// Remembers the largest capacity, of which a half is forgotten over the configured time.
+    /// Updates the usual capacity: the largest capacity so far, decaying with the configured half-life.
     fn update_usual_capacity(&mut self, usable: f64, listed: f64, context: &TransitionContext) {
         let elapsed = context.now.saturating_sub(self.usual_capacity_updated_at) as f64;
         self.usual_capacity_updated_at = context.now;
         let half_life = context.config.usual_capacity_half_life as f64;
-        let remembered = self.usual_capacity * 0.5f64.powf(elapsed / half_life);
-        self.usual_capacity = remembered.max(listed).max(usable);
+        let decayed = self.usual_capacity * 0.5f64.powf(elapsed / half_life);
+        self.usual_capacity = decayed.max(listed).max(usable);
     }
 
-    fn was_partial_for_long(&self, context: &TransitionContext) -> bool {
+    fn has_been_partial_long_enough(&self, context: &TransitionContext) -> bool {
         self.partial_since.is_some_and(|since| context.now >= since + context.config.partial_recovery_delay)
     }
 
@@ -206,7 +212,7 @@
         self.flaps_updated_at = context.now;
     }
 
-    /// Begins a recovery, with a hold-down first where the zone has flapped.
+    /// Begins a recovery, with a hold-down first if the zone has flapped.
     fn begin_recovery(&mut self, context: &mut TransitionContext) -> StateChange {
         if self.flaps(context.now, context.config) > HOLD_DOWN_FLAPS {
             let hold_down = self.doubled_by_flaps(context.config.hold_down, context) / 2;
@@ -222,7 +228,8 @@
         StateChange::Recovering
     }
 
-    /// Returns a wait doubled by each flap that still counts, at most the longest hold-down or the wait itself.
+    /// Returns `wait` doubled by each flap in the decayed number of flaps, limited to the maximum hold-down
+    /// or to `wait` itself, whichever is longer.
     fn doubled_by_flaps(&self, wait: Micros, context: &TransitionContext) -> Micros {
         let factor = 2f64.powf(self.flaps(context.now, context.config).min(MAX_FLAPS));
         (wait as f64 * factor).min(context.config.max_hold_down.max(wait) as f64) as Micros
--- a/crates/zone-failover/tests/fleet/mod.rs
+++ b/crates/zone-failover/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Zone failover of one relay in each of four zones, on a simulated clock.
+//! A simulated fleet for zone failover: one relay in each of four zones, on a simulated clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,10 +10,12 @@
     EndpointSignal, ZoneAction, ZoneDecision, ZoneEvent, ZoneFailover, ZoneFailoverConfig, ZoneFailoverSetup,
 };
 
+/// A second, in microseconds.
 pub const S: Micros = 1_000_000;
+/// Start of the simulated clock, in microseconds.
 pub const START: Micros = 1_000 * S;
 pub const NAMES: [&str; 4] = ["north", "east", "tema", "kasoa"];
-/// Endpoints in each zone.
+/// Number of endpoints in each zone.
 pub const ENDPOINTS_PER_ZONE: usize = 4;
 
 pub fn endpoint_id(zone: usize, number: usize) -> EndpointId {
@@ -32,7 +34,7 @@
     }
 }
 
-/// A change of some endpoints of a zone.
+/// Returns an update that changes some endpoints of a zone.
 pub fn delta(
     zone: usize, numbers: std::ops::Range<usize>, state: EndpointState, started_at: Micros,
 ) -> EndpointUpdate {
@@ -71,17 +73,19 @@
     pub id: RequestId,
 }
 
-/// One relay in each zone; health checks are answered by endpoints that are not silent.
+/// One relay in each zone. Health checks succeed except for endpoints in `unresponsive_zones`.
 pub struct Fleet {
     pub now: Micros,
     pub relays: Vec<ZoneFailover>,
     /// Zones whose endpoints do not respond.
-    pub silent_zones: Vec<usize>,
+    pub unresponsive_zones: Vec<usize>,
+    /// Load that the endpoints of each zone report, as a share of their capacity.
     pub load: [f64; 4],
     pub migrations: Vec<Migration>,
+    /// Logged events, each with the relay that logged it.
     pub events: Vec<(usize, ZoneEvent)>,
     pub last_id: u32,
-    /// The zone of each relay's connections.
+    /// Zone of each connection, by relay and connection ID.
     pub connections: BTreeMap<(usize, RequestId), usize>,
 }
 
@@ -94,7 +98,7 @@
         Fleet {
             now: START,
             relays,
-            silent_zones: Vec::new(),
+            unresponsive_zones: Vec::new(),
             load: [0.3; 4],
             migrations: Vec::new(),
             events: Vec::new(),
@@ -104,9 +108,9 @@
     }
 
     pub fn update(&mut self, relay: usize, update: &EndpointUpdate) {
-        let mut out = Vec::new();
-        self.relays[relay].endpoints_updated(self.now, update, &mut out);
-        self.apply(relay, out);
+        let mut actions = Vec::new();
+        self.relays[relay].endpoints_updated(self.now, update, &mut actions);
+        self.apply(relay, actions);
     }
 
     pub fn update_all(&mut self, update: &EndpointUpdate) {
@@ -123,33 +127,42 @@
                 ZoneAction::Log(event) => self.events.push((relay, event)),
                 ZoneAction::CheckHealth(endpoint) => {
                     let zone = NAMES.iter().position(|n| endpoint.0.starts_with(n)).expect("a zone");
-                    let alive = !self.silent_zones.contains(&zone);
+                    let responsive = !self.unresponsive_zones.contains(&zone);
                     let signal =
-                        if alive { EndpointSignal::Responsive } else { EndpointSignal::Unresponsive };
-                    let mut out = Vec::new();
-                    self.relays[relay].endpoint_signal_received(self.now, &endpoint, signal, &mut out);
-                    if alive {
+                        if responsive { EndpointSignal::Responsive } else { EndpointSignal::Unresponsive };
+                    let mut further_actions = Vec::new();
+                    self.relays[relay].endpoint_signal_received(
+                        self.now,
+                        &endpoint,
+                        signal,
+                        &mut further_actions,
+                    );
+                    if responsive {
                         self.relays[relay].load_reported(self.now, &endpoint, self.load[zone]);
                     }
-                    self.apply(relay, out);
+                    self.apply(relay, further_actions);
                 }
             }
         }
     }
 
+    /// Advances the clock by `span` microseconds, with a tick of each relay every 200 ms.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now = (self.now + S / 5).min(end);
             for relay in 0..4 {
-                let mut out = Vec::new();
-                self.relays[relay].tick(self.now, &mut out);
-                self.apply(relay, out);
+                let mut actions = Vec::new();
+                self.relays[relay].tick(self.now, &mut actions);
+                self.apply(relay, actions);
             }
         }
     }
 
-    /// A new connection; if admitted, it is established in the first allowed zone, the home zone before others.
+    /// Makes a new connection. If it is admitted, it is established in the home zone or else in the first
+    /// allowed zone.
+    ///
+    /// Returns the zone, or the `Retry-After` of a rejection as the error.
     pub fn connect(&mut self, relay: usize, group: Option<&AffinityGroup>) -> Result<usize, Micros> {
         match self.relays[relay].admit(self.now, group) {
             ZoneDecision::Reject { retry_after } => Err(retry_after),
@@ -168,7 +181,8 @@
         }
     }
 
-    /// Makes new connections at a rate over a time; returns how many each zone got, and the delays of rejected ones.
+    /// Makes `per_s` new connections a second for `span` microseconds. Returns the number of connections in
+    /// each zone and the `Retry-After` of each rejection.
     pub fn connect_many(&mut self, relay: usize, per_s: u64, span: Micros) -> ([usize; 4], Vec<Micros>) {
         let (mut established, mut rejected) = ([0; 4], Vec::new());
         for _ in 0..per_s * span / S {
@@ -181,10 +195,10 @@
         (established, rejected)
     }
 
-    /// Returns the share of a zone's capacity that spilled connections of all relays hold.
+    /// Returns the share of a zone's capacity that spilled connections of all relays use.
     pub fn spill(&self, zone: usize) -> f64 {
-        let there = self.connections.iter().filter(|((relay, _), at)| *relay != zone && **at == zone);
-        there.count() as f64 * config().connection_load / ENDPOINTS_PER_ZONE as f64
+        let spilled = self.connections.iter().filter(|((relay, _), at)| *relay != zone && **at == zone);
+        spilled.count() as f64 * config().connection_load / ENDPOINTS_PER_ZONE as f64
     }
 }
 
