--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -45,8 +45,8 @@
 }
 
 async fn open_and_serve(config: Config, files: OperatorFiles) -> Result<(), ServeError> {
-    let stop = graceful_shutdown::signal()?;
-    let reloads = reload::signal(move || Config::reread(&files))?;
+    let stop = graceful_shutdown::termination_signal()?;
+    let reloads = reload::on_sighup(move || Config::reread(&files))?;
     let state_directory =
         config.admin.and_then(|_| hot_restart::open_state_directory(config.listen)).map(Rc::new);
     let found = match &state_directory {
@@ -80,7 +80,7 @@
 ) -> Result<(), ServeError> {
     let (name, listen, discovery) = (config.name.clone(), config.listen, config.discovery);
     let metrics = config.metrics.clone();
-    let (relay, discovery_state, discovery_commands) = Relay::new(config)?;
+    let (relay, discovery_poller, discovery_commands) = Relay::new(config)?;
     if listeners.predecessor.is_some() {
         // The successor is bound by all updates that its predecessor received: it needs the full list now.
         relay.borrow_mut().send_discovery_command(DiscoveryCommand::ChangeAddress(discovery));
@@ -88,7 +88,7 @@
     if let Some(metrics) = metrics {
         start_metrics(&relay, &metrics, &name);
     }
-    let client = discovery_client::run(relay.clone(), discovery, discovery_state, discovery_commands);
+    let client = discovery_client::run(relay.clone(), discovery, discovery_poller, discovery_commands);
     tokio::task::spawn_local(client);
     start_tasks(&relay, listeners.admin, reloads);
     let ownership =
@@ -123,7 +123,7 @@
     if let Some(admin) = admin {
         tokio::task::spawn_local(admin::server::serve(relay.clone(), admin));
     }
-    tokio::task::spawn_local(reload::follow(relay.clone(), reloads));
+    tokio::task::spawn_local(reload::apply_reloads(relay.clone(), reloads));
 }
 
 /// Accepts clients, once a predecessor has handed over if there is one; the task ends only if it cannot take over.
@@ -163,7 +163,7 @@
     let timers = relay.borrow().timers.clone();
     loop {
         timers.sleep(message_latency::CHECK_INTERVAL).await;
-        relay.borrow_mut().report_lasting_latencies();
+        relay.borrow_mut().repeat_latency_reports();
         relay.borrow_mut().measure_message_latency();
         relay.borrow_mut().run_zone_failover();
     }
