--- a/crates/discovery/src/poller.rs
+++ b/crates/discovery/src/poller.rs
@@ -67,7 +67,7 @@
 impl DiscoveryPoller {
     /// Creates the poller of a relay that starts at `now` with the list `initial`, which may be empty.
     pub fn new(config: DiscoveryConfig, initial: &EndpointList, now: Micros) -> DiscoveryPoller {
-        // A local agent is polled by its own relay only.
+        // Only its own relay polls a local agent.
         let fleet_size = if config.agent_drain_grace.is_some() { 1 } else { config.fleet_size };
         let config = DiscoveryConfig { fleet_size, ..config };
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -53,19 +53,19 @@
             config.read_tiers(&top, directive, zone_names);
         }
         for directive in top.each("receive") {
-            let found =
+            let entry =
                 read_zone_value(&top, directive, zone_names, &config.receive_limits, units::share(0.0..=1.0));
-            config.receive_limits.extend(found);
+            config.receive_limits.extend(entry);
         }
         for directive in top.each("relays") {
-            let found = read_zone_value(
+            let entry = read_zone_value(
                 &top,
                 directive,
                 zone_names,
                 &config.relays_per_zone,
                 units::number(0..=100_000),
             );
-            config.relays_per_zone.extend(found);
+            config.relays_per_zone.extend(entry);
         }
         config.check(&mut top);
         top.finish();
@@ -205,10 +205,10 @@
         top.error(name, format!("`{}` takes a site and a value", name.text));
         return None;
     };
-    let found = top.word(&name.text, zone, |text| parse_zone_name(text, zone_names));
+    let zone_name = top.word(&name.text, zone, |text| parse_zone_name(text, zone_names));
     let value = top.word(&name.text, value, read);
-    if found.as_ref().is_some_and(|found| earlier.contains_key(found)) {
+    if zone_name.as_ref().is_some_and(|zone_name| earlier.contains_key(zone_name)) {
         top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
     }
-    found.zip(value)
+    zone_name.zip(value)
 }
