--- a/src/lease_client/admin_commands.rs
+++ b/src/lease_client/admin_commands.rs
@@ -12,26 +12,28 @@
 use super::leader_request::{NoLeaderError, request};
 use honeyknot_balancer::Micros;
 
+/// Interval at which `watch` requests all leases.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An admin command.
 #[derive(Clone, Debug, Subcommand)]
 pub enum AdminCommand {
-    /// All leases: task, holder, token, how long known to the leader, how long yet, renewals.
+    /// List all leases: task, holder, token, time known to the leader, time left, renewals.
     List,
-    /// The leases of one task.
+    /// Show the leases of one task.
     Show {
-        /// The task.
+        /// Name of the task.
         task: String,
     },
-    /// Revoke a lease: it is renewed no more, and free once it has run out, as its holder may act until then.
+    /// Revoke a lease. It is no longer renewed, and its slot is free once it has expired, because its holder
+    /// may act until then.
     Release {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The token that `list` shows.
+        /// Fencing token of the lease, as shown by `list`.
         token: u64,
     },
-    /// Print each change of holder until interrupted.
+    /// Print each lease that begins or ends, until interrupted.
     Watch,
 }
 
@@ -44,19 +46,19 @@
     /// No leader has answered.
     #[error(transparent)]
     NoLeader(#[from] NoLeaderError),
-    /// Nobody holds the task.
-    #[error("nobody holds `{0}`")]
+    /// No lease of the task is held.
+    #[error("no lease of task `{0}` is held")]
     NotHeld(String),
-    /// The servers rejected the command.
-    #[error("`{task}`: {rejection}")]
+    /// The leader rejected the command.
+    #[error("task `{task}`: {rejection}")]
     Rejected {
-        /// The task.
+        /// Name of the task.
         task: String,
         /// The reason.
         rejection: Rejection,
     },
     /// The response does not match the request.
-    #[error("an answer that was not asked for: {0:?}")]
+    #[error("the lease server sent a response that does not match the request: {0:?}")]
     UnexpectedResponse(Response),
 }
 
@@ -105,7 +107,10 @@
         return Err(AdminError::Rejected { task: task.to_owned(), rejection });
     }
     let max_wait = seconds(config.parameters.lease_duration);
-    println!("`{task}` is renewed no more for token {}; it is free within {max_wait} s", token.0);
+    println!(
+        "the lease of task `{task}` with token {} is revoked; its slot is free within {max_wait} s",
+        token.0
+    );
     Ok(())
 }
 
@@ -115,7 +120,7 @@
         "task", "holder", "token", "known", "left", "renewals"
     );
     for lease in leases {
-        let note = if lease.revoked { "  released by staff" } else { "" };
+        let note = if lease.revoked { "  revoked" } else { "" };
         println!(
             "{:<24} {:<28} {:>12} {:>9} {:>9} {:>9}{note}",
             lease.task,
@@ -128,11 +133,11 @@
     }
 }
 
-fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
-/// What identifies a lease to `watch`.
+/// A lease as `watch` compares it. Renewals are no change.
 #[derive(Debug, PartialEq, Eq)]
 struct WatchedLease {
     task: String,
--- a/src/lease_client/client.rs
+++ b/src/lease_client/client.rs
@@ -1,5 +1,5 @@
-//! A relay's lease client: [`LeaseClient`] with its requests carried out over sockets. It never blocks a connection: a permit is
-//! given or refused at once.
+//! A relay's lease client: sends the requests of a [`LeaseClient`] over sockets. It never blocks a
+//! connection, because a permit is granted or refused at once.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -18,7 +18,8 @@
 
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The lease client of this process. Its requests are sent by a task that ends when it is dropped.
+/// The lease client of this process. A background task sends its requests and ends when the client is
+/// dropped.
 pub struct Client {
     lease_client: Rc<RefCell<LeaseClient>>,
     changed: Rc<Notify>,
@@ -27,10 +28,11 @@
 }
 
 impl Client {
-    /// Starts a client. `name` must be this process's alone: an old process of the same relay is another holder.
+    /// Starts a client. `name` must be unique to this process, so that an old process of the same relay is
+    /// another holder.
     ///
     /// # Panics
-    /// Outside of a `LocalSet`.
+    /// Panics outside of a `LocalSet`.
     pub fn start(config: &LeaseConfig, name: &str, seed: u64, clock: Clock) -> Client {
         let lease_client = LeaseClient::new(config.parameters, name, config.server_count(), seed);
         let lease_client = Rc::new(RefCell::new(lease_client));
@@ -41,7 +43,7 @@
         Client { lease_client, changed, clock, task }
     }
 
-    /// Acquires a task from now on.
+    /// Starts to acquire a task and keeps acquiring it until the client shuts down.
     pub fn add_task(&self, task: &str, options: TaskOptions) {
         self.lease_client.borrow_mut().add_task((self.clock)(), task, options);
         self.changed.notify_one();
@@ -55,12 +57,13 @@
         self.lease_client.borrow_mut().permit((self.clock)(), task, max_duration)
     }
 
-    /// The token of an action while its permit is valid, to be asked before each of its effects.
+    /// Returns the fencing token of an action, or `None` if its permit is no longer valid. Must be called
+    /// before each effect of the action.
     pub fn valid_token(&self, permit: &Permit) -> Option<FencingToken> {
         permit.valid_token((self.clock)())
     }
 
-    /// Releases all leases as actions end, and returns whether that was done within `max_wait`.
+    /// Releases all leases as their actions end. Returns whether all were released within `max_wait`.
     pub async fn shut_down(&self, max_wait: Duration) -> bool {
         self.lease_client.borrow_mut().shut_down((self.clock)());
         self.changed.notify_one();
--- a/src/lease_client/codec.rs
+++ b/src/lease_client/codec.rs
@@ -1,5 +1,6 @@
-//! Frames on a byte stream: a length of four bytes, big-endian, and a `postcard` payload. The first frame of each side begins with
-//! `PREAMBLE` and the protocol version, which every version can read.
+//! Frames on a byte stream: a length of four bytes, big-endian, and a `postcard` payload. The first frame of
+//! each side is the greeting; it begins with `PREAMBLE` and the protocol version, which every version can
+//! read.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -14,49 +15,49 @@
 
 use super::frame::Frame;
 
-/// Protocol version of this build; sides of other versions are rejected.
+/// Protocol version of this build. Greetings of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Begins the first frame of each side.
+/// The first bytes of each greeting.
 const PREAMBLE: &[u8] = b"honeyknot leases";
-/// Maximum length of a frame, enough for a snapshot of a full lease table.
+/// Maximum length of a frame in bytes, enough for a snapshot of a full lease table.
 const MAX_FRAME_BYTES: usize = 8 << 20;
-/// Maximum length of a greeting, whose sender is not yet known.
+/// Maximum length of a greeting in bytes. It is small because the sender is not yet known.
 const MAX_GREETING_BYTES: usize = 4 << 10;
-/// Within this time the greeting of each side must be complete.
+/// Time within which the greeting of each side must be complete.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A violation of the protocol.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
     /// The greeting did not arrive in time.
-    #[error("no greeting in 2 s")]
+    #[error("no greeting arrived within 2 s")]
     GreetingTimeout,
     /// The connection was closed before the greeting.
-    #[error("closed before its greeting")]
+    #[error("the connection was closed before the greeting")]
     ClosedBeforeGreeting,
     /// The first frame does not begin with the preamble.
-    #[error("what came is not of the leases' protocol")]
+    #[error("the first frame is not a greeting of the lease protocol")]
     NoPreamble,
     /// The other side speaks another protocol version.
-    #[error("it speaks version {0} of the leases' protocol, this build {VERSION}")]
+    #[error("the greeting has version {0} of the lease protocol; this side has version {VERSION}")]
     Version(u32),
     /// A payload cannot be decoded.
-    #[error("a frame that cannot be read: {0}")]
+    #[error("cannot decode a frame: {0}")]
     Decode(#[source] postcard::Error),
     /// A payload cannot be encoded.
     #[error(transparent)]
     Encode(postcard::Error),
-    /// The greeting was rejected by this side.
+    /// This side rejected the greeting, for the given reason.
     #[error("{0}")]
     GreetingRejected(String),
-    /// A server sent a frame that only servers receive.
-    #[error("a frame that only keepers are sent")]
+    /// A lease server sent a client a frame other than a response.
+    #[error("the lease server sent a frame that is not a response")]
     NotAResponse,
     /// A client sent a frame other than a request.
-    #[error("a frame that no client sends")]
+    #[error("the client sent a frame that is not a request")]
     NotARequest,
-    /// A server sent a frame other than a peer message of its own.
-    #[error("a frame that no keeper sends")]
+    /// A lease server sent another one a frame other than a message from its own replica.
+    #[error("the lease server sent a frame that is not a message of its replica")]
     NotAPeerMessage,
 }
 
@@ -81,13 +82,13 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// A reader at the start of a connection.
+    /// Creates a reader at the start of a connection.
     pub fn new(stream: R) -> FrameReader<R> {
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_GREETING_BYTES).new_codec();
         FrameReader { stream, codec, buffer: BytesMut::new() }
     }
 
-    /// The next frame, or `None` at the end of the stream. Cancel safe.
+    /// Returns the next frame, or `None` at the end of the stream. Cancel safe.
     ///
     /// # Errors
     /// The stream fails, ends within a frame, or carries a frame that cannot be decoded.
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The greeting of the other side; frames of full length are accepted after it.
+    /// Reads the greeting of the other side, after which frames of the full length are accepted.
     pub(super) async fn greeting<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         let payload = timeout(GREETING_TIMEOUT, self.next_payload())
             .await
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -13,22 +13,25 @@
 
 use honeyknot_balancer::Micros;
 
+/// Lease duration in microseconds if `lease` is not given.
 const DEFAULT_LEASE_DURATION: Micros = 10_000_000;
+/// Election timeout in microseconds if `election` is not given.
 const DEFAULT_ELECTION_TIMEOUT: Micros = 1_000_000;
-/// Numbers of servers that a fleet may have.
+/// Allowed numbers of lease servers in a fleet.
 const ALLOWED_SERVER_COUNTS: [usize; 4] = [1, 3, 5, 7];
 const SERVER_IDS: RangeInclusive<u64> = 1..=7;
 
 /// The configuration of a fleet's lease servers and their clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// Name of the fleet; sides of different fleets reject each other.
+    /// Name of the fleet. Lease servers reject connections from other fleets.
     pub fleet: String,
-    /// Address of each server, by number from 1 without a gap.
+    /// Address of each lease server by its number. Numbers are from 1, without a gap.
     pub servers: BTreeMap<ReplicaId, SocketAddr>,
     /// Parameters of all leases.
     pub parameters: LeaseParameters,
-    /// How long servers that hear no leader wait before an election, in microseconds.
+    /// How long a server waits without a heartbeat of the leader before it starts an election, in
+    /// microseconds.
     pub election_timeout: Micros,
 }
 
@@ -43,7 +46,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The file has faults.
+    /// The file has errors.
     #[error(transparent)]
     Invalid(#[from] ConfigErrors),
 }
@@ -52,25 +55,25 @@
     /// Reads a configuration file.
     ///
     /// # Errors
-    /// The file cannot be read or has faults, all of which are named.
+    /// The file cannot be read or has errors. All errors of the file are returned together.
     pub fn load(path: &str) -> Result<LeaseConfig, LeaseConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| LeaseConfigError::Read { path: path.to_owned(), source })?;
         Ok(LeaseConfig::read(path, &text)?)
     }
 
-    /// Parses the text of a configuration file; `file` is its name in faults.
+    /// Parses the text of a configuration file; `file` is its name in error messages.
     ///
     /// # Errors
-    /// All faults of the text.
+    /// All errors of the text.
     pub fn read(file: &str, text: &str) -> Result<LeaseConfig, ConfigErrors> {
         let tree = parse(file, text)?;
-        let faults = RefCell::default();
-        let config = LeaseConfig::from_section(Section::file(file, &tree, &faults));
-        Section::errors(faults).map(|()| config)
+        let errors = RefCell::default();
+        let config = LeaseConfig::from_section(Section::file(file, &tree, &errors));
+        Section::errors(errors).map(|()| config)
     }
 
-    /// Number of servers.
+    /// Returns the number of lease servers.
     pub fn server_count(&self) -> u64 {
         self.servers.len() as u64
     }
@@ -117,9 +120,9 @@
         let address = section.word("keeper", address, units::address()).filter(|address: &SocketAddr| {
             let allowed = address.ip().is_loopback() || plain_network;
             if !allowed {
-                let what = "is not a loopback address: what keepers say is neither secret nor signed; \
-                    `plain-network` allows it on a network that is trusted";
-                section.error(&directive.words[1], format!("`{address}` {what}"));
+                let problem = "is not a loopback address: traffic of lease servers is neither encrypted nor \
+                    authenticated; `plain-network` allows other addresses on a trusted network";
+                section.error(&directive.words[1], format!("`{address}` {problem}"));
             }
             allowed
         });
@@ -133,8 +136,9 @@
     if let Some(directive) = directives.first()
         && (!ALLOWED_SERVER_COUNTS.contains(&directives.len()) || has_gap)
     {
-        let what = format!("there are 1, 3, 5 or 7 keepers, numbered from 1, not {}", directives.len());
-        section.error(&directive.name, what);
+        let problem =
+            format!("expected 1, 3, 5 or 7 `keeper` directives, numbered from 1; found {}", directives.len());
+        section.error(&directive.name, problem);
     }
     if directives.is_empty() {
         section.required("keeper", units::text());
@@ -148,12 +152,16 @@
     if parameters.usable_duration() < lease_duration / 2
         && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
     {
-        section.error(&directive.name, "margin and drift leave less than half of the lease".into());
+        section.error(
+            &directive.name,
+            "`margin` and `clock-drift` leave less than half of the lease usable".into(),
+        );
     }
     if election_timeout > lease_duration / 3
         && let Some(directive) = section.only("election").or_else(|| section.only("lease"))
     {
-        let what = "`election` is longer than a third of `lease`: a change of leader loses leases";
-        section.error(&directive.name, what.into());
+        let problem =
+            "`election` is longer than a third of `lease`: holders lose leases when the leader changes";
+        section.error(&directive.name, problem.into());
     }
 }
--- a/src/lease_client/connection.rs
+++ b/src/lease_client/connection.rs
@@ -13,7 +13,7 @@
 use super::greeting::Greeting;
 use super::handshake;
 
-/// A connection with so many unanswered requests is closed at the next one.
+/// Maximum number of unanswered requests in a row; the next request closes the connection.
 const MAX_UNANSWERED: u32 = 3;
 
 pub(super) enum ConnectionEvent {
@@ -27,16 +27,16 @@
     pub(super) greeting: Greeting,
     pub(super) frames: mpsc::Receiver<Frame>,
     pub(super) events: mpsc::Sender<ConnectionEvent>,
-    /// For the connection to be established, and for each frame to be sent.
+    /// Timeout to establish the connection, and to send each frame.
     pub(super) io_timeout: Duration,
 }
 
 impl ServerConnection {
-    /// Sends requests and reports responses until the connection fails or the loop drops it.
+    /// Sends requests and reports responses until the connection fails or the request loop drops its queue.
     pub(super) async fn run(mut self) {
         let Err(error) = self.exchange_frames().await else { return };
         let (server, error) = (self.server, error.to_string());
-        // From here on the loop cannot queue a request that would never be sent.
+        // From here on the request loop cannot queue a request that would never be sent.
         drop(self.frames);
         debug!(target: "lease_client", server, error, "connection to lease server closed");
         let _ = self.events.send(ConnectionEvent::Closed { server, error }).await;
--- a/src/lease_client/frame.rs
+++ b/src/lease_client/frame.rs
@@ -9,7 +9,8 @@
 /// A message after the greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Server to server: the sender's clock in microseconds when it was sent, and the message.
+    /// Server to server: the time when the message was sent, by the sender's clock in microseconds, and the
+    /// message.
     PeerMessage(Micros, PeerMessage),
     /// Client to server.
     Request {
--- a/src/lease_client/greeting.rs
+++ b/src/lease_client/greeting.rs
@@ -11,13 +11,13 @@
 /// The greeting of the dialing side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// Who dials.
+    /// Kind and identity of the dialing side.
     pub sender: GreetingSender,
     /// Name of the fleet.
     pub fleet: String,
-    /// Number of its lease servers.
+    /// Number of lease servers in the fleet.
     pub server_count: u64,
-    /// Its lease parameters.
+    /// Lease parameters of the fleet.
     pub parameters: GreetingParameters,
 }
 
@@ -37,7 +37,7 @@
     pub lease_duration: Micros,
     /// Bound on clock drift in parts per million.
     pub drift_ppm: u64,
-    /// Unused end of each lease in microseconds.
+    /// Time at the end of each lease that its holder leaves unused, in microseconds.
     pub margin: Micros,
 }
 
@@ -55,37 +55,37 @@
     }
 }
 
-/// Why two sides cannot talk to each other.
+/// Why a lease server rejects a greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GreetingMismatch {
     /// They belong to different fleets.
-    #[error("fleet `{theirs}`, here `{ours}`")]
+    #[error("the greeting is of fleet `{theirs}`; this lease server is of fleet `{ours}`")]
     Fleet {
         /// The other side's fleet.
         theirs: String,
-        /// The own fleet.
+        /// The local fleet.
         ours: String,
     },
-    /// They expect different numbers of servers.
-    #[error("{theirs} keepers, here {ours}")]
+    /// They are configured with different numbers of lease servers.
+    #[error("the greeting is of a fleet of {theirs} lease servers; this lease server's fleet has {ours}")]
     ServerCount {
         /// The other side's number.
         theirs: u64,
-        /// The own number.
+        /// The local number.
         ours: u64,
     },
     /// They use different lease parameters.
-    #[error("{theirs}, here {ours}")]
+    #[error("the greeting has {theirs}; this lease server has {ours}")]
     Parameters {
         /// The other side's parameters.
         theirs: GreetingParameters,
-        /// The own parameters.
+        /// The local parameters.
         ours: GreetingParameters,
     },
 }
 
 impl Greeting {
-    /// The greeting of a side with this configuration.
+    /// Creates the greeting of a sender with this configuration.
     pub fn new(sender: GreetingSender, config: &LeaseConfig) -> Greeting {
         Greeting {
             sender,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Checks that another side belongs to the same fleet and uses the same parameters.
+    /// Checks that another greeting is of the same fleet, with the same number of servers and the same
+    /// parameters.
     ///
     /// # Errors
     /// The first difference.
--- a/src/lease_client/handshake.rs
+++ b/src/lease_client/handshake.rs
@@ -15,7 +15,8 @@
 /// Connects to a lease server and sends the greeting.
 ///
 /// # Errors
-/// The connection is not established within `connect_timeout`, the exchange fails, or the server rejects the greeting.
+/// The connection is not established within `connect_timeout`, the exchange fails, or the server rejects the
+/// greeting.
 pub async fn dial(
     address: SocketAddr, greeting: &Greeting, connect_timeout: Duration,
 ) -> io::Result<(FrameReader<OwnedReadHalf>, OwnedWriteHalf)> {
@@ -27,12 +28,13 @@
     let mut reader = FrameReader::new(read_half);
     send_greeting(&mut write_half, greeting).await?;
     let accepted: Result<(), String> = reader.greeting().await?;
-    accepted
-        .map_err(|reason| io::Error::new(ErrorKind::PermissionDenied, format!("turned away: {reason}")))?;
+    accepted.map_err(|reason| {
+        io::Error::new(ErrorKind::PermissionDenied, format!("rejected by the lease server: {reason}"))
+    })?;
     Ok((reader, write_half))
 }
 
-/// Reads the greeting of a client or server that connected, and answers whether it is accepted.
+/// Reads the greeting of a client or lease server that connected, and responds whether it is accepted.
 ///
 /// # Errors
 /// The exchange fails, or `check` rejects the greeting with a reason for the other side.
--- a/src/lease_client/leader_request.rs
+++ b/src/lease_client/leader_request.rs
@@ -18,18 +18,19 @@
 
 /// Timeout of a request to one server.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Number of rounds over all servers, so that an election can end in between.
+/// Number of rounds over all servers. There are several, so that an election can end in between.
 const MAX_ROUNDS: u32 = 5;
+/// Pause after a round in which no leader answered.
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
-/// Name in the greeting. Sent to lease servers.
+/// Name of the client in the greeting of admin commands.
 const CLIENT_NAME: &str = "staff";
 const REQUEST_ID: u64 = 1;
 
-/// No leader has answered. Names what each server of the last round has answered.
+/// No leader has answered.
 #[derive(Debug, Error)]
-#[error("no keeper that leads has answered; {}", join(.failures))]
+#[error("no lease server has answered as leader: {}", join(.failures))]
 pub struct NoLeaderError {
-    /// One for each server that was asked in the last round.
+    /// The failure of each request of the last round.
     pub failures: Vec<ServerFailure>,
 }
 
@@ -37,7 +38,7 @@
     failures.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Why a server did not answer as leader.
+/// A request that a server did not answer as leader.
 #[derive(Debug)]
 pub struct ServerFailure {
     /// Number of the server.
@@ -49,13 +50,13 @@
 /// Why a server did not answer as leader.
 #[derive(Debug)]
 pub enum FailureReason {
-    /// It names another leader.
+    /// It redirects to another server, as the leader.
     Redirect(ReplicaId),
     /// It knows no leader.
     NoLeader,
     /// It is overloaded.
     Overloaded,
-    /// The connection failed.
+    /// The connection to this address failed.
     Connection(SocketAddr, io::Error),
 }
 
@@ -63,11 +64,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let server = self.server;
         match &self.reason {
-            FailureReason::Redirect(leader) => write!(formatter, "keeper {server}: keeper {leader} leads"),
-            FailureReason::NoLeader => write!(formatter, "keeper {server}: it knows no leader"),
-            FailureReason::Overloaded => write!(formatter, "keeper {server}: it has too much to do"),
+            FailureReason::Redirect(leader) => {
+                write!(formatter, "lease server {server}: redirects to lease server {leader}")
+            }
+            FailureReason::NoLeader => write!(formatter, "lease server {server}: knows no leader"),
+            FailureReason::Overloaded => write!(formatter, "lease server {server}: overloaded"),
             FailureReason::Connection(address, error) => {
-                write!(formatter, "keeper {server} at {address}: {error}")
+                write!(formatter, "lease server {server} at {address}: {error}")
             }
         }
     }
@@ -76,7 +79,7 @@
 /// Sends commands to the servers in turn, and to those that they redirect to, until a leader answers.
 ///
 /// # Errors
-/// No leader has answered after some rounds.
+/// No leader has answered in any of several rounds.
 pub async fn request(config: &LeaseConfig, commands: Vec<Command>) -> Result<Response, NoLeaderError> {
     let greeting = Greeting::new(GreetingSender::Client(CLIENT_NAME.into()), config);
     let mut failures = Vec::new();
--- a/src/lease_client/mod.rs
+++ b/src/lease_client/mod.rs
@@ -1,8 +1,8 @@
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
-//! The clients' side of the lease service: its configuration, wire protocol, client and admin commands.
+//! The client side of the lease service: configuration, wire protocol, client and admin commands.
 //!
-//! When to request what is decided by [`honeyknot_lease::LeaseClient`]; this module does the I/O. Nothing here votes, and no
-//! relay needs it to serve.
+//! [`honeyknot_lease::LeaseClient`] decides when to request what; this module does the I/O. Clients do not
+//! vote, and a relay can serve connections without the lease service.
 
 pub mod admin_commands;
 pub mod client;
--- a/src/lease_client/request_loop.rs
+++ b/src/lease_client/request_loop.rs
@@ -21,9 +21,10 @@
 
 /// Maximum number of frames and events that wait for a connection or the loop.
 const QUEUE_CAPACITY: usize = 16;
-/// Maximum time without a look at the lease client.
+/// Maximum time between two polls of the lease client, in microseconds.
 const MAX_SLEEP: Micros = 3_600_000_000;
-/// Added to each sleep, as the clocks of leases and of timers may differ a little in rate.
+/// Added to each sleep, because the clocks of leases and of timers may differ slightly in rate, in
+/// microseconds.
 const SLEEP_MARGIN: Micros = 500;
 
 /// A connection's queue and the request that was sent over it last.
@@ -39,7 +40,7 @@
     servers: BTreeMap<ReplicaId, SocketAddr>,
     greeting: Greeting,
     connections: BTreeMap<ReplicaId, ConnectionHandle>,
-    /// The last error that was logged: each is logged once until a response arrives.
+    /// The last error that was logged, which is not logged again before a response arrives.
     logged_error: Option<String>,
     io_timeout: Duration,
     event_sender: mpsc::Sender<ConnectionEvent>,
--- a/src/lease_server/connections.rs
+++ b/src/lease_server/connections.rs
@@ -20,12 +20,12 @@
 
 /// Maximum number of open connections.
 pub const MAX_CONNECTIONS: usize = 4_096;
-/// A client that does not take a frame within this time is disconnected.
+/// Time within which a client must take a frame before it is disconnected.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, for example when descriptors are short.
+/// Pause after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Accepts connections and feeds what arrives over them to the replica's task.
+/// Accepts connections and reports what arrives on them as events to the task that owns the replica.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectionAcceptor {
     pub(super) greeting: Greeting,
@@ -40,7 +40,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(target: "lease_server", %error, "accept failed");
+                    warn!(target: "lease_server", %error, "failed to accept a connection");
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
@@ -51,7 +51,8 @@
             let (acceptor, open) = (self.clone(), open_connections.clone());
             tokio::task::spawn_local(async move {
                 let _open = open;
-                // A client reports its own errors; the rejection of a server is logged by both sides.
+                // Clients log the errors of their connections, and a rejected lease server is logged by both
+                // sides.
                 let _ = acceptor.serve(connection, stream).await;
                 acceptor.report(ServerEvent::Disconnected { connection }).await;
             });
@@ -78,7 +79,7 @@
         self.greeting.check(greeting).map_err(|mismatch| mismatch.to_string())?;
         let GreetingSender::LeaseServer(replica, database_id) = greeting.sender else { return Ok(()) };
         self.known_databases.check(replica, database_id).map_err(|error| {
-            warn!(target: "lease_server", replica, %error, "rejected a replica");
+            warn!(target: "lease_server", replica, %error, "rejected a connection from a lease server");
             error.to_string()
         })
     }
--- a/src/lease_server/error.rs
+++ b/src/lease_server/error.rs
@@ -15,16 +15,18 @@
     /// The runtime or the signal handler did not start.
     #[error(transparent)]
     Runtime(io::Error),
-    /// The configuration has no server of this number.
-    #[error("the file names {server_count} keepers, none of them number {number}")]
+    /// The configuration has no server with this number.
+    #[error(
+        "the configuration has no lease server {number}; its {server_count} lease servers are numbered from 1"
+    )]
     UnknownNumber {
-        /// The number.
+        /// The number that was given.
         number: ReplicaId,
         /// Number of servers in the configuration.
         server_count: u64,
     },
     /// The listening address cannot be bound.
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
@@ -35,14 +37,14 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The stored state cannot be used.
-    #[error("{}: {source}", folder.display())]
+    #[error("cannot use the state in {}: {source}", folder.display())]
     InvalidState {
         /// Folder of the database.
         folder: PathBuf,
         /// The cause.
         source: ReplicaError,
     },
-    /// The replica cannot go on.
+    /// The replica cannot continue.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
 }
--- a/src/lease_server/event_loop.rs
+++ b/src/lease_server/event_loop.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Hands the leadership over, so that clients need not wait for an election.
+    /// Transfers the leadership, so that clients need not wait for an election.
     async fn shut_down(
         &mut self, events: &mut mpsc::Receiver<ServerEvent>, ticks: &mut Interval,
     ) -> Result<(), LeaseServerError> {
@@ -130,7 +130,7 @@
     /// Persists what the replica has to persist and performs the actions that follow, until there are none.
     fn advance_replica(&mut self) -> Result<(), LeaseServerError> {
         while let Some(write) = self.replica.ready((self.clock)()) {
-            // A failed write ends the process: the engine counts on it.
+            // A failed write ends the process, because the engine relies on the write.
             self.database.write(&write)?;
             for action in self.replica.advance((self.clock)(), write)? {
                 self.perform(action);
@@ -162,7 +162,7 @@
     fn respond(&mut self, connection: ConnectionId, id: u64, response: Response) {
         let Some(client) = self.clients.get(&connection) else { return };
         if client.try_send(Frame::Response { id, response }).is_err() {
-            // Closes the queue, with which the connection ends.
+            // The client does not read its responses. Dropping the queue closes the connection.
             self.clients.remove(&connection);
         }
     }
@@ -182,7 +182,8 @@
     }
 }
 
-/// Which of the two clocks is wrong is unknown; until it is corrected, only fencing tokens keep tasks safe.
+/// Logs a change of a peer's clock drift. Which of the two clocks is wrong is unknown; until it is corrected,
+/// only fencing tokens prevent conflicting actions.
 fn log_clock_drift(replica: ReplicaId, change: Option<ClockDriftChange>) {
     match change {
         Some(ClockDriftChange::Exceeded(drift_ppm)) => {
--- a/src/lease_server/known_databases.rs
+++ b/src/lease_server/known_databases.rs
@@ -1,4 +1,4 @@
-//! The databases with which the other lease servers have connected.
+//! The ids of the databases with which the other lease servers have connected.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,9 +7,12 @@
 use honeyknot_lease_consensus::ReplicaId;
 use thiserror::Error;
 
-/// A server connected with a new database: it has lost acknowledged entries, and its votes must not count.
+/// A server connected with a new database. It has lost entries that it acknowledged, so its votes must not
+/// count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("keeper {0} comes with another folder than before: it has lost what it agreed to")]
+#[error(
+    "lease server {0} connected with another database than before; it has lost entries that it acknowledged"
+)]
 pub(super) struct ReplacedDatabaseError(ReplicaId);
 
 /// The database id of each server that ever connected.
@@ -21,7 +24,7 @@
         KnownDatabases(Rc::new(RefCell::new(ids)))
     }
 
-    /// Checks a server's database id against the known one, or takes note of it.
+    /// Checks a server's database id against the known one, or records it if none is known.
     pub(super) fn check(&self, replica: ReplicaId, database_id: u64) -> Result<(), ReplacedDatabaseError> {
         let known = *self.0.borrow_mut().entry(replica).or_insert(database_id);
         if known == database_id { Ok(()) } else { Err(ReplacedDatabaseError(replica)) }
--- a/src/lease_server/mod.rs
+++ b/src/lease_server/mod.rs
@@ -1,10 +1,11 @@
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 //! `honeyknot-relay lease-server`: one replica of the lease service with its storage and connections.
 //!
-//! One task owns the [`honeyknot_lease_consensus::Replica`]. Peer messages and client requests reach it by a queue, ticks by a
-//! timer; every write is durable before anything that follows from it is sent. Who holds a lease is decided by the replica, and no
-//! relay needs a lease server to serve. Memory is bounded by the lease table, the log in memory and the connections
-//! ([`MAX_CONNECTIONS`], with [`QUEUE_CAPACITY`] frames each).
+//! One task owns the [`honeyknot_lease_consensus::Replica`]. It receives peer messages and client requests
+//! from a queue and ticks from a timer. Each write is durable before any message or response that depends on
+//! it is sent. The replica decides who holds a lease; a relay can serve connections without any lease server.
+//! Memory is bounded by the lease table, the log in memory and the connections ([`MAX_CONNECTIONS`], with
+//! [`QUEUE_CAPACITY`] frames each).
 
 mod connections;
 mod error;
--- a/src/lease_server/peer_sender.rs
+++ b/src/lease_server/peer_sender.rs
@@ -1,4 +1,4 @@
-//! Messages to one other lease server, over one connection after the other.
+//! Sends messages to one other lease server and reconnects when the connection fails.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
 }
 
 impl PeerSender {
-    /// Runs until the queue of messages is closed. Messages that wait while there is no connection are dropped: raft sends anew.
+    /// Runs until the queue of messages is closed. Messages that are queued while there is no connection are
+    /// dropped, because raft sends them again.
     pub(super) async fn run(mut self) {
         let mut rng = rand::rngs::StdRng::seed_from_u64(self.peer ^ u64::from(std::process::id()));
         let mut logged_error = None;
@@ -62,7 +63,7 @@
                     let frame = Frame::PeerMessage((self.clock)(), message);
                     codec::send(&mut writer, &frame, 2 * self.election_timeout).await?;
                 }
-                // The peer sends nothing after its greeting: this is the end of the connection.
+                // The peer sends nothing after its greeting, so the connection has ended.
                 _ = reader.next() => return Err(ErrorKind::ConnectionReset.into()),
             }
         }
--- a/src/lease_server/server.rs
+++ b/src/lease_server/server.rs
@@ -1,4 +1,4 @@
-//! Start of a lease server.
+//! Startup of a lease server.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -23,24 +23,24 @@
 use crate::lease_client::greeting::{Greeting, GreetingSender};
 use crate::lease_client::{Clock, boot_clock};
 
-/// Number of entries after which the log is compacted into a snapshot.
+/// Number of applied entries after which the log is compacted into a snapshot.
 const COMPACT_AFTER: u64 = 4_096;
 const TICKS_PER_ELECTION_TIMEOUT: Micros = 20;
 const MIN_TICK_INTERVAL: Micros = 5_000;
 const MAX_TICK_INTERVAL: Micros = 200_000;
 
-/// Runs a lease server until SIGTERM.
+/// Runs a lease server with [`boot_clock`] until SIGTERM.
 ///
 /// # Errors
-/// It does not start, or its storage or replica fails.
+/// The server does not start, or its storage or replica fails.
 pub fn serve(config: &LeaseConfig, options: &LeaseServerOptions) -> Result<(), LeaseServerError> {
     serve_with_clock(config, options, Rc::new(boot_clock))
 }
 
-/// As [`serve`], with another clock.
+/// Runs a lease server like [`serve`], with another clock.
 ///
 /// # Errors
-/// As [`serve`].
+/// The same as those of [`serve`].
 pub fn serve_with_clock(
     config: &LeaseConfig, options: &LeaseServerOptions, clock: Clock,
 ) -> Result<(), LeaseServerError> {
--- a/src/lease_server/storage.rs
+++ b/src/lease_server/storage.rs
@@ -1,5 +1,5 @@
-//! The storage of a lease server: one `redb` file in its folder, written in atomic and durable transactions. A folder belongs to
-//! one server and is open in one process at a time.
+//! The storage of a lease server: one `redb` file in its folder, written in atomic and durable transactions.
+//! A folder belongs to one server and is open in one process at a time.
 
 mod bootstrap;
 mod error;
@@ -20,7 +20,7 @@
 
 type BoxedError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What a database holds when it is opened.
+/// The content of a database when it is opened.
 #[derive(Debug)]
 pub struct DatabaseContent {
     /// State of the replica.
@@ -29,7 +29,7 @@
     pub tokens_from: u64,
     /// Random id of this database.
     pub database_id: u64,
-    /// Database ids with which the other servers have connected.
+    /// Database id with which each of the other servers has connected.
     pub peer_database_ids: BTreeMap<ReplicaId, u64>,
 }
 
@@ -41,18 +41,20 @@
 }
 
 impl LeaseDatabase {
-    /// Opens the database in a folder, after creating it if `bootstrap` gives where fencing tokens start. A missing database is
-    /// never created otherwise: an empty replica would vote as if it had never voted.
+    /// Opens the database in a folder. If `bootstrap_tokens_from` is given, creates the database first, for
+    /// fencing tokens greater than that value. Without it, a missing database is an error, because an empty
+    /// replica would vote as if it had never voted.
     ///
     /// # Errors
-    /// The database is missing, exists already, belongs to another server, is in use, or cannot be read.
+    /// The database is missing, exists although it is to be created, belongs to another server, is in use, or
+    /// cannot be read.
     pub fn open(
-        folder: &Path, owner: DatabaseOwner, bootstrap: Option<u64>,
+        folder: &Path, owner: DatabaseOwner, bootstrap_tokens_from: Option<u64>,
     ) -> Result<(LeaseDatabase, DatabaseContent), StorageError> {
         let file = folder.join(FILE_NAME);
         let path = file.display().to_string();
         let exists = file.try_exists().map_err(|source| StorageError::io(&path, source))?;
-        match bootstrap {
+        match bootstrap_tokens_from {
             None if !exists => return Err(StorageError::Missing { path }),
             Some(_) if exists => return Err(StorageError::AlreadyExists { path }),
             Some(tokens_from) => bootstrap::create(folder, &file, &owner, tokens_from)?,
@@ -106,7 +108,7 @@
     /// Makes a replica's write durable, in one transaction.
     ///
     /// # Errors
-    /// The transaction fails, for example on a full disk; nothing of it is stored then.
+    /// The transaction fails, for example on a full disk. Nothing of it is stored then.
     pub fn write(&self, write: &ReplicaWrite) -> Result<(), StorageError> {
         if write.is_empty() {
             return Ok(());
@@ -130,7 +132,8 @@
         })
     }
 
-    /// Stores the database id of another server. A known one costs no write, as servers reconnect often.
+    /// Stores the database id of another server. If it is stored already, nothing is written, because servers
+    /// reconnect often.
     ///
     /// # Errors
     /// The database cannot be read or written.
--- a/src/lease_server/storage/bootstrap.rs
+++ b/src/lease_server/storage/bootstrap.rs
@@ -10,8 +10,8 @@
 use super::format::{BOOTSTRAP_EXTENSION, DatabaseHeader, HEADER_KEY};
 use super::{DatabaseOwner, LeaseDatabase, StorageError, open_error};
 
-/// Creates a database under a temporary name and renames it once it is complete, so that an interrupted creation is neither opened
-/// nor in the way of the next one.
+/// Creates a database under a temporary name and renames it once it is complete, so that a database whose
+/// creation was interrupted is never opened and does not block the next creation.
 pub(super) fn create(
     folder: &Path, file: &Path, owner: &DatabaseOwner, tokens_from: u64,
 ) -> Result<(), StorageError> {
@@ -29,6 +29,6 @@
     database.update(|tables| tables.put(HEADER_KEY, &header))?;
     drop(database);
     fs::rename(&temporary, file).map_err(io_error)?;
-    // Makes the new name durable as well.
+    // Makes the rename durable as well.
     fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_error)
 }
--- a/src/lease_server/storage/error.rs
+++ b/src/lease_server/storage/error.rs
@@ -17,17 +17,18 @@
         /// The cause.
         source: io::Error,
     },
-    /// There is no database, and it is not to be created.
+    /// There is no database, and its creation was not requested.
     #[error(
-        "{path} is not there. If this keeper has never run, found its folder with --found TOKENS_FROM; if it has lost \
-         its disk, it must not vote as if it had not: docs/operate/leases.md says what to do"
+        "{path} does not exist. If this lease server has never run, create the database with \
+         --found TOKENS_FROM. If its disk was lost, it must not vote with an empty database; see \
+         docs/operate/leases.md"
     )]
     Missing {
         /// The file.
         path: String,
     },
     /// The database to be created exists.
-    #[error("{path} is there already: start without --found")]
+    #[error("{path} already exists; start without --found")]
     AlreadyExists {
         /// The file.
         path: String,
@@ -39,26 +40,30 @@
         path: String,
     },
     /// The database has no header.
-    #[error("{path}: the folder was never founded to its end; remove it and found it anew")]
+    #[error(
+        "{path}: the creation of the database was not completed; \
+         remove the file and create it again with --found"
+    )]
     IncompleteBootstrap {
         /// The file.
         path: String,
     },
     /// The database belongs to another server.
     #[error(
-        "{path}: the folder is keeper {}'s of {} of the fleet `{}`, not keeper {}'s of {} of `{}`",
+        "{path}: the database belongs to lease server {} of {} of fleet `{}`, \
+         not to lease server {} of {} of fleet `{}`",
         found.server, found.server_count, found.fleet, expected.server, expected.server_count, expected.fleet
     )]
     WrongOwner {
         /// The file.
         path: String,
-        /// Its owner.
+        /// The owner in the database.
         found: DatabaseOwner,
-        /// The owner that is meant.
+        /// The owner by the configuration and the options.
         expected: DatabaseOwner,
     },
-    /// The system has no random numbers.
-    #[error("the system gives no chance: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot draw a random database id: {0}")]
     Random(#[source] <rand::rngs::OsRng as rand::TryRngCore>::Error),
     /// The database cannot be read or written.
     #[error("{path}: {source}")]
--- a/src/lease_server/storage/format.rs
+++ b/src/lease_server/storage/format.rs
@@ -1,4 +1,4 @@
-//! Tables, keys and values of the database. Names and the order of fields are the stored format.
+//! Tables, keys and values of the database. The names and the order of fields are the stored format.
 
 use honeyknot_lease_consensus::ReplicaId;
 use redb::{ReadableTable, Table, TableDefinition};
@@ -7,9 +7,9 @@
 
 use super::BoxedError;
 
-/// Name of the file in the folder.
+/// File name of the database in the server's folder.
 pub(super) const FILE_NAME: &str = "keeper.redb";
-/// Extension of the file while it is created.
+/// Extension of the database's file while it is created.
 pub(super) const BOOTSTRAP_EXTENSION: &str = "founding";
 
 /// Entries by index.
@@ -34,7 +34,7 @@
     pub server: ReplicaId,
 }
 
-/// Written once, when the database is created.
+/// The header of the database, written once when it is created.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct DatabaseHeader {
     pub(super) owner: DatabaseOwner,
--- a/tests/lease_servers/cluster.rs
+++ b/tests/lease_servers/cluster.rs
@@ -15,10 +15,10 @@
 pub const SERVERS: [usize; 3] = [1, 2, 3];
 /// Exit status of a lease server that did not start or failed.
 pub const ERROR_STATUS: i32 = 2;
-/// Within this time a cluster with a majority answers.
+/// Time within which a cluster with a majority answers.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Number of clusters of this process so far.
+/// Number of clusters that this process has created.
 static CLUSTERS: AtomicU8 = AtomicU8::new(0);
 
 /// Three lease servers in a temporary folder; killed when dropped.
@@ -29,12 +29,12 @@
 }
 
 impl Cluster {
-    /// A cluster of which no server runs.
+    /// Creates a cluster whose servers are not started.
     pub fn new(name: &str) -> Cluster {
         let pid = std::process::id();
         let folder = std::env::temp_dir().join(format!("honeyknot-keepers-{name}-{pid}"));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a temporary folder");
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         // Loopback addresses that no other process or cluster uses.
         let (high, low) = (128 | (pid >> 8) as u8, pid as u8);
         let first_host = 4 * CLUSTERS.fetch_add(1, Ordering::Relaxed);
@@ -42,19 +42,19 @@
         for number in 1..=3 {
             text += &format!("keeper {number} 127.{high}.{low}.{}:7401\n", first_host + number);
         }
-        std::fs::write(folder.join(CONFIG_FILE), &text).expect("the folder takes a file");
-        let config = LeaseConfig::read(CONFIG_FILE, &text).expect("a sound configuration");
+        std::fs::write(folder.join(CONFIG_FILE), &text).expect("the configuration file is written");
+        let config = LeaseConfig::read(CONFIG_FILE, &text).expect("a valid configuration");
         Cluster { folder, config, running: [None, None, None] }
     }
 
-    /// A cluster of which all servers run, with new databases.
+    /// Creates a cluster and starts all servers with new databases.
     pub fn bootstrapped(name: &str, tokens_from: u64) -> Cluster {
         let mut cluster = Cluster::new(name);
         cluster.start_all(Some(tokens_from));
         cluster
     }
 
-    /// Folder of a server's database.
+    /// Returns the folder of a server's database.
     pub fn server_folder(&self, number: usize) -> PathBuf {
         self.folder.join(format!("k{number}"))
     }
@@ -73,20 +73,20 @@
 
     pub fn start(&mut self, number: usize, bootstrap: Option<u64>) {
         let child = self.command(number, bootstrap).stderr(Stdio::null()).spawn().expect("the server starts");
-        self.adopt(number, child);
+        self.set_running(number, child);
     }
 
     pub fn start_all(&mut self, bootstrap: Option<u64>) {
         SERVERS.iter().for_each(|number| self.start(*number, bootstrap));
     }
 
-    /// Takes over a server that was started otherwise.
-    pub fn adopt(&mut self, number: usize, child: Child) {
+    /// Adds a server that the caller started.
+    pub fn set_running(&mut self, number: usize, child: Child) {
         self.running[number - 1] = Some(child);
     }
 
-    /// Gives a running server away.
-    pub fn release(&mut self, number: usize) -> Child {
+    /// Removes a running server, which the caller must then stop.
+    pub fn take_running(&mut self, number: usize) -> Child {
         self.running[number - 1].take().expect("the server was started")
     }
 
@@ -110,19 +110,20 @@
         std::fs::remove_dir_all(self.server_folder(number)).expect("the folder is removed");
     }
 
-    /// The error output of a start that must fail.
+    /// Starts a server, which must fail, and returns its error output.
     pub fn start_error(&self, number: usize, bootstrap: Option<u64>) -> String {
         let output = self.command(number, bootstrap).output().expect("the server starts");
         assert_eq!(output.status.code(), Some(ERROR_STATUS));
         String::from_utf8(output.stderr).expect("text")
     }
 
-    /// Sends commands once to each server and to those that they redirect to.
+    /// Sends commands to the servers in turn, and to those that they redirect to, for a limited number of
+    /// rounds.
     pub fn try_request(&self, commands: Vec<LeaseCommand>) -> Result<Response, NoLeaderError> {
         request(&self.config, commands)
     }
 
-    /// Sends commands until a leader answers, which may take an election.
+    /// Sends commands until a leader answers, which may happen only after an election.
     pub fn request(&self, commands: Vec<LeaseCommand>) -> Response {
         let deadline = Instant::now() + ANSWER_TIMEOUT;
         loop {
@@ -136,7 +137,7 @@
 
     pub fn acquire(&self, task: &str, holder: &str) -> CommandOutcome {
         let Response::Results(results) = self.request(vec![acquire_command(task, holder)]) else {
-            panic!("results of an acquire");
+            panic!("an acquire is answered with results");
         };
         results[0].outcome
     }
@@ -160,7 +161,7 @@
     LeaseCommand::Acquire { task, slots: 1, holder, nonce: 1, unanswered: 0 }
 }
 
-/// Length of a file in bytes.
+/// Returns the length of a file in bytes.
 pub fn file_length(path: &Path) -> u64 {
-    std::fs::metadata(path).expect("the file is there").len()
+    std::fs::metadata(path).expect("the file exists").len()
 }
--- a/tests/lease_servers/main.rs
+++ b/tests/lease_servers/main.rs
@@ -1,4 +1,5 @@
-//! Lease servers as processes of the program: storage, protocol, configuration, and what survives when all are killed at once.
+//! Lease servers as processes of the program: storage, protocol, configuration, and recovery after all are
+//! killed at once.
 
 mod cluster;
 mod configuration;
--- a/tests/lease_servers/recovery.rs
+++ b/tests/lease_servers/recovery.rs
@@ -1,4 +1,4 @@
-//! Leases and databases after crashes and losses.
+//! Leases and databases after crashes and lost disks.
 
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
     assert_eq!(cluster.acquire(TASK, "b"), TAKEN);
     let Response::Leases(leases) = cluster.request(Vec::new()) else { panic!("all leases") };
     assert_eq!((leases.len(), &leases[0].holder[..], leases[0].token), (1, "a", FencingToken(501)));
-    // A revoked lease is free once it has run out, and the next token is greater.
+    // A revoked lease is free once it has expired, and the next token is greater.
     let revoke = Command::Revoke { task: TASK.into(), token: FencingToken(501) };
     assert!(matches!(cluster.request(vec![revoke]), Response::Results(_)));
     let deadline = Instant::now() + ANSWER_TIMEOUT;
@@ -45,20 +45,25 @@
 fn a_database_is_created_once_and_belongs_to_one_server() {
     let mut cluster = Cluster::new("folder");
     let error = cluster.start_error(1, None);
-    assert!(error.contains("k1/keeper.redb is not there") && error.contains("--found"), "{error}");
+    assert!(error.contains("k1/keeper.redb does not exist") && error.contains("--found"), "{error}");
     cluster.start_all(Some(0));
     assert_eq!(cluster.acquire(TASK, "a"), held(1));
     let error = cluster.start_error(1, None);
     assert!(error.contains("in use by another process"), "{error}");
     let error = cluster.start_error(1, Some(0));
-    assert!(error.contains("is there already"), "{error}");
+    assert!(error.contains("k1/keeper.redb already exists"), "{error}");
     cluster.kill_all();
     std::fs::rename(cluster.server_folder(2), cluster.folder.join("k3-old")).expect("renamed");
     std::fs::rename(cluster.server_folder(1), cluster.server_folder(2)).expect("renamed");
     let error = cluster.start_error(2, None);
-    assert!(error.contains("the folder is keeper 1's of 3 of the fleet `test`, not keeper 2's"), "{error}");
+    assert!(
+        error.contains(
+            "belongs to lease server 1 of 3 of fleet `test`, not to lease server 2 of 3 of fleet `test`"
+        ),
+        "{error}"
+    );
     let error = cluster.start_error(7, None);
-    assert!(error.contains("none of them number 7"), "{error}");
+    assert!(error.contains("the configuration has no lease server 7; its 3 lease servers are"), "{error}");
 }
 
 #[test]
@@ -66,20 +71,20 @@
     let mut cluster = Cluster::bootstrapped("lost", 0);
     assert_eq!(cluster.acquire(TASK, "a"), held(1));
     std::thread::sleep(Duration::from_millis(500));
-    // Server 1 is down and server 3 has a new database: together with server 2 it may not know all committed entries.
+    // Server 1 is down and server 3 has a new database: servers 2 and 3 together may lack committed entries.
     cluster.kill_all();
     cluster.remove_database(3);
     cluster.start(2, None);
     cluster.start(3, Some(0));
     let response = cluster.try_request(Vec::new());
     assert!(response.is_err(), "{response:?}");
-    // Servers 1 and 2 know them.
+    // Servers 1 and 2 together have all of them.
     cluster.start(1, None);
     assert_eq!(cluster.acquire(TASK, "b"), TAKEN);
 }
 
 #[test]
-fn with_two_databases_lost_nothing_is_granted_until_all_are_created_anew() {
+fn with_two_of_three_databases_lost_nothing_is_granted_until_all_are_created_anew() {
     let mut cluster = Cluster::bootstrapped("two-lost", 0);
     assert_eq!(cluster.acquire(TASK, "a"), held(1));
     cluster.kill_all();
