--- a/crates/lease-consensus/tests/simulation/faults.rs
+++ b/crates/lease-consensus/tests/simulation/faults.rs
@@ -7,7 +7,7 @@
 use crate::simulator::{CLIENTS, ClientProcess, LAST_FAULT, LEASE, SimulatedFault, Simulator, TASKS};
 
 impl Simulator {
-    pub fn fault(&mut self) {
+    pub fn inject_random_fault(&mut self) {
         if self.now >= LAST_FAULT {
             return;
         }
--- a/crates/lease-consensus/tests/simulation/simulator.rs
+++ b/crates/lease-consensus/tests/simulation/simulator.rs
@@ -67,10 +67,10 @@
 pub struct Simulator {
     pub fault: Option<SimulatedFault>,
     pub rng: Pcg64Mcg,
-    /// True time.
+    /// The current true time.
     pub now: Micros,
     event_count: u64,
-    /// By true time and order of insertion.
+    /// The scheduled events by true time and order of insertion.
     events: BTreeMap<(Micros, u64), Event>,
     pub settings: ReplicaSettings,
     pub replicas: Vec<ReplicaProcess>,
@@ -169,7 +169,7 @@
                 self.response_arrives(client, request_id, response);
             }
             Event::ClientStep(client) => self.client_step(client),
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_random_fault(),
             Event::ReplicaStarts(replica) => self.replica_starts(replica),
         }
     }
--- a/crates/lease/src/lease_client/client.rs
+++ b/crates/lease/src/lease_client/client.rs
@@ -87,7 +87,7 @@
     /// Permits one action of at most `max_duration` microseconds.
     ///
     /// # Errors
-    /// As [`crate::LeaseHolder::permit`].
+    /// The same as those of [`crate::LeaseHolder::permit`].
     pub fn permit(&mut self, now: Micros, task: &str, max_duration: Micros) -> Result<Permit, PermitError> {
         self.tasks.get_mut(task).ok_or(PermitError::NotHeld)?.permit(now, max_duration)
     }
--- a/crates/lease/tests/simulation/faults.rs
+++ b/crates/lease/tests/simulation/faults.rs
@@ -7,7 +7,7 @@
 use crate::simulator::{CLIENTS, LAST_FAULT, LEASE, REPLICAS, Simulator};
 
 impl Simulator {
-    pub fn fault(&mut self) {
+    pub fn inject_random_fault(&mut self) {
         if self.now >= LAST_FAULT {
             return;
         }
--- a/crates/lease/tests/simulation/report.rs
+++ b/crates/lease/tests/simulation/report.rs
@@ -18,6 +18,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     pub token: FencingToken,
-    /// True time.
+    /// When the token was granted, in true time.
     pub at: Micros,
 }
--- a/crates/lease/tests/simulation/simulator.rs
+++ b/crates/lease/tests/simulation/simulator.rs
@@ -32,7 +32,7 @@
     pub holder: LeaseHolder,
     pub action: Option<Action>,
     pub nonce: u64,
-    /// True time.
+    /// When the client sent its last request, in true time.
     pub last_request_at: Micros,
 }
 
@@ -45,10 +45,10 @@
 pub struct Simulator {
     pub parameters: LeaseParameters,
     pub rng: Pcg64Mcg,
-    /// True time.
+    /// The current true time.
     pub now: Micros,
     event_count: u64,
-    /// By true time and order of insertion.
+    /// The scheduled events by true time and order of insertion.
     events: BTreeMap<(Micros, u64), Event>,
     pub replicas: Vec<Replica>,
     pub clients: Vec<Client>,
@@ -59,6 +59,7 @@
     pub epoch: u64,
     pub leader: usize,
     pub expiry_tracker: ExpiryTracker,
+    /// The greatest token of an effect so far.
     pub highest_token: FencingToken,
     pub report: Report,
 }
@@ -149,7 +150,7 @@
                 }
             }
             Event::ResponseArrives { request, outcome } => self.response_arrives(&request, outcome),
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_random_fault(),
         }
     }
 
--- a/src/lease_client/admin_commands.rs
+++ b/src/lease_client/admin_commands.rs
@@ -27,7 +27,8 @@
     },
     /// Revoke a lease. It is no longer renewed, and its slot is free once it has expired, because its holder
     /// may act until then.
-    Release {
+    #[command(name = "release")]
+    Revoke {
         /// Name of the task.
         task: String,
         /// Fencing token of the lease, as shown by `list`.
@@ -73,7 +74,7 @@
         match command {
             AdminCommand::List => print_leases(&leases(config).await?),
             AdminCommand::Show { task } => show(config, task).await?,
-            AdminCommand::Release { task, token } => revoke(config, task, FencingToken(*token)).await?,
+            AdminCommand::Revoke { task, token } => revoke(config, task, FencingToken(*token)).await?,
             AdminCommand::Watch => watch(config).await?,
         }
         Ok(())
--- a/src/lease_client/client.rs
+++ b/src/lease_client/client.rs
@@ -52,7 +52,7 @@
     /// Permits one action of at most `max_duration` microseconds.
     ///
     /// # Errors
-    /// As [`LeaseClient::permit`].
+    /// The same as those of [`LeaseClient::permit`].
     pub fn permit(&self, task: &str, max_duration: Micros) -> Result<Permit, PermitError> {
         self.lease_client.borrow_mut().permit((self.clock)(), task, max_duration)
     }
--- a/src/lease_client/leader_request.rs
+++ b/src/lease_client/leader_request.rs
@@ -50,7 +50,7 @@
 /// Why a server did not answer as leader.
 #[derive(Debug)]
 pub enum FailureReason {
-    /// It redirects to another server, as the leader.
+    /// It redirects to this server.
     Redirect(ReplicaId),
     /// It knows no leader.
     NoLeader,
--- a/src/lease_server/storage.rs
+++ b/src/lease_server/storage.rs
@@ -46,8 +46,8 @@
     /// replica would vote as if it had never voted.
     ///
     /// # Errors
-    /// The database is missing, exists although it is to be created, belongs to another server, is in use, or
-    /// cannot be read.
+    /// The database is missing, exists although its creation is requested, belongs to another server, is in
+    /// use, or cannot be read.
     pub fn open(
         folder: &Path, owner: DatabaseOwner, bootstrap_tokens_from: Option<u64>,
     ) -> Result<(LeaseDatabase, DatabaseContent), StorageError> {
--- a/tests/lease_servers/cluster.rs
+++ b/tests/lease_servers/cluster.rs
@@ -32,7 +32,7 @@
     /// Creates a cluster whose servers are not started.
     pub fn new(name: &str) -> Cluster {
         let pid = std::process::id();
-        let folder = std::env::temp_dir().join(format!("honeyknot-keepers-{name}-{pid}"));
+        let folder = std::env::temp_dir().join(format!("honeyknot-lease-servers-{name}-{pid}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("the folder is created");
         // Loopback addresses that no other process or cluster uses.
@@ -92,7 +92,7 @@
 
     pub fn has_exited(&mut self, number: usize) -> bool {
         let child = self.running[number - 1].as_mut().expect("the server was started");
-        child.try_wait().expect("the state of a child").is_some()
+        child.try_wait().expect("the status of the process is known").is_some()
     }
 
     pub fn kill(&mut self, number: usize) {
@@ -114,7 +114,7 @@
     pub fn start_error(&self, number: usize, bootstrap: Option<u64>) -> String {
         let output = self.command(number, bootstrap).output().expect("the server starts");
         assert_eq!(output.status.code(), Some(ERROR_STATUS));
-        String::from_utf8(output.stderr).expect("text")
+        String::from_utf8(output.stderr).expect("the output is UTF-8")
     }
 
     /// Sends commands to the servers in turn, and to those that they redirect to, for a limited number of
@@ -152,7 +152,8 @@
 
 /// Sends commands to the servers of a configuration.
 pub fn request(config: &LeaseConfig, commands: Vec<LeaseCommand>) -> Result<Response, NoLeaderError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(leader_request::request(config, commands))
 }
 
--- a/tests/lease_servers/disk_full.rs
+++ b/tests/lease_servers/disk_full.rs
@@ -27,7 +27,7 @@
 /// Waits for a failed server and returns the last line of its error output.
 fn last_error(server: Child) -> String {
     let output = server.wait_with_output().expect("the server has ended");
-    let text = String::from_utf8(output.stderr).expect("text");
+    let text = String::from_utf8(output.stderr).expect("the output is UTF-8");
     assert_eq!(output.status.code(), Some(ERROR_STATUS), "{text}");
     text.lines().last().unwrap_or_default().to_owned()
 }
--- a/tests/lease_servers/recovery.rs
+++ b/tests/lease_servers/recovery.rs
@@ -53,8 +53,8 @@
     let error = cluster.start_error(1, Some(0));
     assert!(error.contains("k1/keeper.redb already exists"), "{error}");
     cluster.kill_all();
-    std::fs::rename(cluster.server_folder(2), cluster.folder.join("k3-old")).expect("renamed");
-    std::fs::rename(cluster.server_folder(1), cluster.server_folder(2)).expect("renamed");
+    std::fs::rename(cluster.server_folder(2), cluster.folder.join("k3-old")).expect("the folder is renamed");
+    std::fs::rename(cluster.server_folder(1), cluster.server_folder(2)).expect("the folder is renamed");
     let error = cluster.start_error(2, None);
     assert!(
         error.contains(
