--- a/src/relay/connection_events.rs
+++ b/src/relay/connection_events.rs
@@ -138,9 +138,9 @@
     }
 
     /// Records the response to the client of a connection that is not established.
-    pub(in crate::relay) fn request_answered(&mut self, id: RequestId, answer: RequestResult) {
+    pub(in crate::relay) fn request_answered(&mut self, id: RequestId, result: RequestResult) {
         let class = self.connections.get(id).map(|entry| entry.class);
-        self.record_request_result(class, answer);
+        self.record_request_result(class, result);
     }
 
     /// Removes a connection whose task ends.
--- a/src/relay/connections/admission.rs
+++ b/src/relay/connections/admission.rs
@@ -1,4 +1,4 @@
-//! Valid requests that have no entry in the relay's table yet, and their rejection.
+//! Valid requests that are not registered at the relay yet, and their rejection.
 
 use super::client_stream::ClientStream;
 use super::protocol::{self, MICROS_PER_MILLISECOND, OpenRequest};
@@ -14,7 +14,7 @@
     pub(super) connection_id: ConnectionIdGuard,
 }
 
-/// Rejects a request for which the relay has no capacity and closes its connection.
+/// Rejects a request that the relay has no capacity for, and closes its connection.
 pub(super) async fn reject(
     relay: &SharedRelay, downstream: ClientStream, request: &OpenRequest, reason: RejectionReason,
 ) {
@@ -24,9 +24,11 @@
     downstream.close_with(&line).await;
 }
 
-/// A time to retry after in milliseconds, between half and all of the maximum.
+/// Returns the time in milliseconds after which a rejected client may retry: between half the maximum and the
+/// maximum.
 ///
-/// The clock varies it from client to client, so that clients rejected together do not retry together.
+/// The value is derived from the clock, so that clients rejected at about the same time do not all retry at
+/// once.
 fn retry_after_ms(relay: &SharedRelay) -> u64 {
     let relay = relay.borrow();
     let max = relay.max_retry_after();
--- a/src/relay/connections/adoption.rs
+++ b/src/relay/connections/adoption.rs
@@ -1,4 +1,4 @@
-//! The adopting state of a connection: one that was established before this relay started is connected to its
+//! The adopting state of a connection that was established before this relay started: connects it to its
 //! endpoint again.
 
 use honeyknot_balancer::{EndpointId, Micros};
@@ -13,12 +13,12 @@
 use crate::relay::metrics::recorder::RequestResult;
 use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
-/// Pause between two attempts to connect to the endpoint.
+/// Pause between two attempts to connect to the endpoint, in microseconds.
 const RETRY_INTERVAL: Micros = 100_000;
-/// How long one attempt may take.
+/// Timeout of one attempt, in microseconds.
 const ATTEMPT_TIMEOUT: Micros = 5_000_000;
 
-/// A connection that waits until its endpoint is reachable.
+/// A connection that waits for its endpoint to become reachable.
 pub(super) struct AdoptingConnection {
     relay: SharedRelay,
     downstream: ClientStream,
@@ -29,7 +29,8 @@
 }
 
 impl AdoptingConnection {
-    /// Reserves a descriptor; none if the request was rejected and its connection closed.
+    /// Reserves a descriptor for the endpoint's socket. Returns `None` if none is free: the request is then
+    /// rejected and its connection closed.
     pub(super) async fn admit(valid: ValidRequest, endpoint: EndpointId) -> Option<AdoptingConnection> {
         let ValidRequest { relay, downstream, request, connection_id } = valid;
         let permit = relay.borrow().acquire_descriptor();
@@ -40,15 +41,16 @@
         Some(AdoptingConnection { relay, downstream, request, endpoint, upstream_permit, connection_id })
     }
 
-    /// Connects to the endpoint, however late discovery lists it; none if the connection has been closed instead.
+    /// Connects to the endpoint, which discovery may list only later. Returns `None` if the connection was
+    /// closed because the client disconnected or sent too much data, or the deadline for adoption passed.
     pub(super) async fn run(mut self) -> Option<EstablishedConnection> {
         let timers = self.downstream.timers.clone();
         let deadline = self.relay.borrow().adoption_deadline();
         let upstream = tokio::select! {
             biased;
-            // First, so that nothing is forwarded for a client that has left.
-            activity = self.downstream.left_or_overflowed() => match activity {
-                ClientActivity::Left => {
+            // Polled first, so that nothing is forwarded for a client that has disconnected.
+            activity = self.downstream.disconnected_or_overflowed() => match activity {
+                ClientActivity::Disconnected => {
                     self.relay.borrow_mut().record_unregistered_result(&self.request, RequestResult::Failed);
                     return None;
                 }
@@ -84,11 +86,11 @@
     }
 }
 
-/// Attempts to connect until the endpoint has accepted the connection.
+/// Repeats attempts to connect until the endpoint accepts the connection.
 async fn reconnect(relay: &SharedRelay, request: &OpenRequest, endpoint: &EndpointId) -> UpstreamStream {
     let timers = relay.borrow().timers.clone();
     loop {
-        // An endpoint in maintenance receives nothing, not even a connection that was established there.
+        // Nothing is sent to an endpoint in maintenance, not even a connection that was established there.
         let address =
             relay.borrow().endpoint_address(endpoint).filter(|_| !relay.borrow().in_maintenance(endpoint));
         if let Some(address) = address {
--- a/src/relay/connections/attempt.rs
+++ b/src/relay/connections/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint: connects, forwards the request and reads the first line of the answer.
+//! One attempt at an endpoint: connects, forwards the request and reads the first line of the response.
 
 use std::cell::Cell;
 use std::io;
@@ -12,13 +12,13 @@
 use super::protocol::{self, EndpointLine, MICROS_PER_MILLISECOND, OpenRequest, load_report_value};
 use crate::relay::{AttemptRequest, SharedRelay};
 
-/// Initial size in bytes of the buffer for an answer.
-const ANSWER_BUFFER_BYTES: usize = 512;
+/// Initial size of the buffer for a response, in bytes.
+const RESPONSE_BUFFER_BYTES: usize = 512;
 
-/// A connection to an endpoint, and what has been received on it.
+/// A connection to an endpoint and the bytes received on it.
 pub(super) struct UpstreamStream {
     pub(super) stream: TcpStream,
-    /// Begins with the endpoint's first line.
+    /// Bytes received and not relayed yet, starting with the endpoint's first line.
     pub(super) received: BytesMut,
 }
 
@@ -26,17 +26,19 @@
 pub(super) enum AttemptResult {
     /// The endpoint has accepted the connection.
     Established(UpstreamStream),
-    /// The endpoint served the connection to its end at once; these bytes are its answer.
+    /// The endpoint completed the connection at once; contains its response.
     Completed(BytesMut),
-    /// The attempt failed, perhaps with a load report.
+    /// The attempt failed; contains the endpoint's load report, if it sent one.
     Failed(Outcome, Option<LoadReport>),
 }
 
 /// Makes an attempt at an endpoint.
 ///
-/// `request_sent` is set once the last byte of the request is written: until then the endpoint cannot have run it.
+/// `deadline`, in Unix microseconds, only determines the time remaining that is sent to the endpoint: the
+/// caller ends the attempt. `request_sent` is set once the whole request has been written; before that the
+/// endpoint cannot have processed it.
 pub(super) async fn connect(
-    relay: &SharedRelay, request: &OpenRequest, attempt: &AttemptRequest, due: Micros,
+    relay: &SharedRelay, request: &OpenRequest, attempt: &AttemptRequest, deadline: Micros,
     request_sent: &Cell<bool>,
 ) -> AttemptResult {
     let timers = relay.borrow().timers.clone();
@@ -48,42 +50,43 @@
     if connected.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
         relay.borrow().connection_refused_by(&attempt.endpoint);
     }
-    // Since the attempt began, the endpoint may have started to drain, and the time in which endpoints recognize a
-    // repeated attempt may have passed.
-    let in_time = |now| attempt.send_before.is_none_or(|end| now < end);
+    // While the attempt was connecting, the endpoint may have started to drain, and the period in which
+    // endpoints recognize a repeated attempt may have ended.
+    let in_time = |now| attempt.send_before.is_none_or(|send_before| now < send_before);
     let may_send = || relay.borrow().may_send_to(&attempt.endpoint) && in_time(timers.clock.now());
     let Some(mut upstream) = connected.ok().filter(|_| may_send()) else {
         return AttemptResult::Failed(Outcome::ConnectFailed, None);
     };
     let _ = upstream.set_nodelay(true);
-    let remaining_ms = due.saturating_sub(timers.clock.now()) / MICROS_PER_MILLISECOND;
+    let remaining_ms = deadline.saturating_sub(timers.clock.now()) / MICROS_PER_MILLISECOND;
     if forward_request(&mut upstream, request, remaining_ms.max(1)).await.is_err() {
         return AttemptResult::Failed(Outcome::ConnectFailed, None);
     }
     request_sent.set(true);
     relay.borrow_mut().record_forwarded(request);
-    read_answer(relay, upstream).await
+    read_response(relay, upstream).await
 }
 
-/// Connects once to the endpoint of a connection that was established before the relay started.
+/// Makes one attempt to connect a connection that was established before the relay started to its endpoint
+/// again. Returns `None` if the attempt failed.
 pub(super) async fn reconnect(
     relay: &SharedRelay, request: &OpenRequest, endpoint: &EndpointId, address: SocketAddr,
 ) -> Option<UpstreamStream> {
     let mut upstream = TcpStream::connect(address).await.ok()?;
-    // An operator may have started the endpoint's maintenance meanwhile.
+    // An operator may have put the endpoint into maintenance in the meantime.
     if relay.borrow().in_maintenance(endpoint) {
         return None;
     }
     let _ = upstream.set_nodelay(true);
     upstream.write_all(request.as_bytes()).await.ok()?;
     relay.borrow_mut().record_forwarded(request);
-    match read_answer(relay, upstream).await {
+    match read_response(relay, upstream).await {
         AttemptResult::Established(upstream) => Some(upstream),
         AttemptResult::Completed(_) | AttemptResult::Failed(..) => None,
     }
 }
 
-/// Writes the request with another time remaining.
+/// Writes the request with the time remaining replaced by this number of milliseconds.
 async fn forward_request(
     upstream: &mut TcpStream, request: &OpenRequest, remaining_ms: u64,
 ) -> io::Result<()> {
@@ -100,8 +103,8 @@
     Ok(())
 }
 
-async fn read_answer(relay: &SharedRelay, mut upstream: TcpStream) -> AttemptResult {
-    let mut received = BytesMut::with_capacity(ANSWER_BUFFER_BYTES);
+async fn read_response(relay: &SharedRelay, mut upstream: TcpStream) -> AttemptResult {
+    let mut received = BytesMut::with_capacity(RESPONSE_BUFFER_BYTES);
     let end = loop {
         match protocol::first_line_end(&received) {
             Ok(Some(end)) => break end,
--- a/src/relay/connections/client_stream.rs
+++ b/src/relay/connections/client_stream.rs
@@ -1,4 +1,4 @@
-//! The client's side of a connection that is not established: its socket, and what it sent ahead of an answer.
+//! The client's side of a connection that is not established: its socket and the bytes received on it.
 
 use std::rc::Rc;
 
@@ -11,25 +11,25 @@
 use crate::relay::DescriptorPermit;
 use crate::relay::timer_wheel::Timers;
 
-/// Size in bytes of a connection's buffer in each direction: one line of the maximum length always fits.
+/// Size in bytes of a connection's buffer in each direction: a line of the maximum length always fits.
 pub(super) const BUFFER_BYTES: usize = MAX_LINE_BYTES;
-/// Initial size in bytes of the buffer for a request.
+/// Initial size of the buffer for a request, in bytes.
 const REQUEST_BUFFER_BYTES: usize = 512;
 
-/// A client's stream until its connection is established.
+/// A client's socket until its connection is established.
 pub(super) struct ClientStream {
     pub(super) stream: TcpStream,
-    /// Bytes received and not consumed yet.
+    /// Bytes that were received and not consumed yet.
     pub(super) received: BytesMut,
     pub(super) timers: Rc<Timers>,
     pub(super) permit: DescriptorPermit,
 }
 
-/// What a client did while it had to wait for its answer.
+/// What a client did while it should have waited for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientActivity {
-    /// It closed the connection, or its direction of it.
-    Left,
+    /// It closed the connection, or shut down its sending direction.
+    Disconnected,
     /// It sent bytes after its request.
     SentData,
 }
@@ -39,22 +39,22 @@
         ClientStream { stream, received: BytesMut::with_capacity(REQUEST_BUFFER_BYTES), timers, permit }
     }
 
-    /// Waits until the client leaves or sends data, though it has to wait for its answer.
+    /// Waits until the client disconnects or sends data, although it should wait for its response.
     ///
-    /// A client that shuts down its sending direction has left: the line protocol gives a request up in that way, and
-    /// a side that closes its connection ends both.
-    pub(super) async fn activity(&mut self) -> ClientActivity {
+    /// Shutting down the sending direction counts as disconnecting: in the line protocol a client cancels its
+    /// request that way, and closing one direction ends both.
+    pub(super) async fn next_activity(&mut self) -> ClientActivity {
         match self.stream.read_buf(&mut self.received).await {
-            Ok(0) | Err(_) => ClientActivity::Left,
+            Ok(0) | Err(_) => ClientActivity::Disconnected,
             Ok(_) => ClientActivity::SentData,
         }
     }
 
-    /// Waits until the client leaves, or has sent more than is buffered for its endpoint.
-    pub(super) async fn left_or_overflowed(&mut self) -> ClientActivity {
+    /// Waits until the client disconnects, or has sent as much as is buffered for its endpoint.
+    pub(super) async fn disconnected_or_overflowed(&mut self) -> ClientActivity {
         while self.received.len() < BUFFER_BYTES {
-            if self.activity().await == ClientActivity::Left {
-                return ClientActivity::Left;
+            if self.next_activity().await == ClientActivity::Disconnected {
+                return ClientActivity::Disconnected;
             }
         }
         ClientActivity::SentData
--- a/src/relay/connections/connection.rs
+++ b/src/relay/connections/connection.rs
@@ -1,4 +1,4 @@
-//! The state machine of a client's connection.
+//! The state machine of a client connection.
 
 use honeyknot_balancer::EndpointId;
 use tokio::net::TcpStream;
@@ -15,21 +15,21 @@
 ///
 /// | from | to | when |
 /// | --- | --- | --- |
-/// | `Idle` | `Opening` | the client has sent a valid request and the relay has capacity |
+/// | `Idle` | `Opening` | the client has sent a valid request and the relay has capacity for it |
 /// | `Idle` | `Adopting` | the request names the endpoint at which the connection was established before |
-/// | `Opening` | `Established` | an endpoint has accepted an attempt |
+/// | `Opening` | `Established` | an endpoint has accepted the connection |
 /// | `Adopting` | `Established` | the endpoint has accepted the connection again |
-/// | `Idle`, `Opening`, `Adopting` | `Closed` | the client has its one answer, or has left |
+/// | `Idle`, `Opening`, `Adopting` | `Closed` | the client has its response, or has disconnected |
 /// | `Established` | `Closed` | one side has closed it, the endpoint is silent, or the client is migrated |
-/// | `Established` | `Transferred` | another process of this relay continues it, there in `Established` |
+/// | `Established` | `Transferred` | another process of this relay continues it in the state `Established` |
 ///
-/// A state that leads to `Closed` has closed its sockets by then.
+/// The sockets are closed before the transition to `Closed`.
 pub(super) enum ConnectionState {
-    /// The client has not sent a request.
+    /// The client has not sent a complete request.
     Idle(Box<IdleConnection>),
     /// Attempts are made to connect to an endpoint.
     Opening(Box<OpeningConnection>),
-    /// A connection from before the relay's start is connected to its endpoint.
+    /// A connection that was established before the relay started is connected to its endpoint again.
     Adopting(Box<AdoptingConnection>),
     /// Lines are relayed both ways.
     Established(Box<EstablishedConnection>),
@@ -49,7 +49,7 @@
 }
 
 impl ConnectionState {
-    /// Passes through the following states until a final one.
+    /// Runs the state machine until it reaches a final state.
     pub(super) async fn run(self) {
         let mut state = self;
         while !matches!(state, ConnectionState::Closed | ConnectionState::Transferred) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits for the event that ends this state and returns the next one. A final state stays.
+    /// Runs this state until it ends and returns the next one; a final state returns itself.
     async fn next(self) -> ConnectionState {
         match self {
             ConnectionState::Idle(idle) => after_idle(*idle).await,
--- a/src/relay/connections/connection_guard.rs
+++ b/src/relay/connections/connection_guard.rs
@@ -1,15 +1,15 @@
-//! What a connection holds of the relay and gives back when it ends.
+//! The resources of the relay that a connection holds and releases when it ends.
 
 use honeyknot_balancer::RequestId;
 
 use crate::relay::{ConnectionIdGuard, DescriptorPermit, SharedRelay};
 
-/// A connection's entry in the relay's table, which is removed when this is dropped.
+/// A connection's entry in the relay's table; dropping the guard removes it.
 pub(super) struct ConnectionGuard {
     relay: SharedRelay,
-    /// The connection's id in the relay.
+    /// Request id of the connection.
     pub(super) id: RequestId,
-    /// Whether the client has its one answer.
+    /// Whether the client has received its response.
     answered: bool,
 }
 
@@ -18,7 +18,7 @@
         ConnectionGuard { relay, id, answered: false }
     }
 
-    /// Removes the entry of a connection whose client has its one answer.
+    /// Removes the entry of a connection whose client has received its response.
     pub(super) fn release_answered(mut self) {
         self.answered = true;
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// The descriptors and the client's connection id that an established connection occupies until both sides are closed.
+/// The descriptors and the connection id that an established connection occupies until both sides are closed.
 pub(super) struct Reservations {
     _downstream: DescriptorPermit,
     _upstream: DescriptorPermit,
--- a/src/relay/connections/downstream_buffer.rs
+++ b/src/relay/connections/downstream_buffer.rs
@@ -1,63 +1,67 @@
-//! Bytes of an endpoint that wait to be sent to the client, held back until a line is complete.
+//! A buffer for bytes from an endpoint, which are sent to the client in complete lines.
 
 use bytes::BytesMut;
 
 use super::client_stream::BUFFER_BYTES;
 use super::protocol::complete_lines_len;
 
-/// A buffer that passes complete lines, so that a line of the relay's own always fits between two of them.
+/// A buffer that releases only complete lines, so that the relay can insert its own line between two of them.
+///
+/// The exception is a line longer than the maximum, which is released in parts.
 #[derive(Debug, Default)]
 pub(super) struct DownstreamBuffer {
-    /// What can be sent.
+    /// Bytes that can be sent now.
     pub(super) sendable: BytesMut,
-    /// The beginning of a line, held back until the line is complete.
+    /// The beginning of an incomplete line, which is held back.
     partial_line: BytesMut,
-    /// The client has the beginning of a line that is longer than the maximum.
-    cut_line: bool,
+    /// Whether the beginning of an incomplete line has been released, because the line is longer than the
+    /// maximum.
+    partial_line_released: bool,
 }
 
 impl DownstreamBuffer {
-    /// The buffer of a transferred connection: what waits to be sent, and whether the endpoint is between two lines.
+    /// Restores the buffer of a transferred connection from the bytes that were not sent, and from whether
+    /// the bytes received from the endpoint end with a complete line.
     pub(super) fn restore(unsent: &[u8], between_lines: bool) -> DownstreamBuffer {
         let (sendable, partial_line) = unsent.split_at(complete_lines_len(unsent));
         DownstreamBuffer {
             sendable: BytesMut::from(sendable),
             partial_line: BytesMut::from(partial_line),
-            cut_line: partial_line.is_empty() && !between_lines,
+            partial_line_released: partial_line.is_empty() && !between_lines,
         }
     }
 
-    /// Everything that the client has not received.
+    /// Returns all bytes that have not been sent to the client.
     pub(super) fn unsent(&self) -> Vec<u8> {
         [&self.sendable[..], &self.partial_line].concat()
     }
 
-    /// Adds bytes of the endpoint.
+    /// Appends bytes received from the endpoint.
     pub(super) fn push(&mut self, bytes: BytesMut) {
         self.partial_line.unsplit(bytes);
         let complete = complete_lines_len(&self.partial_line);
         if complete == self.partial_line.len() || self.partial_line.len() >= BUFFER_BYTES {
-            // The rest of a line that is longer than the maximum is not waited for.
-            self.cut_line = complete < self.partial_line.len();
+            // A line longer than the maximum is not held back until its end.
+            self.partial_line_released = complete < self.partial_line.len();
             self.sendable.unsplit(std::mem::take(&mut self.partial_line));
         } else if complete > 0 {
-            self.cut_line = false;
+            self.partial_line_released = false;
             self.sendable.unsplit(self.partial_line.split_to(complete));
         }
     }
 
-    /// Releases an incomplete line, as the endpoint has closed its side: the client receives what there is of it.
+    /// Releases an incomplete line once the endpoint has closed its side: no more of it will arrive.
     pub(super) fn finish(&mut self) {
         self.sendable.unsplit(self.partial_line.split());
     }
 
-    /// Whether nothing can be sent now.
+    /// Returns whether there is nothing to send now.
     pub(super) fn is_empty(&self) -> bool {
         self.sendable.is_empty()
     }
 
-    /// Whether the client has received complete lines only, and nothing waits to be sent.
+    /// Returns whether everything has been sent that can be, and the last line sent is complete.
     pub(super) fn at_line_boundary(&self) -> bool {
-        self.sendable.is_empty() && !self.cut_line
+        self.sendable.is_empty() && !self.partial_line_released
     }
 }
--- a/src/relay/connections/established.rs
+++ b/src/relay/connections/established.rs
@@ -1,4 +1,4 @@
-//! The established state of a connection: its lines are relayed until it ends, and its end is reported.
+//! The established state of a connection: relays lines until the connection ends, and reports its end.
 
 use honeyknot_balancer::Outcome;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -28,17 +28,17 @@
 pub(super) struct EstablishedConnection {
     pub(super) relay: SharedRelay,
     pub(super) guard: ConnectionGuard,
-    pub(super) lines: LineRelay,
+    pub(super) line_relay: LineRelay,
     pub(super) commands: UnboundedReceiver<ConnectionCommand>,
     pub(super) _reservations: Reservations,
 }
 
-/// What has become of an established connection.
+/// The state that follows the established state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FinalState {
-    /// Both of its sides are closed.
+    /// Both sides of the connection are closed.
     Closed,
-    /// Another process of this relay continues it.
+    /// Another process of this relay continues the connection.
     Transferred,
 }
 
@@ -55,17 +55,17 @@
         } = accepted;
         let ClientStream { stream, received, permit, .. } = downstream;
         let streams = Streams { downstream: stream, upstream: upstream.stream };
-        let lines = LineRelay::new(relay.clone(), guard.id, request, streams)
+        let line_relay = LineRelay::new(relay.clone(), guard.id, request, streams)
             .with_received(received, upstream.received);
         let reservations = Reservations::new(permit, upstream_permit, connection_id);
-        EstablishedConnection { relay, guard, lines, commands, _reservations: reservations }
+        EstablishedConnection { relay, guard, line_relay, commands, _reservations: reservations }
     }
 
-    /// Relays lines until the connection ends, reports its end, and closes or transfers it.
+    /// Relays lines until the connection ends, reports the end, and closes or transfers the connection.
     pub(super) async fn run(mut self) -> FinalState {
-        let end = self.lines.run(&mut self.commands).await;
-        let outcome = outcome_of(end, self.lines.last_line());
-        let end_reason = connection_end_reason(end, self.lines.last_line());
+        let end = self.line_relay.run(&mut self.commands).await;
+        let outcome = outcome_of(end, self.line_relay.last_line());
+        let end_reason = connection_end_reason(end, self.line_relay.last_line());
         let endpoint = self.relay.borrow().current_endpoint(self.guard.id);
         self.relay.borrow_mut().record_connection_ended(end_reason);
         if end == ConnectionEnd::EndpointSilent {
@@ -75,18 +75,19 @@
         self.guard.release_answered();
         match (end, endpoint) {
             (ConnectionEnd::Transferred, Some(endpoint)) => {
-                let transfer = self.lines.into_transfer(endpoint.0.as_ref().to_owned());
+                let transfer = self.line_relay.into_transfer(endpoint.0.as_ref().to_owned());
                 transfer_or_migrate(&self.relay, transfer)
             }
             (end, _) => {
-                self.lines.close(end).await;
+                self.line_relay.close(end).await;
                 FinalState::Closed
             }
         }
     }
 }
 
-/// Sends a connection to the process that accepts clients now, or migrates the client if there is none.
+/// Transfers a connection to the process that accepts clients now; migrates the client if there is no such
+/// process.
 fn transfer_or_migrate(relay: &SharedRelay, transfer: ConnectionTransfer) -> FinalState {
     let timers = relay.borrow().timers.clone();
     let sent = relay.borrow_mut().transfer_connection(transfer);
--- a/src/relay/connections/graceful_close.rs
+++ b/src/relay/connections/graceful_close.rs
@@ -1,4 +1,4 @@
-//! Ends of connections: graceful, so that the last line still arrives, or by a reset.
+//! Closing of connections: gracefully, so that the last line still arrives, or with a reset.
 
 use std::io;
 use std::rc::Rc;
@@ -10,24 +10,25 @@
 use super::protocol::MIGRATE;
 use crate::relay::timer_wheel::Timers;
 
-/// Bytes discarded at most of a connection that is being closed: more would let a client that floods be read for ever.
+/// Maximum number of bytes that are read and discarded while a connection is closed, which bounds the work
+/// that a flooding client causes.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Size in bytes of the buffer for what is discarded.
+/// Size of the buffer for discarded bytes, in bytes.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
-/// How long a last line and the end of a connection may take to arrive.
+/// Timeout for sending a last line, and for the peer to close its side, in microseconds.
 pub const GRACEFUL_CLOSE_TIMEOUT: Micros = 300_000;
 
-/// How a peer ended its side of a connection.
+/// How a peer closed its side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseKind {
-    /// In order.
+    /// With a FIN.
     Graceful,
-    /// By a reset.
+    /// With a reset.
     Reset,
 }
 
 impl CloseKind {
-    /// The kind that an error of a read or write shows.
+    /// Returns how the peer closed its side, judging by the error of a read or write.
     pub(super) fn from_error(error: &io::Error) -> CloseKind {
         match error.kind() {
             io::ErrorKind::BrokenPipe | io::ErrorKind::NotConnected => CloseKind::Graceful,
@@ -36,7 +37,7 @@
     }
 }
 
-/// Closes a connection so that what was written last still arrives: closing with unread bytes would reset it.
+/// Closes a connection so that the last bytes written still arrive: closing with unread bytes would reset it.
 pub async fn close(timers: &Rc<Timers>, mut stream: TcpStream) {
     let _ = stream.shutdown().await;
     tokio::select! {
@@ -45,7 +46,7 @@
     }
 }
 
-/// Closes a connection as its other side was closed.
+/// Closes a connection in the same way as its other side was closed.
 pub(super) async fn close_like(kind: CloseKind, timers: &Rc<Timers>, stream: TcpStream) {
     match kind {
         CloseKind::Reset => {
@@ -56,20 +57,22 @@
     }
 }
 
-/// Sends a client away to reconnect, if `at_line_boundary` between what was sent to it, and closes both sides.
+/// Closes both sides of a connection. If the last line sent to the client is complete (`at_line_boundary`),
+/// tells the client to reconnect first.
 pub(super) async fn migrate(
     timers: &Rc<Timers>, downstream: TcpStream, upstream: TcpStream, at_line_boundary: bool,
 ) {
     if at_line_boundary {
-        // Nothing else waits to be sent, so the socket's buffer has space for it.
+        // No other data is waiting to be sent, so the socket's buffer has room for this line.
         let _ = downstream.try_write(MIGRATE);
     }
     tokio::join!(close(timers, downstream), close(timers, upstream));
 }
 
-/// Discards what still arrives until the peer closes its side; waits for ever once the limit is reached.
+/// Reads and discards bytes until the peer closes its side. Never returns once the limit is reached; the
+/// caller's timeout ends the wait.
 ///
-/// The buffer is not kept across an await, as hundreds of connections may be closing at once.
+/// The buffer is not held across an await, as hundreds of connections may be closing at the same time.
 async fn discard_received(stream: &TcpStream) {
     let mut discarded = 0;
     while discarded < MAX_DISCARDED_BYTES && stream.readable().await.is_ok() {
--- a/src/relay/connections/handshake.rs
+++ b/src/relay/connections/handshake.rs
@@ -1,4 +1,4 @@
-//! The idle state of a connection: reads lines until the client requests a connection to an endpoint.
+//! The idle state of a connection: reads lines until the client sends a request.
 
 use honeyknot_balancer::Micros;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,10 +12,11 @@
 use crate::relay::metrics::labels::FailureCause;
 use crate::relay::metrics::recorder::RequestResult;
 
-/// How long a connection may stay idle, however many bytes or `PING` it sends.
+/// How long a connection may stay idle in microseconds, regardless of the bytes or `PING` lines that it
+/// sends.
 ///
-/// A client is owed an answer or a close within 3 s, of which the wait to be accepted is a part. Clients on slow links
-/// take 2 s to write their request.
+/// A client must be answered or closed within 3 s of connecting, which includes the wait to be accepted.
+/// Clients on slow links need 2 s to write their request.
 const REQUEST_TIMEOUT: Micros = 2_500_000;
 
 /// A connection whose client has not sent a complete request.
@@ -25,97 +26,100 @@
     pub(super) slot: IdleSlot,
 }
 
-/// What a client did in the idle state.
-enum Handshake {
-    /// It sent a request.
+/// How the idle state ended.
+enum HandshakeResult {
+    /// The client sent a request.
     Requested(Box<OpenRequest>),
-    /// It was silent for too long after a `PING`, or the relay shuts down.
+    /// The client sent nothing for too long after a `PING`, or the relay is shutting down.
     Expired,
-    /// It left before it began a line.
-    Left,
+    /// The client disconnected before it began another line, or the connection broke.
+    Disconnected,
 }
 
 impl IdleConnection {
-    /// Waits for a valid request; none if the connection has been closed instead.
+    /// Waits for a valid request. Returns `None` if the connection was closed instead.
     pub(super) async fn run(mut self) -> Option<ValidRequest> {
         match self.receive_request().await {
-            // A request that arrives in this moment is never read. A rejection makes no promise, so it is a true
-            // answer to that request too, which would otherwise be lost without one.
-            Ok(Handshake::Expired) => {
-                self.answer_and_close(protocol::REJECTED).await;
+            // A request that arrives at this moment is no longer read. The rejection is a correct response to
+            // it as well: it tells the client that the request did not run.
+            Ok(HandshakeResult::Expired) => {
+                self.respond_and_close(protocol::REJECTED).await;
                 None
             }
-            Ok(Handshake::Requested(request)) => self.validate(*request).await,
-            Ok(Handshake::Left) => None,
+            Ok(HandshakeResult::Requested(request)) => self.validate(*request).await,
+            Ok(HandshakeResult::Disconnected) => None,
             Err(error) => {
-                debug!(target: "client", %error, "request rejected");
+                debug!(target: "client", %error, "invalid request, closing connection");
                 self.relay.borrow_mut().record_failed(FailureCause::ProtocolError);
-                self.answer_and_close(protocol::FAILED).await;
+                self.respond_and_close(protocol::FAILED).await;
                 None
             }
         }
     }
 
-    /// Reserves the connection id of a request; closes the connection if that is not possible.
+    /// Reserves the connection id of a request. If that is not possible, closes the connection and returns
+    /// `None`.
     async fn validate(self, request: OpenRequest) -> Option<ValidRequest> {
         let reserved = self.relay.borrow().reserve_connection_id(&request);
         let Some(connection_id) = reserved else {
-            let error = "connection id already open, or unknown class";
-            debug!(target: "client", error, "request rejected");
+            let error = "connection id is already open, or class is unknown";
+            debug!(target: "client", error, "invalid request, closing connection");
             self.relay.borrow_mut().record_unregistered_result(&request, RequestResult::Failed);
-            self.answer_and_close(protocol::FAILED).await;
+            self.respond_and_close(protocol::FAILED).await;
             return None;
         };
-        // Gives the idle slot back first: the oldest idle connection may be evicted for this request.
+        // Releases the idle slot first, so that this connection is not the one evicted to admit its own
+        // request.
         let IdleConnection { relay, downstream, slot } = self;
         drop(slot);
         Some(ValidRequest { relay, downstream, request, connection_id })
     }
 
-    async fn answer_and_close(mut self, line: &[u8]) {
+    async fn respond_and_close(mut self, line: &[u8]) {
         self.slot.mark_answered();
         self.downstream.close_with(line).await;
     }
 
-    /// Reads lines until the client requests a connection, leaves, or its time is over.
-    async fn receive_request(&mut self) -> Result<Handshake, ProtocolError> {
+    /// Reads lines until the client sends a request or disconnects, or the timeout expires.
+    async fn receive_request(&mut self) -> Result<HandshakeResult, ProtocolError> {
         let timers = self.downstream.timers.clone();
-        let due = timers.clock.now() + REQUEST_TIMEOUT;
+        let deadline = timers.clock.now() + REQUEST_TIMEOUT;
         let shutdown = self.slot.shutdown_notice();
         let mut pinged = false;
         loop {
             let line_end = tokio::select! {
                 biased;
                 line_end = self.receive_line() => line_end?,
-                () = timers.sleep_until(due) => {
+                () = timers.sleep_until(deadline) => {
                     let silent_after_ping = pinged && self.downstream.received.is_empty();
                     return if silent_after_ping {
-                        Ok(Handshake::Expired)
+                        Ok(HandshakeResult::Expired)
                     } else {
                         Err(ProtocolError::FirstLineTimeout)
                     };
                 }
-                () = shutdown.notified() => return Ok(Handshake::Expired),
+                () = shutdown.notified() => return Ok(HandshakeResult::Expired),
             };
-            let Some(line_end) = line_end else { return Ok(Handshake::Left) };
+            let Some(line_end) = line_end else { return Ok(HandshakeResult::Disconnected) };
             let line = self.downstream.received.split_to(line_end).freeze();
             if !self.downstream.received.is_empty() {
                 return Err(ProtocolError::DataBeforeAnswer);
             }
             if protocol::without_line_end(&line) != protocol::PING {
-                return OpenRequest::parse(line).map(|request| Handshake::Requested(Box::new(request)));
+                return OpenRequest::parse(line).map(|request| HandshakeResult::Requested(Box::new(request)));
             }
             let shutting_down = self.relay.borrow().is_shutting_down();
-            let answer = if shutting_down { protocol::REJECTED } else { protocol::PONG };
-            if self.downstream.stream.write_all(answer).await.is_err() {
-                return Ok(Handshake::Left);
+            let response = if shutting_down { protocol::REJECTED } else { protocol::PONG };
+            if self.downstream.stream.write_all(response).await.is_err() {
+                return Ok(HandshakeResult::Disconnected);
             }
             pinged = true;
             self.slot.mark_answered();
         }
     }
 
-    /// Reads until a line is complete; none if the client leaves before it begins one.
+    /// Reads until a line is complete and returns its length. Returns `None` if the client disconnected
+    /// between lines.
     async fn receive_line(&mut self) -> Result<Option<usize>, ProtocolError> {
         loop {
             if let Some(line_end) = protocol::first_line_end(&self.downstream.received)? {
--- a/src/relay/connections/idle.rs
+++ b/src/relay/connections/idle.rs
@@ -1,9 +1,9 @@
-//! Idle connections: those without a request in flight, and the order in which they are evicted.
+//! Idle connections, which have not sent a complete request, and the order in which they are evicted.
 //!
-//! Clients that connect by the hundred and send nothing would occupy every descriptor, so idle connections are limited
-//! to a share of them. Connections that have been answered are evicted first, then those that have sent nothing, the
-//! oldest first, then those that have begun a request and made no progress for longest: a client on a slow link is not
-//! evicted because of a flood of silent ones.
+//! Hundreds of clients that connect and send nothing could occupy all descriptors, so idle connections are
+//! limited to a share of them. The order of eviction is: connections that have been answered; those that have
+//! sent nothing, the oldest first; those that have sent part of a request, the one without progress for
+//! longest first. A client on a slow link is therefore not evicted because of a flood of silent ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,35 +20,35 @@
     shutdown: Rc<ShutdownNotice>,
 }
 
-/// Tells idle connections that the relay shuts down and they have to end.
+/// Tells idle connections that the relay is shutting down and that they must end.
 #[derive(Debug, Default)]
 pub struct ShutdownNotice {
-    given: Cell<bool>,
+    is_given: Cell<bool>,
     notify: Notify,
 }
 
 impl ShutdownNotice {
     /// Waits for the notice; returns at once if it has been given.
     pub async fn notified(&self) {
-        if !self.given.get() {
+        if !self.is_given.get() {
             self.notify.notified().await;
         }
     }
 
     fn give(&self) {
-        self.given.set(true);
+        self.is_given.set(true);
         self.notify.notify_waiters();
     }
 }
 
-/// How far an idle connection has come; those that are less far are evicted first.
+/// Progress of an idle connection; the lowest value is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
-    /// It has been answered.
+    /// The client has been answered.
     Answered,
-    /// It has sent nothing that may be the beginning of a request.
+    /// The client has sent nothing that could be the beginning of a request.
     Silent,
-    /// It has sent the beginning of a request.
+    /// The client has sent the beginning of a request.
     Receiving,
 }
 
@@ -56,14 +56,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     progress: Progress,
-    /// Grows with every rank that is given out.
+    /// Order of the ranks with the same progress; the lowest is evicted first.
     sequence: u64,
 }
 
 #[derive(Debug, Default)]
 struct EvictionQueue {
     last_sequence: u64,
-    /// The task of each connection; none while it is being spawned.
+    /// The task of each connection; `None` while it is being spawned.
     tasks: BTreeMap<EvictionRank, Option<AbortHandle>>,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// A connection's place among the idle ones, which is given back when this is dropped.
+/// A connection's position among the idle connections; dropping the slot releases it.
 #[derive(Debug)]
 pub struct IdleSlot {
     connections: IdleConnections,
@@ -82,25 +82,25 @@
 }
 
 impl IdleSlot {
-    /// The notice that is given when the relay shuts down.
+    /// Returns the notice that is given when the relay shuts down.
     pub fn shutdown_notice(&self) -> Rc<ShutdownNotice> {
         self.connections.shutdown.clone()
     }
 
-    /// Notes that the client has sent a further part of a request.
+    /// Records that the client has sent a further part of a request.
     pub fn mark_receiving(&mut self) {
         let sequence = self.connections.queue.borrow_mut().next_sequence();
         self.move_to(EvictionRank { progress: Progress::Receiving, sequence });
     }
 
-    /// Notes that the client has been answered.
+    /// Records that the client has been answered.
     pub fn mark_answered(&mut self) {
         self.move_to(EvictionRank { progress: Progress::Answered, sequence: self.rank.sequence });
     }
 
     fn move_to(&mut self, rank: EvictionRank) {
         let mut queue = self.connections.queue.borrow_mut();
-        // A connection that has just been evicted has no place any more.
+        // A connection that has just been evicted has no position any more.
         if let Some(task) = queue.tasks.remove(&self.rank) {
             queue.tasks.insert(rank, task);
             self.rank = rank;
@@ -115,7 +115,7 @@
 }
 
 impl IdleConnections {
-    /// Spawns the task that serves a connection, which is idle as long as it holds its slot.
+    /// Spawns the task that serves a connection. The connection counts as idle until the task drops its slot.
     ///
     /// # Panics
     ///
@@ -130,24 +130,24 @@
         }
     }
 
-    /// Has every idle connection answered or closed, as the relay shuts down.
+    /// Tells every idle connection to end because the relay is shutting down.
     pub fn notify_shutdown(&self) {
         self.shutdown.give();
     }
 
-    /// The number of idle connections.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.queue.borrow().tasks.len()
     }
 
-    /// Whether no connection is idle.
+    /// Returns whether no connection is idle.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Closes the connection that is first in the order of eviction; false if there is none.
+    /// Closes the connection that is first in the order of eviction; returns `false` if there is none.
     ///
-    /// Its descriptor is free once its task would have run next.
+    /// Its descriptor is released only when the runtime next polls the aborted task.
     pub fn evict_one(&self) -> bool {
         let first = self.queue.borrow_mut().tasks.pop_first();
         first.and_then(|(_, task)| task).map(|task| task.abort()).is_some()
--- a/src/relay/connections/line_relay.rs
+++ b/src/relay/connections/line_relay.rs
@@ -18,27 +18,27 @@
 use crate::relay::timer_wheel::Timers;
 use crate::relay::{ConnectionCommand, SharedRelay};
 
-/// How often an established connection checks its state while nothing happens on it.
+/// Interval at which an established connection without traffic checks its state, in microseconds.
 const CHECK_INTERVAL: Micros = 250_000;
-/// How long the end of one side, or a migration, waits until what is in flight has been sent.
+/// How long the end of a connection is delayed until the bytes in flight have been sent, in microseconds.
 const FLUSH_TIMEOUT: Micros = 600_000;
 
-/// How an established connection ends.
+/// How an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// The endpoint closed it.
+    /// The endpoint closed the connection.
     UpstreamClosed(CloseKind),
-    /// The client closed it.
+    /// The client closed the connection.
     DownstreamClosed(CloseKind),
-    /// The balancer, or the relay's shutdown, migrates the client.
+    /// The client is migrated because of a decision of the balancer or a shutdown of the relay.
     Migrated,
-    /// The endpoint no longer answers.
+    /// The endpoint no longer responds.
     EndpointSilent,
-    /// Another process of this relay continues it.
+    /// Another process of this relay continues the connection.
     Transferred,
 }
 
-/// Both sides of an established connection and what is in flight between them.
+/// Both sides of an established connection and the bytes in flight between them.
 pub(super) struct LineRelay {
     relay: SharedRelay,
     timers: Rc<Timers>,
@@ -53,7 +53,7 @@
     downstream_closed: Option<SideClosed>,
     migrating_since: Option<Micros>,
     transfer_requested: bool,
-    /// The load that the endpoint reported last.
+    /// Load that the endpoint last reported for this connection, if any.
     load: Option<f64>,
     silence: SilenceDetector,
 }
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Adds what both sides sent before the connection was established.
+    /// Adds the bytes that both sides sent before the connection was established.
     pub(super) fn with_received(mut self, from_downstream: BytesMut, from_upstream: BytesMut) -> LineRelay {
         self.to_upstream = from_downstream;
         self.receive_lines(from_upstream);
         self
     }
 
-    /// Continues in the state that another process has sent.
+    /// Restores the state that another process has sent.
     pub(super) fn with_snapshot(mut self, snapshot: ConnectionSnapshot) -> LineRelay {
         let between_lines = snapshot.line_tracker.between_lines();
         self.to_downstream = DownstreamBuffer::restore(&snapshot.to_downstream, between_lines);
@@ -101,12 +101,12 @@
         self
     }
 
-    /// The last complete line of the endpoint.
+    /// Returns the kind of the endpoint's last complete line.
     pub(super) fn last_line(&self) -> LastLine {
         self.last_line
     }
 
-    /// The connection in the form in which another process receives it.
+    /// Converts the connection into the form in which it is transferred to another process.
     pub(super) fn into_transfer(self, endpoint: String) -> ConnectionTransfer {
         let snapshot = ConnectionSnapshot {
             request: self.request.as_bytes().to_vec(),
@@ -122,7 +122,8 @@
         ConnectionTransfer { snapshot, downstream, upstream }
     }
 
-    /// Closes what is left: the other side as the first was closed, or both after a migration.
+    /// Closes the sides that are still open: the remaining side in the way the first was closed, or both
+    /// sides after a migration.
     pub(super) async fn close(self, end: ConnectionEnd) {
         let at_line_boundary = self.to_downstream.at_line_boundary();
         let LineRelay { streams: Streams { downstream, upstream }, timers, .. } = self;
@@ -145,7 +146,7 @@
         tokio::pin!(check);
         loop {
             self.flush();
-            if let Some(end) = self.end() {
+            if let Some(end) = self.connection_end() {
                 return end;
             }
             tokio::select! {
@@ -168,7 +169,8 @@
         }
     }
 
-    /// Carries out a command; an established connection can only be migrated or transferred.
+    /// Executes a command. Only `Migrate` and `Transfer` apply to an established connection; the end of the
+    /// queue also starts a migration.
     fn execute(&mut self, command: Option<ConnectionCommand>) {
         match command {
             Some(ConnectionCommand::Migrate) | None => self.migrating_since = Some(self.timers.clock.now()),
@@ -185,7 +187,7 @@
         self.downstream_closed.is_none() && self.to_upstream.is_empty()
     }
 
-    /// Writes what waits, as much as the sockets accept now.
+    /// Writes as many of the unsent bytes as the sockets accept without waiting.
     fn flush(&mut self) {
         let now = self.timers.clock.now();
         if let Err(error) = write_available(&self.streams.downstream, &mut self.to_downstream.sendable) {
@@ -193,15 +195,15 @@
             self.downstream_closed.get_or_insert(closed);
             self.to_downstream.sendable.clear();
         }
-        // A failed write is not the end of the upstream side: its last lines may still be unread, and reading shows
-        // how it was closed.
+        // A failed write does not close the upstream side: its last lines may not have been read yet, and
+        // reading them shows how it was closed.
         if write_available(&self.streams.upstream, &mut self.to_upstream).is_err() {
             self.to_upstream.clear();
         }
     }
 
-    /// How the connection ends, if it ends now.
-    fn end(&self) -> Option<ConnectionEnd> {
+    /// Returns how the connection ends, or `None` if it continues.
+    fn connection_end(&self) -> Option<ConnectionEnd> {
         let now = self.timers.clock.now();
         let flush_overdue = |since: Micros| now >= since + FLUSH_TIMEOUT;
         if let Some(closed) = self.downstream_closed
@@ -222,17 +224,19 @@
         if self.transfer_requested && self.is_open() {
             return Some(ConnectionEnd::Transferred);
         }
-        // While the client does not read, the endpoint is not read either and its silence is not its fault.
+        // While the client does not read, the relay does not read from the endpoint, so that is not the
+        // endpoint's fault.
         let silent = self.silence.is_silent(now);
         (silent && self.to_downstream.is_empty()).then_some(ConnectionEnd::EndpointSilent)
     }
 
-    /// Whether neither side is closed and no migration has begun.
+    /// Returns whether neither side is closed and no migration has begun.
     fn is_open(&self) -> bool {
         self.downstream_closed.is_none() && self.upstream_closed.is_none() && self.migrating_since.is_none()
     }
 
-    /// Whether a migration now cuts no line of the endpoint.
+    /// Returns whether the client has received complete lines only and the endpoint has not begun another, so
+    /// that a migration truncates nothing.
     fn between_lines(&self) -> bool {
         self.to_downstream.is_empty() && self.line_tracker.between_lines()
     }
@@ -249,7 +253,7 @@
         self.to_downstream.finish();
     }
 
-    /// Takes bytes of the endpoint: they are relayed unchanged, and reported loads go to the balancer as well.
+    /// Relays bytes from the endpoint unchanged, and reports response times and loads to the balancer.
     fn receive_lines(&mut self, bytes: BytesMut) {
         let (mut load, mut answered, mut last_line) = (None, false, self.last_line);
         self.line_tracker.observe(&bytes, |line| {
@@ -260,7 +264,7 @@
             last_line = line.into();
         });
         self.last_line = last_line;
-        // Neither an incomplete line nor a load is an answer to the client.
+        // An incomplete line or a load report does not count as a response to the client.
         if answered && let Some(since) = self.silence.endpoint_answered() {
             let latency = self.timers.clock.now().saturating_sub(since);
             self.relay.borrow_mut().message_latency_measured(self.id, latency);
--- a/src/relay/connections/listener.rs
+++ b/src/relay/connections/listener.rs
@@ -10,21 +10,22 @@
 use super::connection;
 use crate::relay::{DescriptorPermit, SharedRelay};
 
-/// Pause after a failed accept: out of descriptors or memory, which passes as connections end.
+/// Pause after a failed accept, usually for lack of descriptors or memory, which connections release as they
+/// end.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause until an evicted connection has given its descriptor back.
+/// Pause until an evicted connection has released its descriptor.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(1);
-/// Number of connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Listens at an address.
+/// Opens a listener on an address.
 ///
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
 pub(in crate::relay) fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A relay that was killed binds the same address again while its old connections are in TIME_WAIT.
+    // Lets a relay that is restarted bind its address while its old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
@@ -36,7 +37,7 @@
     relay.borrow_mut().listener_ownership.accept_task = Some(task.abort_handle());
 }
 
-/// Stops the accept loop; accepted connections continue.
+/// Stops the accept loop; accepted connections are not affected.
 pub(in crate::relay) fn stop_accepting(relay: &SharedRelay) {
     if let Some(task) = relay.borrow_mut().listener_ownership.accept_task.take() {
         task.abort();
@@ -57,14 +58,15 @@
                 failing = false;
                 let permit = DescriptorPermit::new(&descriptors);
                 idle_connections.admit(|slot| connection::serve(relay.clone(), stream, permit, slot));
-                // Lets the connection read its request before the next one is accepted: after a burst of accepts it
-                // would be evicted as the oldest.
+                // Lets the new connection read its request before the next one is accepted. Otherwise, during
+                // a burst of connections, it could be evicted as the oldest before its request is read.
                 tokio::task::yield_now().await;
             }
             Err(error) => {
-                // Neither ends the loop for want of descriptors (EMFILE), nor logs every attempt.
+                // Errors such as EMFILE are temporary, so the loop continues; only the first in a row is
+                // logged.
                 if !std::mem::replace(&mut failing, true) {
-                    error!(target: "relay", %error, "accept failed");
+                    error!(target: "relay", %error, "cannot accept a client connection, retrying");
                 }
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
--- a/src/relay/connections/metric_labels.rs
+++ b/src/relay/connections/metric_labels.rs
@@ -1,11 +1,11 @@
-//! Tag values of metrics that connections record.
+//! Tag values of the metrics that connections record.
 
 use super::graceful_close::CloseKind;
 use super::line_relay::ConnectionEnd;
 use super::protocol::LastLine;
 use crate::relay::metrics::labels::ConnectionEndReason;
 
-/// Returns the recorded reason of an established connection's end.
+/// Returns the reason for which an established connection ended, as it is recorded.
 pub(super) fn connection_end_reason(end: ConnectionEnd, last_line: LastLine) -> ConnectionEndReason {
     match (end, last_line) {
         (ConnectionEnd::DownstreamClosed(_), _) => ConnectionEndReason::Client,
--- a/src/relay/connections/mod.rs
+++ b/src/relay/connections/mod.rs
@@ -1,13 +1,14 @@
-//! Connections of clients: accepted, idle, opened at an endpoint, established, and closed or transferred.
+//! Client connections, from being accepted until they are closed or transferred.
 //!
-//! Connections and bytes come in; calls to the relay's owner go out (a request, an established connection, an end), and
-//! its commands come back to each connection by a queue of its own. Nothing here chooses an endpoint.
+//! The task of a connection reports its request, establishment and end to the [`Relay`](crate::relay::Relay),
+//! and receives commands on its own queue. Endpoints are chosen by the balancer, never in this module.
 //!
-//! - `listener` accepts connections; `idle` limits those without a request and evicts them in order;
-//! - `connection` is the state machine of one connection, with its table of transitions;
-//! - `handshake` (idle), `opening`, `adoption` and `established` are its states: each knows those that follow it only;
-//! - `attempt` makes one attempt at an endpoint, `line_relay` relays lines both ways;
-//! - `transfer` and `restore` take a connection from one process of the relay to another;
+//! - `listener` accepts connections; `idle` tracks those without a request and evicts them in order;
+//! - `connection` contains the state machine of one connection and its table of transitions;
+//! - `handshake` (idle), `opening`, `adoption` and `established` are its states, each of which refers only to
+//!   the states that can follow it;
+//! - `attempt` makes one attempt at an endpoint; `line_relay` relays lines in both directions;
+//! - `transfer` and `restore` move a connection from one process of the relay to another;
 //! - `protocol` parses and encodes the line protocol.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -1,5 +1,5 @@
-//! The opening state of a connection: makes the attempts that the balancer commands until one establishes it or the
-//! client has its answer.
+//! The opening state of a connection: makes the attempts that the balancer requests, until one establishes
+//! the connection or the client receives a final response.
 
 use std::cell::Cell;
 
@@ -27,30 +27,31 @@
     connection_id: ConnectionIdGuard,
 }
 
-/// What ended the wait for an attempt.
+/// How the wait for an attempt ended.
 enum AttemptEnd {
-    /// The attempt itself.
+    /// The attempt ended with this result.
     Result(AttemptResult),
-    /// The client left.
-    ClientLeft,
-    /// The client is to be answered without the attempt's result.
-    Answer(ConnectionCommand),
+    /// The client disconnected.
+    ClientDisconnected,
+    /// The attempt was abandoned, and the client is answered according to this command.
+    Respond(ConnectionCommand),
 }
 
-/// What follows a command in the opening state.
+/// The next step after a command in the opening state.
 enum Step {
     /// Wait for the next command.
     Continue,
-    /// The connection is established.
+    /// Continue in the established state.
     Established(UpstreamStream),
-    /// Send the client a last line.
-    Answer(Vec<u8>, RequestResult),
-    /// The client has left.
+    /// Send a last line to the client, record the result and close the connection.
+    Respond(Vec<u8>, RequestResult),
+    /// Close the connection without a response, as the client has disconnected.
     Close,
 }
 
 impl OpeningConnection {
-    /// Registers a request at the relay; none if it was rejected and its connection closed.
+    /// Registers a request at the relay. Returns `None` if the request was not admitted; the client has then
+    /// been answered and its connection closed.
     pub(super) async fn admit(valid: ValidRequest) -> Option<OpeningConnection> {
         let ValidRequest { relay, downstream, request, connection_id } = valid;
         let permit = relay.borrow().acquire_descriptor().filter(|_| relay.borrow().can_admit());
@@ -76,18 +77,18 @@
         })
     }
 
-    /// Carries out commands until the connection is established; none if it has been closed instead.
+    /// Executes commands until the connection is established. Returns `None` if it was closed instead.
     pub(super) async fn run(mut self) -> Option<EstablishedConnection> {
         let timers = self.downstream.timers.clone();
         let time_remaining = self.request.time_remaining(self.relay.borrow().max_deadline());
-        // The client still gets its one answer in time if the balancer should never decide.
+        // Ensures that the client is answered in time even if the balancer never decides.
         let overdue = timers.sleep(time_remaining.saturating_add(self.relay.borrow().answer_grace()));
         tokio::pin!(overdue);
         loop {
             let command = tokio::select! {
                 biased;
-                activity = self.downstream.activity() => match activity {
-                    ClientActivity::Left => return None,
+                activity = self.downstream.next_activity() => match activity {
+                    ClientActivity::Disconnected => return None,
                     ClientActivity::SentData => self.abandon(FailureCause::DataBeforeAnswer),
                 },
                 command = self.commands.recv() => command.unwrap_or(ConnectionCommand::Fail),
@@ -96,8 +97,8 @@
             match self.execute(command).await {
                 Step::Continue => {}
                 Step::Established(upstream) => return Some(self.establish(upstream)),
-                Step::Answer(line, answer) => {
-                    self.answer_and_close(&line, answer).await;
+                Step::Respond(line, result) => {
+                    self.respond_and_close(&line, result).await;
                     return None;
                 }
                 Step::Close => return None,
@@ -108,15 +109,15 @@
     async fn execute(&mut self, command: ConnectionCommand) -> Step {
         match command {
             ConnectionCommand::Forward(attempt) => self.forward(&attempt).await,
-            ConnectionCommand::Reject(_) | ConnectionCommand::Fail => answer_of(&command),
-            // No attempt is in flight and the connection is not established.
+            ConnectionCommand::Reject(_) | ConnectionCommand::Fail => response_to(&command),
+            // Without an attempt in flight or an established connection, there is nothing to do.
             ConnectionCommand::Cancel(_) | ConnectionCommand::Migrate | ConnectionCommand::Transfer => {
                 Step::Continue
             }
         }
     }
 
-    /// Makes an attempt and reports its end to the relay.
+    /// Makes an attempt and reports its end to the relay, unless it established the connection.
     async fn forward(&mut self, attempt: &AttemptRequest) -> Step {
         match self.attempt(attempt).await {
             AttemptEnd::Result(AttemptResult::Established(upstream)) => Step::Established(upstream),
@@ -124,48 +125,49 @@
                 self.attempt_failed(outcome, report);
                 Step::Continue
             }
-            AttemptEnd::Result(AttemptResult::Completed(answer)) => {
+            AttemptEnd::Result(AttemptResult::Completed(response)) => {
                 self.request_settled(Outcome::Ok);
-                Step::Answer(answer.into(), RequestResult::Failed)
+                Step::Respond(response.into(), RequestResult::Failed)
             }
-            AttemptEnd::ClientLeft => Step::Close,
-            AttemptEnd::Answer(command) => {
+            AttemptEnd::ClientDisconnected => Step::Close,
+            AttemptEnd::Respond(command) => {
                 self.request_settled(Outcome::Cancelled);
-                answer_of(&command)
+                response_to(&command)
             }
         }
     }
 
-    /// Reports an attempt that has not answered the client.
+    /// Reports an attempt after which the client is still owed a response.
     fn attempt_failed(&self, outcome: Outcome, report: Option<LoadReport>) {
         self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, false, report);
     }
 
-    /// Reports an attempt after which the client is answered.
+    /// Reports an attempt after which the client receives its final response.
     fn request_settled(&self, outcome: Outcome) {
         self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, true, None);
     }
 
-    /// Makes an attempt. Unless it is established, its connection is closed when this returns.
+    /// Makes an attempt. Unless it establishes the connection, the socket to the endpoint is closed on
+    /// return.
     async fn attempt(&mut self, attempt: &AttemptRequest) -> AttemptEnd {
         let timers = self.downstream.timers.clone();
         let request_sent = Cell::new(false);
-        let due = timers.clock.now().saturating_add(attempt.timeout);
-        let connect = attempt::connect(&self.relay, &self.request, attempt, due, &request_sent);
+        let deadline = timers.clock.now().saturating_add(attempt.timeout);
+        let connect = attempt::connect(&self.relay, &self.request, attempt, deadline, &request_sent);
         tokio::pin!(connect);
         loop {
             tokio::select! {
                 biased;
-                // First, so that a connection that comes up as the client leaves carries nothing.
-                activity = self.downstream.activity() => return match activity {
-                    ClientActivity::Left => AttemptEnd::ClientLeft,
+                // Polled first, so that nothing is forwarded once the client has disconnected.
+                activity = self.downstream.next_activity() => return match activity {
+                    ClientActivity::Disconnected => AttemptEnd::ClientDisconnected,
                     ClientActivity::SentData => {
                         self.relay.borrow_mut().record_failed(FailureCause::DataBeforeAnswer);
-                        AttemptEnd::Answer(ConnectionCommand::Fail)
+                        AttemptEnd::Respond(ConnectionCommand::Fail)
                     }
                 },
                 result = &mut connect => return AttemptEnd::Result(result),
-                () = timers.sleep_until(due) => {
+                () = timers.sleep_until(deadline) => {
                     let outcome = if request_sent.get() { Outcome::Timeout } else { Outcome::ConnectFailed };
                     return AttemptEnd::Result(AttemptResult::Failed(outcome, None));
                 }
@@ -174,16 +176,17 @@
                         return AttemptEnd::Result(AttemptResult::Failed(Outcome::Cancelled, None));
                     }
                     Some(command @ (ConnectionCommand::Reject(_) | ConnectionCommand::Fail)) => {
-                        return AttemptEnd::Answer(command);
+                        return AttemptEnd::Respond(command);
                     }
                     Some(_) => {}
-                    None => return AttemptEnd::Answer(ConnectionCommand::Fail),
+                    None => return AttemptEnd::Respond(ConnectionCommand::Fail),
                 },
             }
         }
     }
 
-    /// Tells the balancer that the relay answers by itself, for this cause.
+    /// Fails the request without waiting for the balancer, and reports its end to the balancer. Returns the
+    /// command that answers the client.
     fn abandon(&self, cause: FailureCause) -> ConnectionCommand {
         self.relay.borrow_mut().connection_closed(self.guard.id, false);
         self.relay.borrow_mut().record_failed(cause);
@@ -204,14 +207,14 @@
         EstablishedConnection::new(accepted, upstream)
     }
 
-    async fn answer_and_close(self, line: &[u8], answer: RequestResult) {
-        self.relay.borrow_mut().request_answered(self.guard.id, answer);
+    async fn respond_and_close(self, line: &[u8], result: RequestResult) {
+        self.relay.borrow_mut().request_answered(self.guard.id, result);
         self.guard.release_answered();
         self.downstream.close_with(line).await;
     }
 }
 
-/// Why the relay cannot admit a request.
+/// Returns why the relay cannot admit a request.
 fn rejection_reason(relay: &SharedRelay) -> RejectionReason {
     match (relay.borrow().is_shutting_down(), relay.borrow().can_admit()) {
         (true, _) => RejectionReason::ShuttingDown,
@@ -220,14 +223,14 @@
     }
 }
 
-/// The last line for a command that answers the client.
-fn answer_of(command: &ConnectionCommand) -> Step {
+/// Returns the step that sends the client the response for a command to reject or fail its request.
+fn response_to(command: &ConnectionCommand) -> Step {
     match command {
-        // Rounded up: a client that retries too early is rejected again.
-        ConnectionCommand::Reject(retry_after) => Step::Answer(
+        // Rounded up, as a client that retries too early would be rejected again.
+        ConnectionCommand::Reject(retry_after) => Step::Respond(
             protocol::encode_rejected(retry_after.div_ceil(MICROS_PER_MILLISECOND)),
             RequestResult::Rejected,
         ),
-        _ => Step::Answer(protocol::FAILED.to_vec(), RequestResult::Failed),
+        _ => Step::Respond(protocol::FAILED.to_vec(), RequestResult::Failed),
     }
 }
--- a/src/relay/connections/protocol/endpoint_line.rs
+++ b/src/relay/connections/protocol/endpoint_line.rs
@@ -1,27 +1,27 @@
-//! Lines that endpoints send, and load reports within them.
+//! Lines that endpoints send, and the load reports in them.
 
 use super::without_line_end;
 
-/// What a line of an endpoint means.
+/// The meaning of a line from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointLine<'a> {
     /// `UP RECEIPT`: the connection is established.
     Established,
-    /// `BYE`: the connection was served to its end. Holds a load report or nothing.
+    /// `BYE`: the connection was completed. Contains the load report, or an empty string.
     Completed(&'a str),
-    /// `MOVE`: the endpoint drains and sends the client away.
+    /// `MOVE`: the endpoint is draining and asks the client to reconnect.
     Migrate,
-    /// `ERR`: the request failed. Holds a load report or nothing.
+    /// `ERR`: the request failed. Contains the load report, or an empty string.
     Failed(&'a str),
-    /// `BUSY`: the request was rejected and never ran. Holds a load report or nothing.
+    /// `BUSY`: the request was rejected and did not run. Contains the load report, or an empty string.
     Rejected(&'a str),
-    /// `PONG`: the answer to a health check. Holds a load report or nothing.
+    /// `PONG`: the response to a health check. Contains the load report, or an empty string.
     Healthy(&'a str),
-    /// `NO`: the endpoint does not answer health checks.
+    /// `NO`: the endpoint does not permit health checks.
     HealthCheckDisallowed,
-    /// `LOAD X`: the load that the connection causes now.
+    /// `LOAD X`: the load that the connection causes at present.
     Load(f64),
-    /// A line that is meant for the client.
+    /// Any other line; it is meant for the client.
     Other,
 }
 
@@ -31,7 +31,8 @@
         let Ok(text) = std::str::from_utf8(without_line_end(line)) else { return EndpointLine::Other };
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         match word {
-            // An `UP` without a receipt was not written by an endpoint for this connection.
+            // An endpoint always sends a receipt with `UP`; without one the line is not a response to this
+            // request.
             "UP" if !rest.is_empty() => EndpointLine::Established,
             "BYE" => EndpointLine::Completed(rest),
             "MOVE" => EndpointLine::Migrate,
@@ -48,7 +49,8 @@
     }
 }
 
-/// The value of a name in a load report such as `inflight=7,queue=2`.
+/// Returns the value of a field in a load report such as `inflight=7,queue=2`, or `None` if it is absent or
+/// not a number.
 pub fn load_report_value(report: &str, name: &str) -> Option<f64> {
     let fields = report.split(',').filter_map(|field| field.split_once('='));
     fields.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
--- a/src/relay/connections/protocol/line_tracker.rs
+++ b/src/relay/connections/protocol/line_tracker.rs
@@ -1,16 +1,16 @@
-//! Recognizes the lines of a byte stream without buffering them whole.
+//! Splits a byte stream into lines without buffering whole lines.
 
 use serde::{Deserialize, Serialize};
 
 use super::EndpointLine;
 
-/// Bytes kept of each line to parse it: more than any load report has.
+/// Maximum number of bytes of each line that are kept for parsing; load reports are shorter.
 const MAX_PARSED_BYTES: usize = 256;
 
-/// Follows the lines that an endpoint sends, in pieces of any size.
+/// Tracks the lines that an endpoint sends in chunks of any size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LineTracker {
-    /// The first bytes of the incomplete line.
+    /// First bytes of the incomplete line, at most `MAX_PARSED_BYTES`.
     #[serde(rename = "kept")]
     line_start: Vec<u8>,
     #[serde(rename = "inside")]
@@ -18,27 +18,27 @@
 }
 
 impl LineTracker {
-    /// Takes the next bytes and calls `on_line` for each line that ends in them.
+    /// Processes the next bytes and calls `on_line` for each line that ends within them.
     pub fn observe(&mut self, mut bytes: &[u8], mut on_line: impl FnMut(EndpointLine<'_>)) {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
-            self.keep(&bytes[..=end]);
+            self.keep_line_start(&bytes[..=end]);
             on_line(EndpointLine::parse(&self.line_start));
             self.line_start.clear();
             self.mid_line = false;
             bytes = &bytes[end + 1..];
         }
         if !bytes.is_empty() {
-            self.keep(bytes);
+            self.keep_line_start(bytes);
             self.mid_line = true;
         }
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
+    fn keep_line_start(&mut self, bytes: &[u8]) {
         let capacity_left = MAX_PARSED_BYTES - self.line_start.len().min(MAX_PARSED_BYTES);
         self.line_start.extend_from_slice(&bytes[..bytes.len().min(capacity_left)]);
     }
 
-    /// Whether the last bytes ended a line.
+    /// Returns whether no line is incomplete.
     pub fn between_lines(&self) -> bool {
         !self.mid_line
     }
@@ -47,16 +47,16 @@
 /// The kind of the last complete line that an endpoint sent on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(in crate::relay::connections) enum LastLine {
-    /// The connection was served to its end.
+    /// The connection was completed.
     #[serde(rename = "Bye")]
     Completed,
-    /// The endpoint sends the client away.
+    /// The endpoint asked the client to reconnect.
     #[serde(rename = "Move")]
     Migrate,
     /// The request failed.
     #[serde(rename = "Err")]
     Failed,
-    /// Any other line, or none yet.
+    /// Any other line, or no line yet.
     Other,
 }
 
--- a/src/relay/connections/protocol/open_request.rs
+++ b/src/relay/connections/protocol/open_request.rs
@@ -8,10 +8,10 @@
 
 use super::{MICROS_PER_MILLISECOND, ProtocolError};
 
-/// The word that a request begins with, and the space after it.
+/// The keyword at the start of a request, with the space after it.
 const OPEN_PREFIX: &str = "OPEN ";
 
-/// A parsed request that opens a connection; it refers to its values by their position in the line.
+/// A parsed request that opens a connection. Text values are stored as their byte ranges in the line.
 #[derive(Clone, Debug)]
 pub struct OpenRequest {
     line: Bytes,
@@ -22,19 +22,19 @@
     tenant: Option<Range<usize>>,
     established_endpoint: Option<Range<usize>>,
     time_remaining: Option<TimeRemaining>,
-    /// The load that the client expects to cause, if it says so.
+    /// Load that the client expects to cause, if it has sent an estimate.
     pub expected_load: Option<f64>,
-    /// The client marks the request as a retry.
+    /// Whether the client marks the request as a retry.
     pub retry: bool,
-    /// The client's previous connection was migrated or broke.
+    /// Whether the client's previous connection was migrated or broke.
     pub reconnecting: bool,
 }
 
-/// The time that the client waits for an answer.
+/// The time for which the client waits for a response.
 #[derive(Clone, Debug)]
 struct TimeRemaining {
     milliseconds: u64,
-    /// The position of its digits in the line.
+    /// Byte range of the digits in the line.
     digits: Range<usize>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Field {
-    /// The field of a name on the wire, unless it is one that only endpoints read.
+    /// Returns the field with this name on the wire, or `None` if the relay does not read it.
     fn from_wire(name: &str) -> Option<Field> {
         match name {
             "c" => Some(Field::Class),
@@ -68,19 +68,19 @@
     }
 }
 
-/// Whether these bytes may be the beginning of a request that opens a connection.
+/// Returns whether these bytes can be the beginning of a request that opens a connection.
 pub fn is_open_request_prefix(bytes: &[u8]) -> bool {
     bytes.iter().zip(OPEN_PREFIX.as_bytes()).all(|(received, expected)| received == expected)
 }
 
 impl OpenRequest {
-    /// Parses a complete line with its CRLF.
+    /// Parses a complete line, including its CRLF.
     ///
     /// # Errors
     ///
-    /// Fails if the line is not valid by the protocol.
+    /// Fails if the line is not a valid request.
     pub fn parse(line: Bytes) -> Result<OpenRequest, ProtocolError> {
-        let text = plain_text(&line)?;
+        let text = parse_plain_text(&line)?;
         let mut words = text.split(' ');
         let (open, id, key) = (words.next(), words.next(), words.next());
         let (Some("OPEN"), Some(id), Some(key)) = (open, id, key) else {
@@ -109,7 +109,7 @@
         Ok(request)
     }
 
-    /// Parses a comma-separated list of fields that starts at this position in the line.
+    /// Parses a comma-separated list of fields; `start` is its position in the line.
     fn parse_fields(&mut self, fields: &str, start: usize) -> Result<(), ProtocolError> {
         let mut position = start;
         for field in fields.split(',').filter(|_| !fields.is_empty()) {
@@ -156,46 +156,49 @@
         position.as_ref().map(|position| self.text(position))
     }
 
-    /// The id of the client's connection.
+    /// Returns the client's id for the connection.
     pub fn connection_id(&self) -> &str {
         self.text(&self.connection_id)
     }
 
-    /// The key by which sessions stick to an endpoint.
+    /// Returns the session key, by which the balancer assigns sessions to the same endpoint.
     pub fn session_key(&self) -> &str {
         self.text(&self.session_key)
     }
 
-    /// The class's name.
+    /// Returns the name of the class, if the request contains one.
     pub fn class(&self) -> Option<&str> {
         self.optional_text(&self.class)
     }
 
-    /// The affinity group's name.
+    /// Returns the name of the affinity group, if the request contains one.
     pub fn affinity_group(&self) -> Option<&str> {
         self.optional_text(&self.affinity_group)
     }
 
-    /// The tenant's name.
+    /// Returns the name of the tenant, if the request contains one.
     pub fn tenant(&self) -> Option<&str> {
         self.optional_text(&self.tenant)
     }
 
-    /// The id of the endpoint at which the connection was established before this relay started.
+    /// Returns the id of the endpoint at which the connection was established before this relay started, if
+    /// the request contains one.
     pub fn established_endpoint(&self) -> Option<&str> {
         self.optional_text(&self.established_endpoint)
     }
 
-    /// How long the client waits, in microseconds, at most its class's deadline.
+    /// Returns how long the client waits for a response in microseconds, at most `deadline`, which is also
+    /// the default.
     ///
-    /// The deadline bounds it so that a client with an excessive value does not occupy the relay for as long.
+    /// Without the limit a client could occupy the relay for as long as it likes with an excessive value.
     pub fn time_remaining(&self, deadline: Micros) -> Micros {
         let time_remaining = self.time_remaining.as_ref();
         time_remaining
             .map_or(deadline, |time| time.milliseconds.saturating_mul(MICROS_PER_MILLISECOND).min(deadline))
     }
 
-    /// The line with another time remaining, given as digits, in pieces for a vectored write.
+    /// Returns the line as slices for a vectored write, with the client's time remaining in milliseconds
+    /// replaced by these digits. The line is unchanged if the client has sent no time.
     pub fn with_time_remaining_ms<'a>(&'a self, digits: &'a [u8]) -> [IoSlice<'a>; 3] {
         let (before, digits, after) = match &self.time_remaining {
             Some(time) => (&self.line[..time.digits.start], digits, &self.line[time.digits.end..]),
@@ -204,17 +207,17 @@
         [IoSlice::new(before), IoSlice::new(digits), IoSlice::new(after)]
     }
 
-    /// The line as the client sent it, with its CRLF.
+    /// Returns the line as the client sent it, including its CRLF.
     pub fn as_bytes(&self) -> &[u8] {
         &self.line
     }
 }
 
-/// The text of a line without its CRLF.
+/// Returns the text of a line without its CRLF.
 ///
-/// Other bytes than printable ASCII are rejected here: an endpoint that cannot read a forwarded request closes the
-/// connection, which would count as its failure.
-fn plain_text(line: &[u8]) -> Result<&str, ProtocolError> {
+/// Bytes other than printable ASCII and spaces are rejected here. An endpoint that cannot read a forwarded
+/// request closes the connection, which would be counted as a failure of the endpoint.
+fn parse_plain_text(line: &[u8]) -> Result<&str, ProtocolError> {
     let line = line.strip_suffix(b"\r\n").ok_or(ProtocolError::LineWithoutCrlf)?;
     let is_plain = line.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ');
     std::str::from_utf8(line).ok().filter(|_| is_plain).ok_or(ProtocolError::NotPlainText)
--- a/src/relay/connections/restore.rs
+++ b/src/relay/connections/restore.rs
@@ -1,4 +1,4 @@
-//! Continues connections that another process of this relay has transferred to this one.
+//! Restores connections that another process of this relay has transferred to this one.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -16,11 +16,12 @@
 use super::transfer::{ConnectionSnapshot, ConnectionTransfer};
 use crate::relay::SharedRelay;
 
-/// Continues a connection that another process of this relay has transferred.
+/// Restores a connection that another process of this relay has transferred, and starts its task.
 ///
 /// # Errors
 ///
-/// Fails if a socket cannot be used, or if the connection cannot be served here; its client is then migrated.
+/// Fails if a socket cannot be used, or if the connection cannot be served here. In the second case the
+/// client is migrated.
 pub fn restore_connection(
     relay: &SharedRelay, snapshot: ConnectionSnapshot, downstream: OwnedFd, upstream: OwnedFd,
 ) -> io::Result<()> {
@@ -31,14 +32,14 @@
     let (first, second) = (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
     let (Ok(request), Some(first), Some(second)) = (request, first, second) else {
         ConnectionTransfer { snapshot, downstream, upstream }.migrate(&timers);
-        return Err(io::Error::other("no descriptors to spare, or no sound head"));
+        return Err(io::Error::other("no free descriptors, or its request is not valid"));
     };
     let connection_id = relay.borrow().reserve_connection_id(&request);
     let endpoint = EndpointId(snapshot.endpoint.as_str().into());
     let registered = relay.borrow_mut().restore_connection(&request, endpoint);
     let (Some(connection_id), Some((id, commands))) = (connection_id, registered) else {
         ConnectionTransfer { snapshot, downstream, upstream }.migrate(&timers);
-        return Err(io::Error::other("its id is open here, or its class is not known"));
+        return Err(io::Error::other("its connection id is already open here, or its class is unknown"));
     };
     if let Some(load) = snapshot.load {
         relay.borrow_mut().connection_load_reported(id, load);
@@ -47,7 +48,7 @@
     let established = EstablishedConnection {
         relay: relay.clone(),
         guard: ConnectionGuard::new(relay.clone(), id),
-        lines: LineRelay::new(relay.clone(), id, request, streams).with_snapshot(snapshot),
+        line_relay: LineRelay::new(relay.clone(), id, request, streams).with_snapshot(snapshot),
         commands,
         _reservations: Reservations::new(first, second, connection_id),
     };
--- a/src/relay/connections/silence_detector.rs
+++ b/src/relay/connections/silence_detector.rs
@@ -1,41 +1,45 @@
-//! Detects an endpoint that no longer answers a client's lines.
+//! Detects endpoints that no longer respond to a client's lines.
 
 use honeyknot_balancer::Micros;
 
-/// How long a client's line may stay without a complete line in return until the endpoint counts as silent.
+/// Time without a complete line in response to a client's line after which the endpoint counts as silent, in
+/// microseconds.
 ///
-/// A client sends a line every 2 s, so its last answer may be older by as much; a silent connection is to be migrated
-/// within 7 s.
+/// A silent connection must be migrated within 7 s of the endpoint's last line. Clients send a line every 2
+/// s, so up to 2 s pass before the first line without a response.
 const SILENCE_TIMEOUT: Micros = 4_200_000;
 
-/// The age of a client's oldest unanswered line.
+/// Tracks when a client's oldest unanswered line was sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SilenceDetector {
     unanswered_since: Option<Micros>,
 }
 
 impl SilenceDetector {
-    /// A detector whose oldest unanswered line was sent at this time.
+    /// Restores a detector; `unanswered_since` is the time at which the oldest unanswered line was sent, in
+    /// Unix microseconds, or `None` if there is no such line.
     pub(super) fn restore(unanswered_since: Option<Micros>) -> SilenceDetector {
         SilenceDetector { unanswered_since }
     }
 
-    /// When the oldest unanswered line was sent, in Unix microseconds.
+    /// Returns the time at which the oldest unanswered line was sent, in Unix microseconds, or `None` if
+    /// there is no such line.
     pub(super) fn unanswered_since(&self) -> Option<Micros> {
         self.unanswered_since
     }
 
-    /// Notes that the client has sent bytes.
+    /// Records that the client has sent bytes.
     pub(super) fn client_sent(&mut self, now: Micros) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Notes an answer of the endpoint and returns when the line that it answers was sent.
+    /// Records a response of the endpoint. Returns the time at which the oldest unanswered line was sent, or
+    /// `None` if there was no such line.
     pub(super) fn endpoint_answered(&mut self) -> Option<Micros> {
         self.unanswered_since.take()
     }
 
-    /// Whether the endpoint counts as silent.
+    /// Returns whether the endpoint counts as silent.
     pub(super) fn is_silent(&self, now: Micros) -> bool {
         self.unanswered_since.is_some_and(|since| now >= since + SILENCE_TIMEOUT)
     }
--- a/src/relay/connections/streams.rs
+++ b/src/relay/connections/streams.rs
@@ -8,21 +8,21 @@
 
 use super::graceful_close::CloseKind;
 
-/// The sockets of a connection.
+/// The sockets of an established connection.
 #[derive(Debug)]
 pub(super) struct Streams {
     pub(super) downstream: TcpStream,
     pub(super) upstream: TcpStream,
 }
 
-/// When and how one side of a connection was closed.
+/// When (in Unix microseconds) and how one side of a connection was closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SideClosed {
     pub(super) kind: CloseKind,
     pub(super) at: Micros,
 }
 
-/// Writes as much as the socket accepts now, and removes it from `bytes`.
+/// Writes as many bytes as the socket accepts without waiting, and removes them from `bytes`.
 ///
 /// # Errors
 ///
--- a/src/relay/connections/transfer.rs
+++ b/src/relay/connections/transfer.rs
@@ -1,4 +1,4 @@
-//! An established connection on its way from one process of the relay to another.
+//! The form in which an established connection is transferred from one process of the relay to another.
 
 use std::rc::Rc;
 
@@ -13,26 +13,27 @@
 /// The state of an established connection without its sockets, as one process sends it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConnectionSnapshot {
-    /// The client's request, as it sent it.
+    /// The client's request line as it was received.
     #[serde(rename = "head")]
     pub(super) request: Vec<u8>,
-    /// The id of the endpoint.
+    /// Id of the endpoint.
     #[serde(rename = "server")]
     pub(super) endpoint: String,
-    /// Bytes of the endpoint that wait to be sent to the client.
+    /// Bytes from the endpoint that have not been sent to the client yet.
     #[serde(rename = "to_client")]
     pub(super) to_downstream: Vec<u8>,
-    /// Bytes of the client that wait to be sent to the endpoint.
+    /// Bytes from the client that have not been sent to the endpoint yet.
     #[serde(rename = "to_server")]
     pub(super) to_upstream: Vec<u8>,
     #[serde(rename = "watch")]
     pub(super) line_tracker: LineTracker,
     #[serde(rename = "last")]
     pub(super) last_line: LastLine,
-    /// When the client's oldest unanswered line was sent, in Unix microseconds.
+    /// Time at which the client's oldest unanswered line was sent, in Unix microseconds; `None` if there is
+    /// no such line.
     #[serde(rename = "unanswered")]
     pub(super) unanswered_since: Option<Micros>,
-    /// The load that the endpoint reported last.
+    /// Load that the endpoint last reported for the connection, if any.
     pub(super) load: Option<f64>,
 }
 
@@ -48,10 +49,11 @@
 }
 
 impl ConnectionTransfer {
-    /// Migrates the client, as no process can continue the connection.
+    /// Migrates the client, because no process can continue the connection.
     pub fn migrate(self, timers: &Rc<Timers>) {
         let ConnectionTransfer { snapshot, downstream, upstream } = self;
-        // What waits is at most the beginning of a line; if nothing does, the client has complete lines.
+        // The last line sent to the client is complete if the unsent bytes are only the beginning of the next
+        // line, or if nothing is unsent and the endpoint has not begun another line.
         let at_line_boundary = complete_lines_len(&snapshot.to_downstream) == 0
             && (!snapshot.to_downstream.is_empty() || snapshot.line_tracker.between_lines());
         let timers = timers.clone();
