--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -58,7 +58,7 @@
     /// during a hot restart both processes share one limit.
     fn descriptor_limit(&self) -> usize {
         let min_share = self.max_descriptors / MIN_SHARE_DIVISOR;
-        self.max_descriptors.saturating_sub(self.listener_ownership.lent()).max(min_share)
+        self.max_descriptors.saturating_sub(self.listener_ownership.predecessor_descriptors()).max(min_share)
     }
 
     /// Returns a permit for one descriptor, or `None` if too few are free.
