--- a/src/relay/connections/line_relay.rs
+++ b/src/relay/connections/line_relay.rs
@@ -20,7 +20,7 @@
 
 /// Interval at which an established connection without traffic checks its state, in microseconds.
 const CHECK_INTERVAL: Micros = 250_000;
-/// How long the end of a connection is delayed until the bytes in flight have been sent, in microseconds.
+/// Maximum delay of a connection's end or migration while bytes in flight are sent, in microseconds.
 const FLUSH_TIMEOUT: Micros = 600_000;
 
 /// How an established connection ended.
@@ -224,8 +224,8 @@
         if self.transfer_requested && self.is_open() {
             return Some(ConnectionEnd::Transferred);
         }
-        // While the client does not read, the relay does not read from the endpoint, so that is not the
-        // endpoint's fault.
+        // While the client does not read, the relay does not read from the endpoint either, so the endpoint
+        // must not count as silent.
         let silent = self.silence.is_silent(now);
         (silent && self.to_downstream.is_empty()).then_some(ConnectionEnd::EndpointSilent)
     }
