--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,20 +1,20 @@
-//! The balancer: its state, and which handler takes which event. The types that go in and out are in
+//! The balancer's state, and the dispatch of events to their handlers. The input and output types are in
 //! `src/event.rs` and `src/action.rs`.
 //!
-//! A [`Balancer`] is one of many that share a fleet of endpoints and do not talk to each other. It keeps a
-//! record of each endpoint, with its last load report and the report's age, and the state of each request,
-//! with the endpoint that it was forwarded to, the client's session key and its affinity group.
+//! A [`Balancer`] is one of many that share a fleet of endpoints and do not communicate with each other. It
+//! keeps a record of each endpoint, with its last load report and the report's age, and the state of each
+//! request, with the endpoint that it was forwarded to, the client's session key and its affinity group.
 //!
-//! - A new connection goes to an endpoint by a weighted random choice that favours spare reported capacity
-//!   and trusts old reports less (`ranking`, `load_estimate`). The best candidates get a health check first,
-//!   while the request is pending for some milliseconds (`health_check`).
+//! - New connections are placed by a weighted random choice that favours spare reported capacity and trusts
+//!   old reports less (`ranking`, `load_estimate`). The best candidates get a health check first, while the
+//!   request is pending for some milliseconds (`health_check`).
 //! - The choice is weighted rendezvous hashing of the connection's affinity group, or else of its session
-//!   key: all balancers agree without communication where a group goes (`rendezvous`, `affinity`).
-//! - A returning client prefers its sticky endpoint. The connections of a draining endpoint migrate at a pace
-//!   (`migration`), and their clients go to other endpoints.
-//! - An endpoint in slow start gets no more than this balancer's share of what it can bear (`slow_start`).
-//! - Endpoints that fail are ejected (`outlier_detection`). Unresponsive and overloaded ones lose connections
-//!   at a pace, unless so many are unresponsive that the fault is probably elsewhere
+//!   key, so all balancers agree on a group's endpoints without communication (`rendezvous`, `affinity`).
+//! - A returning client prefers its sticky endpoint. The connections of a draining endpoint migrate
+//!   gradually (`migration`), and their clients go to other endpoints.
+//! - An endpoint in slow start gets no more than this balancer's share of what it can handle (`slow_start`).
+//! - Failing endpoints are ejected (`outlier_detection`). Unresponsive and overloaded ones lose connections
+//!   gradually, unless so many are unresponsive that this balancer's network is probably at fault
 //!   (`connection_shedding`).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,31 +39,31 @@
     SessionKey, Settings, TimerToken,
 };
 
-/// Interval of the periodic work; migrations within a drain of a few seconds are paced by it.
+/// Interval of the periodic work. It is short enough to pace migrations within a drain of a few seconds.
 pub(crate) const TICK_INTERVAL: Micros = 200_000;
-/// Log lines that one balancer writes in its life, at most.
+/// Maximum number of log lines that one balancer writes.
 const MAX_LOG_LINES: u32 = 12;
 
 /// Timer of the periodic work.
 const TICK_TOKEN: TimerToken = TimerToken(0);
-/// Timer after which discovery is asked for the endpoint list.
+/// Timer after which the balancer watches the endpoint list.
 pub(crate) const DISCOVERY_TOKEN: TimerToken = TimerToken(1);
-/// Timers of pending requests have this number and those above it.
+/// Timer tokens from this number on belong to pending requests.
 pub(crate) const FIRST_REQUEST_TOKEN: u64 = 2;
 
-/// One balancer: it takes events and answers with actions.
+/// A load balancer that turns events into actions.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) endpoints: BTreeMap<EndpointId, EndpointRecord>,
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
-    /// Requests that wait for health checks or for a timer.
+    /// Requests that wait for health checks or a timer.
     pub(crate) pending_requests: BTreeSet<RequestId>,
     pub(crate) sticky_endpoints: BTreeMap<SessionKey, StickyEndpoint>,
-    /// Clients whose connection was migrated and that have not returned yet.
+    /// Clients whose connection was migrated and that have not reconnected yet.
     pub(crate) migrated_clients: BTreeMap<SessionKey, MigratedClient>,
-    /// Number of this balancer's established connections of each group; no group has 0.
+    /// Number of this balancer's established connections per affinity group; groups without any are absent.
     pub(crate) group_connections: BTreeMap<AffinityGroup, usize>,
     /// Number of this balancer's established connections.
     pub(crate) connection_count: usize,
@@ -72,9 +72,9 @@
     pub(crate) recent_placements: RecentPlacements,
     pub(crate) fleet_estimate: FleetEstimate,
     pub(crate) connection_loads: ConnectionLoads,
-    /// The shortest drain seen from its beginning to the endpoint's removal.
+    /// Shortest time from the beginning of a drain to the endpoint's removal; `None` if none has completed.
     pub(crate) shortest_drain: Option<Micros>,
-    /// Polls of discovery that failed since the last endpoint list.
+    /// Number of discovery polls that have failed since the last endpoint list.
     pub(crate) failed_discovery_polls: u32,
     pub(crate) started_at: Micros,
     has_timers: bool,
@@ -82,12 +82,12 @@
 }
 
 impl Balancer {
-    /// Creates a balancer without endpoints; the endpoint list comes as an event.
+    /// Creates a balancer without endpoints. The endpoint list arrives as an event.
     ///
-    /// Equal seeds and events give equal actions.
+    /// The same seed and events give the same actions.
     ///
     /// # Errors
-    /// [`SettingsError`] if a figure of the settings is out of its range.
+    /// [`SettingsError`] if a number in the settings is out of its range.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Balancer, SettingsError> {
         settings_check::check(&settings)?;
         Ok(Balancer {
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Takes one event and appends the actions that follow from it, in their order.
+    /// Handles an event and appends the resulting actions to `actions`, in the order to carry them out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if !self.has_timers {
             self.has_timers = true;
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Endpoints that are ready by the endpoint list and get no new connection, as they are ejected.
+    /// Returns the endpoints that are ready in the endpoint list but get no new connections because they are
+    /// ejected.
     pub fn ejected_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
         let ejected = |record: &&EndpointRecord| record.is_ready() && record.outlier_detector.is_ejected();
         self.endpoints.values().filter(ejected).map(|record| &record.endpoint.id)
@@ -159,7 +160,7 @@
         }
     }
 
-    /// The periodic work.
+    /// Does the periodic work.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
         self.update_fleet_estimate(now);
@@ -172,7 +173,7 @@
         self.forget_old_clients(now);
     }
 
-    /// Writes a line for the operators, unless this balancer has written [`MAX_LOG_LINES`].
+    /// Writes a log line unless this balancer has already written [`MAX_LOG_LINES`].
     pub(crate) fn log(&mut self, text: String, actions: &mut Vec<Action>) {
         if self.log_lines_left > 0 {
             self.log_lines_left -= 1;
@@ -184,7 +185,7 @@
         self.settings.classes.get(state.request.class.0)
     }
 
-    /// Number of balancers, at least 1.
+    /// Returns the number of balancers, at least 1.
     pub(crate) fn fleet_size(&self) -> f64 {
         f64::from(self.settings.fleet_size.max(1))
     }
--- a/crates/balancer/src/connection_shedding.rs
+++ b/crates/balancer/src/connection_shedding.rs
@@ -41,7 +41,8 @@
 
     /// The fraction of its load that the endpoint is to shed, if any.
     fn shed_fraction(self, record: &EndpointRecord, now: Micros) -> Option<f64> {
-        let recent = record.reported_load.filter(|report| now.saturating_sub(report.at) < REPORT_LAG);
+        let recent =
+            record.reported_load.filter(|report| now.saturating_sub(report.received_at) < REPORT_LAG);
         match recent {
             Some(report) if report.load > SHED_THRESHOLD => Some(1.0 - self.load / report.load),
             _ if record.has_slow_messages(now) => Some(SHED_FRACTION_UNREPORTED),
--- a/crates/balancer/src/fleet_estimate.rs
+++ b/crates/balancer/src/fleet_estimate.rs
@@ -1,4 +1,4 @@
-//! The estimate of the fleet as a whole: its load, the load of a mean connection, its spare capacity.
+//! Estimates for the whole fleet: its mean load, the load of a mean connection, its spare capacity.
 
 use crate::admission::FULL_LOAD;
 use crate::balancer::Balancer;
@@ -7,43 +7,45 @@
 use crate::unreported_load::{self, is_unreported};
 use crate::{Micros, Settings};
 
-/// Time after a balancer's start before its connections are compared with the reported load.
+/// Time after a balancer's start before the load of a connection is estimated from its own connections.
 const SETTLE_TIME: Micros = 5_000_000;
-/// Added to a number of this balancer's connections when all balancers' are estimated from it, so that few
-/// connections count for little.
+/// Added to the number of this balancer's connections when the fleet's connections are estimated from it, so
+/// that a few connections have little effect.
 pub(crate) const SAMPLE_SMOOTHING: f64 = 2.0;
-/// Load of one connection on an endpoint of weight 1 until reports tell.
+/// Load of one connection on an endpoint of weight 1 before any report.
 const DEFAULT_CONNECTION_LOAD: f64 = 0.06;
-/// Mean load of the fleet until reports tell.
+/// Mean load of the fleet before any report.
 const DEFAULT_MEAN_LOAD: f64 = 0.5;
-/// Fraction of the way that the estimated load of a connection goes up in one update. Connections that leave
-/// all at once are still in the reports: by a quick rise they would look heavy when they return.
+/// Fraction of the difference by which the estimated load of a connection rises in one update. When many
+/// connections leave at once, reports still include their load. With a fast rise, connections would seem to
+/// have a high load when they return.
 const CONNECTION_LOAD_RISE: f64 = 0.02;
-/// Fraction of the way that the estimated load of a connection goes down in one update.
+/// Fraction of the difference by which the estimated load of a connection falls in one update.
 const CONNECTION_LOAD_FALL: f64 = 0.2;
-/// Least capacity of the ready endpoints that is divided by.
+/// Lower limit of the ready endpoints' capacity where it is a divisor.
 const MIN_CAPACITY: f64 = 1e-3;
-/// Least capacity of the endpoints with a report, by trust in it, that is divided by.
+/// Lower limit of the trust-weighted capacity of the endpoints with a report where it is a divisor.
 const MIN_TRUSTED_CAPACITY: f64 = 1e-9;
 
-/// What the load reports and this balancer's connections tell of the fleet as a whole.
+/// Estimates for the whole fleet, from load reports and this balancer's connections.
 #[derive(Debug)]
 pub(crate) struct FleetEstimate {
-    /// Mean load over capacity, by capacity and by trust in the reports.
+    /// Mean load as a fraction of capacity, weighted by capacity and by trust in the reports.
     pub(crate) mean_load: f64,
     /// Load of a mean connection on an endpoint of weight 1.
     pub(crate) connection_load: f64,
+    /// Number of ready endpoints.
     pub(crate) ready_endpoints: usize,
-    /// Ready endpoints of this balancer's zone, or all where crossing zones is free.
+    /// Number of ready endpoints in this balancer's zone, or in all zones if crossing zones is free.
     pub(crate) local_endpoints: usize,
-    /// This balancer's connections for each unit of capacity.
+    /// Number of this balancer's connections per unit of capacity.
     pub(crate) connections_per_capacity: f64,
-    /// Mean connections that fit before endpoints are full; infinite where nothing is reported.
+    /// Number of mean connections that fit before endpoints are full; infinite without load reports.
     pub(crate) spare_connections: f64,
 }
 
 impl FleetEstimate {
-    /// The estimate before any report.
+    /// Returns the estimate before any report.
     pub(crate) fn new(settings: &Settings) -> FleetEstimate {
         FleetEstimate {
             mean_load: DEFAULT_MEAN_LOAD,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Moves the load of a mean connection towards a new value.
+    /// Moves the estimated load of a mean connection towards `load`.
     fn update_connection_load(&mut self, load: f64) {
         if load > 0.0 && load.is_finite() {
             let is_rise = load > self.connection_load;
@@ -70,22 +72,22 @@
 struct FleetTotals {
     endpoints: usize,
     local_endpoints: usize,
-    /// This balancer's connections.
+    /// Number of this balancer's connections.
     connections: usize,
     capacity: f64,
-    /// Reported load and the capacity of the endpoints with a report, by trust in the report.
+    /// Reported load and capacity of the endpoints with a report, weighted by trust in the report.
     trusted_load: f64,
     trusted_capacity: f64,
-    /// Reported connections, and the load of the endpoints that report them, by trust in the report.
+    /// Reported connections, and load of the endpoints that report them, weighted by trust in the report.
     inflight: f64,
     inflight_load: f64,
-    /// Load that fits before the endpoints with a report are full.
+    /// Load that can be added before the endpoints with a report are full.
     spare_load: f64,
 }
 
 impl FleetTotals {
     fn add_report(&mut self, record: &EndpointRecord, report: ReportedLoad, capacity: f64, now: Micros) {
-        let trust = report_trust(report.at, now);
+        let trust = report_trust(report.received_at, now);
         self.trusted_load += report.load * capacity * trust;
         self.trusted_capacity += capacity * trust;
         if let Some(inflight) = record.reported_inflight {
@@ -97,7 +99,7 @@
 }
 
 impl Balancer {
-    /// Updates the fleet's estimate from the endpoints' records.
+    /// Updates the fleet estimate from the endpoints' records.
     pub(crate) fn update_fleet_estimate(&mut self, now: Micros) {
         let totals = self.fleet_totals(now);
         let has_reports = totals.trusted_capacity > 0.0;
@@ -113,7 +115,7 @@
         }
         self.fleet_estimate.spare_connections = if has_reports {
             let reported = totals.spare_load / self.fleet_estimate.connection_load;
-            // Endpoints without a report are taken to have as much spare capacity as those with one.
+            // Endpoints without a report are assumed to have as much spare capacity as those with one.
             reported * (totals.capacity / totals.trusted_capacity.max(MIN_TRUSTED_CAPACITY)).max(1.0)
         } else {
             f64::INFINITY
@@ -128,8 +130,8 @@
             totals.connections += record.connections.len();
             let capacity = record.capacity() * self.warm_up_fraction(record, now);
             totals.capacity += capacity;
-            // Where nothing is reported, an endpoint's load is known only from a failure, and says nothing of
-            // the others.
+            // Without load reports, `reported_load` comes from a failure of this endpoint and says nothing
+            // about the others.
             if let Some(report) = record.reported_load.filter(|_| !is_unreported(&self.settings)) {
                 totals.add_report(record, report, capacity, now);
             }
@@ -137,8 +139,11 @@
         totals
     }
 
-    /// Load of a mean connection on an endpoint of weight 1: from the reported connections, or else from this
-    /// balancer's own, taken as its part of all; `None` if neither tells.
+    /// Estimates the load of a mean connection on an endpoint of weight 1.
+    ///
+    /// The load is divided by the number of connections that endpoints report. If they report none, this
+    /// balancer's share of the load is divided by the number of its own connections. Returns `None` if that is
+    /// not possible either.
     fn connection_load(&self, totals: &FleetTotals, now: Micros) -> Option<f64> {
         if totals.inflight >= 1.0 {
             return Some(totals.inflight_load / totals.inflight);
--- a/crates/balancer/src/request_state.rs
+++ b/crates/balancer/src/request_state.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to the last outcome of their attempts, and established connections.
+//! State of each request, from its arrival to the end of its last attempt or its established connection.
 
 use std::collections::BTreeSet;
 
@@ -11,27 +11,28 @@
 pub(crate) struct RequestState {
     pub(crate) request: Request,
     pub(crate) deadline: Micros,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub(crate) attempts: u32,
-    /// The endpoint of the attempt in flight, or of the established connection.
+    /// Endpoint of the attempt in flight or of the established connection; `None` if there is neither.
     pub(crate) attempt_endpoint: Option<EndpointId>,
     /// Endpoints where an attempt of this request has failed.
     pub(crate) failed_endpoints: BTreeSet<EndpointId>,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; `None` if the request certainly has not run.
     pub(crate) possible_run: Option<PossibleRun>,
-    /// When the last attempt was sent, or the request arrived.
+    /// When the last attempt was sent, or when the request arrived if there was no attempt.
     pub(crate) sent_at: Micros,
+    /// What the request waits for; `None` if it is not waiting.
     pub(crate) pending: Option<PendingRequest>,
     /// Rounds of health checks since the last attempt or deferral.
     pub(crate) health_check_rounds: u32,
     pub(crate) established: bool,
-    /// Load of the connection in microseconds of work a second, where known.
+    /// Load of the connection in microseconds of work per second; `None` if unknown.
     pub(crate) connection_load: Option<f64>,
-    /// No answer is owed any more; only the outcome of the attempt in flight is awaited.
+    /// Whether no answer is owed any more and only the outcome of the attempt in flight is awaited.
     pub(crate) finished: bool,
 }
 
-/// Where and when an attempt was sent that may have run.
+/// Where and when an attempt that may have run was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub(crate) zone: Option<ZoneId>,
@@ -39,19 +40,19 @@
     pub(crate) sent_at: Micros,
 }
 
-/// Until when a request waits, and for which endpoints' health checks.
+/// How long a request waits, and for which endpoints' health checks.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) until: Micros,
     pub(crate) health_checks: BTreeSet<EndpointId>,
 }
 
-/// The timer of a pending request.
+/// Returns the token of a pending request's timer.
 pub(crate) fn pending_token(id: RequestId) -> TimerToken {
     TimerToken(FIRST_REQUEST_TOKEN + u64::from(id.0))
 }
 
-/// The request of a timer that [`pending_token`] has named.
+/// Returns the request whose timer has this token from [`pending_token`].
 fn request_of_token(token: TimerToken) -> Option<RequestId> {
     u32::try_from(token.0.saturating_sub(FIRST_REQUEST_TOKEN)).map(RequestId).ok()
 }
@@ -100,7 +101,7 @@
         let session_key = state.request.session_key.clone();
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.connections.insert(id);
-            // It began to leave while the connection was being set up: this one migrates with the others.
+            // The endpoint left while the connection was being established, so it migrates with the others.
             if record.leaving_since.is_some() {
                 let end = now + SHED_DURATION;
                 let new_plan = || MigrationPlan { connections: Vec::new(), end };
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes news of an established connection.
+    /// Handles a measurement of an established connection.
     pub(crate) fn connection_updated(
         &mut self, now: Micros, id: RequestId, endpoint: EndpointId, update: ConnectionUpdate,
         actions: &mut Vec<Action>,
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Makes a request wait, as its [`PendingRequest`] says.
+    /// Stores a request that waits as its [`PendingRequest`] says.
     pub(crate) fn enqueue_pending(&mut self, state: RequestState) {
         self.pending_requests.insert(state.request.id);
         self.requests.insert(state.request.id, state);
     }
 
-    /// The timer of a pending request has fired; it may have been set for an earlier wait of the same
-    /// request.
+    /// Routes a pending request when its timer fires, unless the timer is left over from an earlier wait of
+    /// the same request.
     pub(crate) fn pending_timer_fired(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
         let Some(id) = request_of_token(token) else { return };
         let pending = self.requests.get(&id).and_then(|state| state.pending.as_ref());
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Finishes a request and its connection. Its state is kept only while an attempt is in flight.
+    /// Marks a request as finished and removes its connection from the counts. Its state is kept only while
+    /// an attempt is in flight.
     pub(crate) fn release(&mut self, id: RequestId) {
         self.pending_requests.remove(&id);
         let Some(state) = self.requests.get_mut(&id) else { return };
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -80,7 +80,7 @@
         let rate = self.endpoints.get(endpoint).map_or(0.0, |record| self.slow_start_rate(record));
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             if !is_unreported(&self.settings) {
-                record.recent_placements.push_back(Placement { at: now, relative_load });
+                record.recent_placements.push_back(Placement { placed_at: now, relative_load });
             }
             record.slow_start.consume(&self.settings.rules, record.endpoint.started_at, now, rate);
         }
