--- a/crates/balancer/src/fleet_estimate.rs
+++ b/crates/balancer/src/fleet_estimate.rs
@@ -142,8 +142,8 @@
     /// Estimates the load of a mean connection on an endpoint of weight 1.
     ///
     /// The load is divided by the number of connections that endpoints report. If they report none, this
-    /// balancer's share of the load is divided by the number of its own connections. Returns `None` if that is
-    /// not possible either.
+    /// balancer's share of the load is divided by the number of its own connections. Returns `None` if
+    /// neither is possible.
     fn connection_load(&self, totals: &FleetTotals, now: Micros) -> Option<f64> {
         if totals.inflight >= 1.0 {
             return Some(totals.inflight_load / totals.inflight);
