--- a/crates/balancer/src/affinity.rs
+++ b/crates/balancer/src/affinity.rs
@@ -1,49 +1,51 @@
-//! Affinity of clients and groups: a client's sticky endpoint, and the endpoints of an affinity group.
+//! Sticky endpoints of clients, and the endpoints of affinity groups.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::balancer::Balancer;
 use crate::discovery::DEFAULT_DRAIN_TIMEOUT;
 use crate::endpoint_record::EndpointRecord;
-use crate::rendezvous::{GROUP_HASH_SEED, rendezvous_order};
+use crate::rendezvous::{GROUP_HASH_SEED, rendezvous_score};
 use crate::request_state::RequestState;
 use crate::unreported_load::is_unreported;
 use crate::{AffinityGroup, EndpointId, EndpointState, Micros, Request, SessionKey, zone_affinity};
 
-/// A returning client goes back to its sticky endpoint while that has less load than this.
+/// A returning client goes back to its sticky endpoint only below this load.
 const MAX_STICKY_LOAD: f64 = 0.75;
-/// Sticky endpoints that are remembered; above this number, the older ones are forgotten.
+/// Maximum number of sticky endpoints. Above it, the older ones are forgotten.
 const MAX_STICKY_ENDPOINTS: usize = 20_000;
 
-/// A group takes a further endpoint when its endpoints' load is this far above the fleet's mean.
+/// An affinity group uses a further endpoint when the load of its endpoints is this far above the fleet's
+/// mean.
 const SPILL_MARGIN: f64 = 0.15;
-/// A group takes no further endpoint below this load, whatever the fleet's mean.
+/// Below this load, a group uses no further endpoint, whatever the fleet's mean load.
 const MIN_SPILL_LOAD: f64 = 0.6;
-/// A group takes a further endpoint above this load, whatever the fleet's mean.
+/// Above this load, a group uses a further endpoint, whatever the fleet's mean load.
 const MAX_SPILL_LOAD: f64 = 0.68;
 
-/// Least number of endpoints of a group: a single one would take all of a surge that no report shows yet.
+/// Least number of endpoints of a group. A single one would receive a whole surge before reports show it.
 const MIN_GROUP_ENDPOINTS: usize = 2;
-/// The same where there are more balancers than endpoints: each sees too little of a group to split it.
+/// Least number of endpoints of a group if there are more balancers than endpoints. Each balancer then has
+/// too few connections of a group to split them.
 const MIN_GROUP_ENDPOINTS_OF_LARGE_FLEET: usize = 1;
-/// Added to the number of a group's connections when its share is estimated, for the connection that is
-/// requested.
+/// Added to the number of a group's connections when its share is estimated, to account for the requested
+/// connection.
 const GROUP_PRIOR_CONNECTIONS: f64 = 0.3;
-/// Added to the number of all connections when a group's share is estimated, so that few connections do not
-/// make a group look large.
+/// Added to the number of all connections when a group's share is estimated, so that a group does not seem
+/// large because there are few connections.
 const GROUP_SHARE_SMOOTHING: f64 = 8.0;
-/// Least mean load of the fleet that the number of a group's endpoints allows for: after a start the reports
-/// do not show the load yet.
+/// Lower limit of the fleet's mean load when the number of a group's endpoints is calculated. Right after a
+/// start, reports do not show the load yet.
 const MIN_GROUP_LOAD: f64 = 0.5;
 
-/// The endpoint where a client had its last connection.
+/// The endpoint of a client's last connection.
 #[derive(Clone, Debug)]
 pub(crate) struct StickyEndpoint {
     pub(crate) endpoint: EndpointId,
     pub(crate) established_at: Micros,
 }
 
-/// Seed of the rendezvous order of a request's affinity group.
+/// Returns the rendezvous salt of a request's affinity group; `None` if the request has no group.
 pub(crate) fn group_salt(request: &Request) -> Option<u64> {
     let group = request.affinity_group.as_ref()?;
     Some(xxh3_64_with_seed(group.0.as_bytes(), GROUP_HASH_SEED))
@@ -54,9 +56,9 @@
         self.sticky_endpoints.insert(key, StickyEndpoint { endpoint, established_at: now });
     }
 
-    /// The endpoint of the client's last connection, if the request may go there.
+    /// Returns the endpoint of the client's last connection if the request may go there.
     ///
-    /// A request in mid flow may also go to an endpoint that has not drained for long.
+    /// A mid-flow request may also go to an endpoint that began to drain only recently.
     pub(crate) fn sticky_endpoint(&self, state: &RequestState, now: Micros) -> Option<EndpointId> {
         let key = state.request.session_key.as_ref()?;
         if self.migrated_clients.contains_key(key) {
@@ -64,21 +66,21 @@
         }
         let id = &self.sticky_endpoints.get(key)?.endpoint;
         let record = self.endpoints.get(id)?;
-        let takes_mid_flow = state.request.mid_flow && self.is_in_drain_grace(record, now);
-        let may_go_there = (record.is_ready() || takes_mid_flow)
+        let accepts_mid_flow = state.request.mid_flow && self.is_in_drain_grace(record, now);
+        let may_go_there = (record.is_ready() || accepts_mid_flow)
             && !state.failed_endpoints.contains(id)
             && self.may_send(state, &record.endpoint, now);
         may_go_there.then(|| id.clone())
     }
 
-    /// Whether an endpoint drains, for no longer than half the time within which sends to it must stop.
+    /// Returns whether an endpoint has been draining for less than half the time after which sends must stop.
     fn is_in_drain_grace(&self, record: &EndpointRecord, now: Micros) -> bool {
         let grace = self.settings.rules.drain_grace / 2;
         record.endpoint.state == EndpointState::Draining
             && record.leaving_since.is_some_and(|since| now.saturating_sub(since) < grace)
     }
 
-    /// Whether a client's sticky endpoint has capacity for it.
+    /// Returns whether a client's sticky endpoint has capacity for the client.
     pub(crate) fn has_sticky_capacity(&self, id: &EndpointId, now: Micros) -> bool {
         self.endpoints.get(id).is_some_and(|record| {
             self.estimated_load(record, now) < MAX_STICKY_LOAD
@@ -87,8 +89,8 @@
         })
     }
 
-    /// Forgets the older half of the sticky endpoints when there are too many, and clients that have not
-    /// returned after a migration.
+    /// Forgets sticky endpoints older than the mean if there are too many, and migrated clients that have not
+    /// reconnected in time.
     pub(crate) fn forget_old_clients(&mut self, now: Micros) {
         if self.sticky_endpoints.len() > MAX_STICKY_ENDPOINTS {
             let times = self.sticky_endpoints.values().map(|sticky| sticky.established_at);
@@ -99,19 +101,20 @@
             .retain(|_, client| now.saturating_sub(client.migrated_at) < DEFAULT_DRAIN_TIMEOUT);
     }
 
-    /// Whether an endpoint comes so late in the order of a request's group that the group does not need it.
+    /// Returns whether an endpoint comes so late in the rendezvous order of a request's group that the group
+    /// does not need it.
     pub(crate) fn is_misplaced(&self, request: &Request, record: &EndpointRecord, now: Micros) -> bool {
         let Some(salt) = group_salt(request) else { return false };
-        let global_order = |record: &EndpointRecord| {
-            rendezvous_order(salt, record.id_hash, self.endpoint_weight(record, now))
+        let global_score = |record: &EndpointRecord| {
+            rendezvous_score(salt, record.id_hash, self.endpoint_weight(record, now))
         };
         let copy_cost = self.group_copy_cost(request);
         let needed = self.group_endpoint_count(request);
-        let own_global = global_order(record);
+        let own_global = global_score(record);
         let own_local = own_global * self.distance_penalty(record, copy_cost);
         let (mut before_global, mut before_local) = (0, 0);
         for other in self.endpoints.values().filter(|other| other.is_ready()) {
-            let other_global = global_order(other);
+            let other_global = global_score(other);
             let other_local = other_global * self.distance_penalty(other, copy_cost);
             before_global += usize::from(other_global < own_global);
             before_local += usize::from(other_local < own_local);
@@ -119,20 +122,21 @@
         before_global > needed && before_local > needed
     }
 
-    /// Load at which a group's endpoints get no new connection of the group while others have capacity.
+    /// Returns the load at which an endpoint gets no new connections of a group while other endpoints have
+    /// capacity.
     pub(crate) fn spill_load(&self) -> f64 {
         (self.fleet_estimate.mean_load + SPILL_MARGIN).clamp(MIN_SPILL_LOAD, MAX_SPILL_LOAD)
     }
 
-    /// Estimated fraction of all connections that belong to a group.
+    /// Estimates the fraction of all connections that belong to a group.
     fn group_share(&self, group: &AffinityGroup) -> f64 {
         let connections = self.group_connections.get(group).copied().unwrap_or(0);
         let own = connections as f64 + GROUP_PRIOR_CONNECTIONS;
         own / (self.connection_count as f64 + GROUP_SHARE_SMOOTHING)
     }
 
-    /// Number of endpoints that the request's group needs by this balancer's share of it; no limit for a
-    /// request without a group.
+    /// Returns the number of endpoints that the request's group needs, estimated from the group's share of
+    /// this balancer's connections. A request without a group has no limit.
     pub(crate) fn group_endpoint_count(&self, request: &Request) -> usize {
         let Some(group) = &request.affinity_group else { return usize::MAX };
         let load = self.fleet_estimate.mean_load.max(MIN_GROUP_LOAD);
@@ -143,23 +147,24 @@
         (needed.ceil() as usize).max(min)
     }
 
-    /// Whether an endpoint is in this balancer's zone, or as good as that because crossing zones is free.
+    /// Returns whether an endpoint counts as local: in this balancer's zone, or anywhere if crossing zones is
+    /// free or zones are unknown.
     pub(crate) fn is_local(&self, record: &EndpointRecord) -> bool {
         let zones = self.settings.zone.zip(record.endpoint.zone);
         zones.is_none_or(|(own, other)| own == other) || self.settings.prices.cross_zone == 0.0
     }
 
-    /// Factor, 1 or more, by which an endpoint's place in a group's order is moved back for its zone.
+    /// Returns the factor, 1 or more, by which an endpoint's score is multiplied because of its zone.
     pub(crate) fn distance_penalty(&self, record: &EndpointRecord, copy_cost: f64) -> f64 {
         if self.is_local(record) {
             return 1.0;
         }
-        zone_affinity::slowdown(self.settings.prices.cross_zone, copy_cost)
+        zone_affinity::cross_zone_penalty(self.settings.prices.cross_zone, copy_cost)
     }
 
-    /// Cost to each connection of the request's group of having an endpoint for the group in this zone.
+    /// Returns the cost of endpoints in this zone for the request's group, per connection of the group.
     ///
-    /// Where loads are reported it is 0: a full zone spills to others by its reported load.
+    /// It is 0 if endpoints report their load, because a full zone then spills over to other zones.
     pub(crate) fn group_copy_cost(&self, request: &Request) -> f64 {
         let Some(group) = &request.affinity_group else { return 0.0 };
         if !is_unreported(&self.settings) {
--- a/crates/balancer/src/rebalancing.rs
+++ b/crates/balancer/src/rebalancing.rs
@@ -1,4 +1,4 @@
-//! Rebalancing: migration of misplaced connections to the zone and the endpoints where they belong.
+//! Rebalancing: migration of misplaced connections back to their zone and to the endpoints of their group.
 
 use rand::Rng;
 
@@ -8,20 +8,21 @@
 use crate::request_state::RequestState;
 use crate::{Action, EndpointId, Micros, RequestId};
 
-/// Connections migrate back only while the least loaded local endpoint has less load than this: near the load
-/// at which a group spills over, they would leave again.
+/// Connections migrate back only while the least loaded local endpoint is below this load. Close to the load
+/// at which groups spill over, they would leave again.
 const MAX_REBALANCING_LOAD: f64 = 0.55;
-/// A connection is established for at least this long before it is rebalanced, so that the reports show what
-/// came before it.
-const MIN_MISPLACED_TIME: Micros = 2_000_000;
-/// Mean number of balancers, of all, that rebalance a connection in one tick: the reports must keep up.
+/// Least age of a connection before it is rebalanced, so that load reports include the earlier placements.
+const MIN_REBALANCING_AGE: Micros = 2_000_000;
+/// Mean number of balancers in the fleet that rebalance a connection in one tick, so that load reports can
+/// keep up with the changes.
 const REBALANCING_BALANCERS_PER_TICK: f64 = 4.0;
 
 impl Balancer {
-    /// Plans to migrate one connection that crosses zones or is far from its group's endpoints, while a local
-    /// endpoint has capacity by a fresh report.
+    /// Plans to migrate one connection that is in another zone or not on its group's endpoints, if a fresh
+    /// load report shows capacity at a local endpoint.
     ///
-    /// What was placed before the start, or for want of capacity, would otherwise cost until its end.
+    /// Otherwise a connection that was placed before the start, or elsewhere for lack of capacity, would stay
+    /// misplaced until it ends.
     pub(crate) fn rebalance(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.rng.random::<f64>() * self.fleet_size() >= REBALANCING_BALANCERS_PER_TICK {
             return;
@@ -29,7 +30,7 @@
         let Some((load, local)) = self.least_loaded_local_endpoint(now) else { return };
         let Some((connection, from)) = self.misplaced_connection(now) else { return };
         if let Some(record) = self.endpoints.get_mut(&local).filter(|record| !record.has_fresh_report(now)) {
-            // Where health checks are not permitted, the next report comes with the outcome of an attempt.
+            // If health checks are not permitted, the next report arrives with the outcome of an attempt.
             if self.settings.permissions.health_checks {
                 record.check_health(now, actions);
             }
@@ -50,25 +51,26 @@
         Some((load, record.endpoint.id.clone()))
     }
 
-    /// The misplaced connection at the endpoint with the highest load, and that endpoint; of several there
-    /// the oldest, as it has shown to last.
+    /// Returns the misplaced connection on the endpoint with the highest load, and that endpoint.
+    ///
+    /// If there are several on that endpoint, it returns the oldest, which is the most likely to last.
     fn misplaced_connection(&self, now: Micros) -> Option<(RequestId, EndpointId)> {
-        let is_settled =
-            |state: &RequestState| state.established && now >= state.sent_at + MIN_MISPLACED_TIME;
-        let settled = self.requests.iter().rev().filter(|(_, state)| is_settled(state));
-        let with_record = settled.filter_map(|(id, state)| {
+        let is_old_enough =
+            |state: &RequestState| state.established && now >= state.sent_at + MIN_REBALANCING_AGE;
+        let candidates = self.requests.iter().rev().filter(|(_, state)| is_old_enough(state));
+        let with_record = candidates.filter_map(|(id, state)| {
             let record = self.endpoints.get(state.attempt_endpoint.as_ref()?)?;
             Some((*id, state, record))
         });
         let misplaced = with_record.filter(|(_, state, record)| {
-            self.is_to_be_rebalanced(state, record, now) && record.migration.is_none()
+            self.should_rebalance(state, record, now) && record.migration.is_none()
         });
         let loads = misplaced.map(|(id, _, record)| (self.estimated_load(record, now), id, record));
         let (_, id, record) = loads.max_by(|a, b| a.0.total_cmp(&b.0))?;
         Some((id, record.endpoint.id.clone()))
     }
 
-    fn is_to_be_rebalanced(&self, state: &RequestState, record: &EndpointRecord, now: Micros) -> bool {
+    fn should_rebalance(&self, state: &RequestState, record: &EndpointRecord, now: Micros) -> bool {
         let copy_cost = self.group_copy_cost(&state.request);
         if self.distance_penalty(record, copy_cost) > 1.0 {
             self.settings.rebalancing
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: where a request without an attempt in flight goes, after health checks where they can tell more.
+//! Routing of requests without an attempt in flight: to an endpoint, to a wait, or to a rejection.
 
 use crate::admission::{FULL_LOAD_TOP_CLASS, SURGE_WAIT};
 use crate::balancer::Balancer;
@@ -8,12 +8,12 @@
 use crate::unreported_load::is_unreported;
 use crate::{Action, EndpointId, Micros, RequestId};
 
-/// Least time that an attempt gets, and that must remain for another one.
+/// Least timeout of an attempt. A request with less time left gets no further attempt.
 pub(crate) const MIN_ATTEMPT_TIME: Micros = 30_000;
 
 impl Balancer {
-    /// Finds an endpoint for a request that has no attempt in flight, after health checks where they can tell
-    /// more.
+    /// Routes a request that has no attempt in flight. It may first wait for health checks of the best
+    /// endpoints.
     pub(crate) fn route(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         self.pending_requests.remove(&id);
         let Some(mut state) = self.requests.remove(&id) else { return };
@@ -23,7 +23,7 @@
         }
         let sticky = self.sticky_endpoint(&state, now);
         if let Some(endpoint) = sticky.as_ref().filter(|_| state.request.mid_flow && state.attempts == 0) {
-            // The endpoint still has the connection, even while it drains.
+            // The endpoint still has the connection, even if it is draining.
             return self.forward(now, state, endpoint.clone(), actions);
         }
         let is_first_round = state.health_check_rounds == 0;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether a request has no attempt left, or too little time for one.
+    /// Returns whether a request has no attempts left or too little time for one.
     fn is_exhausted(&self, state: &RequestState, now: Micros) -> bool {
         let time_left = state.deadline.saturating_sub(now);
         state.attempts >= self.settings.permissions.max_attempts.max(1)
@@ -88,24 +88,27 @@
         self.recent_placements.add(relative_load);
     }
 
-    /// The endpoint with the lowest estimated load that may take a request at all, full or not.
+    /// Returns the endpoint with the lowest estimated load of those that a request may be sent to, even if
+    /// they are full.
     pub(crate) fn least_loaded_endpoint(
         &self, state: &RequestState, now: Micros,
     ) -> Option<(f64, EndpointId)> {
-        let may_take = |record: &&EndpointRecord| {
+        let may_receive = |record: &&EndpointRecord| {
             record.is_ready()
                 && !state.failed_endpoints.contains(&record.endpoint.id)
                 && self.may_send(state, &record.endpoint, now)
                 && self.slow_start_admits(record, now)
         };
-        let usable = self.endpoints.values().filter(may_take);
+        let usable = self.endpoints.values().filter(may_receive);
         let loads = usable.map(|record| (self.estimated_load(record, now), record));
         let (load, record) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some((load, record.endpoint.id.clone()))
     }
 
-    /// Whether a request may be placed at `load` although no endpoint has spare capacity: nothing is known of
-    /// the fleet's load, or nothing of it is reported and the load may be lower than estimated.
+    /// Returns whether a request may be placed on an endpoint with `load` although none has spare capacity.
+    ///
+    /// That is the case if all endpoints are unavailable, if no load is known, or if endpoints report no load
+    /// and the real one may be lower than the estimate.
     pub(crate) fn may_place_without_capacity(&self, load: f64) -> bool {
         !self.endpoints.values().any(EndpointRecord::is_available)
             || self.endpoints.values().all(|record| record.reported_load.is_none())
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use honeyknot_balancer::zone_affinity::{GROUP_COST, copy_cost, slowdown};
+use honeyknot_balancer::zone_affinity::{GROUP_OVERHEAD_CONNECTIONS, copy_cost, cross_zone_penalty};
 use honeyknot_balancer::*;
 use support::*;
 
@@ -98,19 +98,23 @@
 fn clients_stay_in_their_zone_if_crossing_costs_more_than_a_copy() {
     let (_, crossings) = pairs_and_crossings(0.4, |settings| {
         disable_reports(settings);
-        settings.prices.cross_zone = 2.0 * GROUP_COST;
+        settings.prices.cross_zone = 2.0 * GROUP_OVERHEAD_CONNECTIONS;
     });
     assert!(crossings <= 20, "{crossings} of 400 cross zones");
 }
 
 #[test]
 fn copy_cost_is_shared_by_the_groups_members() {
-    assert_eq!(copy_cost(30.0), GROUP_COST / 30.0);
-    assert_eq!(copy_cost(0.1), GROUP_COST, "nobody shares with a part of a connection");
-    let price = GROUP_COST / 30.0;
-    assert_eq!(slowdown(price, copy_cost(29.9)), 1.0, "just fewer members than make crossing the dearer");
-    assert!(slowdown(price, copy_cost(30.1)) > 1.0, "just more");
-    assert_eq!(slowdown(0.0, 0.0), 1.0, "crossing costs nothing");
+    assert_eq!(copy_cost(30.0), GROUP_OVERHEAD_CONNECTIONS / 30.0);
+    assert_eq!(copy_cost(0.1), GROUP_OVERHEAD_CONNECTIONS, "nobody shares with a part of a connection");
+    let price = GROUP_OVERHEAD_CONNECTIONS / 30.0;
+    assert_eq!(
+        cross_zone_penalty(price, copy_cost(29.9)),
+        1.0,
+        "just fewer members than make crossing the dearer"
+    );
+    assert!(cross_zone_penalty(price, copy_cost(30.1)) > 1.0, "just more");
+    assert_eq!(cross_zone_penalty(0.0, 0.0), 1.0, "crossing costs nothing");
 }
 
 /// Number of migrations of one connection in zone 1, with spare capacity at one local endpoint, at one of
