--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is admitted now, later, or rejected: load shedding, throttling, surges of requests.
+//! Admission control: throttling, deferral during surges of requests, and rejection.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +13,16 @@
 use crate::routing::MIN_ATTEMPT_TIME;
 use crate::{Action, ClassId, Micros, RequestClass};
 
-/// Mean wait of a request during a surge.
-pub(crate) const SURGE_WAIT: Micros = 400_000;
-/// Load at which endpoints get no new connection; bursts of the established ones need the rest.
+/// Mean time by which a request is deferred during a surge.
+pub(crate) const MEAN_SURGE_DELAY: Micros = 400_000;
+/// Load from which endpoints get no new connections. The rest is reserved for bursts of established ones.
 pub(crate) const FULL_LOAD: f64 = 0.7;
-/// Load at which endpoints get no new connection of the class with the highest priority.
+/// Load from which endpoints get no new connections of the highest-priority class.
 pub(crate) const FULL_LOAD_TOP_CLASS: f64 = 0.78;
-/// The affinity groups that are throttled first change after this time.
+/// Interval after which other affinity groups are the first to be throttled.
 const THROTTLE_ROTATION_INTERVAL: Micros = 8_000_000;
 
-/// The relative loads that this balancer has placed of late, decaying by 1/e over [`REPORT_LAG`].
+/// Sum of the relative loads of this balancer's recent placements. It decays to 1/e over [`REPORT_LAG`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecentPlacements {
     relative_load: f64,
@@ -38,7 +38,7 @@
         self.relative_load += relative_load;
     }
 
-    /// The sum as of now.
+    /// Returns the sum decayed to the current time.
     fn decayed(&mut self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.updated_at) as f64 / REPORT_LAG as f64;
         self.relative_load *= (-age).exp();
@@ -48,8 +48,8 @@
 }
 
 impl Balancer {
-    /// Whether a request is rejected because of recent losses: affinity groups as a whole, and classes of low
-    /// priority first.
+    /// Returns whether a request is rejected because of recent losses. Affinity groups are rejected as a
+    /// whole, and low-priority classes first.
     pub(crate) fn is_throttled(&mut self, state: &RequestState, now: Micros) -> bool {
         let salt = group_salt(&state.request).unwrap_or_else(|| self.rng.random());
         let classes = self.settings.classes.len();
@@ -60,10 +60,10 @@
         self.throttle.should_reject(now, draw / relative_priority)
     }
 
-    /// Whether a request should let others go first, as all balancers together have probably placed more of
-    /// late than there was capacity for, which the reports do not show yet.
+    /// Returns whether a request should be deferred because all balancers together have probably placed more
+    /// recently than the spare capacity, which load reports do not show yet.
     ///
-    /// Clients that return all at once would otherwise overload one endpoint after another.
+    /// Otherwise clients that reconnect all at once would overload one endpoint after another.
     pub(crate) fn is_surge(&mut self, now: Micros) -> bool {
         let own = self.recent_placements.decayed(now);
         let placed = own * own / (own + SAMPLE_SMOOTHING) * self.fleet_size();
@@ -71,10 +71,10 @@
         placed > spare && self.rng.random::<f64>() > spare / placed
     }
 
-    /// Sets a timer to route a request again after half to one and a half times `mean_delay`.
+    /// Sets a timer to route a request again after a random delay of 0.5 to 1.5 times `mean_delay`.
     ///
-    /// Returns false, with nothing set, if no whole attempt fits between that and the deadline: the request
-    /// is better rejected while the client has time to go elsewhere.
+    /// Returns false and sets no timer if no complete attempt would fit between that time and the deadline.
+    /// The request is then better rejected, while the client still has time to try elsewhere.
     pub(crate) fn defer(
         &mut self, now: Micros, state: &mut RequestState, mean_delay: Micros, actions: &mut Vec<Action>,
     ) -> bool {
@@ -90,8 +90,8 @@
         true
     }
 
-    /// Handles a request for which no endpoint has spare capacity: it goes to the least loaded one if that
-    /// may have some after all, waits if no endpoint may take it at all, or is rejected.
+    /// Handles a request for which no endpoint has spare capacity. It goes to the least loaded endpoint if
+    /// that may have capacity after all, waits if it may not be sent to any endpoint, or is rejected.
     pub(crate) fn place_without_capacity(
         &mut self, now: Micros, mut state: RequestState, actions: &mut Vec<Action>,
     ) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Gives the final answer to a request without an attempt in flight.
+    /// Gives the final answer to a request that has no attempt in flight.
     pub(crate) fn reject_or_fail(&mut self, state: RequestState, actions: &mut Vec<Action>) {
         let id = state.request.id;
         if self.may_reject(&state) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Priority weight of a class for each unit of load, as a fraction of the highest class's.
+    /// Returns the priority weight of a class per unit of load, as a fraction of the highest one.
     pub(crate) fn class_priority(&self, class: ClassId) -> f64 {
         let weights = || {
             let classes = self.settings.classes.iter().enumerate();
@@ -129,7 +129,7 @@
         if highest > 0.0 { own.unwrap_or(0.0) / highest } else { 1.0 }
     }
 
-    /// A class's priority weight for the load of a mean connection.
+    /// Returns a class's priority weight, scaled to the load of a mean connection.
     fn weight_for_load(&self, index: usize, class: &RequestClass) -> f64 {
         let load = self.connection_loads.of_class(ClassId(index)).filter(|load| *load > 0.0);
         match (self.settings.weight_by_work, load, self.connection_loads.mean) {
--- a/crates/balancer/src/circuit_breaker.rs
+++ b/crates/balancer/src/circuit_breaker.rs
@@ -1,18 +1,19 @@
-//! A circuit breaker round a balancer's estimate that no endpoint has capacity.
+//! Circuit breaker that opens while a balancer estimates that no endpoint has capacity.
 //!
-//! The estimate may be old, or follow from the balancer's own surge. After [`HALF_OPEN_AFTER`] without a
-//! placement the breaker is *half open*: the next request may go to its group's endpoints up to a load of 1,
-//! and that attempt closes the breaker again. So a balancer tries an endpoint every few seconds, however full
-//! all look. No I/O, no clock.
+//! The estimate may be outdated, or caused by a surge of the balancer's own placements. After
+//! [`HALF_OPEN_AFTER`] without a placement, the breaker is *half open*: the next request may go to an
+//! endpoint of its group with a load of up to 1, and that placement closes the breaker. A balancer therefore
+//! tries an endpoint every few seconds, even if all of them seem full.
 
 use crate::Micros;
 
-/// Time without a placement after which the breaker is half open.
+/// Time from the first request that finds no capacity until the breaker is half open.
 pub const HALF_OPEN_AFTER: Micros = 2_500_000;
 
-/// The circuit breaker's state: since when no request has found capacity.
+/// State of the circuit breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
+    /// When the first request since the last placement found no capacity; `None` if none did.
     no_capacity_since: Option<Micros>,
 }
 
@@ -27,7 +28,7 @@
         self.no_capacity_since = None;
     }
 
-    /// Whether the next request may go to an endpoint that looks full.
+    /// Returns whether the next request may go to an endpoint that seems full.
     pub fn is_half_open(&self, now: Micros) -> bool {
         self.no_capacity_since.is_some_and(|since| now.saturating_sub(since) >= HALF_OPEN_AFTER)
     }
--- a/crates/balancer/src/connection_shedding.rs
+++ b/crates/balancer/src/connection_shedding.rs
@@ -1,4 +1,4 @@
-//! Shedding of connections from endpoints that are overloaded, slow or unresponsive.
+//! Migration of connections away from endpoints that are overloaded, slow or unresponsive.
 
 use crate::balancer::Balancer;
 use crate::endpoint_record::EndpointRecord;
@@ -6,22 +6,22 @@
 use crate::migration::SHED_DURATION;
 use crate::{Action, EndpointId, Micros};
 
-/// If more than this fraction of the ready endpoints is unresponsive, the fault is probably this balancer's
-/// network, and no load is shed.
+/// If more than this fraction of the ready endpoints is unresponsive, this balancer's own network is probably
+/// at fault, and no load is shed.
 const MAX_UNRESPONSIVE_FRACTION: f64 = 0.34;
-/// An endpoint with a higher reported load than this sheds load.
+/// An endpoint sheds load if its reported load is above this.
 pub(crate) const SHED_THRESHOLD: f64 = 0.9;
-/// Load that an overloaded endpoint is to have afterwards.
+/// Target load of an overloaded endpoint after shedding.
 const SHED_TARGET: f64 = 0.7;
-/// The same where the other endpoints have spare capacity for all of its load.
+/// Target load of an overloaded endpoint if the fleet has spare capacity for all of its load.
 const SHED_TARGET_WITH_SPARE_CAPACITY: f64 = 0.45;
-/// Least time between two sheddings of one endpoint, in which reports show the effect of the first; it is
-/// half of this where the other endpoints have spare capacity.
+/// Least time between two sheddings at one endpoint, so that reports show the effect of the first. It is
+/// halved if the fleet has spare capacity for all of the endpoint's load.
 const SHED_INTERVAL: Micros = 4_000_000;
-/// Fraction of its load that an endpoint sheds of which only slow messages are known.
+/// Fraction of its load that an endpoint sheds if slow messages are its only known problem.
 const SHED_FRACTION_UNREPORTED: f64 = 0.15;
 
-/// To which load an overloaded endpoint sheds, and how long until it may do so again.
+/// Target load of an overloaded endpoint, and the time until it may shed load again.
 #[derive(Clone, Copy, Debug)]
 struct ShedTarget {
     load: f64,
@@ -29,7 +29,7 @@
 }
 
 impl ShedTarget {
-    /// The target for an endpoint, with the load that fits on all endpoints before they are full.
+    /// Returns the target for an endpoint. `spare_load` is the load that still fits on the fleet.
     fn new(record: &EndpointRecord, spare_load: f64) -> ShedTarget {
         let load = record.reported_load.map_or(f64::INFINITY, |report| report.load) * record.capacity();
         if spare_load > load {
@@ -39,11 +39,11 @@
         }
     }
 
-    /// The fraction of its load that the endpoint is to shed, if any.
+    /// Returns the fraction of its load that the endpoint should shed; `None` if it should shed nothing.
     fn shed_fraction(self, record: &EndpointRecord, now: Micros) -> Option<f64> {
-        let recent =
+        let recent_report =
             record.reported_load.filter(|report| now.saturating_sub(report.received_at) < REPORT_LAG);
-        match recent {
+        match recent_report {
             Some(report) if report.load > SHED_THRESHOLD => Some(1.0 - self.load / report.load),
             _ if record.has_slow_messages(now) => Some(SHED_FRACTION_UNREPORTED),
             _ if record.outlier_detector.is_unresponsive() => Some(1.0),
@@ -55,7 +55,7 @@
 impl Balancer {
     /// Plans to migrate connections away from an endpoint that is overloaded, slow or unresponsive.
     pub(crate) fn shed_load(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) {
-        if self.is_fault_elsewhere() {
+        if self.is_own_network_suspected() {
             return;
         }
         let spare_load = self.fleet_estimate.spare_connections * self.fleet_estimate.connection_load;
@@ -70,8 +70,8 @@
         self.log(format!("{}: {:.0}% of its load is to move away", id.0, fraction * 100.0), actions);
     }
 
-    /// Whether so many endpoints are unresponsive that the fault is probably not theirs.
-    fn is_fault_elsewhere(&self) -> bool {
+    /// Returns whether so many endpoints are unresponsive that this balancer's network is probably at fault.
+    fn is_own_network_suspected(&self) -> bool {
         let is_unresponsive =
             |record: &&EndpointRecord| record.is_ready() && record.outlier_detector.is_unresponsive();
         let unresponsive = self.endpoints.values().filter(is_unresponsive).count();
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list: endpoints that are added, drain or are removed.
+//! Handling of endpoint list updates: endpoints that are added, draining or removed.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,18 @@
 use crate::slow_start::SlowStartBudget;
 use crate::{Action, Endpoint, EndpointId, EndpointState, EndpointUpdate, Micros};
 
-/// Duration of a drain where none has been seen to its end; migrated clients are remembered as long.
+/// Assumed duration of a drain before one has completed. Migrated clients are remembered for the same time.
 pub(crate) const DEFAULT_DRAIN_TIMEOUT: Micros = 30_000_000;
-/// Until a drain has been seen to its end, migrations expect one this many times shorter than
-/// [`DEFAULT_DRAIN_TIMEOUT`].
+/// Before a drain has completed, migrations are planned for [`DEFAULT_DRAIN_TIMEOUT`] divided by this number.
 const UNKNOWN_DRAIN_DIVISOR: Micros = 10;
-/// Fraction of the expected drain within which the connections migrate.
+/// Fraction of the expected duration of a drain within which the connections migrate.
 const DRAIN_MIGRATION_FRACTION: f64 = 0.7;
-/// Longest random delay before the first request for the endpoint list, so that balancers that start together
-/// do not ask at the same time.
+/// Upper limit of the random delay before the endpoint list is first requested, so that balancers that start
+/// together do not request it at the same time.
 pub(crate) const MAX_INITIAL_DISCOVERY_DELAY: Micros = 2_000_000;
-/// Mean delay after the first failed poll of discovery; it doubles with each further one.
+/// Mean delay after the first failed poll of discovery. It doubles with each further failure.
 const DISCOVERY_BACKOFF: Micros = 500_000;
-/// The delay after a failed poll doubles at most this many times.
+/// Maximum number of times that the delay after a failed poll doubles.
 const MAX_DISCOVERY_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Balancer {
@@ -46,7 +45,7 @@
         self.update_fleet_estimate(now);
     }
 
-    /// Polls discovery again after a random delay, longer each time.
+    /// Schedules the next poll of discovery after a random delay that grows with each failure.
     fn back_off_discovery(&mut self, actions: &mut Vec<Action>) {
         let mean = DISCOVERY_BACKOFF << self.failed_discovery_polls.min(MAX_DISCOVERY_BACKOFF_DOUBLINGS);
         self.failed_discovery_polls += 1;
@@ -54,7 +53,7 @@
         actions.push(Action::SetTimer { delay, token: DISCOVERY_TOKEN });
     }
 
-    /// Marks the endpoints as removed that a full list does not name.
+    /// Marks endpoints as removed if they are missing from a full list.
     fn remove_unlisted(&mut self, now: Micros, listed: &[Endpoint]) {
         let listed: BTreeSet<&EndpointId> = listed.iter().map(|endpoint| &endpoint.id).collect();
         let removed: Vec<EndpointId> =
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Adds an endpoint, or updates the record of one that has not restarted since.
+    /// Adds an endpoint. The record of a known endpoint is kept if it has not restarted and is still ready.
     fn add_endpoint(&mut self, endpoint: &Endpoint) {
         let mut connections = BTreeSet::new();
         if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
@@ -84,7 +83,8 @@
                 known.endpoint = endpoint.clone();
                 return;
             }
-            // Nothing known of the earlier process holds for the new one, but its connections still end.
+            // What was observed of the earlier process does not apply to the new one, but its connections
+            // are tracked until they end.
             connections = std::mem::take(&mut known.connections);
         }
         let record = EndpointRecord {
@@ -97,7 +97,8 @@
         self.endpoints.insert(endpoint.id.clone(), record);
     }
 
-    /// Marks an endpoint as draining or removed: it gets no new connection, and all it has migrate.
+    /// Marks an endpoint as draining or removed: it gets no new connections, and all of its connections
+    /// migrate.
     fn mark_leaving(&mut self, now: Micros, id: &EndpointId, state: EndpointState) {
         let Some(record) = self.endpoints.get_mut(id) else { return };
         if state == EndpointState::Removed
--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: before a request is placed, of endpoints that have failed, and their results.
+//! Health checks of the candidates for a request and of failed endpoints, and handling of the results.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,15 @@
 use crate::request_state::{PendingRequest, RequestState, pending_token};
 use crate::{Action, EndpointId, LoadReport, LoadReportSource, Micros, Outcome, RequestId};
 
-/// Candidates that get a health check in a request's first round, at most.
+/// Maximum number of ranked candidates that get a health check in a request's first round.
 pub(crate) const HEALTH_CHECK_SAMPLE: usize = 3;
-/// Rounds of health checks for a request before it is placed with what is known.
+/// Number of health check rounds after which a request is placed with the information available.
 pub(crate) const MAX_HEALTH_CHECK_ROUNDS: u32 = 2;
 /// Longest time that a request waits for health checks.
 pub(crate) const MAX_HEALTH_CHECK_WAIT: Micros = 30_000;
 
 impl Balancer {
-    /// Sends health checks to the best candidates without a fresh report. Returns whether the request now
+    /// Sends health checks to the best candidates that have no fresh report. Returns whether the request now
     /// waits for results.
     pub(crate) fn check_candidates(
         &mut self, now: Micros, state: &mut RequestState, sticky: Option<&EndpointId>,
@@ -30,8 +30,8 @@
             return false;
         }
         let is_first_round = state.health_check_rounds == 0;
-        // A further round checks only a new first candidate, if the results of the last one have brought it
-        // up.
+        // After the first round, only the first candidate is checked, in case the results have changed which
+        // one that is.
         let sample = if is_first_round { HEALTH_CHECK_SAMPLE } else { 1 };
         let until = now + MAX_HEALTH_CHECK_WAIT.min(state.deadline.saturating_sub(now) / 2);
         let random = self.random_available_endpoint().filter(|_| is_first_round);
@@ -51,18 +51,18 @@
         true
     }
 
-    /// Draws an endpoint; `None` if it is not available.
+    /// Draws a random endpoint. Returns `None` if the drawn endpoint is not available.
     ///
-    /// Health checks of ranked endpoints alone would never find spare capacity elsewhere, and the estimated
-    /// mean load would be that of the endpoints that rank high.
+    /// If only ranked endpoints were checked, spare capacity elsewhere would never be found, and the
+    /// estimated mean load would be that of the highly ranked endpoints.
     fn random_available_endpoint(&mut self) -> Option<EndpointId> {
         let index = self.rng.random_range(0..self.endpoints.len().max(1));
         let record = self.endpoints.values().nth(index)?;
         record.is_available().then(|| record.endpoint.id.clone())
     }
 
-    /// Sends a health check to a candidate unless its report is fresh. Returns whether its result is worth
-    /// waiting for.
+    /// Sends a health check to a candidate unless its report is fresh. Returns whether the request should
+    /// wait for the result.
     fn check_candidate(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) -> bool {
         let Some(record) = self.endpoints.get_mut(id) else { return false };
         if record.has_fresh_report(now) {
@@ -72,8 +72,8 @@
         !record.is_health_check_overdue(now)
     }
 
-    /// Checks the endpoints again that have failed a while ago. Where health checks are not permitted, they
-    /// get a trial instead.
+    /// Sends health checks to the failed endpoints that are due for one. If health checks are not permitted,
+    /// starts a trial of these endpoints instead.
     pub(crate) fn check_due_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let is_due =
             |record: &&mut EndpointRecord| record.is_ready() && record.outlier_detector.is_check_due(now);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes the result of a health check and routes the requests that have waited for it alone.
+    /// Records the result of a health check and routes the requests that waited for no other result.
     pub(crate) fn health_check_ended(
         &mut self, now: Micros, id: EndpointId, outcome: Outcome, report: Option<LoadReport>,
         actions: &mut Vec<Action>,
@@ -99,7 +99,7 @@
                 self.shed_load(now, &id, actions);
             }
         }
-        for request in self.requests_with_last_result(&id) {
+        for request in self.requests_awaiting_only(&id) {
             self.route(now, request, actions);
         }
     }
@@ -114,26 +114,27 @@
         }
         match outcome {
             Outcome::Ok => self.record_success(now, id),
-            // It answers: its connections, which are served, are not to migrate.
+            // The endpoint responds and still serves its connections, so they must not migrate.
             Outcome::Error if is_nearly_unresponsive => {
                 if let Some(record) = self.endpoints.get_mut(id) {
                     record.outlier_detector.record_error_response(now, &self.settings);
                 }
             }
-            // Held back by the limit on health checks: this says nothing of the endpoint.
+            // The limit on health checks held this one back: it says nothing about the endpoint.
             Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => {}
             _ => self.record_failure(now, id, actions),
         }
     }
 
-    /// Takes an endpoint off the health checks that requests wait for; the requests that now wait for none.
-    fn requests_with_last_result(&mut self, id: &EndpointId) -> Vec<RequestId> {
+    /// Removes an endpoint from the health checks that requests wait for, and returns the requests that now
+    /// wait for none.
+    fn requests_awaiting_only(&mut self, id: &EndpointId) -> Vec<RequestId> {
         let requests = &mut self.requests;
-        let mut was_last = |request: &&RequestId| {
+        let mut was_last_awaited = |request: &&RequestId| {
             let pending = requests.get_mut(*request).and_then(|state| state.pending.as_mut());
             pending
                 .is_some_and(|pending| pending.health_checks.remove(id) && pending.health_checks.is_empty())
         };
-        self.pending_requests.iter().filter(|request| was_last(request)).copied().collect()
+        self.pending_requests.iter().filter(|request| was_last_awaited(request)).copied().collect()
     }
 }
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,45 +1,46 @@
-//! Endpoints that operators have put in maintenance: an overlay between discovery's endpoint list and the
-//! balancer.
+//! Overlay on discovery's endpoint list for endpoints that operators have put in maintenance.
 //!
-//! The balancer sees an endpoint in maintenance as draining, whatever discovery says of it meanwhile: it gets
-//! no new connection and its connections migrate at a pace. After maintenance it counts as restarted, because
-//! operators restart what they maintain: its start is the one that discovery reports if that lies after the
-//! beginning of the maintenance, and else the end of the maintenance. No I/O, no clock.
+//! The balancer sees an endpoint in maintenance as draining, whatever discovery reports in the meantime: it
+//! gets no new connections and its connections migrate gradually. After maintenance it counts as restarted,
+//! because operators usually restart the endpoint. Its start time is the one that discovery reports if that
+//! is after the beginning of the maintenance, and the end of the maintenance otherwise.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Endpoint, EndpointId, EndpointState, Micros};
 
-/// No endpoint of this id was ever named, by the endpoint list or by another process of this relay.
+/// Neither the endpoint list nor another process of this relay has ever named an endpoint with the given id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownEndpoint;
 
 /// The endpoint list as discovery reports it, and the endpoints in maintenance.
 ///
-/// It holds one entry for each listed endpoint, and one id for each endpoint that was ever named.
+/// It stores an entry for each listed endpoint and the id of each endpoint that was ever named.
 #[derive(Debug, Default)]
 pub struct MaintenanceOverlay {
-    /// Endpoints in maintenance, and since when.
+    /// Endpoints in maintenance, with the time when it began.
     in_maintenance: BTreeMap<EndpointId, Micros>,
+    /// Endpoints as discovery lists them.
     endpoints: BTreeMap<EndpointId, Endpoint>,
+    /// Ids of all endpoints that were ever named.
     known_ids: BTreeSet<EndpointId>,
     /// The last completed maintenance of each endpoint.
     last_windows: BTreeMap<EndpointId, MaintenanceWindow>,
 }
 
-/// A completed maintenance of one endpoint.
+/// Beginning and end of a completed maintenance of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaintenanceWindow {
-    /// Its beginning.
+    /// When the maintenance began.
     pub from: Micros,
-    /// Its end.
+    /// When the maintenance ended.
     pub to: Micros,
 }
 
 impl MaintenanceOverlay {
-    /// Takes endpoints from discovery and returns them as the balancer is to see them.
+    /// Stores an update from discovery and returns the endpoints as the balancer should see them.
     ///
-    /// `is_full` says that `endpoints` is the whole list and not only what changed.
+    /// `is_full` says whether `endpoints` is the complete list instead of only the changed endpoints.
     pub fn apply_update(&mut self, endpoints: Vec<Endpoint>, is_full: bool) -> Vec<Endpoint> {
         if is_full {
             self.endpoints.clear();
@@ -54,18 +55,18 @@
             }
         }
         if is_full {
-            // An endpoint in maintenance may leave the list and return to it while still in maintenance.
+            // An endpoint may leave the list and come back to it during its maintenance.
             let unlisted = self.in_maintenance.keys().filter(|id| !self.endpoints.contains_key(*id));
             visible.extend(unlisted.map(|id| unlisted_endpoint(id, EndpointState::Draining)));
         }
         visible
     }
 
-    /// Starts the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it is in
-    /// maintenance already.
+    /// Starts the maintenance of an endpoint and returns the endpoint as the balancer should see it. Returns
+    /// `None` if it is already in maintenance.
     ///
     /// # Errors
-    /// [`UnknownEndpoint`] if no endpoint of this id was ever named.
+    /// [`UnknownEndpoint`] if no endpoint with this id was ever named.
     pub fn start_maintenance(
         &mut self, now: Micros, id: &EndpointId,
     ) -> Result<Option<Endpoint>, UnknownEndpoint> {
@@ -75,8 +76,8 @@
         Ok(self.restore_maintenance(now, id))
     }
 
-    /// Like [`MaintenanceOverlay::start_maintenance`], for an endpoint that another process of this relay has
-    /// in maintenance: its id counts as known.
+    /// Restores a maintenance that began in another process of this relay. Like
+    /// [`MaintenanceOverlay::start_maintenance`], but an unknown id becomes known.
     pub fn restore_maintenance(&mut self, since: Micros, id: &EndpointId) -> Option<Endpoint> {
         self.known_ids.insert(id.clone());
         if self.in_maintenance.contains_key(id) {
@@ -89,11 +90,11 @@
         })
     }
 
-    /// Ends the maintenance of an endpoint and returns it as the balancer is to see it; `None` if it was not
-    /// in maintenance.
+    /// Ends the maintenance of an endpoint and returns the endpoint as the balancer should see it. Returns
+    /// `None` if it was not in maintenance.
     ///
     /// # Errors
-    /// [`UnknownEndpoint`] if no endpoint of this id was ever named.
+    /// [`UnknownEndpoint`] if no endpoint with this id was ever named.
     pub fn end_maintenance(
         &mut self, now: Micros, id: &EndpointId,
     ) -> Result<Option<Endpoint>, UnknownEndpoint> {
@@ -107,8 +108,8 @@
         }))
     }
 
-    /// Records a maintenance that ended in another process of this relay and returns the endpoint, if listed,
-    /// as the balancer is to see it.
+    /// Records a maintenance that ended in another process of this relay. Returns the endpoint as the
+    /// balancer should see it, or `None` if it is not listed.
     pub fn record_window(&mut self, window: MaintenanceWindow, id: &EndpointId) -> Option<Endpoint> {
         self.known_ids.insert(id.clone());
         if self.last_windows.get(id).is_none_or(|known| known.to < window.to) {
@@ -117,8 +118,8 @@
         self.endpoints.get(id).map(|endpoint| self.overlay(endpoint))
     }
 
-    /// Marks ready endpoints as draining, which another process of this relay has learnt from a newer
-    /// endpoint list, and returns those that changed.
+    /// Marks endpoints as draining that another process of this relay saw draining in a newer endpoint list.
+    /// Returns those that were ready before.
     pub fn mark_draining(&mut self, ids: &[EndpointId]) -> Vec<Endpoint> {
         let mut changed = Vec::new();
         for id in ids {
@@ -130,34 +131,34 @@
         changed
     }
 
-    /// The last completed maintenance of each endpoint.
+    /// Returns the last completed maintenance of each endpoint that had one.
     pub fn last_windows(&self) -> impl Iterator<Item = (&EndpointId, MaintenanceWindow)> {
         self.last_windows.iter().map(|(id, window)| (id, *window))
     }
 
-    /// The endpoints in maintenance, and since when.
+    /// Returns the endpoints in maintenance, with the time when it began.
     pub fn in_maintenance(&self) -> impl Iterator<Item = (&EndpointId, Micros)> {
         self.in_maintenance.iter().map(|(id, since)| (id, *since))
     }
 
-    /// Whether an endpoint is in maintenance.
+    /// Returns whether an endpoint is in maintenance.
     pub fn contains(&self, id: &EndpointId) -> bool {
         self.in_maintenance.contains_key(id)
     }
 
-    /// Number of endpoints that discovery lists.
+    /// Returns the number of endpoints that discovery lists.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Number of listed endpoints that get no new connection because they are in maintenance or among
-    /// `ejected`; each counts once.
+    /// Counts the listed endpoints that get no new connections because they are in maintenance or in
+    /// `ejected`. Each endpoint counts once.
     pub fn count_excluded<'a>(&'a self, ejected: impl Iterator<Item = &'a EndpointId>) -> usize {
         let excluded: BTreeSet<&EndpointId> = self.in_maintenance.keys().chain(ejected).collect();
         excluded.into_iter().filter(|id| self.endpoints.contains_key(*id)).count()
     }
 
-    /// A listed endpoint as the balancer is to see it.
+    /// Returns a listed endpoint as the balancer should see it.
     fn overlay(&self, endpoint: &Endpoint) -> Endpoint {
         let mut visible = endpoint.clone();
         if self.in_maintenance.contains_key(&endpoint.id) {
@@ -170,7 +171,7 @@
     }
 }
 
-/// An endpoint of which only the id and the state are known.
+/// Returns an endpoint of which only the id and the state are known.
 fn unlisted_endpoint(id: &EndpointId, state: EndpointState) -> Endpoint {
     Endpoint { id: id.clone(), state, ..Endpoint::default() }
 }
--- a/crates/balancer/src/migration.rs
+++ b/crates/balancer/src/migration.rs
@@ -1,4 +1,4 @@
-//! Paced migration of established connections away from an endpoint.
+//! Gradual migration of established connections away from an endpoint.
 
 use rand::Rng;
 
@@ -7,26 +7,26 @@
 
 /// Time within which connections leave an unresponsive, overloaded or removed endpoint.
 pub(crate) const SHED_DURATION: Micros = 1_500_000;
-/// Least load of a class that is divided by.
+/// Lower limit of a class's load where it is a divisor.
 const MIN_CLASS_LOAD: f64 = 1e-9;
 
-/// The connections of an endpoint that are to migrate.
+/// Connections to migrate away from an endpoint.
 #[derive(Debug)]
 pub(crate) struct MigrationPlan {
-    /// They migrate from the last to the first.
+    /// The connections, in reverse order of migration.
     pub(crate) connections: Vec<RequestId>,
-    /// When the last of them should have migrated.
+    /// Point in time by which the last connection should have migrated.
     pub(crate) end: Micros,
 }
 
-/// A client whose connection was migrated: it does not go back to the same endpoint at once.
+/// A client whose connection was migrated and that must not go back to the same endpoint for now.
 #[derive(Clone, Debug)]
 pub(crate) struct MigratedClient {
     pub(crate) from: EndpointId,
     pub(crate) migrated_at: Micros,
 }
 
-/// Priority of a class, and the relative loads of this balancer's connections of it.
+/// Priority of a class, and the total relative load of this balancer's connections in it.
 #[derive(Clone, Copy, Debug)]
 struct ClassLoad {
     priority: f64,
@@ -34,7 +34,7 @@
 }
 
 impl Balancer {
-    /// Plans to migrate a fraction of an endpoint's load within a time, classes of low priority first.
+    /// Plans to migrate a fraction of an endpoint's load within `duration`, from low-priority classes first.
     pub(crate) fn plan_migration(&mut self, now: Micros, id: &EndpointId, fraction: f64, duration: Micros) {
         let mut connections = self.select_connections(now, id, fraction);
         if connections.is_empty() {
@@ -48,11 +48,12 @@
         }
     }
 
-    /// The connections of an endpoint that make up a fraction of its load.
+    /// Selects connections of an endpoint that make up a fraction of its load.
     ///
-    /// Misplaced connections cost the most and go first. A balancer has few of an endpoint's connections, so
-    /// each other one is selected with a probability that follows from its class's part of this balancer's
-    /// whole load: all balancers together select about the wanted fraction, and the classes of low priority.
+    /// Misplaced connections cost the most and are selected first. Each other connection is selected at
+    /// random, because one balancer has few of an endpoint's connections. The probability depends on its
+    /// class's share of this balancer's total load, so that all balancers together select about the wanted
+    /// fraction, from low-priority classes.
     fn select_connections(&mut self, now: Micros, id: &EndpointId, fraction: f64) -> Vec<RequestId> {
         let class_loads = self.class_loads();
         let total: f64 = class_loads.iter().map(|class| class.load).sum();
@@ -61,10 +62,10 @@
         for connection in &record.connections {
             let Some(state) = self.requests.get(connection) else { continue };
             let unknown_class = ClassLoad { priority: 0.0, load: total };
-            let own = class_loads.get(state.request.class.0).copied().unwrap_or(unknown_class);
-            let lower = class_loads.iter().filter(|class| class.priority < own.priority);
-            let lower_load: f64 = lower.map(|class| class.load).sum();
-            let probability = (fraction * total - lower_load) / own.load.max(MIN_CLASS_LOAD);
+            let own_class = class_loads.get(state.request.class.0).copied().unwrap_or(unknown_class);
+            let lower_classes = class_loads.iter().filter(|class| class.priority < own_class.priority);
+            let lower_load: f64 = lower_classes.map(|class| class.load).sum();
+            let probability = (fraction * total - lower_load) / own_class.load.max(MIN_CLASS_LOAD);
             if fraction >= 1.0 || self.is_misplaced(&state.request, record, now) {
                 misplaced.push(*connection);
             } else if self.rng.random::<f64>() < probability {
@@ -90,7 +91,7 @@
         class_loads
     }
 
-    /// Migrates as many connections as keep each plan on time.
+    /// Migrates as many connections as are due now to complete each plan in time.
     pub(crate) fn run_migrations(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
         for record in self.endpoints.values_mut() {
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,9 +1,9 @@
-//! Outlier detection: endpoints that fail are ejected, checked again, and recover at a pace.
+//! Outlier detection: failing endpoints are ejected, checked again and recover gradually.
 //!
-//! A failure without a sign of life in between is consecutive to the last. [`EJECTION_FAILURES`] of them
-//! eject an endpoint: it gets no new connection until any sign of life. Where health checks are permitted,
-//! these bring one. Where they are not, the endpoint gets a *trial* after a time: new connections again, at a
-//! small fraction of its weight, until one attempt succeeds or fails. No I/O, no clock.
+//! Failures are consecutive if no success lies between them. After [`EJECTION_FAILURES`] consecutive
+//! failures, an endpoint is ejected: it gets no new connections until a success. If health checks are
+//! permitted, they find out when the endpoint responds again. If not, the endpoint gets a *trial* after some
+//! time: it receives new connections at a small fraction of its weight until an attempt succeeds or fails.
 
 use crate::balancer::Balancer;
 use crate::{Action, EndpointId, Micros, Settings};
@@ -12,56 +12,58 @@
 pub const EJECTION_FAILURES: u32 = 2;
 /// Consecutive failures after which an endpoint is unresponsive and its connections migrate.
 pub const UNRESPONSIVE_FAILURES: u32 = 4;
-/// Least delay before an endpoint that has failed is checked again; it doubles with each failure of an
-/// unresponsive one.
+/// Least delay before a failed endpoint is checked again. It doubles with each further failure of an
+/// unresponsive endpoint.
 const RECHECK_INTERVAL: Micros = 500_000;
-/// The same for each balancer, so that the checks by all together do not grow with their number.
+/// Least delay before a failed endpoint is checked again, per balancer in the fleet, so that the total rate
+/// of checks does not grow with the number of balancers.
 const RECHECK_INTERVAL_PER_BALANCER: Micros = 40_000;
-/// The delay before a check doubles at most this many times.
+/// Maximum number of times that the delay before a check doubles.
 const MAX_RECHECK_DOUBLINGS: u32 = 5;
 /// Longest delay before an endpoint is checked again.
 const MAX_RECHECK_INTERVAL: Micros = RECHECK_INTERVAL * 32;
-/// An endpoint that was ejected regains its full weight over this time.
+/// Time over which an endpoint regains its full weight after an ejection.
 const RECOVERY_RAMP: Micros = 3_000_000;
-/// Fraction of its weight at the beginning of the recovery ramp, and during a trial.
+/// Fraction of its weight that an endpoint has at the beginning of its recovery and during a trial.
 const MIN_RECOVERY_WEIGHT: f64 = 0.1;
 
-/// Messages are slow from this fraction of the strictest latency objective on.
+/// Messages count as slow from this fraction of the strictest message latency objective on.
 const SLOW_MESSAGE_FRACTION: f64 = 0.5;
 
-/// What one balancer has seen of one endpoint's failures.
+/// Failure state of one endpoint as seen by one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutlierDetector {
     consecutive_failures: u32,
-    /// The endpoint gets new connections although it has failed too often.
+    /// Whether the endpoint gets new connections although it has reached the failures for an ejection.
     on_trial: bool,
+    /// Earliest time of the next check after a failure.
     recheck_at: Micros,
-    /// When it was last ejected no more, or its trial began.
+    /// When the last ejection ended or the last trial began; `None` before the first one.
     recovering_since: Option<Micros>,
 }
 
 impl OutlierDetector {
-    /// Whether the endpoint gets no new connection.
+    /// Returns whether the endpoint is ejected and gets no new connections.
     pub fn is_ejected(&self) -> bool {
         self.consecutive_failures >= EJECTION_FAILURES && !self.on_trial
     }
 
-    /// Whether it has failed so often that its connections are to migrate.
+    /// Returns whether the endpoint has failed so often that its connections should migrate.
     pub fn is_unresponsive(&self) -> bool {
         self.consecutive_failures >= UNRESPONSIVE_FAILURES
     }
 
-    /// Whether the last failure was the one that made it unresponsive.
+    /// Returns whether the last failure made the endpoint unresponsive.
     pub fn became_unresponsive(&self) -> bool {
         self.consecutive_failures == UNRESPONSIVE_FAILURES
     }
 
-    /// Whether it is unresponsive, or would be after one more failure.
+    /// Returns whether the endpoint is unresponsive or would be after one more failure.
     pub fn is_nearly_unresponsive(&self) -> bool {
         self.consecutive_failures + 1 >= UNRESPONSIVE_FAILURES
     }
 
-    /// Records a sign of life.
+    /// Records a success, which ends an ejection or a trial.
     pub fn record_success(&mut self, now: Micros) {
         if self.is_ejected() {
             self.recovering_since = Some(now);
@@ -70,14 +72,14 @@
         self.on_trial = false;
     }
 
-    /// Records a failure without a sign of life; it ends a trial.
+    /// Records a failure, which ends a trial.
     pub fn record_failure(&mut self, now: Micros, settings: &Settings) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.on_trial = false;
         self.schedule_check(now, settings, self.consecutive_failures);
     }
 
-    /// Records that it answers, if only with an error: the next check comes after the least delay.
+    /// Records that the endpoint responded with an error. The next check comes after the least delay.
     pub fn record_error_response(&mut self, now: Micros, settings: &Settings) {
         self.schedule_check(now, settings, 0);
     }
@@ -89,12 +91,13 @@
         self.recheck_at = now + interval.min(MAX_RECHECK_INTERVAL);
     }
 
-    /// Whether it has failed and is to be checked again now.
+    /// Returns whether the endpoint has failed and should be checked again now.
     pub fn is_check_due(&self, now: Micros) -> bool {
         self.consecutive_failures > 0 && now >= self.recheck_at
     }
 
-    /// Starts a trial if it is ejected. Without one, an endpoint that may not be checked would stay ejected.
+    /// Starts a trial if the endpoint is ejected. Without one, an endpoint that may not be checked would stay
+    /// ejected.
     pub fn start_trial(&mut self, now: Micros) {
         if self.is_ejected() {
             self.on_trial = true;
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Fraction of its weight that it has now: 1, or less on trial and while it recovers.
+    /// Returns the current fraction of the endpoint's weight: less than 1 on trial and during recovery.
     pub fn weight_fraction(&self, now: Micros) -> f64 {
         match self.recovering_since {
             _ if self.on_trial => MIN_RECOVERY_WEIGHT,
@@ -116,14 +119,15 @@
 }
 
 impl Balancer {
-    /// Records a sign of life of an endpoint.
+    /// Records a success of an endpoint.
     pub(crate) fn record_success(&mut self, now: Micros, id: &EndpointId) {
         if let Some(record) = self.endpoints.get_mut(id) {
             record.outlier_detector.record_success(now);
         }
     }
 
-    /// Records a failure without a sign of life, and checks the endpoint at once.
+    /// Records a failure of an endpoint. Checks the endpoint at once, or sheds its load when it becomes
+    /// unresponsive.
     pub(crate) fn record_failure(&mut self, now: Micros, id: &EndpointId, actions: &mut Vec<Action>) {
         let Some(record) = self.endpoints.get_mut(id) else { return };
         record.outlier_detector.record_failure(now, &self.settings);
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Takes the time that messages take at an endpoint; while they are slow, its load is checked and shed.
+    /// Records how long messages take at an endpoint. While they are slow, its load is checked and shed.
     pub(crate) fn record_message_latency(
         &mut self, now: Micros, id: &EndpointId, milliseconds: f64, actions: &mut Vec<Action>,
     ) {
--- a/crates/balancer/src/rendezvous.rs
+++ b/crates/balancer/src/rendezvous.rs
@@ -21,8 +21,8 @@
 
 /// Returns an endpoint's score for a salt. The endpoint with the lowest score comes first.
 ///
-/// Each endpoint comes first with a probability proportional to its weight. The score is infinite for weight
-/// 0.
+/// Each endpoint comes first with a probability proportional to its weight. With a weight of 0, its score is
+/// infinite.
 pub fn rendezvous_score(salt: u64, endpoint_hash: u64, weight: f64) -> f64 {
     -uniform_draw(salt, endpoint_hash).ln() / weight
 }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts, and whether a request may be attempted again or rejected.
+//! Handling of attempt outcomes, and the rules for retrying or rejecting a request.
 
 use crate::admission::FULL_LOAD;
 use crate::balancer::Balancer;
@@ -9,7 +9,7 @@
     RequestId,
 };
 
-/// The one result of an attempt, see [`crate::Event::AttemptEnded`].
+/// The result of an attempt, from [`crate::Event::AttemptEnded`].
 #[derive(Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) id: RequestId,
@@ -20,7 +20,8 @@
 }
 
 impl Balancer {
-    /// Whether a request may be sent to an endpoint now, by its allowed zones and its class's idempotency.
+    /// Returns whether a request may be sent to an endpoint now, given its allowed zones and the idempotency
+    /// of its class.
     pub(crate) fn may_send(&self, state: &RequestState, endpoint: &Endpoint, now: Micros) -> bool {
         if !state.request.allowed_zones.contains(endpoint.zone) {
             return false;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether a request may be rejected, which tells the client that a repeat is harmless.
+    /// Returns whether a request may be rejected. A rejection tells the client that a retry is safe.
     pub(crate) fn may_reject(&self, state: &RequestState) -> bool {
         match self.idempotency(state) {
             Some(Idempotency::Idempotent)
@@ -49,8 +50,8 @@
         }
     }
 
-    /// The time before which a request's next attempt must be sent, where endpoints know of an earlier
-    /// attempt only for a time.
+    /// Returns the point in time before which the next attempt must be sent, because endpoints recognise
+    /// repeats only for a limited time. Returns `None` if there is no limit.
     pub(crate) fn send_before(&self, state: &RequestState) -> Option<Micros> {
         match (state.possible_run, self.idempotency(state)) {
             (Some(run), Some(Idempotency::IdempotencyKey { window, .. })) => Some(run.sent_at + window),
@@ -62,8 +63,8 @@
         self.class(state).map(|class| class.idempotency)
     }
 
-    /// Takes the outcome of an attempt, and attempts the request again, rejects it or fails it if an answer
-    /// is still owed.
+    /// Records the outcome of an attempt. If the request is still owed an answer, retries, rejects or fails
+    /// it.
     pub(crate) fn attempt_ended(&mut self, now: Micros, attempt: EndedAttempt, actions: &mut Vec<Action>) {
         let EndedAttempt { id, outcome, closed, endpoint, report } = attempt;
         if let Some(report) = report {
@@ -94,10 +95,9 @@
         self.route(now, id, actions);
     }
 
-    /// Takes an endpoint that has rejected an attempt or dropped a connection to be full until a report says
-    /// otherwise.
+    /// Treats an endpoint that rejected an attempt or dropped a connection as full until its next report.
     ///
-    /// Clients would otherwise bounce between overloaded endpoints and add to the overload of each.
+    /// Otherwise clients would move back and forth between overloaded endpoints and overload them further.
     fn record_overload(&mut self, now: Micros, endpoint: &EndpointId, was_dropped: bool) {
         let Some(record) = self.endpoints.get_mut(endpoint) else { return };
         if is_unreported(&self.settings) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Prepares a request whose attempt has failed for the next one.
+    /// Prepares a request for its next attempt after one has failed.
     fn reset_after_attempt(&self, state: &mut RequestState, endpoint: EndpointId, outcome: Outcome) {
         state.finished = false;
         state.attempt_endpoint = None;
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -1,6 +1,6 @@
 //! Routing of requests without an attempt in flight: to an endpoint, to a wait, or to a rejection.
 
-use crate::admission::{FULL_LOAD_TOP_CLASS, SURGE_WAIT};
+use crate::admission::{FULL_LOAD_TOP_CLASS, MEAN_SURGE_DELAY};
 use crate::balancer::Balancer;
 use crate::endpoint_record::{EndpointRecord, Placement};
 use crate::health_check::MAX_HEALTH_CHECK_ROUNDS;
@@ -38,7 +38,7 @@
             return self.enqueue_pending(state);
         }
         let sticky = sticky.filter(|id| self.has_sticky_capacity(id, now));
-        if sticky.is_none() && self.is_surge(now) && self.defer(now, &mut state, SURGE_WAIT, actions) {
+        if sticky.is_none() && self.is_surge(now) && self.defer(now, &mut state, MEAN_SURGE_DELAY, actions) {
             return self.enqueue_pending(state);
         }
         match sticky.or_else(|| ranking.into_iter().next()) {
