--- a/src/config_summary.rs
+++ b/src/config_summary.rs
@@ -29,8 +29,8 @@
 fn print_zone_failover(config: &ZoneFailoverConfig) {
     let (spill_percent, leave_percent) = (config.spill_limit * 100.0, config.leave_limit * 100.0);
     println!(
-        "zone failover: up to {spill_percent}% of a zone's capacity for other zones, up to {leave_percent}% of \
-         new connections may leave their zone"
+        "zone failover: up to {spill_percent}% of a zone's capacity for other zones, up to {leave_percent}% \
+         of new connections may leave their zone"
     );
 }
 
--- a/src/relay/endpoints/discovery_client/connection.rs
+++ b/src/relay/endpoints/discovery_client/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery, kept from request to request.
+//! The connection to discovery, reused by successive requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,10 +13,11 @@
 use super::http::{HttpResponse, take_response};
 use crate::relay::timer_wheel::Timers;
 
-/// Time to connect to discovery, in microseconds: enough for one lost packet, which is sent again after a second.
+/// Timeout of connecting to discovery, in microseconds. It allows for one lost SYN packet, which TCP
+/// retransmits after a second.
 const CONNECT_TIMEOUT: Micros = 1_200_000;
 
-/// An HTTP connection that carries one request at a time.
+/// A persistent HTTP connection that carries one request at a time.
 pub(super) struct DiscoveryConnection {
     address: SocketAddr,
     stream: Option<TcpStream>,
@@ -24,26 +25,28 @@
 }
 
 impl DiscoveryConnection {
-    /// Creates a connection that is opened by the first request.
+    /// Creates a closed connection, which the first request opens.
     pub(super) fn new(address: SocketAddr, timers: &Rc<Timers>) -> DiscoveryConnection {
         DiscoveryConnection { address, stream: None, timers: timers.clone() }
     }
 
-    /// Closes the connection; the next request opens one to this address.
+    /// Closes the connection; the next request opens a new one to this address.
     pub(super) fn change_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.close();
     }
 
-    /// Closes the connection; the next request opens another.
+    /// Closes the connection; the next request opens a new one.
     pub(super) fn close(&mut self) {
         self.stream = None;
     }
 
-    /// Makes a request and returns the body of its response. The connection is closed if the request fails.
+    /// Makes a GET request and returns the body of the response. `timeout` is in microseconds; the connection
+    /// is closed if the request fails.
     pub(super) async fn get(&mut self, path: &str, timeout: Micros) -> Result<Vec<u8>, DiscoveryError> {
         let timers = self.timers.clone();
-        // The response is polled first: it may have arrived while the whole process stood still.
+        // The response is polled before the timeout: it may have arrived while the whole process was
+        // suspended.
         let result = tokio::select! {
             biased;
             result = self.exchange(path) => result,
@@ -98,10 +101,11 @@
     }
 }
 
-/// Whether an idle connection is still open.
+/// Returns whether an idle connection is still open and has received no data.
 ///
-/// A connection that was closed while idle is not a failed request. Once the request is written, a broken
-/// connection is one, and is not retried at once, as discovery may be overloaded.
+/// A connection that was closed while idle is replaced before the request is written and does not count as a
+/// failed request. One that breaks later does, and the request is not retried at once, because discovery may
+/// be overloaded.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/src/relay/endpoints/discovery_client/mod.rs
+++ b/src/relay/endpoints/discovery_client/mod.rs
@@ -1,5 +1,6 @@
-//! Discovery over HTTP: carries out the requests that [`DiscoveryPoller`](honeyknot_discovery::DiscoveryPoller)
-//! schedules, one at a time, and applies the endpoint lists that it accepts.
+//! The HTTP client for discovery: makes the requests that
+//! [`DiscoveryPoller`](honeyknot_discovery::DiscoveryPoller) schedules, one at a time, and applies the
+//! endpoint lists that the poller accepts.
 
 mod connection;
 mod error;
--- a/src/relay/endpoints/discovery_client/task.rs
+++ b/src/relay/endpoints/discovery_client/task.rs
@@ -1,4 +1,4 @@
-//! The task that polls discovery as long as the relay runs.
+//! The task that polls discovery while the relay runs.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::relay::SharedRelay;
 use crate::relay::timer_wheel::Timers;
 
-/// Keeps the poller's draws apart from those of the balancer, which has the same seed.
+/// Makes the poller's random numbers differ from the balancer's, which has the same seed.
 const SEED_SALT: u64 = 0x115_7e4;
 
 /// A command to the discovery client.
@@ -25,17 +25,17 @@
 pub enum DiscoveryCommand {
     /// Request the full endpoint list once.
     FetchFullList,
-    /// Discovery is at this address from now on.
+    /// Use this address of discovery from now on.
     ChangeAddress(SocketAddr),
-    /// An endpoint that is listed as ready refused a connection.
+    /// Record that an endpoint listed as ready refused a connection.
     ConnectionRefused,
 }
 
 /// Why the request in flight is abandoned.
 enum Interruption {
-    /// Discovery has another address.
+    /// Discovery's address has changed to this one.
     AddressChanged(SocketAddr),
-    /// The endpoint list is stale, so the watch in flight has gone silent.
+    /// The endpoint list is stale, although the watch in flight should have reported a change.
     StaleList,
 }
 
@@ -43,11 +43,11 @@
 enum PollOutcome {
     Completed(Result<EndpointListUpdate, DiscoveryError>),
     Interrupted(Interruption),
-    /// The relay is gone.
+    /// The relay has stopped, so the channel of commands is closed.
     RelayStopped,
 }
 
-/// Creates the poller of a relay that starts with this endpoint list.
+/// Creates the poller of a relay that starts with the endpoint list `known`.
 pub fn new_poller(
     settings: &Settings, seed: u64, known: &EndpointListUpdate, now: Micros,
 ) -> DiscoveryPoller {
@@ -62,11 +62,11 @@
     DiscoveryPoller::new(config, &initial, now)
 }
 
-/// Makes the requests that the poller schedules until the relay stops, one at a time.
+/// Makes the requests that the poller schedules, one at a time, until the relay stops.
 ///
-/// The endpoint list is followed from the start, also where the settings say that it is pushed: it then lies ready
-/// at an agent and counts as notified there. A change of address abandons the request in flight and requests the
-/// full list at the new address; the list held stays in use meanwhile.
+/// The endpoint list is also polled where the settings say that it is pushed: it is then pushed to a local
+/// agent, and a change counts as notified once the agent has it. A change of address abandons the request in
+/// flight and requests the full list at the new address; the current list stays in use meanwhile.
 pub async fn run(
     relay: SharedRelay, address: SocketAddr, poller: DiscoveryPoller,
     commands: UnboundedReceiver<DiscoveryCommand>,
@@ -125,7 +125,7 @@
         self.poller.change_service(self.timers.clock.now());
     }
 
-    /// Makes the request that is due, unless a command interrupts it.
+    /// Makes the request that is due; a command may interrupt it.
     async fn poll(&mut self) -> PollOutcome {
         let Poll { request, timeout } = self.poller.start_poll(self.timers.clock.now());
         let path = request_path(request);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Applies the part of a list that the poller accepts.
+    /// Applies the part of an endpoint list that the poller accepts.
     fn apply(&mut self, update: EndpointListUpdate) {
         let held_older_list = self.poller.state() == DiscoveryState::ValidatingOlderList;
         let accepted = accept_list(&mut self.poller, self.timers.clock.now(), update);
@@ -163,7 +163,7 @@
     }
 }
 
-/// Handles a command; returns why the request in flight is abandoned, if it is.
+/// Handles a command. Returns why a request in flight must be abandoned, or `None` if it need not be.
 fn handle_command(
     command: DiscoveryCommand, poller: &mut DiscoveryPoller, now: Micros,
 ) -> Option<Interruption> {
@@ -179,7 +179,7 @@
     }
 }
 
-/// Handles commands until one interrupts the request in flight; none once the relay is gone.
+/// Handles commands until one interrupts the request in flight. Returns `None` once the relay has stopped.
 async fn next_interruption(
     commands: &mut UnboundedReceiver<DiscoveryCommand>, poller: &mut DiscoveryPoller, timers: &Timers,
 ) -> Option<Interruption> {
@@ -199,7 +199,7 @@
     Ok(parse_endpoint_list(&value, &relay.borrow().names)?)
 }
 
-/// Returns the path and query of a request.
+/// Returns the path and query of a request's URL.
 fn request_path(request: DiscoveryRequest) -> String {
     match request {
         DiscoveryRequest::FullList => "/registry/instances".to_owned(),
@@ -209,7 +209,7 @@
     }
 }
 
-/// Returns the part of a list that the poller accepts, with the addresses of its endpoints.
+/// Returns the part of an endpoint list that the poller accepts, with the addresses of its endpoints.
 fn accept_list(poller: &mut DiscoveryPoller, now: Micros, update: EndpointListUpdate) -> EndpointListUpdate {
     let received = update.endpoints.len();
     let list = EndpointList { version: update.version, full: update.full, endpoints: update.endpoints };
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that the relay holds: discovery's, with the endpoints in maintenance as operators want them.
+//! The relay's endpoint list: discovery's list, in which endpoints in maintenance are marked as draining.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use super::discovery_client::{DiscoveryCommand, DiscoveryError, EndpointListUpdate};
 use crate::relay::Relay;
 
-/// Returns the metric tag of a failed request.
+/// Returns the value of the metric tag `outcome` for a failed request to discovery.
 fn outcome_tag(kind: DiscoveryErrorKind) -> &'static str {
     match kind {
         DiscoveryErrorKind::ConnectionRefused => "refused",
@@ -24,13 +24,13 @@
 }
 
 impl Relay {
-    /// Applies the endpoint list that the relay starts with.
+    /// Applies the endpoint list from the configuration, which the relay starts with.
     pub(in crate::relay) fn apply_known_endpoints(&mut self, list: EndpointListUpdate) {
         let update = EndpointUpdate::Cached(self.record_endpoint_list(list));
         self.apply_endpoint_update(update);
     }
 
-    /// Applies an endpoint list of discovery before anything else is sent.
+    /// Applies an endpoint list received from discovery. Nothing is sent to an endpoint in between.
     pub fn apply_endpoint_list(&mut self, list: EndpointListUpdate) {
         if std::mem::take(&mut self.discovery_failing) {
             info!(target: "discovery", version = list.version, "discovery responds again");
@@ -58,7 +58,7 @@
         self.record_endpoints(endpoints, list.full)
     }
 
-    /// Records endpoints as the balancer is to see them.
+    /// Records the state of endpoints, with maintenance applied, and returns them for the balancer.
     fn record_endpoints(&mut self, endpoints: Vec<Endpoint>, is_full: bool) -> Arc<Vec<Endpoint>> {
         let mut started_drains = 0;
         for endpoint in &endpoints {
@@ -80,7 +80,7 @@
         Arc::new(endpoints)
     }
 
-    /// Drains the endpoints that a full list does not name.
+    /// Marks endpoints that a full list does not contain as draining.
     fn drain_unlisted_endpoints(&mut self, listed: &[Endpoint]) {
         let is_listed = |id: &EndpointId| listed.iter().any(|endpoint| endpoint.id == *id);
         let unlisted: Vec<EndpointId> =
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes an endpoint into maintenance. When this returns, nothing new is sent to it.
+    /// Starts an endpoint's maintenance. After this returns, no new request is sent to it.
     ///
     /// # Errors
     /// If no such endpoint is listed.
@@ -110,12 +110,12 @@
         Ok(())
     }
 
-    /// Whether an endpoint is in maintenance.
+    /// Returns whether an endpoint is in maintenance.
     pub fn in_maintenance(&self, id: &EndpointId) -> bool {
         self.maintenance.contains(id)
     }
 
-    /// Applies what operators have changed of an endpoint.
+    /// Applies the state that an endpoint has after a maintenance change; does nothing if it is `None`.
     pub(in crate::relay) fn apply_maintenance_change(&mut self, changed: Option<Endpoint>) {
         let Some(endpoint) = changed else { return };
         info!(
@@ -131,7 +131,7 @@
     /// Records a failed request to discovery.
     pub fn discovery_failed(&mut self, error: &DiscoveryError) {
         if !std::mem::replace(&mut self.discovery_failing, true) {
-            warn!(target: "discovery", %error, "discovery does not respond");
+            warn!(target: "discovery", %error, "discovery request failed; keeping the current endpoint list");
         }
         self.update_metrics(|metrics| {
             metrics.add(MetricFamily::DiscoveryFailures, 0, 1);
@@ -143,34 +143,36 @@
         });
     }
 
-    /// Whether discovery has responded since the start.
+    /// Returns whether discovery has responded since the relay started.
     pub fn has_discovery_answered(&self) -> bool {
         self.discovery_answered_at > self.started_at
     }
 
-    /// Returns the ids of endpoints that are draining or removed by discovery.
+    /// Returns the ids of endpoints that are draining or removed according to discovery, and not in
+    /// maintenance.
     pub(in crate::relay) fn draining_endpoints(&self) -> Vec<String> {
         let by_discovery = self.endpoints.draining().filter(|id| !self.maintenance.contains(id));
         by_discovery.map(|id| id.0.as_ref().to_owned()).collect()
     }
 
-    /// Returns the address at which this relay reaches an endpoint.
+    /// Returns the address by which this relay reaches an endpoint; `None` if the endpoint or its address is
+    /// unknown.
     pub fn endpoint_address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.endpoints.address(endpoint)
     }
 
-    /// Records that an endpoint refused a connection; the endpoint list may be stale where it lists the endpoint as
-    /// ready.
+    /// Records that an endpoint refused a connection. If the endpoint is listed as ready, the list may be
+    /// stale, and the discovery client is told.
     pub fn connection_refused_by(&self, endpoint: &EndpointId) {
         if !self.endpoints.is_draining(endpoint) {
             self.send_discovery_command(DiscoveryCommand::ConnectionRefused);
         }
     }
 
-    /// Whether a request may still be written to an endpoint.
+    /// Returns whether a request may still be written to an endpoint.
     ///
-    /// An attempt may have been placed before its endpoint's drain and connect after it, when the relay has counted
-    /// as notified for a while.
+    /// An attempt that started before its endpoint began to drain may connect only afterwards, when new
+    /// requests are no longer allowed.
     pub fn may_send_to(&self, endpoint: &EndpointId) -> bool {
         !self.endpoints.is_draining(endpoint)
     }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: asks an endpoint for its load over one connection that is kept.
+//! Health checks: requests an endpoint's load report over a persistent connection.
 
 use bytes::BytesMut;
 use honeyknot_balancer::{EndpointId, LoadReport, Micros, Outcome};
@@ -9,9 +9,9 @@
 use crate::relay::connections::protocol::{EndpointLine, first_line_end, load_report_value};
 use crate::relay::{DescriptorPermit, SharedRelay};
 
-/// Time after which a health check without an answer has failed, in microseconds.
+/// Timeout of a health check, in microseconds.
 const HEALTH_CHECK_TIMEOUT: Micros = 500_000;
-/// Initial capacity of the buffer for an answer, in bytes.
+/// Initial capacity of the receive buffer, in bytes.
 const ANSWER_CAPACITY: usize = 256;
 
 /// A command to the health check task of an endpoint.
@@ -19,17 +19,17 @@
 pub enum HealthCheckCommand {
     /// Check the endpoint's health once.
     Check,
-    /// Close the connection.
+    /// Close the persistent connection.
     Close,
 }
 
-/// The kept connection to an endpoint and its descriptor.
+/// The persistent connection to an endpoint, and its descriptor.
 struct HealthCheckConnection {
     stream: TcpStream,
     _permit: DescriptorPermit,
 }
 
-/// What a health check has found.
+/// The result of a health check: its outcome, and the load report if the endpoint sent one.
 struct HealthCheckResult {
     outcome: Outcome,
     report: Option<LoadReport>,
@@ -77,12 +77,12 @@
     }
 }
 
-/// Checks an endpoint's health. A kept connection that turns out to be closed is replaced.
+/// Checks an endpoint's health. If the persistent connection turns out to be broken, a new one is opened.
 async fn check(
     relay: &SharedRelay, endpoint: &EndpointId, connection: &mut Option<HealthCheckConnection>,
 ) -> HealthCheckResult {
-    if let Some(kept) = connection
-        && let Some(result) = request_stats(relay, &mut kept.stream).await
+    if let Some(open) = connection
+        && let Some(result) = request_stats(relay, &mut open.stream).await
     {
         return result;
     }
@@ -94,8 +94,10 @@
     request_stats(relay, &mut opened.stream).await.unwrap_or(Outcome::Reset.into())
 }
 
-/// Connects to an endpoint; [`Outcome::Cancelled`] without a descriptor to spare, which shows nothing about the
-/// endpoint.
+/// Connects to an endpoint.
+///
+/// # Errors [`Outcome::ConnectFailed`] if the endpoint cannot be connected to in time, and
+/// [`Outcome::Cancelled`] if no descriptor is available, which says nothing about the endpoint.
 async fn connect(relay: &SharedRelay, endpoint: &EndpointId) -> Result<HealthCheckConnection, Outcome> {
     let (address, permit) = {
         let relay = relay.borrow();
@@ -114,7 +116,7 @@
     Ok(HealthCheckConnection { stream, _permit: permit })
 }
 
-/// Requests the load report and reads one line; none if the connection broke.
+/// Requests a load report and reads the answer, one line. Returns `None` if the connection broke.
 async fn request_stats(relay: &SharedRelay, stream: &mut TcpStream) -> Option<HealthCheckResult> {
     stream.write_all(b"STATS\r\n").await.ok()?;
     let mut bytes = BytesMut::with_capacity(ANSWER_CAPACITY);
--- a/src/relay/endpoints/message_latency.rs
+++ b/src/relay/endpoints/message_latency.rs
@@ -1,34 +1,36 @@
-//! Latencies of messages at the endpoints: which are reported to the balancer, and where they are measured next.
+//! Message latencies of the endpoints: which are reported to the balancer, and which endpoint is measured
+//! next.
 
 use std::collections::BTreeMap;
 
 use honeyknot_balancer::{EndpointId, LoadReportSource, Micros, Settings};
 
-/// Interval of checks for latencies that are to be reported again, in microseconds.
+/// Interval of the checks for latencies that are due to be reported again, in microseconds.
 pub(in crate::relay) const CHECK_INTERVAL: Micros = REPORT_INTERVAL / 4;
-/// Interval at which a lasting latency of an endpoint is reported, in microseconds.
+/// Interval at which an endpoint's latency is reported while it stays high, in microseconds.
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// Time after which a latency that was not observed again is forgotten, in microseconds.
+/// Time after which a high latency that was not observed again is discarded, in microseconds.
 const MAX_LATENCY_AGE: Micros = 4_000_000;
-/// Interval of measurements at an endpoint, in microseconds; endpoints refresh their load reports about as often.
+/// Interval of measurements at an endpoint, in microseconds; endpoints refresh their load reports about as
+/// often.
 const MEASURE_INTERVAL: Micros = 1_500_000;
 /// Load over capacity below which an endpoint is measured less often.
 const LIGHT_LOAD: f64 = 0.6;
 /// Interval of measurements at an endpoint with light load, in microseconds.
 const LIGHT_LOAD_MEASURE_INTERVAL: Micros = 8_000_000;
-/// A latency is reported from the objective divided by this on.
+/// A latency is high, and reported, above the objective divided by this.
 const REPORT_DIVISOR: f64 = 3.0;
 
 /// Where a latency was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::relay) enum LatencySource {
-    /// A line of the client and its answer.
+    /// The time between a client's line and its answer.
     ClientLine,
-    /// A load report of the endpoint.
+    /// The endpoint's load report.
     LoadReport,
 }
 
-/// A high latency of an endpoint.
+/// A high latency of an endpoint, and when it was last observed and reported.
 #[derive(Debug)]
 struct HighLatency {
     latency_ms: f64,
@@ -37,15 +39,15 @@
     reported_at: Micros,
 }
 
-/// The latencies of messages at all endpoints.
+/// The message latencies of all endpoints.
 #[derive(Debug)]
 pub(in crate::relay) struct MessageLatencies {
-    /// The shortest latency objective in microseconds, where latencies are reported at all.
+    /// The shortest latency objective, in microseconds; `None` if latencies are not reported.
     objective: Option<Micros>,
     /// Whether latencies are measured by health checks.
-    measured: bool,
+    measured_by_health_checks: bool,
     high: BTreeMap<EndpointId, HighLatency>,
-    /// When endpoints are to be measured next.
+    /// When an endpoint is due to be measured next; one without an entry is due now.
     measure_at: BTreeMap<EndpointId, Micros>,
 }
 
@@ -59,17 +61,17 @@
                 .filter(|objective| *objective > 0)
                 .min()
                 .filter(|_| settings.reports_message_latency),
-            measured: settings.reports_message_latency && health_checks_report,
+            measured_by_health_checks: settings.reports_message_latency && health_checks_report,
             high: BTreeMap::new(),
             measure_at: BTreeMap::new(),
         }
     }
 
-    /// Records a latency and returns whether it is to be reported.
+    /// Records a latency and returns whether it must be reported to the balancer now.
     ///
-    /// A high latency is reported once per interval while it lasts, and once more when it has ended. An endpoint
-    /// may answer client lines at once while its other work is late, so a low latency ends only a high one of the
-    /// same source.
+    /// A high latency is reported once per interval while it lasts, and the first low latency after it is
+    /// reported too. An endpoint may answer client lines at once while its other work is late, so a low
+    /// latency ends a high one only if both have the same source.
     pub(in crate::relay) fn record(
         &mut self, now: Micros, endpoint: &EndpointId, latency_ms: f64, source: LatencySource,
     ) -> bool {
@@ -94,8 +96,8 @@
         true
     }
 
-    /// Returns the latencies in milliseconds that are to be reported again: those of load reports that were
-    /// observed recently.
+    /// Returns the endpoints whose high latencies are due to be reported again, with the latencies in
+    /// milliseconds: those from load reports that were observed recently.
     pub(in crate::relay) fn due_reports(&mut self, now: Micros) -> Vec<(EndpointId, f64)> {
         self.high.retain(|_, high| now < high.observed_at + MAX_LATENCY_AGE);
         let is_due = |high: &HighLatency| {
@@ -109,11 +111,12 @@
         reports.collect()
     }
 
-    /// Returns which of the endpoints is to be measured now: the one that has been due for longest.
+    /// Returns the endpoint to measure now: the one that has been due for longest. Returns `None` if none is
+    /// due or health checks do not measure latencies.
     pub(in crate::relay) fn next_to_measure<'a>(
         &mut self, now: Micros, endpoints: impl Iterator<Item = &'a EndpointId>,
     ) -> Option<EndpointId> {
-        if !self.measured {
+        if !self.measured_by_health_checks {
             return None;
         }
         let due_at = |id: &EndpointId| self.measure_at.get(id).copied().unwrap_or(0);
@@ -122,7 +125,7 @@
         Some(id)
     }
 
-    /// Records the end of a health check, perhaps with the endpoint's load over capacity.
+    /// Records the end of a health check. `load` is the endpoint's load over capacity, if it was reported.
     pub(in crate::relay) fn measurement_ended(
         &mut self, now: Micros, endpoint: &EndpointId, load: Option<f64>,
     ) {
--- a/src/relay/endpoints/mod.rs
+++ b/src/relay/endpoints/mod.rs
@@ -1,8 +1,9 @@
-//! Endpoints as this relay knows them: the discovery client, the endpoint list, health checks, message latencies
-//! and zone failover.
+//! What this relay knows about endpoints: the discovery client, the endpoint list, health checks, message
+//! latencies and zone failover.
 //!
-//! Responses of discovery and results of health checks come in; events for the balancer go out through the relay's
-//! state. When discovery is polled is decided in `honeyknot_discovery`, where requests go in the balancer.
+//! The modules turn responses of discovery and results of health checks into events for the balancer. When
+//! discovery is polled is decided in `honeyknot_discovery`, and which endpoint a request is sent to in the
+//! balancer.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks shared with other relays by gossip: which of them this relay makes, and the results that it takes
-//! from others.
+//! Health checks shared with other relays by gossip: the checks that this relay makes for the fleet, and the
+//! results that it takes over from other relays.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,13 +11,14 @@
 use super::message_latency::LatencySource;
 use crate::relay::{Relay, SharedRelay};
 
-/// Interval at which the health checks assigned to this relay are started, in microseconds.
+/// Interval at which due health checks assigned to this relay are started, in microseconds.
 const ASSIGNMENT_INTERVAL: Micros = 100_000;
-/// Interval at which gossip's counters are logged, in microseconds.
+/// Interval at which the counters of gossip are logged, in microseconds.
 const LOG_INTERVAL: Micros = 10_000_000;
 
 impl Relay {
-    /// Checks an endpoint's health as the balancer requests, or passes on what other relays have observed.
+    /// Carries out a health check that the balancer requested, or answers it with a recent result of another
+    /// relay.
     pub(in crate::relay) fn request_health_check(&mut self, endpoint: EndpointId) {
         let now = self.timers.clock.now();
         match self.gossip.as_mut().map(|gossip| gossip.request_health_check(now, &endpoint)) {
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Queues the result of another relay's health check, to be handled after the events that are being handled.
+    /// Queues the result of another relay's health check as an event, which is handled after the current
+    /// ones.
     fn apply_shared_health_check(
         &mut self, now: Micros, endpoint: EndpointId, outcome: Outcome, report: Option<LoadReport>,
     ) {
@@ -43,7 +45,7 @@
         self.events.push_back(Event::HealthCheckEnded { endpoint, outcome, elapsed: 0, report });
     }
 
-    /// Shares the result of this relay's own health check.
+    /// Shares the result of a health check by this relay with the other relays.
     pub(in crate::relay) fn share_health_check(
         &mut self, endpoint: &EndpointId, outcome: Outcome, report: Option<&LoadReport>,
     ) {
@@ -76,7 +78,7 @@
     }
 }
 
-/// Takes part in shared health checks as long as the relay runs.
+/// Starts assigned health checks and logs the counters of gossip while the relay runs.
 pub(in crate::relay) async fn run(relay: SharedRelay) {
     let timers = relay.borrow().timers.clone();
     let mut logged_at = timers.clock.now();
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -1,4 +1,5 @@
-//! Connects the relay to [`ZoneFailover`]: events from the sockets go in, its actions are carried out.
+//! Connects the relay to [`ZoneFailover`]: passes events of connections and health checks to it and carries
+//! out its actions.
 
 use honeyknot_balancer::{
     EndpointId, EndpointUpdate, Micros, Outcome, Request, RequestId, Settings, ZoneId, ZoneSet,
@@ -16,22 +17,23 @@
 use crate::relay::{ConnectionCommand, Relay};
 use crate::settings::NameTable;
 
-/// Least price of crossing zones while zone failover is on, so that the balancer prefers the home zone wherever it
-/// has capacity.
+/// Lowest price of cross-zone traffic while zone failover is enabled: the balancer then prefers the home zone
+/// as long as it has capacity.
 const MIN_CROSS_ZONE_PRICE: f64 = 0.2;
 
 /// Why zone failover could not be started.
 #[derive(Debug, Error)]
 pub enum ZoneFailoverStartError {
-    /// The settings name no zone of this relay.
-    #[error("sites: the settings name no site of this relay")]
+    /// The settings name no zone of this relay, or one that is not in their list of zones.
+    #[error("zone failover: `zone` in the settings is missing or not one of `zones`")]
     NoHomeZone,
-    /// Settings and operator file do not fit together.
-    #[error("sites: {0}")]
+    /// The settings and the operator file do not fit together.
+    #[error("zone failover: {0}")]
     Setup(#[from] ZoneFailoverError),
 }
 
-/// Starts zone failover where the operators have configured it, and switches off what the balancer leaves to it.
+/// Starts zone failover if operators have configured it. Disables the balancer's own rebalancing in that
+/// case, because zone failover takes it over. Returns `None` if it is not configured.
 ///
 /// # Errors
 ///
@@ -55,7 +57,7 @@
     Ok(Some(zone_failover))
 }
 
-/// Returns what an outcome shows about its endpoint; nothing where it shows neither life nor silence.
+/// Returns whether an outcome shows that its endpoint is alive or silent; `None` if it shows neither.
 fn endpoint_signal(outcome: Outcome) -> Option<EndpointSignal> {
     match outcome {
         Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(EndpointSignal::Alive),
@@ -101,7 +103,7 @@
 }
 
 impl Relay {
-    /// Passes an event to zone failover, if it is on, and carries out its actions.
+    /// Passes an event to zone failover, if it is enabled, and carries out the resulting actions.
     fn with_zone_failover(&mut self, event: impl FnOnce(&mut ZoneFailover, Micros, &mut Vec<ZoneAction>)) {
         let Some(zone_failover) = &mut self.zone_failover else { return };
         let mut actions = Vec::new();
@@ -134,7 +136,7 @@
         });
     }
 
-    /// Decides within which zones a request may be placed; within all zones where zone failover is off.
+    /// Decides which zones a request may be sent to: all zones if zone failover is disabled.
     pub(in crate::relay) fn zone_decision(&mut self, request: &Request) -> ZoneDecision {
         let (now, max_retry_after) = (self.timers.clock.now(), self.max_retry_after());
         let Some(zone_failover) = &mut self.zone_failover else {
@@ -173,8 +175,8 @@
 
     /// Records the end of an attempt or of an established connection.
     ///
-    /// The end of an established connection is no sign of its endpoint's silence: an overloaded endpoint resets
-    /// connections and still responds.
+    /// The end of an established connection does not show that its endpoint is silent: an overloaded endpoint
+    /// resets connections and still responds.
     pub(in crate::relay) fn zone_attempt_ended(
         &mut self, id: RequestId, endpoint: &EndpointId, outcome: Outcome,
     ) {
@@ -188,11 +190,11 @@
         });
     }
 
-    /// Records the end of a health check, perhaps with the endpoint's load.
+    /// Records the end of a health check. `load` is the endpoint's load over capacity, if it was reported.
     pub(in crate::relay) fn zone_health_check_ended(
         &mut self, endpoint: &EndpointId, outcome: Outcome, load: Option<f64>,
     ) {
-        // A health check costs next to nothing, so a reset is not load shedding.
+        // A health check costs an endpoint next to nothing, so a reset is not a sign of load shedding.
         let signal = match outcome {
             Outcome::Reset => Some(EndpointSignal::Silent),
             _ => endpoint_signal(outcome),
@@ -207,14 +209,14 @@
         });
     }
 
-    /// Does the periodic work of zone failover.
+    /// Runs the periodic work of zone failover, unless the relay is shutting down.
     pub(in crate::relay) fn run_zone_failover(&mut self) {
         if !self.shutting_down {
             self.with_zone_failover(ZoneFailover::tick);
         }
     }
 
-    /// Takes the zone failover settings of a configuration that was read again.
+    /// Applies the zone failover settings of a reloaded configuration.
     pub(in crate::relay) fn reconfigure_zone_failover(&mut self, config: &Config) {
         if let (Some(zone_failover), Some(config)) = (&mut self.zone_failover, &config.zone_failover) {
             zone_failover.reconfigure(config.clone());
--- a/src/relay/lifecycle/admin_service.rs
+++ b/src/relay/lifecycle/admin_service.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, carried out by the relay.
+//! Executes admin commands on the relay.
 
 use std::future::Future;
 use std::rc::Rc;
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: requests are settled, and established connections migrate at an even pace or are transferred.
+//! Graceful shutdown: pending requests are answered, and established connections migrate at an even rate or
+//! are transferred to the successor.
 
 use std::future::Future;
 
@@ -10,25 +11,27 @@
 use super::signals::{self, SignalError};
 use crate::relay::{ConnectionCommand, SharedRelay};
 
-/// The front proxy still sends new clients for this long; a client migrated earlier could come back here.
+/// Time for which the front proxy still sends new clients here, in microseconds. A client that migrated
+/// earlier could reconnect to this process.
 const FRONT_PROXY_DELAY: Micros = 400_000;
-/// The longest deadline that is waited for.
+/// The longest request deadline that the shutdown waits for, in microseconds.
 const MAX_DEADLINE_WAIT: Micros = 3_000_000;
-/// The process is killed this long after the longest deadline.
+/// Time after the longest request deadline at which the process is killed, in microseconds.
 const KILL_GRACE: Micros = 700_000;
-/// Time before the kill at which every connection has migrated, and pending requests fail.
+/// Time before the kill by which every connection has migrated and from which pending requests fail, in
+/// microseconds.
 const MIGRATED_BEFORE_KILL: Micros = 670_000;
-/// Time before the kill at which the process exits.
+/// Time before the kill at which the process exits, in microseconds.
 const EXIT_BEFORE_KILL: Micros = 350_000;
-/// Time for the last lines to arrive.
+/// Time for the last lines sent to arrive, in microseconds.
 const LINGER: Micros = 250_000;
-/// Interval at which connections migrate.
+/// Interval at which connections are migrated, in microseconds.
 const MIGRATION_INTERVAL: Micros = 20_000;
 
-/// Returns a future that resolves when the process is asked to stop, by SIGTERM or SIGINT.
+/// Returns a future that resolves when the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If the signals cannot be received.
+/// If a signal handler cannot be installed.
 pub fn termination_signal() -> Result<impl Future<Output = ()>, SignalError> {
     let mut terminate = signals::receive(SignalKind::terminate())?;
     let mut interrupt = signals::receive(SignalKind::interrupt())?;
@@ -40,20 +43,21 @@
     })
 }
 
-/// Returns how many of the established connections migrate now so that all have within `time_left`.
+/// Returns how many of the established connections must migrate now so that all have migrated within
+/// `time_left` microseconds.
 pub fn migrations_due(established: usize, time_left: Micros) -> usize {
     let intervals_left = (time_left / MIGRATION_INTERVAL).max(1) as usize;
     established.div_ceil(intervals_left)
 }
 
-/// Drains the relay. Returns well before the process is killed.
+/// Drains the relay. Returns before the time at which the process is killed.
 pub async fn drain(relay: SharedRelay) {
     relay.borrow_mut().shutting_down = true;
     let timers = relay.borrow().timers.clone();
     let started_at = timers.clock.now();
     let kill_at = started_at + relay.borrow().max_deadline().min(MAX_DEADLINE_WAIT) + KILL_GRACE;
-    info!(target: "shutdown", connections = relay.borrow().open_connections().0.len(), "started");
-    // A client that migrates cannot come back here once another process accepts clients.
+    info!(target: "shutdown", connections = relay.borrow().open_connections().0.len(), "shutdown started");
+    // Once another process accepts clients, a migrated client cannot reconnect to this one.
     let replaced = relay.borrow().listener_ownership.handed_over();
     let migrate_from =
         if replaced { started_at } else { (started_at + FRONT_PROXY_DELAY).min(kill_at - KILL_GRACE) };
@@ -73,14 +77,15 @@
         timers.sleep(MIGRATION_INTERVAL).await;
     }
     let (established, pending) = relay.borrow().open_connections();
-    info!(target: "shutdown", connections = established.len(), requests = pending, "drained");
+    info!(target: "shutdown", connections = established.len(), requests = pending, "draining finished");
     relay.borrow().idle_connections.notify_shutdown();
-    // The last lines are in flight: exiting now could reset the connections that carry them.
+    // The last lines may still be in flight; exiting now could reset their connections.
     let linger_until = timers.clock.now() + LINGER;
     timers.sleep_until(linger_until.min(kill_at - EXIT_BEFORE_KILL)).await;
 }
 
-/// Transfers all connections to the process that accepts clients, or has those migrate that are due.
+/// Transfers all established connections to the successor if there is one, and otherwise migrates those that
+/// are due.
 fn release_connections(relay: &SharedRelay, established: &[RequestId], time_left: Micros) {
     let mut relay = relay.borrow_mut();
     if relay.listener_ownership.handed_over() {
@@ -95,7 +100,7 @@
     }
 }
 
-/// Fails the requests that are still open while there is time to answer them.
+/// Fails the pending requests while there is still time to send the answers.
 fn fail_pending(relay: &SharedRelay) {
     let mut relay = relay.borrow_mut();
     for id in relay.connections.pending() {
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -71,7 +71,8 @@
 }
 
 impl Relay {
-    /// Sends a maintenance change to the other process, if there is one; the receiver waits for its confirmation.
+    /// Sends a maintenance change to the other process, if there is one; the receiver waits for its
+    /// confirmation.
     fn send_maintenance_change(
         &mut self, id: &str, change: MaintenanceChange,
     ) -> Option<oneshot::Receiver<()>> {
--- a/src/relay/lifecycle/hot_restart/mod.rs
+++ b/src/relay/lifecycle/hot_restart/mod.rs
@@ -1,9 +1,10 @@
-//! Hot restart: a new process of a relay takes over its listener, connections and maintenance state from the old one.
+//! Hot restart: a new process of a relay takes over its listener, connections and maintenance state from the
+//! old one.
 //!
-//! The process that serves offers a Unix socket in a [`StateDirectory`] that only its user may enter. A successor
-//! asks there for the listening descriptor, prepares, and takes over: the predecessor stops accepting before the
-//! successor starts. The link between the two then stays open, so that each notices the other's end, and an
-//! operator's change of maintenance at one holds at both.
+//! The process that serves offers a Unix socket in a [`StateDirectory`] that only its user may enter. A
+//! successor asks there for the listening descriptor, prepares, and takes over: the predecessor stops
+//! accepting before the successor starts. The link between the two then stays open, so that each notices the
+//! other's end, and an operator's change of maintenance at one holds at both.
 
 mod error;
 mod link;
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -1,4 +1,5 @@
-//! The folder in which processes of one relay meet: the socket of the one that serves, and the maintenance file.
+//! The folder in which processes of one relay meet: the socket of the one that serves, and the maintenance
+//! file.
 //!
 //! The file is written under another name and renamed, and has a checksum: a torn one is ignored.
 
@@ -52,7 +53,8 @@
     writing: Mutex<()>,
 }
 
-/// Opens the folder of the relay that serves an address, below `$TMPDIR`; none if that is not set or cannot be used.
+/// Opens the folder of the relay that serves an address, below `$TMPDIR`; none if that is not set or cannot
+/// be used.
 pub fn open_state_directory(listen: SocketAddr) -> Option<StateDirectory> {
     let parent = std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from)?;
     match StateDirectory::open(&parent, listen) {
@@ -99,7 +101,8 @@
         self.file(SOCKET)
     }
 
-    /// Listens on the socket in the place of any process before. The socket's path is never missing meanwhile.
+    /// Listens on the socket in the place of any process before. The socket's path is never missing
+    /// meanwhile.
     ///
     /// # Errors
     /// If the socket cannot be bound or renamed.
--- a/src/relay/lifecycle/hot_restart/takeover_channel.rs
+++ b/src/relay/lifecycle/hot_restart/takeover_channel.rs
@@ -69,7 +69,8 @@
         self.descriptors.pop_front()
     }
 
-    /// Receives the next message, and the descriptors beside it; none if the other end is closed or sends no message.
+    /// Receives the next message, and the descriptors beside it; none if the other end is closed or sends no
+    /// message.
     ///
     /// It is cancel safe.
     pub(super) async fn next(&mut self) -> Option<HotRestartMessage> {
--- a/src/relay/lifecycle/mod.rs
+++ b/src/relay/lifecycle/mod.rs
@@ -1,6 +1,8 @@
-//! The process's life: its configuration and reloads, graceful shutdown, hot restart, and operators' commands.
+//! The lifecycle of a relay's process: configuration and reloads, graceful shutdown, hot restart and admin
+//! commands.
 //!
-//! Signals, files and another process are the input; calls to the [`Relay`](crate::relay::Relay) are the output.
+//! The modules react to signals, files and the relay's other process, and call the
+//! [`Relay`](crate::relay::Relay).
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod admin_service;
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload: SIGHUP has the configuration read again.
+//! Configuration reload on SIGHUP.
 
 use tokio::signal::unix::SignalKind;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -9,15 +9,16 @@
 use crate::relay::SharedRelay;
 use crate::relay::metrics::exporter;
 
-/// Configurations as they were read again, or why one could not be.
+/// The reloaded configurations, or the errors of reloads that failed.
 pub type Reloads = UnboundedReceiver<Result<Config, LoadConfigError>>;
 
-/// Has `read` called at each SIGHUP from now on. Signals that arrive together count as one.
+/// Calls `read` at each SIGHUP from now on and returns its results. Signals that arrive together count as
+/// one.
 ///
-/// Guards against the signal's default action, which ends the process and every connection with it.
+/// The handler also replaces the signal's default action, which would end the process and its connections.
 ///
 /// # Errors
-/// If the signal cannot be received.
+/// If the signal handler cannot be installed.
 pub fn on_sighup(
     read: impl Fn() -> Result<Config, LoadConfigError> + 'static,
 ) -> Result<Reloads, SignalError> {
@@ -29,7 +30,8 @@
     Ok(reloads)
 }
 
-/// Applies the configurations until the relay ends. One that cannot be used, or is only half written, changes nothing.
+/// Applies reloaded configurations while the relay runs. A failed reload, as of a file that is still being
+/// written, is logged and changes nothing.
 pub async fn apply_reloads(relay: SharedRelay, mut reloads: Reloads) {
     while let Some(reload) = reloads.recv().await {
         match reload {
--- a/src/relay/lifecycle/signals.rs
+++ b/src/relay/lifecycle/signals.rs
@@ -1,13 +1,13 @@
-//! The process's signals.
+//! Handlers of Unix signals.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Signals cannot be received.
+/// A signal handler cannot be installed.
 #[derive(Debug, thiserror::Error)]
-#[error("cannot listen for signals: {0}")]
+#[error("cannot install a signal handler: {0}")]
 pub struct SignalError(#[from] std::io::Error);
 
-/// Receives signals of a kind from now on, instead of the default action.
+/// Installs a handler for a kind of signal, in place of the signal's default action.
 ///
 /// # Errors
 /// If the handler cannot be installed.
