--- a/src/relay/lifecycle/hot_restart/link.rs
+++ b/src/relay/lifecycle/hot_restart/link.rs
@@ -1,4 +1,4 @@
-//! The link between two processes of a relay while both run.
+//! The link between the two processes of a relay while both run.
 
 use std::os::fd::AsFd;
 use std::rc::Rc;
@@ -16,9 +16,9 @@
 use crate::relay::connections::{self, ConnectionSnapshot, ConnectionTransfer, listener};
 use crate::relay::timer_wheel::Timers;
 
-/// Interval at which the predecessor reports its descriptors.
+/// Interval at which the predecessor reports its number of descriptors, in microseconds.
 const DESCRIPTOR_REPORT_INTERVAL: Micros = 500_000;
-/// Descriptors of an established connection.
+/// Descriptors that an established connection uses.
 const DESCRIPTORS_PER_CONNECTION: usize = 2;
 
 /// Whether the other process can still be reached.
@@ -29,7 +29,7 @@
 }
 
 impl LinkState {
-    /// The state after an attempt to send.
+    /// Returns the link's state after an attempt to send.
     fn after_send(result: std::io::Result<()>) -> LinkState {
         if result.is_ok() { LinkState::Open } else { LinkState::Closed }
     }
@@ -37,7 +37,7 @@
 
 /// Runs the link until either process ends.
 ///
-/// The predecessor, which has a `listener` here, accepts clients again if its successor ends.
+/// `listener` is `Some` in the predecessor only, which accepts clients again if its successor ends.
 pub(super) async fn run(
     relay: SharedRelay, directory: Rc<StateDirectory>, listener: Option<Rc<TcpListener>>,
     channel: TakeoverChannel, mut commands: UnboundedReceiver<LinkCommand>,
@@ -52,7 +52,7 @@
             transfer.migrate(&timers);
         }
     }
-    info!(target: "hot_restart", "the other process has ended");
+    info!(target: "hot_restart", "the link to the other process has closed");
     let Some(listener) = link.listener.filter(|_| stage == Some(RestartStage::HandedOver)) else { return };
     if !relay.borrow().is_shutting_down() {
         warn!(target: "hot_restart", "the successor has ended; accepting clients again");
@@ -61,13 +61,14 @@
     }
 }
 
-/// One process's task for the link.
+/// The task that runs one end of the link.
 struct LinkTask {
     relay: SharedRelay,
-    /// The listener, in the predecessor.
+    /// The listener, in the predecessor; `None` in the successor.
     listener: Option<Rc<TcpListener>>,
     channel: TakeoverChannel,
-    /// Maintenance changes that the other process has not confirmed: their numbers, and who waits.
+    /// Maintenance changes that the other process has not confirmed yet: their numbers and the senders that
+    /// notify the waiting commands.
     unconfirmed: Vec<(u64, oneshot::Sender<()>)>,
 }
 
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Sends a connection; its client migrates if that fails.
+    /// Sends a connection to the other process; if that fails, its client is migrated.
     async fn send_connection(&self, transfer: ConnectionTransfer, timers: &Rc<Timers>) -> LinkState {
         let sockets = [transfer.downstream.as_fd(), transfer.upstream.as_fd()];
         let message = HotRestartMessage::Connection(transfer.snapshot.clone());
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Stops accepting clients for the successor.
+    /// Stops accepting clients, and tells the successor that it may start.
     async fn hand_over(&self) -> LinkState {
         let relay = &self.relay;
         listener::stop_accepting(relay);
@@ -165,7 +166,7 @@
         self.send(&HotRestartMessage::DescriptorsInUse { descriptors }).await
     }
 
-    /// Wakes who waits for the confirmation of a maintenance change.
+    /// Notifies the command that waits for the confirmation of a maintenance change.
     fn confirm(&mut self, number: u64) {
         if let Some(index) = self.unconfirmed.iter().position(|(waiting, _)| *waiting == number) {
             let (_, confirmed) = self.unconfirmed.swap_remove(index);
@@ -173,14 +174,14 @@
         }
     }
 
-    /// Goes on with a connection of the predecessor.
+    /// Restores a connection that the predecessor has transferred.
     fn receive_connection(&mut self, snapshot: ConnectionSnapshot) {
         let sockets = (self.channel.take_descriptor(), self.channel.take_descriptor());
         self.set_peer_descriptors(|descriptors| descriptors.saturating_sub(DESCRIPTORS_PER_CONNECTION));
         if let (Some(downstream), Some(upstream)) = sockets
             && let Err(error) = connections::restore_connection(&self.relay, snapshot, downstream, upstream)
         {
-            warn!(target: "hot_restart", %error, "transferred connection not restored");
+            warn!(target: "hot_restart", %error, "cannot restore a transferred connection");
         }
     }
 
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance of endpoints by operators, in both processes of a relay while two run.
+//! Maintenance of endpoints by operators, kept the same in both processes of a relay during a hot restart.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 use super::{HotRestartMessage, MaintenanceState, SetMaintenanceError};
 use crate::relay::{Relay, SharedRelay};
 
-/// How long the other process's confirmation is waited for.
+/// Timeout of the other process's confirmation, in microseconds.
 const CONFIRMATION_TIMEOUT: Micros = 600_000;
 
-/// What an operator does with an endpoint.
+/// A change of an endpoint's maintenance by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
-    /// Takes it into maintenance.
+    /// Start the maintenance.
     Start,
-    /// Takes it out of maintenance.
+    /// End the maintenance.
     End,
 }
 
 impl MaintenanceChange {
-    /// Returns the change by which an endpoint is in maintenance or not.
+    /// Returns the change after which an endpoint is in maintenance, or is not.
     pub fn from_in_maintenance(in_maintenance: bool) -> MaintenanceChange {
         if in_maintenance { MaintenanceChange::Start } else { MaintenanceChange::End }
     }
 }
 
-/// Starts or ends an endpoint's maintenance here and in the other process; returns when it holds.
+/// Starts or ends an endpoint's maintenance in this process and in the other one, if there is one. The change
+/// is in effect when this returns.
 ///
 /// # Errors
 /// If the endpoint is unknown, the change cannot be saved, or the other process does not confirm it in time.
@@ -46,7 +47,7 @@
     let confirmed = relay.borrow_mut().send_maintenance_change(id, change);
     let directory = relay.borrow().listener_ownership.directory.clone();
     if let Some(directory) = directory {
-        // The change holds while a process runs; guards against a file that says otherwise later.
+        // The change is already in effect; it is saved so that it also outlasts the process.
         directory.save_maintenance(relay).await.map_err(SetMaintenanceError::NotSaved)?;
     }
     match confirmed {
@@ -61,7 +62,7 @@
     let timers = relay.borrow().timers.clone();
     let linked = || relay.borrow().listener_ownership.link.is_some();
     tokio::select! {
-        // A process that ends meanwhile confirms nothing, and the change need not hold there.
+        // If the other process ends first, its confirmation is no longer needed.
         confirmed = confirmed => match confirmed {
             Err(_) if linked() => Err(SetMaintenanceError::NotConfirmed),
             _ => Ok(()),
@@ -71,8 +72,8 @@
 }
 
 impl Relay {
-    /// Sends a maintenance change to the other process, if there is one; the receiver waits for its
-    /// confirmation.
+    /// Sends a maintenance change to the other process. Returns a receiver for its confirmation, or `None` if
+    /// no other process needs the change.
     fn send_maintenance_change(
         &mut self, id: &str, change: MaintenanceChange,
     ) -> Option<oneshot::Receiver<()>> {
@@ -83,13 +84,13 @@
             in_maintenance: change == MaintenanceChange::Start,
             number: ownership.changes_sent,
         };
-        // A successor that prepares receives all changes with the handover.
+        // A successor that is still preparing receives all changes with the handover.
         let link = ownership.link.as_ref().filter(|link| link.stage != RestartStage::Preparing)?;
         let (confirm, confirmed) = oneshot::channel();
         link.commands.send(LinkCommand::SetMaintenance(message, confirm)).ok().map(|()| confirmed)
     }
 
-    /// Returns the endpoints in maintenance, in the form that is sent and kept.
+    /// Returns the maintenance state, in the form that is sent to another process and saved.
     pub(in crate::relay) fn maintenance_state(&self) -> MaintenanceState {
         let name = |id: &EndpointId| id.0.as_ref().to_owned();
         let ongoing = self.maintenance.in_maintenance();
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Marks endpoints as draining that discovery has named so to another process.
+    /// Marks the endpoints as draining that discovery has reported as draining to the predecessor.
     pub(super) fn mark_draining(&mut self, draining: &[String]) {
         let ids: Vec<EndpointId> = draining.iter().map(|id| EndpointId(id.as_str().into())).collect();
         for endpoint in self.maintenance.mark_draining(&ids) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Restores the maintenance state of another process, or of an earlier one.
+    /// Replaces the maintenance state by one received from the predecessor or read from the maintenance file.
     pub(super) fn restore_maintenance(&mut self, state: MaintenanceState) {
         let endpoint = |id: &String| EndpointId(id.as_str().into());
         for EndedMaintenance { id, from, to } in &state.ended {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Applies a change that an operator has made at another process.
+    /// Applies a maintenance change that an operator has made in another process. `at` is the time of the
+    /// change.
     pub(super) fn apply_maintenance_command(
         &mut self, at: Micros, id: &EndpointId, change: MaintenanceChange,
     ) {
--- a/src/relay/lifecycle/hot_restart/message.rs
+++ b/src/relay/lifecycle/hot_restart/message.rs
@@ -1,39 +1,39 @@
-//! What processes of one relay say to each other, one JSON object a line.
+//! The messages between two processes of one relay, one JSON object a line.
 
 use serde::{Deserialize, Serialize};
 
 use super::maintenance_state::MaintenanceState;
 use crate::relay::connections::ConnectionSnapshot;
 
-/// A message between the process that serves and the one that replaces it.
+/// A message between a running process and its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum HotRestartMessage {
-    /// Successor to predecessor: asks for the listener.
+    /// Successor to predecessor: requests the listening socket.
     Hello,
-    /// Predecessor to successor, with the listener's descriptor: the state to take over.
+    /// Predecessor to successor, with the descriptor of the listening socket: the state to take over.
     State {
-        /// Endpoints in maintenance.
+        /// The maintenance state.
         #[serde(rename = "by_hand")]
         maintenance: MaintenanceState,
-        /// Ids of the endpoints that are draining or removed by discovery's word.
+        /// Ids of the endpoints that are draining or removed according to discovery.
         #[serde(rename = "leaving")]
         draining: Vec<String>,
     },
-    /// Predecessor to successor: another process is taking over.
+    /// Predecessor to successor: another process is already taking over.
     #[serde(rename = "busy")]
     TakeoverInProgress,
     /// Successor to predecessor: stop accepting clients.
     #[serde(rename = "take")]
     TakeOver,
-    /// Predecessor to successor: no clients are accepted here any more.
+    /// Predecessor to successor: the predecessor has stopped accepting clients.
     #[serde(rename = "yours")]
     HandedOver {
-        /// Endpoints in maintenance as of now.
+        /// The current maintenance state.
         #[serde(rename = "by_hand")]
         maintenance: MaintenanceState,
     },
-    /// Predecessor to successor: how many descriptors it holds.
+    /// Predecessor to successor: the number of descriptors in use.
     #[serde(rename = "holding")]
     DescriptorsInUse {
         /// The number of descriptors.
@@ -44,16 +44,17 @@
     SetMaintenance {
         /// The endpoint's id.
         id: String,
-        /// Whether it is in maintenance now.
+        /// Whether the endpoint is in maintenance now.
         #[serde(rename = "out")]
         in_maintenance: bool,
-        /// The number that the confirmation repeats.
+        /// The change's number, which the confirmation repeats.
         number: u64,
     },
-    /// Predecessor to successor, with the descriptors of client and endpoint: an established connection.
+    /// Predecessor to successor, with the descriptors of the client's and the endpoint's socket: an
+    /// established connection.
     #[serde(rename = "session")]
     Connection(ConnectionSnapshot),
-    /// A maintenance change holds here too.
+    /// A maintenance change is in effect in the process that sends this.
     #[serde(rename = "done")]
     Confirmed {
         /// The change's number.
--- a/src/relay/lifecycle/hot_restart/mod.rs
+++ b/src/relay/lifecycle/hot_restart/mod.rs
@@ -1,10 +1,10 @@
-//! Hot restart: a new process of a relay takes over its listener, connections and maintenance state from the
-//! old one.
+//! Hot restart: a new process of a relay, the successor, takes over the listener, the connections and the
+//! maintenance state of the running process, its predecessor.
 //!
-//! The process that serves offers a Unix socket in a [`StateDirectory`] that only its user may enter. A
-//! successor asks there for the listening descriptor, prepares, and takes over: the predecessor stops
-//! accepting before the successor starts. The link between the two then stays open, so that each notices the
-//! other's end, and an operator's change of maintenance at one holds at both.
+//! The running process listens on a Unix socket in a [`StateDirectory`], which only its user may enter. A
+//! successor connects there, receives the listening socket, prepares, and takes over: the predecessor stops
+//! accepting clients before the successor starts to. The link between the two then stays open, so that each
+//! notices when the other ends, and a maintenance change made at one takes effect in both.
 
 mod error;
 mod link;
@@ -33,13 +33,13 @@
 pub use state_directory::{StateDirectory, open_state_directory};
 use takeover_channel::TakeoverChannel;
 
-/// How long another process may take to answer.
+/// Timeout of another process's answer, in microseconds.
 const ANSWER_TIMEOUT: Micros = 1_000_000;
 
-/// Takes over from a predecessor if there is one, accepts clients, and offers the relay to the next process.
+/// Takes over from the predecessor if there is one, accepts clients, and waits for successors.
 ///
 /// # Errors
-/// If this process cannot take over; the predecessor then serves on.
+/// If this process cannot take over; the predecessor then keeps accepting clients.
 pub async fn run(
     relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>,
     predecessor: Option<Predecessor>,
--- a/src/relay/lifecycle/hot_restart/ownership.rs
+++ b/src/relay/lifecycle/hot_restart/ownership.rs
@@ -1,4 +1,4 @@
-//! Which process of this relay accepts clients, and the link to the other one.
+//! Which process of this relay accepts clients, and the link to the other process.
 
 use std::rc::Rc;
 
@@ -11,51 +11,51 @@
 use crate::relay::Relay;
 use crate::relay::connections::ConnectionTransfer;
 
-/// Descriptors that a process holds beyond those it counts.
+/// Descriptors that a process uses beyond those that it counts.
 const UNCOUNTED_DESCRIPTORS: usize = 16;
 
-/// What is sent to the other process.
+/// A command to the task that runs the link.
 #[derive(Debug)]
 pub(super) enum LinkCommand {
-    /// A maintenance change, and who waits until it holds there.
+    /// Send a maintenance change; the sender notifies the command that waits for its confirmation.
     SetMaintenance(HotRestartMessage, oneshot::Sender<()>),
-    /// A connection that goes on there.
+    /// Transfer a connection to the other process.
     Transfer(Box<ConnectionTransfer>),
 }
 
-/// How far a hot restart is.
+/// The stage of a hot restart, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RestartStage {
-    /// The other process is the successor and gets ready.
+    /// The other process is the successor and is preparing.
     Preparing,
     /// The other process is the successor and accepts clients.
     HandedOver,
-    /// This process is the successor, and its predecessor still runs.
+    /// This process is the successor and accepts clients; its predecessor still runs.
     TookOver,
 }
 
-/// This process's end of the link to the other one.
+/// This process's end of the link to the other process.
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) commands: UnboundedSender<LinkCommand>,
     pub(super) stage: RestartStage,
-    /// Descriptors that the other process holds.
+    /// The number of descriptors in use that the other process has reported.
     pub(super) peer_descriptors: usize,
 }
 
-/// What this process holds of the relay that outlives processes.
+/// This process's part in the ownership of the relay's listener, which passes from process to process.
 #[derive(Debug, Default)]
 pub struct ListenerOwnership {
-    /// The task that accepts clients.
+    /// The task that accepts clients; `None` while another process accepts them.
     pub accept_task: Option<AbortHandle>,
     pub(super) directory: Option<Rc<StateDirectory>>,
     pub(super) link: Option<Link>,
-    /// Maintenance changes that were sent to another process.
+    /// The number of maintenance changes so far; the next one is numbered one higher.
     pub(super) changes_sent: u64,
 }
 
 impl ListenerOwnership {
-    /// Returns how many descriptors of the common limit are the predecessor's.
+    /// Returns how many descriptors of the relay's common limit the predecessor uses; 0 if there is none.
     pub fn predecessor_descriptors(&self) -> usize {
         let predecessor = self.link.as_ref().filter(|link| link.stage == RestartStage::TookOver);
         predecessor.map_or(0, |link| link.peer_descriptors + UNCOUNTED_DESCRIPTORS)
@@ -68,7 +68,7 @@
 }
 
 impl Relay {
-    /// Opens this process's end of a link, and returns the queue of what is to be sent.
+    /// Opens this process's end of a link, and returns the receiver of its commands.
     pub(super) fn open_link(&mut self, stage: RestartStage) -> UnboundedReceiver<LinkCommand> {
         let (commands, queue) = unbounded_channel();
         self.listener_ownership.link = Some(Link { commands, stage, peer_descriptors: 0 });
@@ -78,7 +78,7 @@
     /// Transfers a connection to the process that accepts clients.
     ///
     /// # Errors
-    /// If there is no such process: the connection.
+    /// Returns the connection if no other process accepts clients.
     pub fn transfer_connection(
         &mut self, transfer: ConnectionTransfer,
     ) -> Result<(), Box<ConnectionTransfer>> {
--- a/src/relay/lifecycle/hot_restart/predecessor.rs
+++ b/src/relay/lifecycle/hot_restart/predecessor.rs
@@ -1,4 +1,4 @@
-//! The successor's part: asks the process that serves for its listener, and takes over.
+//! The successor's side of a hot restart: requests the listening socket from the predecessor, and takes over.
 
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
@@ -16,12 +16,13 @@
 use crate::relay::SharedRelay;
 use crate::relay::connections::listener;
 
-/// How long discovery is waited for before this process takes over with the endpoint list that it has.
+/// Time that this process waits for discovery before it takes over with the endpoint list that it has, in
+/// microseconds.
 const DISCOVERY_TIMEOUT: Micros = 2_500_000;
-/// Interval at which it is checked whether discovery has answered.
+/// Interval of the checks whether discovery has answered, in microseconds.
 const DISCOVERY_CHECK_INTERVAL: Micros = 20_000;
 
-/// The process that has served so far, and the state that it sent.
+/// The channel to the running process, and the state that it sent.
 #[derive(Debug)]
 pub struct Predecessor {
     channel: TakeoverChannel,
@@ -29,10 +30,11 @@
     draining: Vec<String>,
 }
 
-/// Asks the process that serves this relay's clients for its listener; none if no such process runs.
+/// Requests the listening socket from the running process of this relay. Returns `None` if no such process
+/// runs.
 ///
 /// # Errors
-/// If the process does not answer, or does not let this one take over.
+/// If the process does not answer, or does not allow the takeover.
 pub async fn connect_to_predecessor(
     directory: &StateDirectory,
 ) -> Result<Option<(TcpListener, Predecessor)>, HotRestartError> {
@@ -48,7 +50,7 @@
             Ok(Some((listener, Predecessor { channel, maintenance, draining })))
         }
         Ok(Some(HotRestartMessage::TakeoverInProgress)) => Err(HotRestartError::TakeoverInProgress),
-        // The process has just ended.
+        // The running process ended after it accepted the connection.
         Ok(None) => Ok(None),
         Ok(Some(_)) => Err(HotRestartError::UnexpectedMessage),
         Err(_) => Err(HotRestartError::NoAnswer),
@@ -61,7 +63,7 @@
     TcpListener::from_std(listener)
 }
 
-/// Takes over once this process can serve, and accepts clients.
+/// Restores the predecessor's state, waits for discovery, and takes over accepting clients.
 pub(super) async fn take_over(
     relay: &SharedRelay, directory: &Rc<StateDirectory>, listener: &Rc<TcpListener>, predecessor: Predecessor,
 ) -> Result<(), HotRestartError> {
@@ -97,13 +99,14 @@
     Ok(())
 }
 
-/// Has the predecessor stop accepting, and returns its maintenance state; none if it has ended.
+/// Asks the predecessor to stop accepting clients. Returns its maintenance state, or `None` if the
+/// predecessor has ended.
 async fn request_takeover(channel: &mut TakeoverChannel) -> Option<MaintenanceState> {
     channel.send(&HotRestartMessage::TakeOver, &[]).await.ok()?;
     loop {
         match channel.next().await? {
             HotRestartMessage::HandedOver { maintenance } => return Some(maintenance),
-            // Changes made meanwhile are part of the state that comes with the handover.
+            // The state that comes with the handover includes this change, so it is only confirmed.
             HotRestartMessage::SetMaintenance { number, .. } => {
                 channel.send(&HotRestartMessage::Confirmed { number }, &[]).await.ok()?
             }
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -1,7 +1,7 @@
-//! The folder in which processes of one relay meet: the socket of the one that serves, and the maintenance
-//! file.
+//! The state directory of a relay, shared by its processes. It holds the running process's socket and the
+//! maintenance file.
 //!
-//! The file is written under another name and renamed, and has a checksum: a torn one is ignored.
+//! The file is written under a temporary name and renamed, and has a checksum. A damaged file is ignored.
 
 use std::fs::{self, DirBuilder, File};
 use std::io::{self, Write};
@@ -19,42 +19,43 @@
 
 /// The largest maintenance file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// The longest path that a Unix socket can have, with some margin, in bytes.
+/// The longest path of a Unix socket, in bytes; the system's limit is slightly higher.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
-/// Bytes of that path that are left for a file's name.
+/// Bytes of the path that are reserved for the file's name.
 const FILE_NAME_BYTES: usize = 16;
-/// The folder's mode: only its owner may enter it.
+/// The directory's mode: only its owner may enter it.
 const DIRECTORY_MODE: u32 = 0o700;
-/// The permission bits of group and others.
+/// The permission bits of the directory's group and of others.
 const ACCESSIBLE_TO_OTHERS: u32 = 0o077;
-/// The name of the maintenance file.
+/// The file name of the maintenance file.
 const MAINTENANCE_FILE: &str = "by-hand";
-/// The name of the socket.
+/// The file name of the socket.
 const SOCKET: &str = "serving";
 
-/// Why a saved maintenance state cannot be read.
+/// Why the maintenance file cannot be read.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it has {0} bytes")]
+    #[error("the file has {0} bytes; the maximum is {MAX_FILE_BYTES}")]
     TooLarge(u64),
     #[error(transparent)]
     Invalid(#[from] MaintenanceFileError),
 }
 
-/// The folder in which processes of one relay meet.
+/// The state directory of a relay.
 #[derive(Debug)]
 pub struct StateDirectory {
     path: PathBuf,
-    /// Kept open where its path is too long for a socket's: it is then reached by its descriptor.
+    /// The open directory if its path is too long for a socket's path: files in it are then reached by its
+    /// descriptor.
     descriptor: Option<File>,
-    /// Held while the maintenance file is written.
+    /// Locked while the maintenance file is written.
     writing: Mutex<()>,
 }
 
-/// Opens the folder of the relay that serves an address, below `$TMPDIR`; none if that is not set or cannot
-/// be used.
+/// Opens the state directory of the relay that listens on an address, below `$TMPDIR`. Returns `None` if
+/// `TMPDIR` is not set or the directory cannot be used; hot restart is then unavailable.
 pub fn open_state_directory(listen: SocketAddr) -> Option<StateDirectory> {
     let parent = std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from)?;
     match StateDirectory::open(&parent, listen) {
@@ -67,17 +68,17 @@
 }
 
 impl StateDirectory {
-    /// Opens the folder of the relay that serves an address, and creates it if needed.
+    /// Opens the state directory of the relay that listens on an address, and creates it if needed.
     ///
-    /// # Errors
-    /// If it cannot be created or opened, or others than this user may enter it.
+    /// # Errors If it cannot be created or opened, belongs to another user, or is accessible to its group or
+    /// to others.
     pub fn open(parent: &Path, listen: SocketAddr) -> Result<StateDirectory, StateDirectoryError> {
         let file_name_character = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '-' };
         let address: String = listen.to_string().chars().map(file_name_character).collect();
         let path = parent.join(format!("honeyknot-{address}"));
         let failed = |source| io_error(&path, source);
         DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(&path).map_err(failed)?;
-        // Guards against a folder that another user has created in a place that all may write to.
+        // Another user may have created the directory first, in a parent that is writable by everyone.
         let metadata = fs::symlink_metadata(&path).map_err(failed)?;
         let own_uid = fs::metadata("/proc/self").map_or(metadata.uid(), |process| process.uid());
         let accessible_to_others = metadata.permissions().mode() & ACCESSIBLE_TO_OTHERS != 0;
@@ -96,13 +97,13 @@
         }
     }
 
-    /// Returns the path of the socket that the process that serves listens on.
+    /// Returns the path of the socket on which the running process accepts successors.
     pub fn socket_path(&self) -> PathBuf {
         self.file(SOCKET)
     }
 
-    /// Listens on the socket in the place of any process before. The socket's path is never missing
-    /// meanwhile.
+    /// Listens on the socket, in place of any earlier process. The new socket is renamed over the old one, so
+    /// that its path always exists.
     ///
     /// # Errors
     /// If the socket cannot be bound or renamed.
@@ -115,7 +116,8 @@
         Ok(listener)
     }
 
-    /// Reads the maintenance state that an earlier process has saved; a file that cannot be used is ignored.
+    /// Reads the maintenance state that an earlier process has saved. A file that cannot be read is logged
+    /// and ignored.
     pub fn load_maintenance(&self) -> MaintenanceState {
         let path = self.file(MAINTENANCE_FILE);
         match read_file(&path) {
@@ -127,12 +129,12 @@
         }
     }
 
-    /// Saves the maintenance state as of now.
+    /// Saves the current maintenance state.
     ///
     /// # Errors
     /// If the file cannot be written.
     pub async fn save_maintenance(&self, relay: &SharedRelay) -> io::Result<()> {
-        // One write at a time, so that the last one has the latest state.
+        // Serializes the writes, so that the last one has the latest state.
         let _writing = self.writing.lock().await;
         let bytes = relay.borrow().maintenance_state().to_file_bytes();
         let new_file = self.file(&format!("{MAINTENANCE_FILE}-{}", std::process::id()));
@@ -151,7 +153,7 @@
     StateDirectoryError::Io { path: path.display().to_string(), source }
 }
 
-/// Reads the maintenance file; a missing one is an empty state.
+/// Reads the maintenance file. If it does not exist, the state is empty.
 fn read_file(path: &Path) -> Result<MaintenanceState, ReadError> {
     let size = match fs::metadata(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(MaintenanceState::default()),
--- a/src/relay/lifecycle/hot_restart/successor.rs
+++ b/src/relay/lifecycle/hot_restart/successor.rs
@@ -1,4 +1,5 @@
-//! The predecessor's part: offers the relay to new processes, and sends the listener and its state.
+//! The predecessor's side of a hot restart: accepts successors, and sends them the listening socket and the
+//! state.
 
 use std::os::fd::AsFd;
 use std::pin::Pin;
@@ -13,7 +14,7 @@
 use super::{ANSWER_TIMEOUT, HotRestartMessage, StateDirectory, TakeoverChannel, link};
 use crate::relay::SharedRelay;
 
-/// Offers the relay to new processes, one at a time, as long as it runs.
+/// Accepts successors, one at a time, while the relay runs.
 pub(super) async fn listen_for_successors(
     relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>,
 ) {
@@ -26,13 +27,14 @@
     }
 }
 
-/// Offers the relay again after a successor has ended.
+/// Accepts successors again after a successor has ended.
 pub(super) fn listen_for_successors_again(
     relay: SharedRelay, directory: Rc<StateDirectory>, listener: Rc<TcpListener>,
 ) {
     match directory.bind_socket() {
         Ok(socket) => {
-            // Boxed because accepting a successor runs a link, which in the end offers the relay again.
+            // Boxed because the future is recursive: accepting a successor runs a link, which calls this
+            // function at its end.
             let accepting: Pin<Box<dyn Future<Output = ()>>> =
                 Box::pin(accept_successors(relay, directory, listener, socket));
             drop(tokio::task::spawn_local(accepting));
@@ -61,7 +63,7 @@
     }
 }
 
-/// Returns the channel to a process that asks for the listener in time.
+/// Returns the channel to a process that requests the listening socket; `None` if it does not do so in time.
 async fn receive_hello(stream: UnixStream) -> Option<TakeoverChannel> {
     let mut channel = TakeoverChannel::new(stream);
     let first = tokio::time::timeout(Duration::from_micros(ANSWER_TIMEOUT), channel.next()).await;
--- a/src/relay/lifecycle/hot_restart/takeover_channel.rs
+++ b/src/relay/lifecycle/hot_restart/takeover_channel.rs
@@ -1,4 +1,5 @@
-//! The channel between two processes: JSON objects, one a line, with descriptors beside some.
+//! The channel between two processes of a relay: one JSON object a line, some with descriptors as ancillary
+//! data.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -15,11 +16,11 @@
 
 use super::HotRestartMessage;
 
-/// The longest message in bytes, far above the ids of a fleet.
+/// The longest message, in bytes: far more than the ids of all endpoints take.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Bytes that are received at a time.
+/// Size of the receive buffer, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
-/// Descriptors beside one message at most: both sockets of a connection.
+/// The largest number of descriptors sent with a message: both sockets of a connection.
 const MAX_DESCRIPTORS: usize = 2;
 
 /// One end of the channel.
@@ -27,25 +28,25 @@
 pub(super) struct TakeoverChannel {
     stream: UnixStream,
     received: Vec<u8>,
-    /// Received descriptors in order; messages take theirs.
+    /// Received descriptors that were not taken yet, in order.
     descriptors: VecDeque<OwnedFd>,
 }
 
 impl TakeoverChannel {
-    /// Makes a channel of a connected socket.
+    /// Creates a channel from a connected socket.
     pub(super) fn new(stream: UnixStream) -> TakeoverChannel {
         TakeoverChannel { stream, received: Vec::new(), descriptors: VecDeque::new() }
     }
 
-    /// Connects to the process that listens on a socket; none if no process does.
+    /// Connects to the process that listens on a socket; returns `None` if it cannot be connected to.
     pub(super) async fn connect(path: &Path) -> Option<TakeoverChannel> {
         UnixStream::connect(path).await.ok().map(TakeoverChannel::new)
     }
 
-    /// Sends a message with descriptors beside it, [`MAX_DESCRIPTORS`] at most.
+    /// Sends a message together with descriptors, at most [`MAX_DESCRIPTORS`].
     ///
     /// # Errors
-    /// If the other end is closed, or the message cannot be encoded.
+    /// If the channel is closed, or the message cannot be encoded.
     pub(super) async fn send(
         &self, message: &HotRestartMessage, descriptors: &[BorrowedFd<'_>],
     ) -> io::Result<()> {
@@ -55,7 +56,7 @@
         while !unsent.is_empty() {
             self.stream.writable().await?;
             match self.stream.try_io(Interest::WRITABLE, || send_once(&self.stream, unsent, descriptors)) {
-                // The descriptors go with the message's first bytes.
+                // The descriptors were sent with the message's first bytes.
                 Ok(count) => (unsent, descriptors) = (&unsent[count..], &[]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
@@ -64,15 +65,15 @@
         Ok(())
     }
 
-    /// Returns the first received descriptor that was not taken yet.
+    /// Removes and returns the first received descriptor; `None` if all were taken.
     pub(super) fn take_descriptor(&mut self) -> Option<OwnedFd> {
         self.descriptors.pop_front()
     }
 
-    /// Receives the next message, and the descriptors beside it; none if the other end is closed or sends no
-    /// message.
+    /// Receives the next message; its descriptors are then returned by [`Self::take_descriptor`]. Returns
+    /// `None` if the channel is closed or what was received is not a message.
     ///
-    /// It is cancel safe.
+    /// This is cancel safe.
     pub(super) async fn next(&mut self) -> Option<HotRestartMessage> {
         loop {
             if let Some(end) = self.received.iter().position(|byte| *byte == b'\n') {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Sends what the socket takes at once, and returns its number of bytes.
+/// Sends as many bytes as the socket accepts at once, and returns their number.
 fn send_once(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd<'_>]) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -106,7 +107,7 @@
     Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?)
 }
 
-/// Receives what the socket holds, with the descriptors beside it.
+/// Receives available bytes, and the descriptors sent with them.
 fn receive(stream: &UnixStream) -> io::Result<(Vec<u8>, Vec<OwnedFd>)> {
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
--- a/src/relay/metrics/export_format.rs
+++ b/src/relay/metrics/export_format.rs
@@ -1,4 +1,4 @@
-//! Snapshots as an exporter sends them.
+//! Converts snapshots to what an exporter sends.
 
 use honeyknot_metrics::config::{ExporterConfig, Protocol};
 use honeyknot_metrics::{MetricsSnapshot, collectd, graphite};
@@ -8,30 +8,31 @@
 use super::frame_queue::Frame;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// The plugin instance of all series at collectd.
+/// The plugin instance of all series sent to collectd.
 const COLLECTD_INSTANCE: &str = "relay";
 
-/// Whether counters outlast the process.
+/// How long counters last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CounterLifetime {
-    /// They are restored from disk.
+    /// Across restarts: they are restored from disk.
     Persistent,
-    /// They start at zero with the process.
+    /// As long as the process: they start at zero with it.
     Process,
 }
 
-/// The snapshot that was exported last.
+/// What an exporter remembers of its last export.
 #[derive(Debug)]
 pub(super) struct ExportHistory {
+    /// The last snapshot; `None` before the first export.
     pub(super) last_snapshot: Option<MetricsSnapshot>,
     /// The Unix second of the last export to Graphite.
     pub(super) last_second: u64,
 }
 
-/// Returns the snapshot as it is exported.
+/// Returns the snapshot to export.
 ///
-/// collectd gets it unchanged. Graphite gets increments where counters end with the process, and each snapshot has a second
-/// of its own, as Graphite stores one value a second.
+/// collectd receives the snapshot unchanged. Graphite receives increments if counters end with the process,
+/// and every snapshot has a different timestamp in seconds, because Graphite stores one value per second.
 pub(super) fn exported_snapshot(
     config: &ExporterConfig, snapshot: &MetricsSnapshot, lifetime: CounterLifetime,
     history: &mut ExportHistory,
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -1,7 +1,7 @@
-//! Exporters: one task for each receiver of metrics, which sends it a snapshot at each interval.
+//! Exporters: one task per receiver of metrics, which sends a snapshot at each interval.
 //!
-//! An exporter never delays the relay: what waits is bounded in bytes in memory and on disk, and the oldest frames are dropped
-//! and counted.
+//! An exporter never delays the relay: queued frames are limited in bytes, in memory and on disk, and beyond
+//! the limit the oldest are dropped and counted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,7 +22,7 @@
 use super::spool_queue::SpoolQueue;
 use crate::relay::SharedRelay;
 
-/// Snapshots that wait in memory where there is a spool.
+/// Number of snapshots that wait in memory if there is a spool.
 const SNAPSHOTS_IN_MEMORY: usize = 2;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -43,9 +43,9 @@
         Exporter { config: config.clone(), stop, task: spawn_local(task) }
     }
 
-    /// Has the task end as soon as it can.
+    /// Asks the task to end as soon as it can.
     fn stop(self) -> StoppedExporter {
-        // The send fails if the task has ended by itself.
+        // Sending fails if the task has already ended.
         let _ = self.stop.send(());
         StoppedExporter { config: self.config, task: self.task }
     }
@@ -58,16 +58,17 @@
     task: JoinHandle<ExporterState>,
 }
 
-/// What an exporter hands to the one that replaces it.
+/// The state that an exporter passes on to the one that replaces it.
 #[derive(Debug)]
 pub(super) struct ExporterState {
     queue: FrameQueue,
     history: ExportHistory,
 }
 
-/// Runs the configured exporters and no others.
+/// Starts and stops exporters so that exactly the configured ones run.
 ///
-/// An exporter whose configuration is unchanged goes on; one that has changed is replaced, and its frames are kept.
+/// An exporter whose configuration is unchanged continues. One whose configuration has changed is replaced,
+/// and the new one takes over its queued frames.
 pub(in crate::relay) fn apply_config(relay: &SharedRelay, config: &MetricsConfig, relay_name: &str) {
     let mut previous = std::mem::take(&mut relay.borrow_mut().exporters);
     let mut running = BTreeMap::new();
@@ -103,17 +104,17 @@
             ExporterEvent::ConnectDue => task.connect().await,
             ExporterEvent::Written(result) => task.handle_written(result).await,
             ExporterEvent::RefillDue => task.refill_from_spool().await,
-            ExporterEvent::Stalled => task.fail_connection(&io::Error::other("it takes nothing")),
+            ExporterEvent::Stalled => task.fail_connection(&io::Error::other("the receiver accepts no data")),
         }
     }
 }
 
-/// Returns the state that a new exporter begins with, from the one that it replaces if there is one.
+/// Returns the initial state of an exporter, taken over from the one that it replaces if there is one.
 async fn initial_state(
     relay: &SharedRelay, config: &ExporterConfig, previous: Option<StoppedExporter>,
 ) -> ExporterState {
     let max_bytes = config.buffer as usize;
-    // The previous process may have exported in the current second.
+    // A previous process may have exported in the current second, so the first export uses the next one.
     let last_second = relay.borrow().timers.clock.now() / MICROS_PER_SECOND + 1;
     let history = ExportHistory { last_snapshot: None, last_second };
     let mut fresh = ExporterState { queue: FrameQueue::new(max_bytes), history };
@@ -124,7 +125,7 @@
     if previous.config.protocol == config.protocol && previous.config.prefix == config.prefix {
         return state;
     }
-    // Frames of another format cannot be sent.
+    // Queued frames have the old format and cannot be sent.
     let dropped = state.queue.samples();
     relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, dropped));
     fresh.history.last_snapshot = state.history.last_snapshot;
@@ -132,7 +133,7 @@
     fresh
 }
 
-/// What an exporter's task reacts to.
+/// An event that an exporter's task handles.
 #[derive(Debug)]
 enum ExporterEvent {
     Stopped,
@@ -167,7 +168,7 @@
             result = self.connection.write(&self.state.queue), if pending && open => {
                 ExporterEvent::Written(result)
             }
-            // Frames of the spool are sent after newer ones.
+            // Spooled frames are sent only when no newer frame is queued.
             () = sleep_until(self.next_refill_at),
                 if !pending && !self.connection.is_failing() && self.spool.has_more() =>
             {
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Returns the state for the next exporter; a frame of the spool is read from there again.
+    /// Returns the state for the next exporter, without a frame from the spool, which the next exporter reads
+    /// again.
     fn into_state(mut self) -> ExporterState {
         if self.spool.in_flight.take().is_some() {
             self.state.queue.remove_first();
@@ -185,11 +187,11 @@
         self.state
     }
 
-    /// Takes a snapshot, and queues its frames once its counters are saved.
+    /// Takes a snapshot, saves its counters, and queues its frames.
     async fn export_snapshot(&mut self) {
         let was_idle = self.state.queue.is_empty();
         let snapshot = self.relay.borrow_mut().metrics_snapshot();
-        // Counters that a later process does not know would seem to fall.
+        // If counters were exported but not saved, they would appear to fall after a restart.
         if persistent_counters::save(&self.relay, snapshot.timestamp).await.is_err() {
             return;
         }
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Queues frames; returns those that have to leave memory, the oldest first.
+    /// Queues frames. Returns the frames that no longer fit in memory, oldest first.
     fn queue_frames(&mut self, frames: Vec<Frame>) -> Vec<Frame> {
         let frame_count = frames.len();
         let queue = &mut self.state.queue;
@@ -217,7 +219,7 @@
             evicted.extend(queue.drain_older_than(SNAPSHOTS_IN_MEMORY * frame_count));
         }
         if self.spool.in_flight.is_some() && !queue.is_partly_written() && !evicted.is_empty() {
-            // The first of them is in the spool still.
+            // The first evicted frame came from the spool, which still has it.
             evicted.remove(0);
             self.spool.in_flight = None;
         }
@@ -244,19 +246,19 @@
         }
     }
 
-    /// Closes the connection; the first frame is sent again from its beginning.
+    /// Closes the connection after a failure; the first frame will be sent again from its beginning.
     fn fail_connection(&mut self, error: &io::Error) {
         self.state.queue.restart_first();
         self.connection.record_failure(&self.config, error, &mut self.rng);
     }
 
-    /// Queues the oldest frame of the spool.
+    /// Queues the oldest frame of the spool for sending.
     async fn refill_from_spool(&mut self) {
         self.next_refill_at = Instant::now() + Duration::from_secs_f64(1.0 / self.config.fill);
         if let Some(frame) = self.spool.take_first(&self.relay).await {
             let evicted = self.state.queue.push(frame);
             if !evicted.is_empty() {
-                // The frame is larger than the queue.
+                // The frame is larger than the queue; it is skipped.
                 self.spool.mark_sent().await;
             }
         }
--- a/src/relay/metrics/exporter_connection.rs
+++ b/src/relay/metrics/exporter_connection.rs
@@ -1,4 +1,4 @@
-//! An exporter's connection to its receiver, with backoff between attempts.
+//! An exporter's connection to its receiver, with exponential backoff between connection attempts.
 
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -14,13 +14,13 @@
 use super::frame_queue::FrameQueue;
 use crate::relay::DescriptorPermit;
 
-/// How long a connection attempt may take.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The backoff after the first failure; it doubles with each further one.
+/// The mean backoff after the first failure; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// The number of times that the backoff doubles.
+/// The largest number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// How long a connection may make no progress while a frame waits.
+/// Time without progress after which a connection with queued frames counts as stalled.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A socket to the receiver.
@@ -30,7 +30,7 @@
     Udp(UdpSocket),
 }
 
-/// A socket and the descriptor that it uses.
+/// A socket, and the permit for its descriptor.
 #[derive(Debug)]
 pub(super) struct OpenTransport {
     transport: Transport,
@@ -61,12 +61,12 @@
         self.consecutive_failures > 0
     }
 
-    /// Returns when the next attempt may be made.
+    /// Returns when the next connection attempt may be made.
     pub(super) fn retry_at(&self) -> Instant {
         self.retry_at
     }
 
-    /// Returns when the connection counts as stalled.
+    /// Returns when the connection counts as stalled if it makes no progress until then.
     pub(super) fn stalled_at(&self) -> Instant {
         self.last_progress + STALL_TIMEOUT
     }
@@ -75,19 +75,20 @@
         self.last_progress = Instant::now();
     }
 
-    /// Closes the connection and schedules the next attempt.
+    /// Closes the connection and schedules the next attempt. Only the first of consecutive failures is
+    /// logged.
     pub(super) fn record_failure(&mut self, config: &ExporterConfig, error: &io::Error, rng: &mut StdRng) {
         if self.consecutive_failures == 0 {
             warn!(target: "metrics", exporter = config.name, %error, "exporter failed");
         }
         let backoff = INITIAL_BACKOFF * (1 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS));
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Jitter keeps relays from connecting in step.
+        // Jitter keeps relays from reconnecting at the same time.
         self.retry_at = Instant::now() + backoff.mul_f64(rng.random_range(0.5..1.5));
         self.open = None;
     }
 
-    /// Takes a transport that was opened.
+    /// Uses a transport that was opened from now on.
     pub(super) fn record_opened(&mut self, config: &ExporterConfig, transport: OpenTransport) {
         if std::mem::take(&mut self.consecutive_failures) > 0 {
             info!(target: "metrics", exporter = config.name, "exporter recovered");
@@ -96,7 +97,8 @@
         self.record_progress();
     }
 
-    /// Writes from the queue's first frame once the receiver accepts data; returns the bytes written.
+    /// Writes from the queue's first frame as soon as the socket accepts data. Returns the number of bytes
+    /// written.
     ///
     /// Waits forever if there is no connection or no frame.
     pub(super) async fn write(&self, queue: &FrameQueue) -> io::Result<usize> {
@@ -112,7 +114,7 @@
                 }
                 Transport::Udp(socket) => {
                     socket.writable().await?;
-                    // A datagram is sent as a whole.
+                    // A datagram carries the whole frame.
                     socket.try_send(frame).map(|_| frame.len())
                 }
             };
@@ -129,14 +131,15 @@
 ///
 /// # Errors
 ///
-/// If there is no descriptor, or the receiver cannot be connected in time.
+/// If no descriptor is available, or the receiver cannot be connected to in time.
 pub(super) async fn open(
     config: &ExporterConfig, permit: Option<DescriptorPermit>,
 ) -> io::Result<OpenTransport> {
-    let permit = permit.ok_or_else(|| io::Error::other("no descriptor to spare"))?;
+    let permit =
+        permit.ok_or_else(|| io::Error::other("no file descriptor available within `limits.sockets`"))?;
     let transport = match config.protocol {
         Protocol::GraphiteLines(_) | Protocol::GraphitePickle(_) => {
-            let timed_out = |_| io::Error::other("no connection in time");
+            let timed_out = |_| io::Error::other("connecting timed out");
             let connecting = TcpStream::connect(config.address);
             Transport::Tcp(timeout(CONNECT_TIMEOUT, connecting).await.map_err(timed_out)??)
         }
--- a/src/relay/metrics/frame_queue.rs
+++ b/src/relay/metrics/frame_queue.rs
@@ -1,22 +1,22 @@
-//! Frames that wait in memory for an exporter's connection.
+//! The in-memory queue of frames that an exporter has yet to send.
 
 use std::collections::VecDeque;
 
-/// Encoded samples, sent as a whole.
+/// Encoded samples that are sent as a unit.
 #[derive(Clone, Debug)]
 pub(super) struct Frame {
     pub(super) bytes: Vec<u8>,
-    /// The samples in it.
+    /// The number of samples in the frame.
     pub(super) samples: u64,
 }
 
-/// Frames in the order in which they are sent, bounded in bytes.
+/// Frames in the order in which they are sent, limited in bytes.
 #[derive(Debug)]
 pub(super) struct FrameQueue {
     frames: VecDeque<Frame>,
     queued_bytes: usize,
     max_bytes: usize,
-    /// Bytes of the first frame that are written.
+    /// Bytes of the first frame that have been written.
     written_bytes: usize,
 }
 
@@ -33,7 +33,7 @@
         self.max_bytes = max_bytes;
     }
 
-    /// Returns the samples of all frames.
+    /// Returns the number of samples in all frames.
     pub(super) fn samples(&self) -> u64 {
         self.frames.iter().map(|frame| frame.samples).sum()
     }
@@ -43,19 +43,20 @@
         self.written_bytes > 0
     }
 
-    /// Returns the first frame's bytes.
+    /// Returns the bytes of the first frame; `None` if the queue is empty.
     pub(super) fn first(&self) -> Option<&[u8]> {
         self.frames.front().map(|frame| &frame.bytes[..])
     }
 
-    /// Returns the first frame's bytes that are not written.
+    /// Returns the bytes of the first frame that have not been written; `None` if the queue is empty.
     pub(super) fn unwritten(&self) -> Option<&[u8]> {
         self.first().map(|bytes| &bytes[self.written_bytes..])
     }
 
-    /// Adds a frame; returns the frames that were removed for it, the oldest first.
+    /// Adds a frame. Returns the frames that were evicted to make room, oldest first; the new frame itself if
+    /// it does not fit.
     ///
-    /// A partly written frame stays, as the stream would be cut within it.
+    /// A partly written frame is never evicted, because the stream would be cut within it.
     pub(super) fn push(&mut self, frame: Frame) -> Vec<Frame> {
         let mut evicted = Vec::new();
         while self.queued_bytes + frame.bytes.len() > self.max_bytes {
@@ -71,7 +72,8 @@
         evicted
     }
 
-    /// Removes all but the newest frames, the oldest first; a partly written frame stays.
+    /// Removes all but the `newest` newest frames and returns them, oldest first. A partly written frame
+    /// stays.
     pub(super) fn drain_older_than(&mut self, newest: usize) -> Vec<Frame> {
         let mut drained = Vec::new();
         let first = self.first_unwritten_index();
@@ -83,18 +85,19 @@
         drained
     }
 
-    /// Has the first frame written again from its beginning.
+    /// Marks the first frame as unwritten, so that it is sent again from its beginning.
     pub(super) fn restart_first(&mut self) {
         self.written_bytes = 0;
     }
 
-    /// Removes the first frame, also one that is partly written.
+    /// Removes the first frame, even if it is partly written.
     pub(super) fn remove_first(&mut self) {
         self.written_bytes = 0;
         self.queued_bytes -= self.frames.pop_front().map_or(0, |frame| frame.bytes.len());
     }
 
-    /// Records that bytes of the first frame were written; returns whether it is complete and was removed.
+    /// Records that bytes of the first frame were written. Returns whether the frame was complete and was
+    /// removed.
     pub(super) fn record_written(&mut self, count: usize) -> bool {
         self.written_bytes += count;
         let complete = self.frames.front().is_some_and(|frame| self.written_bytes >= frame.bytes.len());
--- a/src/relay/metrics/labels.rs
+++ b/src/relay/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! Values of metric tags that the relay records.
+//! The values of metric tags that the relay records.
 
 use honeyknot_balancer::Outcome;
 
@@ -9,11 +9,11 @@
     Balancer,
     /// The limit of the endpoints' zone is reached.
     ZoneLimit,
-    /// The relay shuts down.
+    /// The relay is shutting down.
     ShuttingDown,
     /// The maximum number of open requests is reached.
     MaxOpenRequests,
-    /// No descriptor is free.
+    /// No file descriptor is available.
     Descriptors,
 }
 
@@ -33,13 +33,13 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::relay) enum FailureCause {
-    /// The balancer gave the request up.
+    /// The balancer gave up on the request.
     Balancer,
-    /// The request is not valid by the line protocol.
+    /// The request violates the line protocol.
     ProtocolError,
     /// The client sent data before its request was answered.
     DataBeforeAnswer,
-    /// The request was not answered in time.
+    /// The request was not answered by its deadline.
     Overdue,
 }
 
@@ -66,9 +66,9 @@
     Endpoint,
     /// The endpoint reset it.
     EndpointReset,
-    /// It was migrated.
+    /// The client was asked to migrate.
     Migrated,
-    /// It was transferred to another process.
+    /// It was transferred to another process of this relay.
     Transferred,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Returns the value of the tag `outcome` of an attempt.
+/// Returns the value of the tag `outcome` for an attempt.
 pub(in crate::relay) fn attempt_outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
@@ -119,7 +119,7 @@
     }
 }
 
-/// Returns the value of the tag `outcome` of a health check.
+/// Returns the value of the tag `outcome` for a health check.
 pub(in crate::relay) fn health_check_outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
--- a/src/relay/metrics/mod.rs
+++ b/src/relay/metrics/mod.rs
@@ -1,6 +1,7 @@
-//! Metrics of the relay: recording, counters that outlast the process, exporters and their spools.
+//! The relay's metrics: their recording, counters that persist across restarts, exporters and their spools.
 //!
-//! The relay records events by plain calls; exporters read snapshots. Nothing here acts on a metric.
+//! The relay records events by function calls, and exporters send snapshots. Metrics never influence the
+//! relay's decisions.
 
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -1,7 +1,7 @@
-//! Counters that outlast the process.
+//! Counters that persist across restarts of the relay.
 //!
-//! What was counted after the last snapshot ends with the process, so a snapshot is saved before its values are exported:
-//! otherwise counters would seem to fall.
+//! What was counted after the last saved snapshot is lost with the process. A snapshot is therefore saved
+//! before its values are exported: otherwise exported counters would appear to fall after a restart.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,10 +16,10 @@
 /// Why the counters were not saved.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SaveError {
-    /// They cannot be encoded.
+    /// The counters cannot be encoded.
     #[error(transparent)]
     Encode(#[from] SnapshotError),
-    /// The file system refused it.
+    /// The snapshot file cannot be written.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The blocking task was cancelled or panicked.
@@ -27,20 +27,20 @@
     Task(#[from] tokio::task::JoinError),
 }
 
-/// Where and up to when counters are saved.
+/// Where counters are saved, and up to which time they have been.
 #[derive(Debug)]
 pub(in crate::relay) struct PersistentCounters {
     directory: SnapshotDirectory,
     relay_name: String,
-    /// The number of this process among those that used the directory, from 1.
+    /// How many processes have used the directory so far, including this one.
     incarnation: u64,
-    /// All that was counted until then is saved.
+    /// Everything counted up to this time is saved.
     saved_at: Micros,
     save_failing: bool,
 }
 
 impl PersistentCounters {
-    /// Logs when saving begins or ceases to fail.
+    /// Records the result of a save, and logs when saves begin to fail or succeed again.
     fn record_save(&mut self, result: &Result<(), SaveError>, snapshot_at: Micros) {
         match result {
             Ok(()) => {
@@ -58,7 +58,8 @@
     }
 }
 
-/// Saves what was counted up to a time; does nothing if that is saved, or if no counters are persistent.
+/// Saves everything counted up to a time. Does nothing if that is already saved or counters are not
+/// persistent.
 ///
 /// # Errors
 ///
@@ -90,7 +91,8 @@
 }
 
 impl Relay {
-    /// Restores the counters saved in a directory; without one that can be used, counters end with the process.
+    /// Restores the counters saved in a directory. If the directory cannot be used, counters last as long as
+    /// the process.
     pub(in crate::relay) fn restore_counters(&mut self, path: &Path, relay_name: &str) {
         match SnapshotDirectory::open(path, relay_name) {
             Ok((directory, stored)) => {
@@ -109,12 +111,12 @@
         }
     }
 
-    /// Returns the directory of an exporter's spool, if counters are persistent.
+    /// Returns the directory of an exporter's spool; `None` if counters are not persistent.
     pub(super) fn spool_directory(&self, exporter: &str) -> Option<PathBuf> {
         self.persistent_counters.as_ref().map(|counters| counters.directory.spool_directory(exporter))
     }
 
-    /// Returns whether counters outlast the process.
+    /// Returns whether counters persist across restarts.
     pub(super) fn counters_persist(&self) -> bool {
         self.persistent_counters.is_some()
     }
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -11,9 +11,9 @@
 use crate::relay::connections::protocol::OpenRequest;
 use crate::settings::NameTable;
 
-/// The largest number of values of a dynamic tag without an operator file.
+/// The largest number of values of a dynamic tag if no operator file sets one.
 const DEFAULT_SERIES_CAP: usize = 256;
-/// The metric families by class.
+/// The metric families that are counted by request class.
 pub(super) const CLASS_FAMILIES: [MetricFamily; 4] = [
     MetricFamily::ConnectionsSucceeded,
     MetricFamily::ConnectionsRejected,
@@ -21,7 +21,7 @@
     MetricFamily::AttemptsForwarded,
 ];
 
-/// Creates a relay's registry with a series for each class.
+/// Creates a relay's registry, with the series of each request class.
 pub(in crate::relay) fn new_registry(config: &Option<MetricsConfig>, names: &NameTable) -> MetricsRegistry {
     let mut metrics =
         MetricsRegistry::new(config.as_ref().map_or(DEFAULT_SERIES_CAP, |config| config.series_cap));
@@ -34,21 +34,21 @@
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::relay) enum RequestResult {
-    /// With the endpoint's `UP`.
+    /// The endpoint's `UP` was forwarded.
     Established,
-    /// With `BUSY`.
+    /// It was answered with `BUSY`.
     Rejected,
-    /// With another answer, or with none as the client left first.
+    /// It got another answer, or none because the client disconnected first.
     Failed,
 }
 
 impl Relay {
-    /// Updates the registry.
+    /// Applies an update to the registry.
     pub(in crate::relay) fn update_metrics(&mut self, update: impl FnOnce(&mut MetricsRegistry)) {
         update(&mut self.metrics);
     }
 
-    /// Records the answer to a request by its class.
+    /// Records the answer to a request by its class. A request without a known class is not recorded.
     pub(in crate::relay) fn record_request_result(&mut self, class: Option<ClassId>, result: RequestResult) {
         let family = match result {
             RequestResult::Established => MetricFamily::ConnectionsSucceeded,
@@ -58,14 +58,14 @@
         self.record_class(class, family);
     }
 
-    /// Records the answer to a request that was never registered.
+    /// Records the answer to a request that was rejected before it was registered with the balancer.
     pub(in crate::relay) fn record_unregistered_result(
         &mut self, request: &OpenRequest, result: RequestResult,
     ) {
         self.record_request_result(self.class(request), result);
     }
 
-    /// Records that a request was written completely to an endpoint.
+    /// Records that a request was completely written to an endpoint.
     pub(in crate::relay) fn record_forwarded(&mut self, request: &OpenRequest) {
         self.record_class(self.class(request), MetricFamily::AttemptsForwarded);
     }
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Records that a request was answered `BUSY`, with its time to the answer.
+    /// Records that a request was answered with `BUSY`. `latency` is the time to the answer in microseconds,
+    /// if it is known.
     pub(in crate::relay) fn record_rejected(&mut self, reason: RejectionReason, latency: Option<Micros>) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::RequestsRejected, reason.label());
@@ -88,7 +89,7 @@
         });
     }
 
-    /// Records that a request was answered `ERR`.
+    /// Records that a request was answered with `ERR`.
     pub(in crate::relay) fn record_failed(&mut self, cause: FailureCause) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::RequestsFailed, cause.label()));
     }
@@ -100,7 +101,7 @@
         self.metrics.add_dynamic(MetricFamily::AttemptsByZone, zone.map_or("none", String::as_str), 1);
     }
 
-    /// Records an established connection and its setup latency.
+    /// Records an established connection and its setup latency in microseconds.
     pub(in crate::relay) fn record_established(&mut self, latency: Micros) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::Attempts, "up");
@@ -128,12 +129,12 @@
         });
     }
 
-    /// Records a migration because the endpoint was silent.
+    /// Records that a connection migrated because its endpoint was silent.
     pub(in crate::relay) fn record_silent_migration(&mut self) {
         self.update_metrics(|metrics| metrics.increment(MetricFamily::Migrations, "silent"));
     }
 
-    /// Records a health check and its duration.
+    /// Records a health check and its duration in microseconds.
     pub(in crate::relay) fn record_health_check(&mut self, outcome: Outcome, latency: Micros) {
         self.update_metrics(|metrics| {
             metrics.increment(MetricFamily::HealthChecks, health_check_outcome_label(outcome));
--- a/src/relay/metrics/snapshot_directory.rs
+++ b/src/relay/metrics/snapshot_directory.rs
@@ -1,7 +1,7 @@
-//! The directory in which snapshots of the counters are kept, used by one process at a time.
+//! The directory in which snapshots of the counters are saved. Only one process may use it at a time.
 //!
-//! A snapshot is written to a temporary file and renamed, then the directory is synced. The last two are kept, and the newest
-//! valid one is read.
+//! A snapshot is written to a temporary file and renamed, then the directory is synced. The last two
+//! snapshots are kept, and the newest valid one is read.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Write};
@@ -11,18 +11,18 @@
 use honeyknot_metrics::stored::{SnapshotError, StoredMetrics};
 use tracing::warn;
 
-/// The number of snapshots that are kept.
+/// The number of snapshots to keep.
 const MAX_SNAPSHOTS: usize = 2;
-/// The largest file that is read as a snapshot.
+/// The largest snapshot file that is read, in bytes.
 const MAX_SNAPSHOT_FILE_BYTES: u64 = 32 << 20;
 
-/// Why a directory cannot be used.
+/// Why a snapshot directory cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SnapshotDirectoryError {
-    /// Another process holds its lock.
-    #[error("{}: another relay uses this folder", path.display())]
+    /// Another process holds the directory's lock.
+    #[error("{}: another process uses this directory", path.display())]
     InUse { path: PathBuf },
-    /// The file system refused it.
+    /// The directory or a file in it cannot be read or written.
     #[error("{}: {source}", path.display())]
     Io { path: PathBuf, source: io::Error },
 }
@@ -30,18 +30,18 @@
 /// Why a file cannot be read as a snapshot.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
-    /// It exceeds the largest size.
-    #[error("it has {0} bytes")]
+    /// The file is larger than [`MAX_SNAPSHOT_FILE_BYTES`].
+    #[error("the file has {0} bytes; the maximum is {MAX_SNAPSHOT_FILE_BYTES}")]
     TooLarge(u64),
-    /// The file system refused it.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its bytes are not a snapshot.
+    /// The file's content is not a valid snapshot.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
 }
 
-/// The directory, locked while this value lives.
+/// A snapshot directory, which is locked while this value exists.
 #[derive(Debug)]
 pub(super) struct SnapshotDirectory {
     path: Arc<PathBuf>,
@@ -50,7 +50,8 @@
 }
 
 impl SnapshotDirectory {
-    /// Locks the directory, which is created if it is missing, and reads the newest valid snapshot of this relay.
+    /// Locks the directory, which is created if it is missing, and reads the newest valid snapshot of this
+    /// relay. The snapshot is `None` if there is no valid one.
     ///
     /// # Errors
     ///
@@ -80,7 +81,7 @@
         self.path.join(format!("spool-{}", exporter.chars().map(plain).collect::<String>()))
     }
 
-    /// Returns a call that writes a snapshot and blocks.
+    /// Returns a blocking function that writes a snapshot.
     pub(super) fn write(&mut self, bytes: Vec<u8>) -> impl FnOnce() -> io::Result<()> + Send + 'static {
         let (path, number) = (self.path.clone(), self.next_number);
         self.next_number += 1;
@@ -88,7 +89,8 @@
     }
 }
 
-/// Returns a directory's files named by a number between a prefix and a suffix, the lowest first.
+/// Returns the files of a directory that are named by a number between a prefix and a suffix, lowest number
+/// first.
 ///
 /// # Errors
 ///
@@ -107,7 +109,8 @@
     Ok(found)
 }
 
-/// Reads a snapshot of this relay; none, and a log record, if it is invalid or of another relay.
+/// Reads a snapshot of this relay. Logs a warning and returns `None` if the snapshot is invalid or of another
+/// relay.
 fn read_own(file: &Path, relay_name: &str) -> Option<StoredMetrics> {
     let path = file.display();
     match read_snapshot(file) {
@@ -137,7 +140,7 @@
     File::open(directory)?.sync_all()?;
     let found = numbered_files(directory, "state-", ".snap")?;
     for (_, old) in found.iter().rev().skip(MAX_SNAPSHOTS) {
-        // A file that cannot be removed now is removed after the next snapshot.
+        // If the removal fails, it is tried again after the next snapshot.
         let _ = fs::remove_file(old);
     }
     Ok(())
--- a/src/relay/metrics/spool.rs
+++ b/src/relay/metrics/spool.rs
@@ -1,8 +1,9 @@
-//! A spool: export frames that wait on disk, the oldest first, within a limit on their bytes.
+//! A spool: a queue of export frames on disk, limited in bytes.
 //!
-//! A frame is synced when it is appended, so it outlasts the process. A segment is deleted once all its frames are sent; a
-//! process that starts sends the oldest remaining segment from its beginning, with the frames' original timestamps, which
-//! Graphite stores once. All calls block.
+//! A frame is synced to disk when it is appended, so it outlasts the process. Frames are sent oldest first. A
+//! segment is deleted once all its frames have been sent. After a restart the oldest remaining segment is
+//! sent from its beginning, possibly a second time, with the frames' original timestamps, for which Graphite
+//! stores one value. All calls block.
 
 use std::collections::VecDeque;
 use std::fs::{self, File, OpenOptions};
@@ -13,20 +14,20 @@
 
 use super::snapshot_directory::numbered_files;
 
-/// Bytes from which on a segment is closed.
+/// The largest segment, in bytes, unless its only record is larger.
 const MAX_SEGMENT_BYTES: u64 = 1 << 20;
-/// The largest segment that is read: one record beyond the limit above.
+/// The largest number of bytes that are read of a segment: its limit and one record of the largest size.
 const MAX_READ_BYTES: u64 =
     MAX_SEGMENT_BYTES + (spool_record::MAX_FRAME_BYTES + spool_record::HEADER_BYTES) as u64;
 
 /// Why a spool operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SpoolError {
-    /// The file system refused it.
+    /// A file or the directory cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The frame exceeds the limit of a record.
-    #[error("a frame is too large")]
+    /// The frame is larger than a record may be, or cannot be compressed.
+    #[error("the frame is too large for a spool record or cannot be compressed")]
     FrameTooLarge,
     /// The blocking task was cancelled or panicked.
     #[error(transparent)]
@@ -46,28 +47,29 @@
 pub struct Spool {
     directory: PathBuf,
     segments: VecDeque<Segment>,
-    /// The last segment, to which records are appended.
+    /// The file of the last segment, to which records are appended; `None` if the next record starts a
+    /// segment.
     open_file: Option<File>,
     next_number: u64,
     max_bytes: u64,
-    /// Bytes of the first segment that are sent.
+    /// Bytes of the first segment that have been sent.
     sent_bytes: u64,
-    /// Samples of the first segment that are sent.
+    /// Samples of the first segment that have been sent.
     sent_samples: u64,
-    /// The first segment's bytes as far as they were read.
+    /// The bytes of the first segment that have been read.
     first_segment: Vec<u8>,
-    /// Samples of segments that were damaged after they were written.
+    /// Samples lost with segments that were damaged after they were written.
     lost_samples: u64,
 }
 
-/// A segment with an invalid record, which was truncated.
+/// A segment that was truncated at its first invalid record.
 #[derive(Debug)]
 pub struct TornSegment {
-    /// The segment's file.
+    /// Path of the segment's file.
     pub path: PathBuf,
-    /// Bytes of its valid records, which remain.
+    /// Bytes of its valid records, which are kept.
     pub valid_bytes: u64,
-    /// Bytes that it had before.
+    /// Bytes that it had before it was truncated.
     pub size_bytes: u64,
 }
 
@@ -98,7 +100,8 @@
         Ok((spool, torn_segments))
     }
 
-    /// Adds an existing segment; one that is torn is truncated and returned, one without valid records is deleted.
+    /// Adds an existing segment. Truncates and returns it if it is torn, and deletes it if it has no valid
+    /// record.
     fn open_segment(&mut self, path: PathBuf) -> Result<Option<TornSegment>, SpoolError> {
         let bytes = read_segment(&path)?;
         let ValidPrefix { bytes: valid_bytes, samples, .. } = spool_record::valid_prefix(&bytes);
@@ -115,18 +118,19 @@
         Ok(torn)
     }
 
-    /// Returns the bytes on disk.
+    /// Returns the number of bytes on disk.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.size_bytes).sum()
     }
 
-    /// Returns whether no frame waits.
+    /// Returns whether all frames have been sent.
     pub fn is_empty(&self) -> bool {
         self.segments.len() <= 1
             && self.segments.front().is_none_or(|segment| segment.size_bytes == self.sent_bytes)
     }
 
-    /// Appends and syncs a frame, then deletes the oldest segments beyond the limit; returns the samples lost with them.
+    /// Appends and syncs a frame, then deletes the oldest segments beyond the limit. Returns the number of
+    /// samples lost with them.
     ///
     /// # Errors
     ///
@@ -142,7 +146,7 @@
             return Ok(0);
         };
         if let Err(error) = file.write_all(&record).and_then(|()| file.sync_data()) {
-            // The next record must not follow a torn one.
+            // Removes the torn record; the next record starts a new segment.
             let _ = file.set_len(segment.size_bytes);
             self.open_file = None;
             return Err(error.into());
@@ -169,7 +173,7 @@
         Ok(dropped_samples)
     }
 
-    /// Deletes the first segment; returns its samples that were not sent.
+    /// Deletes the first segment. Returns the number of its samples that were not sent.
     fn drop_first_segment(&mut self) -> Result<u64, SpoolError> {
         let Some(first) = self.segments.front() else { return Ok(0) };
         fs::remove_file(&first.path)?;
@@ -180,7 +184,8 @@
         Ok(unsent_samples)
     }
 
-    /// Returns the oldest frame that is not sent; a segment that was damaged is deleted.
+    /// Returns the oldest frame that has not been sent; `None` if there is none. Damaged segments are
+    /// deleted.
     ///
     /// # Errors
     ///
@@ -205,12 +210,12 @@
         Ok(None)
     }
 
-    /// Returns the samples lost with damaged segments since the last call.
+    /// Returns the number of samples lost with damaged segments since the last call.
     pub fn take_lost_samples(&mut self) -> u64 {
         std::mem::take(&mut self.lost_samples)
     }
 
-    /// Marks the oldest frame as sent; deletes its segment if that was its last one.
+    /// Marks the oldest frame as sent, and deletes its segment if it was the last frame there.
     ///
     /// # Errors
     ///
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -1,4 +1,4 @@
-//! An exporter's spool, as its task uses it: blocking calls run on the blocking thread pool.
+//! The asynchronous interface to an exporter's spool: its blocking calls run on the blocking thread pool.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,16 +12,17 @@
 use super::spool::{Spool, SpoolError};
 use crate::relay::SharedRelay;
 
-/// A spool, and the record of it that is being sent.
+/// A spool, and its record that is being sent.
 #[derive(Debug)]
 pub(super) struct SpoolQueue {
+    /// `None` if no spool is configured or it cannot be opened.
     spool: Option<Arc<Mutex<Spool>>>,
-    /// The record whose frame is in the memory queue.
+    /// The record whose frame is in the memory queue; `None` if there is none.
     pub(super) in_flight: Option<Record>,
     write_failing: bool,
 }
 
-/// What came of storing frames.
+/// The result of storing frames: the samples that were dropped, and the last error.
 #[derive(Debug)]
 struct StoreResult {
     dropped_samples: u64,
@@ -29,7 +30,7 @@
 }
 
 impl SpoolQueue {
-    /// Opens an exporter's spool if one is configured; without one that can be opened, frames wait in memory alone.
+    /// Opens an exporter's spool if one is configured. If it cannot be opened, frames wait in memory only.
     pub(super) async fn open(relay: &SharedRelay, config: &ExporterConfig) -> SpoolQueue {
         let mut queue = SpoolQueue { spool: None, in_flight: None, write_failing: false };
         let directory = relay.borrow().spool_directory(&config.name).filter(|_| config.spool > 0);
@@ -47,7 +48,7 @@
                 }
                 if !spool.is_empty() {
                     let bytes = spool.bytes();
-                    info!(target: "metrics", exporter = config.name, bytes, "spooled snapshots pending");
+                    info!(target: "metrics", exporter = config.name, bytes, "spool has unsent frames");
                 }
                 queue.spool = Some(Arc::new(Mutex::new(spool)));
             }
@@ -61,13 +62,13 @@
         self.spool.is_some()
     }
 
-    /// Returns whether a frame waits that is not being sent.
+    /// Returns whether the spool has a frame to send and none is being sent.
     pub(super) fn has_more(&self) -> bool {
         let spool = self.spool.as_deref().map(lock);
         self.in_flight.is_none() && spool.is_some_and(|spool| !spool.is_empty())
     }
 
-    /// Stores frames; the samples of those that cannot be stored are counted as dropped.
+    /// Stores frames in the spool. The samples of frames that cannot be stored are counted as dropped.
     pub(super) async fn store(&mut self, relay: &SharedRelay, config: &ExporterConfig, frames: Vec<Frame>) {
         let samples: u64 = frames.iter().map(|frame| frame.samples).sum();
         let Some(spool) = self.spool.clone().filter(|_| !frames.is_empty()) else {
@@ -80,7 +81,7 @@
             Some(error) if !std::mem::replace(&mut self.write_failing, true) => {
                 warn!(
                     target: "metrics", exporter = config.name, %error,
-                    "writing to the spool failed, snapshots are dropped"
+                    "writing to the spool failed; its frames are dropped"
                 );
             }
             None => self.write_failing = false,
@@ -89,7 +90,8 @@
         record_dropped(relay, dropped_samples);
     }
 
-    /// Returns the oldest frame of the spool, which counts as being sent from now on.
+    /// Returns the oldest frame of the spool and marks it as being sent; `None` if there is none or it cannot
+    /// be read.
     pub(super) async fn take_first(&mut self, relay: &SharedRelay) -> Option<Frame> {
         let spool = self.spool.clone()?;
         let found = run_blocking(move || {
@@ -109,7 +111,7 @@
     pub(super) async fn mark_sent(&mut self) {
         let (Some(spool), Some(record)) = (self.spool.clone(), self.in_flight.take()) else { return };
         let marked = run_blocking(move || lock(&spool).mark_sent(&record));
-        // A frame that cannot be marked is sent again with its original timestamp.
+        // If marking fails, the frame is sent again, with its original timestamp.
         let _ = marked.await;
     }
 }
--- a/src/relay/metrics/stats.rs
+++ b/src/relay/metrics/stats.rs
@@ -1,4 +1,4 @@
-//! The relay's state as operators and exporters read it.
+//! The relay's statistics for the `stats` admin command, and its gauges.
 
 use honeyknot_balancer::Micros;
 use honeyknot_metrics::{MetricFamily, MetricsSnapshot};
@@ -10,7 +10,7 @@
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
 impl Relay {
-    /// Returns the operators' statistics as one line of JSON.
+    /// Returns the answer to the `stats` admin command: one line of JSON.
     pub(in crate::relay) fn stats(&self) -> String {
         let count = |family, class: &String| self.metrics.own_total(family, class);
         let class_results = |class: &String| {
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -159,7 +159,7 @@
             // A second relay with the same folder serves without it.
             let other = folder.write("other.json", &process::config(unused_address()));
             let second = Relay::start(&folder, &other, "log-second", &["--metrics", &plan]);
-            second.wait_for_log("another relay uses this folder");
+            second.wait_for_log("another process uses this directory");
         }
         for _ in 0..2 {
             assert!(first_answer(listen, HEAD).starts_with("BUSY"));
@@ -243,7 +243,7 @@
     let sink = TcpListener::bind(at).expect("the sink's port");
     let got = graphite(sink);
     let relay = Relay::start(&folder, &config, "log-2", &["--metrics", &plan]);
-    relay.wait_for_log("spooled snapshots pending");
+    relay.wait_for_log("spool has unsent frames");
     let (mut seen, mut most) = (BTreeMap::new(), 0.0f64);
     let until = Instant::now() + Duration::from_secs(30);
     while seen.len() < 6 || most < asked - 1.0 {
