--- a/crates/balancer/tests/connection_shedding.rs
+++ b/crates/balancer/tests/connection_shedding.rs
@@ -1,4 +1,4 @@
-//! Connections that overloaded endpoints shed.
+//! Tests of the connections that migrate away from overloaded endpoints.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::*;
 
 #[test]
-fn overloaded_endpoint_sheds_a_fraction_from_the_low_priority_class() {
+fn overloaded_endpoint_sheds_a_fraction_of_its_load_from_the_low_priority_class() {
     let mut settings = settings();
     settings.classes = vec![
         request_class(Idempotency::Idempotent),
@@ -25,8 +25,11 @@
     });
     harness.advance(3 * SECOND);
     let migrations = harness.migrations();
-    assert!((6..=20).contains(&migrations.len()), "{} of 40", migrations.len());
-    assert!(migrations.iter().all(|(_, id)| id.0 % 2 == 0), "only the class of low priority");
+    assert!((6..=20).contains(&migrations.len()), "{} of 40 connections migrated", migrations.len());
+    assert!(
+        migrations.iter().all(|(_, id)| id.0 % 2 == 0),
+        "only connections of the low-priority class should migrate"
+    );
 }
 
 #[test]
@@ -43,5 +46,5 @@
     };
     harness.handle(health_check_ended);
     harness.advance(2 * SECOND);
-    assert!(harness.migrations().len() > 16, "{} of 40", harness.migrations().len());
+    assert!(harness.migrations().len() > 16, "{} of 40 connections migrated", harness.migrations().len());
 }
--- a/crates/balancer/tests/health_check.rs
+++ b/crates/balancer/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks.
+//! Tests of the number of health checks and of their results.
 
 mod support;
 
@@ -6,10 +6,11 @@
 use support::*;
 
 #[test]
-fn health_checks_do_not_grow_with_the_number_of_endpoints() {
+fn number_of_health_checks_does_not_grow_with_the_number_of_endpoints() {
     let health_checks = |count: usize| {
         let names: Vec<String> = (0..count).map(|i| format!("s{i}:1")).collect();
-        let endpoints: Vec<(&str, Option<f64>)> = names.iter().map(|s| (s.as_str(), Some(0.3))).collect();
+        let endpoints: Vec<(&str, Option<f64>)> =
+            names.iter().map(|name| (name.as_str(), Some(0.3))).collect();
         let mut harness = Harness::new(settings(), 43, &endpoints);
         for id in 0..50 {
             harness.connect(request(id));
@@ -18,7 +19,7 @@
         harness.health_check_count
     };
     let (small, large) = (health_checks(20), health_checks(200));
-    assert!(large <= small + small / 4, "{small} against {large}");
+    assert!(large <= small + small / 4, "{small} health checks with 20 endpoints, {large} with 200");
 }
 
 #[test]
@@ -33,7 +34,11 @@
         report: None,
     });
     (31..=35).for_each(|id| {
-        assert_ne!(harness.connect(request(id)), endpoint_id("a:1"), "it gets no new connection")
+        assert_ne!(
+            harness.connect(request(id)),
+            endpoint_id("a:1"),
+            "an endpoint with errors should get no new connection"
+        )
     });
     harness.advance(3 * SECOND);
     assert!(harness.migrations().is_empty());
@@ -58,6 +63,9 @@
             harness.advance(20 * SECOND);
             health_checks += harness.health_check_count - before;
         }
-        assert!((1..=600).contains(&health_checks), "{size}: {health_checks} health checks in 20 s");
+        assert!(
+            (1..=600).contains(&health_checks),
+            "{size} balancers: {health_checks} health checks in 20 s"
+        );
     }
 }
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A test harness: a balancer with its timers, and the settings and events that tests need.
-#![allow(dead_code)] // each test file uses a part
+//! Test harness: a balancer with a virtual clock and timers, and helpers that build settings and events.
+#![allow(dead_code)] // no test file uses all helpers
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -124,24 +124,26 @@
     Some(LoadReport { load: Some(load), inflight: Some(load * 50.0), ..LoadReport::default() })
 }
 
-/// A balancer with a virtual clock, its timers and the loads that its endpoints report to health checks.
+/// A balancer with a virtual clock, its timers, and the loads that endpoints report to its health checks.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
+    /// Load that each endpoint reports to health checks. For `None`, its health checks time out.
     pub reported_loads: BTreeMap<EndpointId, Option<f64>>,
-    /// Every action with its time, except health checks and timers.
+    /// All actions except health checks and timers, with the time of each.
     pub actions: Vec<(Micros, Action)>,
     pub health_check_count: usize,
-    /// This endpoint answers health checks with errors.
+    /// Endpoint that answers health checks with errors; `None` if there is none.
     pub endpoint_with_errors: Option<EndpointId>,
-    /// Load reports leave out the number of connections in flight.
+    /// Whether load reports omit the number of connections in flight.
     pub omits_inflight: bool,
+    /// Pending timers by due time and serial number.
     timers: BTreeMap<(Micros, u64), TimerToken>,
-    serial: u64,
+    timer_serial: u64,
 }
 
 impl Harness {
-    /// Creates a balancer with endpoints that report these loads; health checks of one with `None` time out.
+    /// Creates a balancer with endpoints and their reported loads. With `None`, health checks of it time out.
     pub fn new(settings: Settings, seed: u64, endpoints: &[(&str, Option<f64>)]) -> Harness {
         let balancer = Balancer::new(settings, seed, START).expect("valid settings");
         let mut harness = Harness {
@@ -153,7 +155,7 @@
             endpoint_with_errors: None,
             omits_inflight: false,
             timers: BTreeMap::new(),
-            serial: 0,
+            timer_serial: 0,
         };
         for (name, load) in endpoints {
             harness.reported_loads.insert(endpoint_id(name), *load);
@@ -162,30 +164,32 @@
         harness
     }
 
-    /// Handles an event. Health checks are answered, or time out, in the same instant.
+    /// Handles an event. Health checks are answered or time out at the same time.
     pub fn handle(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        for action in out {
+        let mut new_actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut new_actions);
+        for action in new_actions {
             match action {
                 Action::SetTimer { delay, token } => {
-                    self.serial += 1;
-                    self.timers.insert((self.now + delay.max(1), self.serial), token);
+                    self.timer_serial += 1;
+                    self.timers.insert((self.now + delay.max(1), self.timer_serial), token);
                 }
                 Action::CheckHealth(endpoint) => {
                     self.health_check_count += 1;
-                    let errs = self.endpoint_with_errors.as_ref() == Some(&endpoint);
+                    let has_errors = self.endpoint_with_errors.as_ref() == Some(&endpoint);
                     let report = self
                         .reported_loads
                         .get(&endpoint)
                         .copied()
                         .flatten()
-                        .filter(|_| !errs)
+                        .filter(|_| !has_errors)
                         .and_then(load_report);
-                    let report = report
-                        .map(|r| LoadReport { inflight: r.inflight.filter(|_| !self.omits_inflight), ..r });
+                    let report = report.map(|report| LoadReport {
+                        inflight: report.inflight.filter(|_| !self.omits_inflight),
+                        ..report
+                    });
                     let outcome = match report {
-                        _ if errs => Outcome::Error,
+                        _ if has_errors => Outcome::Error,
                         Some(_) => Outcome::Ok,
                         None => Outcome::Timeout,
                     };
@@ -196,34 +200,34 @@
         }
     }
 
-    /// Lets time pass and fires the timers that are due.
-    pub fn advance(&mut self, span: Micros) {
-        let end = self.now + span;
-        while let Some((&(at, serial), &token)) = self.timers.first_key_value() {
-            if at > end {
+    /// Advances the clock and fires the timers that become due.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some((&(due_at, serial), &token)) = self.timers.first_key_value() {
+            if due_at > end {
                 break;
             }
-            self.timers.remove(&(at, serial));
-            self.now = at;
+            self.timers.remove(&(due_at, serial));
+            self.now = due_at;
             self.handle(Event::TimerFired(token));
         }
         self.now = end;
     }
 
-    /// The endpoint of the request's last attempt.
+    /// Returns the endpoint of the request's last attempt; `None` if there was no attempt.
     pub fn last_endpoint(&self, id: u32) -> Option<EndpointId> {
         self.actions.iter().rev().find_map(|(_, action)| match action {
-            Action::Forward { id: of, endpoint, .. } if of.0 == id => Some(endpoint.clone()),
+            Action::Forward { id: request_id, endpoint, .. } if request_id.0 == id => Some(endpoint.clone()),
             _ => None,
         })
     }
 
-    /// Requests a connection and establishes it where it is placed.
+    /// Requests a connection, establishes it where it is placed and returns the endpoint.
     pub fn connect(&mut self, request: Request) -> EndpointId {
         let id = request.id;
         self.handle(Event::Request(request));
         self.advance(50_000);
-        let endpoint = self.last_endpoint(id.0).expect("a placement");
+        let endpoint = self.last_endpoint(id.0).expect("the request should be placed");
         self.handle(Event::ConnectionEstablished {
             id,
             attempt: AttemptId(0),
@@ -233,9 +237,9 @@
         endpoint
     }
 
-    /// Ends the latest attempt of a request; `attempt` is its number.
+    /// Ends the last attempt of a request. `attempt` is the number of that attempt.
     pub fn end_attempt(&mut self, id: u32, attempt: u32, outcome: Outcome, closed: bool) {
-        let endpoint = self.last_endpoint(id).expect("an attempt");
+        let endpoint = self.last_endpoint(id).expect("the request should have an attempt");
         self.handle(Event::AttemptEnded {
             id: RequestId(id),
             attempt: AttemptId(attempt),
@@ -248,41 +252,55 @@
     }
 
     pub fn attempt_count(&self, id: u32) -> usize {
-        self.actions.iter().filter(|(_, a)| matches!(a, Action::Forward { id: of, .. } if of.0 == id)).count()
+        self.actions
+            .iter()
+            .filter(
+                |(_, action)| matches!(action, Action::Forward { id: request_id, .. } if request_id.0 == id),
+            )
+            .count()
     }
 
     pub fn is_rejected(&self, id: u32) -> bool {
-        self.actions.iter().any(|(_, a)| matches!(a, Action::Reject { id: of, .. } if of.0 == id))
+        self.actions
+            .iter()
+            .any(|(_, action)| matches!(action, Action::Reject { id: request_id, .. } if request_id.0 == id))
     }
 
     pub fn is_failed(&self, id: u32) -> bool {
-        self.actions.iter().any(|(_, a)| *a == Action::Fail(RequestId(id)))
+        self.actions.iter().any(|(_, action)| *action == Action::Fail(RequestId(id)))
     }
 
+    /// Returns the migrated connections, with the time of each migration.
     pub fn migrations(&self) -> Vec<(Micros, RequestId)> {
         self.actions
             .iter()
-            .filter_map(|(at, a)| if let Action::Migrate(id) = a { Some((*at, *id)) } else { None })
+            .filter_map(|(at, action)| if let Action::Migrate(id) = action { Some((*at, *id)) } else { None })
             .collect()
     }
 }
 
-/// Three endpoints that report the same load.
+/// Returns three endpoints that report the same load.
 pub fn three_endpoints(load: f64) -> [(&'static str, Option<f64>); 3] {
     [("a:1", Some(load)), ("b:1", Some(load)), ("c:1", Some(load))]
 }
 
-/// All balancers of a fleet, each with the same twelve endpoints in four zones that report the same load.
+/// Returns all balancers of a fleet, each with the same twelve endpoints in four zones that report the same
+/// load.
 ///
-/// Where there are many balancers, each sees one or two connections. Each once took two endpoints for a
-/// group, rebalanced a connection every tick, and took what it had just placed for a thirtieth of a surge.
+/// In a large fleet, each balancer has only one or two connections. Tests use it to check that the balancers
+/// do not use two endpoints each for a group, rebalance one connection each in every tick, or mistake a single
+/// placement for part of a surge.
 pub fn large_fleet(size: u32, load: f64) -> Vec<Harness> {
     let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.2;
     let names: Vec<String> = (0..12).map(|i| format!("s{i}:1")).collect();
-    let entries =
-        || names.iter().enumerate().map(|(i, n)| Endpoint { zone: Some(ZoneId(i % 4)), ..ready_endpoint(n) });
-    let endpoints: Vec<(&str, Option<f64>)> = names.iter().map(|s| (s.as_str(), Some(load))).collect();
+    let entries = || {
+        names
+            .iter()
+            .enumerate()
+            .map(|(i, name)| Endpoint { zone: Some(ZoneId(i % 4)), ..ready_endpoint(name) })
+    };
+    let endpoints: Vec<(&str, Option<f64>)> = names.iter().map(|name| (name.as_str(), Some(load))).collect();
     let harness = |seed| {
         let mut harness = Harness::new(settings.clone(), seed, &endpoints);
         harness.omits_inflight = true;
