--- a/crates/balancer/tests/maintenance.rs
+++ b/crates/balancer/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Endpoints in maintenance, whatever the endpoint list says of them meanwhile.
+//! Tests of endpoints in maintenance, whatever the endpoint list says about them.
 
 use EndpointState::{Draining, Ready, Removed};
 use honeyknot_balancer::MaintenanceOverlay;
@@ -13,20 +13,23 @@
     Endpoint { id: id(name), state, started_at, ..Endpoint::default() }
 }
 
-/// State and start of an endpoint in what the balancer is to see.
+/// Returns the state and start time of an endpoint as the balancer sees it; `None` if it is not included.
 fn state_and_start(endpoints: &[Endpoint], name: &str) -> Option<(EndpointState, Micros)> {
-    endpoints.iter().find(|e| e.id == id(name)).map(|e| (e.state, e.started_at))
+    endpoints
+        .iter()
+        .find(|endpoint| endpoint.id == id(name))
+        .map(|endpoint| (endpoint.state, endpoint.started_at))
 }
 
 #[test]
 fn endpoint_in_maintenance_is_draining_whatever_discovery_reports() {
     let mut overlay = MaintenanceOverlay::default();
     assert_eq!(overlay.start_maintenance(20, &id("a")), Err(UnknownEndpoint));
-    let first = overlay.apply_update(vec![endpoint("a", Ready, 0), endpoint("b", Ready, 0)], true);
-    assert_eq!(state_and_start(&first, "a"), Some((Ready, 0)));
+    let visible = overlay.apply_update(vec![endpoint("a", Ready, 0), endpoint("b", Ready, 0)], true);
+    assert_eq!(state_and_start(&visible, "a"), Some((Ready, 0)));
     assert_eq!(overlay.start_maintenance(20, &id("a")), Ok(Some(endpoint("a", Draining, 0))));
     assert_eq!(overlay.start_maintenance(20, &id("a")), Ok(None));
-    // A restart, a removal, a return, then a full list without it.
+    // The endpoint restarts, is removed and comes back; then a full list omits it.
     for update in [endpoint("a", Ready, 7), endpoint("a", Removed, 7), endpoint("a", Ready, 9)] {
         let visible = overlay.apply_update(vec![update], false);
         assert_eq!(state_and_start(&visible, "a").map(|s| s.0), Some(Draining));
@@ -40,26 +43,26 @@
 }
 
 #[test]
-fn endpoint_after_maintenance_counts_as_restarted_even_if_discovery_reports_it_late() {
+fn endpoint_after_maintenance_counts_as_restarted_even_if_discovery_reports_the_restart_late() {
     let mut overlay = MaintenanceOverlay::default();
     overlay.apply_update(vec![endpoint("a", Ready, 0), endpoint("b", Ready, 5)], true);
     assert!(overlay.start_maintenance(20, &id("a")).is_ok());
     assert_eq!(overlay.end_maintenance(100, &id("a")), Ok(Some(endpoint("a", Ready, 100))));
-    let mut after = |state, started_at, is_full| {
+    let mut visible_after_update = |state, started_at, is_full| {
         let visible = overlay.apply_update(vec![endpoint("a", state, started_at)], is_full);
         state_and_start(&visible, "a")
     };
-    // A start before the maintenance says nothing; one during it is the true one.
-    assert_eq!(after(Ready, 0, true), Some((Ready, 100)));
-    assert_eq!(after(Ready, 20, false), Some((Ready, 100)));
-    assert_eq!(after(Ready, 60, false), Some((Ready, 60)));
-    // It has started again since, and drains like any other.
-    assert_eq!(after(Ready, 150, false), Some((Ready, 150)));
-    assert_eq!(after(Draining, 150, false), Some((Draining, 150)));
+    // A reported start before the maintenance is outdated. One during the maintenance is used.
+    assert_eq!(visible_after_update(Ready, 0, true), Some((Ready, 100)));
+    assert_eq!(visible_after_update(Ready, 20, false), Some((Ready, 100)));
+    assert_eq!(visible_after_update(Ready, 60, false), Some((Ready, 60)));
+    // After a later restart, it is handled like any other endpoint.
+    assert_eq!(visible_after_update(Ready, 150, false), Some((Ready, 150)));
+    assert_eq!(visible_after_update(Draining, 150, false), Some((Draining, 150)));
 }
 
 #[test]
-fn excluded_endpoints_count_once_and_only_while_listed() {
+fn excluded_endpoints_are_counted_once_and_only_while_listed() {
     let mut overlay = MaintenanceOverlay::default();
     let listed = ["a", "b", "c"].map(|name| endpoint(name, Ready, 0));
     overlay.apply_update(listed.into(), true);
--- a/crates/balancer/tests/module_shape.rs
+++ b/crates/balancer/tests/module_shape.rs
@@ -1,4 +1,4 @@
-//! Shape of the crate's source files: short files and lines, a doc on each module, no code in `lib.rs`.
+//! Checks of the crate's source files: length of files and lines, module docs, no code in `lib.rs`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// Name and text of every source file of the crate, folders within folders included.
+/// Returns the path and text of every source file of the crate, including those in subfolders.
 fn source_files() -> Vec<(PathBuf, String)> {
     let mut files = Vec::new();
     let mut folders = vec![source_folder()];
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -1,20 +1,19 @@
-//! Retries by idempotency and outcome.
+//! Tests of retries, depending on idempotency and outcome.
 
 mod support;
 
 use honeyknot_balancer::*;
 use support::*;
 
-/// An attempt may be followed by another one elsewhere if it proves not to have run or if repeats are
-/// harmless.
+/// A request may be retried on another endpoint if it certainly has not run or if a repeat is harmless.
 #[test]
 fn retry_depends_on_idempotency_and_outcome() {
-    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 5 * SECOND };
-    let effects = [
+    let with_key = |scope| Idempotency::IdempotencyKey { scope, window: 5 * SECOND };
+    let idempotencies = [
         Idempotency::Idempotent,
-        keyed(DeduplicationScope::All),
-        keyed(DeduplicationScope::Zone),
-        keyed(DeduplicationScope::Cell),
+        with_key(DeduplicationScope::All),
+        with_key(DeduplicationScope::Zone),
+        with_key(DeduplicationScope::Cell),
         Idempotency::AtMostOnce,
     ];
     let outcomes = [
@@ -25,12 +24,12 @@
         Outcome::Reset,
         Outcome::Cancelled,
     ];
-    for effect in effects {
+    for idempotency in idempotencies {
         for outcome in outcomes {
             let mut settings = settings();
-            settings.classes = vec![request_class(effect)];
+            settings.classes = vec![request_class(idempotency)];
             let mut harness = Harness::new(settings, 5, &[]);
-            // Four endpoints in zones 0 and 1, cells 0 to 3, so that cells lie within zones.
+            // Four endpoints, two in each of the zones 0 and 1, each in a cell of its own.
             let entries: Vec<Endpoint> = (0..4)
                 .map(|i| Endpoint {
                     zone: Some(ZoneId(i / 2)),
@@ -44,15 +43,16 @@
             harness.handle(full_update(entries.clone()));
             harness.handle(Event::Request(request(1)));
             harness.advance(50_000);
-            let first = harness.last_endpoint(1).expect("a first attempt");
+            let first = harness.last_endpoint(1).expect("the request should have an attempt");
             harness.end_attempt(1, 0, outcome, false);
             harness.advance(3 * SECOND);
-            let zone = |id: &EndpointId| entries.iter().find(|e| e.id == *id).and_then(|e| e.zone);
+            let zone =
+                |id: &EndpointId| entries.iter().find(|entry| entry.id == *id).and_then(|entry| entry.zone);
             let second = (harness.attempt_count(1) > 1).then(|| harness.last_endpoint(1)).flatten();
-            let free = outcome.proves_not_run() || effect == Idempotency::Idempotent;
-            let case = format!("{effect:?} {outcome:?}");
-            match effect {
-                _ if free => assert!(second.is_some(), "{case}"),
+            let is_always_safe = outcome.proves_not_run() || idempotency == Idempotency::Idempotent;
+            let case = format!("{idempotency:?} {outcome:?}");
+            match idempotency {
+                _ if is_always_safe => assert!(second.is_some(), "{case}"),
                 Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
                     assert!(second.is_some(), "{case}")
                 }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn request_with_idempotency_key_is_not_retried_after_its_window() {
+fn request_with_idempotency_key_is_not_retried_after_the_deduplication_window() {
     let mut settings = settings();
     settings.classes = vec![request_class(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::All,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn timeout_at_the_deadline_is_answered_at_once() {
+fn request_that_times_out_at_its_deadline_is_rejected_at_once() {
     let mut harness = Harness::new(settings(), 5, &three_endpoints(0.2));
     harness.handle(Event::Request(request(1)));
     harness.advance(2 * SECOND);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn attempts_stop_at_their_limit_and_never_overlap() {
+fn attempts_never_overlap_and_stop_at_their_maximum_number() {
     let mut harness = Harness::new(settings(), 5, &three_endpoints(0.2));
     harness.reported_loads.insert(endpoint_id("d:1"), Some(0.2));
     harness.reported_loads.insert(endpoint_id("e:1"), Some(0.2));
@@ -100,7 +100,7 @@
     harness.handle(Event::Request(request(1)));
     for attempt in 0..4 {
         harness.advance(100_000);
-        assert_eq!(harness.attempt_count(1), attempt as usize + 1, "one attempt at a time");
+        assert_eq!(harness.attempt_count(1), attempt as usize + 1, "there should be one attempt at a time");
         harness.end_attempt(1, attempt, Outcome::Rejected, false);
     }
     harness.advance(2 * SECOND);
--- a/crates/balancer/tests/routing.rs
+++ b/crates/balancer/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to, and for how long.
+//! Tests of the choice of an endpoint and of the timeout of an attempt.
 
 mod support;
 
@@ -16,9 +16,11 @@
         .actions
         .iter()
         .find_map(
-            |(at, a)| if let Action::Forward { timeout, .. } = a { Some((*at, *timeout)) } else { None },
+            |(at, action)| {
+                if let Action::Forward { timeout, .. } = action { Some((*at, *timeout)) } else { None }
+            },
         )
-        .expect("a placement");
+        .expect("the request should be placed");
     assert!(at + timeout <= START + 100_000);
 }
 
@@ -29,9 +31,9 @@
         let mut harness = Harness::new(settings(), seed, &[("a:1", Some(0.1)), ("b:1", Some(0.55))]);
         harness.handle(Event::Request(Request { session_key: None, ..request(1) }));
         harness.advance(100_000);
-        *counts.entry(harness.last_endpoint(1).expect("placed")).or_insert(0) += 1;
+        *counts.entry(harness.last_endpoint(1).expect("the request should be placed")).or_insert(0) += 1;
     }
-    // Spare capacity squared: 0.81 to 0.2, so about four in five.
-    let a = counts[&endpoint_id("a:1")];
-    assert!((280..=360).contains(&a), "{a} of 400");
+    // The weights are the squares of the spare capacities: 0.81 to 0.2, so a:1 gets about 80%.
+    let connections_on_a = counts[&endpoint_id("a:1")];
+    assert!((280..=360).contains(&connections_on_a), "{connections_on_a} of 400 connections on a:1");
 }
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -288,8 +288,8 @@
 /// load.
 ///
 /// In a large fleet, each balancer has only one or two connections. Tests use it to check that the balancers
-/// do not use two endpoints each for a group, rebalance one connection each in every tick, or mistake a single
-/// placement for part of a surge.
+/// do not use two endpoints each for a group, rebalance one connection each in every tick, or mistake a
+/// single placement for part of a surge.
 pub fn large_fleet(size: u32, load: f64) -> Vec<Harness> {
     let mut settings = Settings { fleet_size: size, zone: Some(ZoneId(0)), ..settings() };
     settings.prices.cross_zone = 0.2;
--- a/crates/balancer/tests/zone_affinity.rs
+++ b/crates/balancer/tests/zone_affinity.rs
@@ -1,5 +1,5 @@
-//! Affinity groups and zones: together on few endpoints without load reports, in their clients' zones with
-//! them.
+//! Tests of affinity groups across zones. Without load reports, a group stays together on few endpoints; with
+//! load reports, its connections stay in their clients' zones.
 
 mod support;
 
@@ -10,12 +10,16 @@
 use support::*;
 
 const ZONES: usize = 4;
-const SERVERS: [&str; 12] =
+const ENDPOINTS: [&str; 12] =
     ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1", "h:1", "i:1", "j:1", "k:1", "l:1"];
 
-/// An endpoint's place in the list tells its zone.
+/// Returns the zone of an endpoint, which follows from its index.
 fn zone_of(endpoint: &EndpointId) -> usize {
-    SERVERS.iter().position(|name| endpoint_id(name) == *endpoint).expect("an endpoint of the fleet") % ZONES
+    ENDPOINTS
+        .iter()
+        .position(|name| endpoint_id(name) == *endpoint)
+        .expect("the endpoint should be in the fleet")
+        % ZONES
 }
 
 fn settings_in(zone: usize, fleet_size: u32, price: f64) -> Settings {
@@ -25,40 +29,42 @@
 }
 
 fn harness(settings: Settings, seed: u64, load: f64) -> Harness {
-    let mut harness = Harness::new(settings, seed, &SERVERS.map(|name| (name, Some(load))));
+    let mut harness = Harness::new(settings, seed, &ENDPOINTS.map(|name| (name, Some(load))));
     harness.omits_inflight = true;
-    let at = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready_endpoint(SERVERS[i]) };
-    harness.handle(delta_update((0..SERVERS.len()).map(at).collect()));
+    let endpoint = |i: usize| Endpoint { zone: Some(ZoneId(i % ZONES)), ..ready_endpoint(ENDPOINTS[i]) };
+    harness.handle(delta_update((0..ENDPOINTS.len()).map(endpoint).collect()));
     harness
 }
 
-/// Where a request goes, which may be pending for a while. One of a group stays open, others end.
+/// Sends a request and returns its endpoint, or `None` if it was not placed. Connections of a group stay
+/// open, others end.
 fn send_request(harness: &mut Harness, request: Request) -> Option<EndpointId> {
-    let (id, keeps) = (request.id.0, request.affinity_group.is_some());
+    let (id, stays_open) = (request.id.0, request.affinity_group.is_some());
     harness.handle(Event::Request(request));
     harness.advance(2 * SECOND);
     let endpoint = harness.last_endpoint(id);
-    if endpoint.is_some() && !keeps {
+    if endpoint.is_some() && !stays_open {
         harness.end_attempt(id, 0, Outcome::Ok, true);
     }
     endpoint
 }
 
-/// Eighty balancers, twenty in each zone, that each see five connections of ten groups: the pairs of a group
-/// and an endpoint that holds any of it, and the number of connections that cross zones.
-fn pairs_and_crossings(load: f64, change: impl Fn(&mut Settings)) -> (usize, usize) {
+/// Places five connections of ten groups at each of eighty balancers, twenty in each zone. Returns the number
+/// of pairs of a group and an endpoint with any of its connections, and the number of connections to another
+/// zone.
+fn pairs_and_crossings(load: f64, change_settings: impl Fn(&mut Settings)) -> (usize, usize) {
     let (mut pairs, mut crossings, mut placed) = (BTreeSet::new(), 0, 0);
     for number in 0..80 {
         let mut settings = settings_in(number % ZONES, 80, 0.1);
-        change(&mut settings);
+        change_settings(&mut settings);
         let mut harness = harness(settings, number as u64, load);
-        // Before the first of them, the mean load of the fleet is known from health checks.
+        // These requests make the mean load of the fleet known from health checks.
         (100..110)
             .for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
         for i in 0..5 {
-            let of = (number / ZONES + i) % 10;
+            let group = (number / ZONES + i) % 10;
             let request_in_group =
-                Request { affinity_group: affinity_group(&format!("g{of}")), ..request(i as u32) };
+                Request { affinity_group: affinity_group(&format!("g{group}")), ..request(i as u32) };
             let Some(endpoint) = send_request(&mut harness, request_in_group) else { continue };
             harness.handle(Event::ConnectionEstablished {
                 id: RequestId(i as u32),
@@ -68,10 +74,10 @@
             });
             crossings += usize::from(zone_of(&endpoint) != number % ZONES);
             placed += 1;
-            pairs.insert((of, endpoint));
+            pairs.insert((group, endpoint));
         }
     }
-    assert!(placed > 300, "{placed} of 400 are placed");
+    assert!(placed > 300, "only {placed} of 400 connections placed");
     (pairs.len(), crossings)
 }
 
@@ -80,18 +86,22 @@
     settings.permissions.health_checks = false;
 }
 
-/// Regression: each zone held every group anew; the copies took two fifths of an overloaded fleet.
+/// Guards against every zone using endpoints of its own for each group: these copies took 40% of the capacity
+/// of an overloaded fleet.
 #[test]
 fn group_is_not_copied_into_every_zone_without_load_reports() {
     let (pairs, _) = pairs_and_crossings(0.4, disable_reports);
-    assert!(pairs <= 20, "{pairs} pairs of ten groups where nothing is reported");
+    assert!(pairs <= 20, "{pairs} pairs of a group and an endpoint for ten groups");
 }
 
-/// Where loads are reported, a full zone is seen, and crossing zones otherwise gains nothing.
+/// With load reports, a full zone is visible, and there is no other reason to use another zone.
 #[test]
 fn clients_stay_in_their_zone_with_load_reports() {
     let (pairs, crossings) = pairs_and_crossings(0.4, |_| ());
-    assert!(crossings < 100 && pairs >= 40, "{crossings} of 400 cross zones, {pairs} pairs");
+    assert!(
+        crossings < 100 && pairs >= 40,
+        "{crossings} of 400 connections cross zones, {pairs} pairs of a group and an endpoint"
+    );
 }
 
 #[test]
@@ -100,32 +110,32 @@
         disable_reports(settings);
         settings.prices.cross_zone = 2.0 * GROUP_OVERHEAD_CONNECTIONS;
     });
-    assert!(crossings <= 20, "{crossings} of 400 cross zones");
+    assert!(crossings <= 20, "{crossings} of 400 connections cross zones");
 }
 
 #[test]
-fn copy_cost_is_shared_by_the_groups_members() {
+fn copy_cost_is_shared_by_the_connections_of_the_group() {
     assert_eq!(copy_cost(30.0), GROUP_OVERHEAD_CONNECTIONS / 30.0);
-    assert_eq!(copy_cost(0.1), GROUP_OVERHEAD_CONNECTIONS, "nobody shares with a part of a connection");
+    assert_eq!(copy_cost(0.1), GROUP_OVERHEAD_CONNECTIONS, "fewer than one connection should count as one");
     let price = GROUP_OVERHEAD_CONNECTIONS / 30.0;
     assert_eq!(
         cross_zone_penalty(price, copy_cost(29.9)),
         1.0,
-        "just fewer members than make crossing the dearer"
+        "with slightly fewer than 30 connections, crossing zones should cost less than a copy"
     );
-    assert!(cross_zone_penalty(price, copy_cost(30.1)) > 1.0, "just more");
-    assert_eq!(cross_zone_penalty(0.0, 0.0), 1.0, "crossing costs nothing");
+    assert!(cross_zone_penalty(price, copy_cost(30.1)) > 1.0, "with slightly more, it should cost more");
+    assert_eq!(cross_zone_penalty(0.0, 0.0), 1.0, "crossing zones is free");
 }
 
-/// Number of migrations of one connection in zone 1, with spare capacity at one local endpoint, at one of
-/// four balancers.
-fn migrations_of_connection_in_another_zone(elsewhere: f64, group_of: Option<AffinityGroup>) -> usize {
-    // Loads are reported only to health checks, which are permitted.
+/// Returns how often a connection in zone 1 is migrated by one of four balancers in zone 0, while one
+/// endpoint in zone 0 has spare capacity and all others report `other_load`.
+fn migrations_of_connection_in_another_zone(other_load: f64, group: Option<AffinityGroup>) -> usize {
+    // Only health checks, which are permitted, return load reports.
     let settings = Settings { load_reports: LoadReportSource::Unavailable, ..settings_in(0, 4, 0.1) };
-    let mut harness = harness(settings, 3, elsewhere);
+    let mut harness = harness(settings, 3, other_load);
     harness.reported_loads.insert(endpoint_id("a:1"), Some(0.5));
     harness.handle(Event::ConnectionAdopted(
-        Request { affinity_group: group_of, ..request(1) },
+        Request { affinity_group: group, ..request(1) },
         endpoint_id("b:1"),
     ));
     (100..140).for_each(|id| drop(send_request(&mut harness, Request { session_key: None, ..request(id) })));
@@ -133,23 +143,31 @@
     harness.migrations().len()
 }
 
-/// Regression: a connection was rebalanced, placed by its group in the other zone once more, and so on.
+/// Guards against an endless loop: a connection is rebalanced to its own zone, placed in the other zone again
+/// because its group is there, rebalanced again, and so on.
 #[test]
 fn connection_with_its_group_in_another_zone_is_not_rebalanced() {
-    let there = |name: &String| {
+    let is_on_b = |name: &String| {
         let mut harness = harness(settings_in(0, 4, 0.0), 3, 0.2);
         harness.connect(Request { affinity_group: affinity_group(name), ..request(1) }) == endpoint_id("b:1")
     };
-    let of_b = (0..200).map(|i| format!("g{i}")).find(there).expect("a group whose first endpoint is b:1");
+    let group_on_b = (0..200)
+        .map(|i| format!("g{i}"))
+        .find(is_on_b)
+        .expect("a group should have b:1 as its first endpoint");
     assert_eq!(
-        migrations_of_connection_in_another_zone(0.66, affinity_group(&of_b)),
+        migrations_of_connection_in_another_zone(0.66, affinity_group(&group_on_b)),
         0,
-        "its group is together there"
+        "a connection should stay with its group"
+    );
+    assert_eq!(
+        migrations_of_connection_in_another_zone(0.66, None),
+        1,
+        "a connection without a group should be rebalanced"
     );
-    assert_eq!(migrations_of_connection_in_another_zone(0.66, None), 1, "without a group it is rebalanced");
 }
 
-/// Regression: health checks were sent although the settings did not permit them.
+/// Guards against sending health checks that the settings do not permit.
 #[test]
 fn no_health_check_is_sent_if_not_permitted() {
     for reports in [LoadReportSource::Unavailable, LoadReportSource::Responses] {
