--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -1,4 +1,4 @@
-//! Long random but legal sequences of events, checked against the rules that hold whatever endpoints do.
+//! Long random but valid sequences of events, checked against rules that must always hold.
 
 mod support;
 
@@ -13,12 +13,12 @@
 const STEPS: u32 = 6_000;
 const ENDPOINTS: u32 = 8;
 const MAX_ATTEMPTS: u32 = 4;
-/// A final answer may come this long after the deadline.
+/// A final answer may arrive this long after the deadline.
 const ANSWER_GRACE: Micros = 8_000;
-/// Sends to an endpoint that drains must stop within this time.
+/// New attempts at a draining endpoint must stop within this time.
 const DRAIN_GRACE: Micros = SECOND;
-/// The connection that is adopted at the start; requests have their step's number.
-const ADOPTED: u32 = 1_000_000;
+/// Id of the connection that is adopted at the start. The ids of requests are the numbers of their steps.
+const ADOPTED_CONNECTION: u32 = 1_000_000;
 
 /// An attempt in flight, or an established connection.
 #[derive(Clone)]
@@ -28,11 +28,11 @@
     times_out_at: Micros,
 }
 
-/// Where and when an attempt was first known to have possibly run.
+/// The zone of the first attempt that may have run, and when that became known.
 #[derive(Clone, Copy)]
 struct PossibleRun {
     zone: Option<ZoneId>,
-    since: Micros,
+    known_at: Micros,
 }
 
 /// A request that is owed an answer, or an established connection.
@@ -52,7 +52,7 @@
     token: u64,
 }
 
-/// Clients, endpoints, discovery and timers round one balancer.
+/// Simulated clients, endpoints, discovery and timers of one balancer.
 struct Simulation {
     balancer: Balancer,
     rng: Pcg64Mcg,
@@ -60,9 +60,10 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     draining_since: BTreeMap<EndpointId, Micros>,
     requests: BTreeMap<u32, OpenRequest>,
-    /// Attempts of finished requests whose outcome is still to come.
+    /// Attempts of finished requests whose outcome has not been reported yet.
     late_attempts: BTreeMap<u32, Attempt>,
     timers: BTreeSet<Timer>,
+    /// Endpoints with a health check in flight.
     health_checks: Vec<EndpointId>,
     timer_serial: u64,
     actions: Vec<Action>,
@@ -88,7 +89,7 @@
             balancer: Balancer::new(settings, seed, START).expect("valid settings"),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xabcd),
             now: START,
-            endpoints: (0..ENDPOINTS).map(endpoint).map(|e| (e.id.clone(), e)).collect(),
+            endpoints: (0..ENDPOINTS).map(endpoint).map(|endpoint| (endpoint.id.clone(), endpoint)).collect(),
             draining_since: BTreeMap::new(),
             requests: BTreeMap::new(),
             late_attempts: BTreeMap::new(),
@@ -114,12 +115,12 @@
             is_established: true,
             possible_run: None,
         };
-        self.requests.insert(ADOPTED, connection);
-        let adopted = Request { affinity_group: affinity_group("g0"), ..request(ADOPTED) };
+        self.requests.insert(ADOPTED_CONNECTION, connection);
+        let adopted = Request { affinity_group: affinity_group("g0"), ..request(ADOPTED_CONNECTION) };
         self.handle(Event::ConnectionAdopted(adopted, endpoint));
     }
 
-    /// Hands an event to the balancer, and checks and carries out its actions.
+    /// Passes an event to the balancer, then checks and carries out the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -142,34 +143,38 @@
                 let request = self.finish(id);
                 let is_harmless = request.possible_run.is_none()
                     || idempotencies()[request.class] == Idempotency::Idempotent;
-                assert!(is_harmless, "a rejected request may have run");
+                assert!(is_harmless, "a request was rejected although it may have run");
             }
             Action::Fail(id) => drop(self.finish(id)),
             Action::Migrate(id) => {
-                let connection = self.requests.remove(&id.0).expect("an open connection is migrated");
-                assert!(connection.is_established, "only an established connection is migrated");
-                self.late_attempts.insert(id.0, connection.attempt.expect("its attempt"));
+                let connection = self.requests.remove(&id.0).expect("a migrated connection should be open");
+                assert!(connection.is_established, "a migrated connection should be established");
+                self.late_attempts
+                    .insert(id.0, connection.attempt.expect("a connection should have an attempt"));
             }
             Action::Watch(_) | Action::Log(_) => {}
-            other => panic!("not permitted by the settings: {other:?}"),
+            other => panic!("the settings do not permit this action: {other:?}"),
         }
     }
 
-    /// Starts an attempt, after checks of the rules for attempts.
+    /// Checks the rules for attempts and starts one.
     fn forward(&mut self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
-        let listed = self.endpoints.get(&endpoint).expect("an endpoint of the list");
+        let listed = self.endpoints.get(&endpoint).expect("the endpoint should be in the endpoint list");
         if let Some(since) = self.draining_since.get(&endpoint) {
-            assert!(self.now <= since + DRAIN_GRACE, "a request is sent to a draining endpoint");
+            assert!(
+                self.now <= since + DRAIN_GRACE,
+                "a request was sent to an endpoint after its drain grace period"
+            );
         }
-        let request = self.requests.get_mut(&id.0).expect("an open request");
-        assert!(request.attempt.is_none() && !request.is_established, "two attempts at once");
-        assert!(self.now + timeout <= request.deadline, "an attempt outlasts its deadline");
+        let request = self.requests.get_mut(&id.0).expect("the request should be open");
+        assert!(request.attempt.is_none() && !request.is_established, "a request has two attempts in flight");
+        assert!(self.now + timeout <= request.deadline, "the timeout of an attempt is after the deadline");
         if let Some(run) = request.possible_run {
             match idempotencies()[request.class] {
                 Idempotency::Idempotent => {}
                 Idempotency::IdempotencyKey { window, .. } => {
-                    let is_deduplicated = listed.zone == run.zone && self.now <= run.since + window;
-                    assert!(is_deduplicated, "a retry is sent where it is not deduplicated");
+                    let is_deduplicated = listed.zone == run.zone && self.now <= run.known_at + window;
+                    assert!(is_deduplicated, "a retry was sent where it is not deduplicated");
                 }
                 Idempotency::AtMostOnce => panic!("a request may run twice"),
             }
@@ -180,21 +185,21 @@
         assert!(request.attempts <= MAX_ATTEMPTS, "too many attempts");
     }
 
-    /// Closes a request that gets its final answer.
+    /// Closes a request that has received its final answer.
     fn finish(&mut self, id: RequestId) -> OpenRequest {
-        let request = self.requests.remove(&id.0).expect("an answer to an open request");
+        let request = self.requests.remove(&id.0).expect("an answered request should be open");
         assert!(request.attempt.is_none() && self.now <= request.deadline + ANSWER_GRACE);
         request
     }
 
-    /// Ends the attempt or the connection of a request, if it has one.
+    /// Ends the attempt or the connection of a request if it has one.
     fn end_attempt(&mut self, id: u32, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempt.take() else { return };
         let closed = request.is_established || outcome == Outcome::Ok;
         if !closed && !outcome.proves_not_run() {
             let zone = self.endpoints.get(&attempt.endpoint).and_then(|endpoint| endpoint.zone);
-            request.possible_run.get_or_insert(PossibleRun { zone, since: self.now });
+            request.possible_run.get_or_insert(PossibleRun { zone, known_at: self.now });
         }
         if closed {
             self.requests.remove(&id);
@@ -202,8 +207,8 @@
         self.handle(attempt_ended(id, attempt, outcome, closed, 1_000));
     }
 
-    /// Lets everything happen that is due: timeouts, timers. No request may be past its deadline then.
-    fn settle(&mut self) {
+    /// Handles all timeouts and timers that are due, and checks that every request was answered in time.
+    fn handle_due_timers(&mut self) {
         let is_timed_out = |request: &OpenRequest| {
             let attempt = request.attempt.as_ref();
             !request.is_established && attempt.is_some_and(|attempt| attempt.times_out_at <= self.now)
@@ -218,11 +223,15 @@
             self.handle(Event::TimerFired(TimerToken(timer.token)));
         }
         for request in self.requests.values() {
-            assert!(request.is_established || self.now <= request.deadline + ANSWER_GRACE, "a lost request");
+            assert!(
+                request.is_established || self.now <= request.deadline + ANSWER_GRACE,
+                "a request was not answered by its deadline"
+            );
         }
     }
 
-    /// Draws an established connection, or a request with an attempt in flight.
+    /// Draws a random established connection, or a request with an attempt in flight. Returns `None` if there
+    /// is none.
     fn draw_request(&mut self, is_established: bool) -> Option<u32> {
         let is_wanted =
             |request: &OpenRequest| request.is_established == is_established && request.attempt.is_some();
@@ -233,7 +242,7 @@
 
     fn step(&mut self, step: u32) {
         self.now += self.rng.random_range(0..6_000);
-        self.settle();
+        self.handle_due_timers();
         match self.rng.random_range(0..100) {
             0..=24 => self.send_request(step),
             25..=49 => self.establish_connection(),
@@ -245,7 +254,7 @@
             }
             91..=93 => self.end_late_attempts(),
             94..=96 => self.update_connection(),
-            _ => self.leave(),
+            _ => self.disconnect_client(),
         }
     }
 
@@ -278,7 +287,7 @@
         let Some(id) = self.draw_request(false) else { return };
         let request = self.requests.get_mut(&id).expect("a drawn request");
         request.is_established = true;
-        let attempt = request.attempt.clone().expect("an attempt in flight");
+        let attempt = request.attempt.clone().expect("a drawn request should have an attempt");
         self.handle(Event::ConnectionEstablished {
             id: RequestId(id),
             attempt: AttemptId(attempt.number),
@@ -340,7 +349,7 @@
 
     fn update_connection(&mut self) {
         let Some(id) = self.draw_request(true) else { return };
-        let attempt = self.requests[&id].attempt.clone().expect("the connection's attempt");
+        let attempt = self.requests[&id].attempt.clone().expect("a connection should have an attempt");
         let update = match self.rng.random_range(0..2) {
             0 => ConnectionUpdate::Load(9_000.0),
             _ => ConnectionUpdate::MessageLatency(300.0),
@@ -353,12 +362,12 @@
         });
     }
 
-    /// A client leaves while its attempt is in flight.
-    fn leave(&mut self) {
+    /// Disconnects a client while its attempt is in flight.
+    fn disconnect_client(&mut self) {
         let Some(id) = self.draw_request(false) else { return };
         let request = self.requests.remove(&id).expect("a drawn request");
         self.handle(Event::ClientLeft(RequestId(id)));
-        self.late_attempts.insert(id, request.attempt.expect("an attempt in flight"));
+        self.late_attempts.insert(id, request.attempt.expect("a drawn request should have an attempt"));
     }
 }
 
@@ -374,6 +383,7 @@
     }
 }
 
+/// Runs a simulation and returns all actions of the balancer.
 fn run(seed: u64) -> Vec<Action> {
     let mut simulation = Simulation::new(seed);
     for step in 0..STEPS {
@@ -387,11 +397,11 @@
     for seed in 0..12 {
         let actions = run(seed);
         let forwarded = actions.iter().filter(|action| matches!(action, Action::Forward { .. })).count();
-        assert!(forwarded > 150, "seed {seed}: {forwarded} forwarded");
+        assert!(forwarded > 150, "seed {seed}: only {forwarded} attempts");
     }
 }
 
 #[test]
-fn same_events_give_same_actions() {
+fn same_seed_and_events_give_same_actions() {
     assert_eq!(run(99), run(99));
 }
