--- a/crates/balancer/src/health_check.rs
+++ b/crates/balancer/src/health_check.rs
@@ -120,7 +120,7 @@
                     record.outlier_detector.record_error_response(now, &self.settings);
                 }
             }
-            // The limit on health checks held this one back: it says nothing about the endpoint.
+            // The limit on health checks prevented this one, so the endpoint's health is still unknown.
             Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => {}
             _ => self.record_failure(now, id, actions),
         }
--- a/crates/balancer/src/request_state.rs
+++ b/crates/balancer/src/request_state.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Stores a request that waits as its [`PendingRequest`] says.
+    /// Stores a request that waits for what its [`PendingRequest`] holds.
     pub(crate) fn enqueue_pending(&mut self, state: RequestState) {
         self.pending_requests.insert(state.request.id);
         self.requests.insert(state.request.id, state);
--- a/crates/balancer/tests/long_run.rs
+++ b/crates/balancer/tests/long_run.rs
@@ -285,7 +285,7 @@
 
     fn establish_connection(&mut self) {
         let Some(id) = self.draw_request(false) else { return };
-        let request = self.requests.get_mut(&id).expect("a drawn request");
+        let request = self.requests.get_mut(&id).expect("a drawn request should be open");
         request.is_established = true;
         let attempt = request.attempt.clone().expect("a drawn request should have an attempt");
         self.handle(Event::ConnectionEstablished {
@@ -365,7 +365,7 @@
     /// Disconnects a client while its attempt is in flight.
     fn disconnect_client(&mut self) {
         let Some(id) = self.draw_request(false) else { return };
-        let request = self.requests.remove(&id).expect("a drawn request");
+        let request = self.requests.remove(&id).expect("a drawn request should be open");
         self.handle(Event::ClientLeft(RequestId(id)));
         self.late_attempts.insert(id, request.attempt.expect("a drawn request should have an attempt"));
     }
--- a/crates/balancer/tests/module_shape.rs
+++ b/crates/balancer/tests/module_shape.rs
@@ -15,12 +15,12 @@
     let mut files = Vec::new();
     let mut folders = vec![source_folder()];
     while let Some(folder) = folders.pop() {
-        for entry in fs::read_dir(folder).expect("a readable folder") {
-            let path = entry.expect("a readable entry").path();
+        for entry in fs::read_dir(folder).expect("the folder should be readable") {
+            let path = entry.expect("the folder entry should be readable").path();
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
-                let text = fs::read_to_string(&path).expect("a readable file");
+                let text = fs::read_to_string(&path).expect("the file should be readable");
                 files.push((path, text));
             }
         }
@@ -57,7 +57,7 @@
 
 #[test]
 fn crate_root_holds_only_docs_modules_and_reexports() {
-    let text = fs::read_to_string(source_folder().join("lib.rs")).expect("a readable file");
+    let text = fs::read_to_string(source_folder().join("lib.rs")).expect("the file should be readable");
     let code: String = text
         .lines()
         .filter(|line| !line.starts_with("//") && !line.starts_with("#!["))
