--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -65,7 +65,7 @@
         if self.open.len() >= MAX_CONNECTIONS {
             self.evict_oldest().await;
         }
-        let task = tokio::task::spawn_local(answer(service, stream)).abort_handle();
+        let task = tokio::task::spawn_local(serve_connection(service, stream)).abort_handle();
         self.open.push_back(AdminConnection { task, accepted_at: self.timers.clock.now() });
         // Lets the task read a command that has already arrived before another connection can evict this one.
         tokio::task::yield_now().await;
@@ -81,7 +81,7 @@
 }
 
 /// Receives a command, sends its answer and closes the connection.
-async fn answer(service: impl AdminService, mut stream: TcpStream) {
+async fn serve_connection(service: impl AdminService, mut stream: TcpStream) {
     let timers = service.timers();
     let _ = stream.set_nodelay(true);
     let mut bytes = Vec::with_capacity(command::MAX_COMMAND_BYTES);
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -27,39 +27,41 @@
 struct UnixTime;
 
 impl FormatTime for UnixTime {
-    fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        write!(w, "{}.{:03}", since.as_secs(), since.subsec_millis())
+    fn format_time(&self, writer: &mut Writer<'_>) -> fmt::Result {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        write!(writer, "{}.{:03}", since_epoch.as_secs(), since_epoch.subsec_millis())
     }
 }
 
 /// Formats a record as `TIME LEVEL target: message name=value ...`.
-struct Line;
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut w: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        UnixTime.format_time(&mut w)?;
-        write!(w, " {} {}: ", event.metadata().level(), event.metadata().target())?;
-        ctx.format_fields(w.by_ref(), event)?;
-        writeln!(w)
+    fn format_event(
+        &self, ctx: &FmtContext<'_, S, N>, mut writer: Writer<'_>, event: &Event<'_>,
+    ) -> fmt::Result {
+        UnixTime.format_time(&mut writer)?;
+        write!(writer, " {} {}: ", event.metadata().level(), event.metadata().target())?;
+        ctx.format_fields(writer.by_ref(), event)?;
+        writeln!(writer)
     }
 }
 
 /// Starts logging records of this level and above to standard error.
-pub fn start(level: LevelFilter, form: LogFormat) {
-    let log = tracing_subscriber::fmt()
+pub fn start(level: LevelFilter, format: LogFormat) {
+    let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .with_ansi(false)
         // Reporting a failed write to standard error would panic if standard error itself is broken.
         .log_internal_errors(false);
     // If logging was already started, the earlier configuration stays.
-    let _ = match form {
-        LogFormat::Text => log.event_format(Line).try_init().is_ok(),
-        LogFormat::Json => log.json().flatten_event(true).with_timer(UnixTime).try_init().is_ok(),
+    let _ = match format {
+        LogFormat::Text => subscriber.event_format(TextFormat).try_init().is_ok(),
+        LogFormat::Json => subscriber.json().flatten_event(true).with_timer(UnixTime).try_init().is_ok(),
     };
 }
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -58,8 +58,9 @@
 
 /// Parses an endpoint list.
 ///
-/// # Errors If a required field is missing or a value is invalid. An unknown kind or zone is not an error:
-/// the endpoint then has none.
+/// # Errors
+/// If a required field is missing or a value is invalid. An unknown kind or zone is not an error: the
+/// endpoint then has none.
 pub fn parse_endpoint_list(
     value: &Value, names: &NameTable,
 ) -> Result<EndpointListUpdate, EndpointListError> {
--- a/src/relay/lifecycle/config/error.rs
+++ b/src/relay/lifecycle/config/error.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LoadConfigError {
     /// The environment does not name the configuration file.
-    #[error("EDGE_CONFIG is not set; it names the configuration file")]
+    #[error("EDGE_CONFIG is not set; it must name the configuration file")]
     FileNotNamed,
     /// A file cannot be read.
     #[error("{path}: {source}")]
--- a/src/relay/lifecycle/config/key_file.rs
+++ b/src/relay/lifecycle/config/key_file.rs
@@ -14,8 +14,9 @@
 
 /// Reads a key file and returns its user and password.
 ///
-/// # Errors If the file cannot be read, if its group or others have access to it, or if it is not one line
-/// `USER: PASSWORD`.
+/// # Errors
+/// If the file cannot be read, if its group or others have access to it, or if it is not one line `USER:
+/// PASSWORD`.
 pub fn read_key_file(path: &str) -> Result<(String, String), KeyFileError> {
     let metadata = fs::metadata(path)?;
     if metadata.permissions().mode() & ACCESSIBLE_TO_OTHERS != 0 {
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -58,14 +58,14 @@
     let kill_at = started_at + relay.borrow().max_deadline().min(MAX_DEADLINE_WAIT) + KILL_GRACE;
     info!(target: "shutdown", connections = relay.borrow().open_connections().0.len(), "shutdown started");
     // Once another process accepts clients, a migrated client cannot reconnect to this one.
-    let replaced = relay.borrow().listener_ownership.handed_over();
+    let handed_over = relay.borrow().listener_ownership.handed_over();
     let migrate_from =
-        if replaced { started_at } else { (started_at + FRONT_PROXY_DELAY).min(kill_at - KILL_GRACE) };
+        if handed_over { started_at } else { (started_at + FRONT_PROXY_DELAY).min(kill_at - KILL_GRACE) };
     timers.sleep_until(migrate_from).await;
     loop {
         let now = timers.clock.now();
         let (established, pending) = relay.borrow().open_connections();
-        let idle = replaced && !relay.borrow().idle_connections.is_empty();
+        let idle = handed_over && !relay.borrow().idle_connections.is_empty();
         let drained = established.is_empty() && pending == 0 && !idle;
         if drained || now >= kill_at - EXIT_BEFORE_KILL - LINGER {
             break;
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -60,11 +60,11 @@
     relay: &SharedRelay, confirmed: oneshot::Receiver<()>,
 ) -> Result<(), SetMaintenanceError> {
     let timers = relay.borrow().timers.clone();
-    let linked = || relay.borrow().listener_ownership.link.is_some();
+    let is_link_open = || relay.borrow().listener_ownership.link.is_some();
     tokio::select! {
         // If the other process ends first, its confirmation is no longer needed.
         confirmed = confirmed => match confirmed {
-            Err(_) if linked() => Err(SetMaintenanceError::NotConfirmed),
+            Err(_) if is_link_open() => Err(SetMaintenanceError::NotConfirmed),
             _ => Ok(()),
         },
         () = timers.sleep(CONFIRMATION_TIMEOUT) => Err(SetMaintenanceError::NotConfirmed),
--- a/src/relay/lifecycle/hot_restart/state_directory.rs
+++ b/src/relay/lifecycle/hot_restart/state_directory.rs
@@ -70,8 +70,9 @@
 impl StateDirectory {
     /// Opens the state directory of the relay that listens on an address, and creates it if needed.
     ///
-    /// # Errors If it cannot be created or opened, belongs to another user, or is accessible to its group or
-    /// to others.
+    /// # Errors
+    /// If it cannot be created or opened, belongs to another user, or is accessible to its group or to
+    /// others.
     pub fn open(parent: &Path, listen: SocketAddr) -> Result<StateDirectory, StateDirectoryError> {
         let file_name_character = |c: char| if c.is_ascii_alphanumeric() || c == '.' { c } else { '-' };
         let address: String = listen.to_string().chars().map(file_name_character).collect();
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -117,9 +117,9 @@
     // A previous process may have exported in the current second, so the first export uses the next one.
     let last_second = relay.borrow().timers.clock.now() / MICROS_PER_SECOND + 1;
     let history = ExportHistory { last_snapshot: None, last_second };
-    let mut fresh = ExporterState { queue: FrameQueue::new(max_bytes), history };
-    let Some(previous) = previous else { return fresh };
-    let Ok(mut state) = previous.task.await else { return fresh };
+    let mut initial = ExporterState { queue: FrameQueue::new(max_bytes), history };
+    let Some(previous) = previous else { return initial };
+    let Ok(mut state) = previous.task.await else { return initial };
     state.queue.set_max_bytes(max_bytes);
     state.queue.restart_first();
     if previous.config.protocol == config.protocol && previous.config.prefix == config.prefix {
@@ -128,9 +128,9 @@
     // Queued frames have the old format and cannot be sent.
     let dropped = state.queue.samples();
     relay.borrow_mut().update_metrics(|metrics| metrics.add(MetricFamily::DroppedSamples, 0, dropped));
-    fresh.history.last_snapshot = state.history.last_snapshot;
-    fresh.history.last_second = state.history.last_second.max(last_second);
-    fresh
+    initial.history.last_snapshot = state.history.last_snapshot;
+    initial.history.last_second = state.history.last_second.max(last_second);
+    initial
 }
 
 /// An event that an exporter's task handles.
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -50,10 +50,10 @@
         &self.zones
     }
 
-    /// Builds a load report. `figure` looks up a value by name: first by the name that the simulator uses,
+    /// Builds a load report. `lookup` returns a value by name: first by the name that the simulator uses,
     /// then by the name in the line protocol of real endpoints.
-    pub fn load_report(&self, figure: impl Fn(&str) -> Option<f64>) -> LoadReport {
-        let finite = |name: &str| figure(name).filter(|value| value.is_finite());
+    pub fn load_report(&self, lookup: impl Fn(&str) -> Option<f64>) -> LoadReport {
+        let finite = |name: &str| lookup(name).filter(|value| value.is_finite());
         let either = |simulator: &str, line: &str| finite(simulator).or_else(|| finite(line));
         LoadReport {
             load: finite("x0").filter(|_| self.reports_connections),
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -140,21 +140,23 @@
     })
 }
 
-fn request(message: &Message<'_>, names: &NameTable, at: &RequestPositions) -> Result<Request, MessageError> {
-    let class_name = message.str(at.class)?;
-    let class = names.class(class_name).ok_or_else(|| message.wrong(at.class, "a known class"))?;
-    let tenant_name = message.optional(at.tenant).and_then(Value::as_str);
+fn request(
+    message: &Message<'_>, names: &NameTable, positions: &RequestPositions,
+) -> Result<Request, MessageError> {
+    let class_name = message.str(positions.class)?;
+    let class = names.class(class_name).ok_or_else(|| message.wrong(positions.class, "a known class"))?;
+    let tenant_name = message.optional(positions.tenant).and_then(Value::as_str);
     Ok(Request {
         id: message.request(1)?,
         class,
-        session_key: message.optional_text(at.session_key)?.map(SessionKey),
-        affinity_group: message.optional_text(at.affinity_group)?.map(AffinityGroup),
+        session_key: message.optional_text(positions.session_key)?.map(SessionKey),
+        affinity_group: message.optional_text(positions.affinity_group)?.map(AffinityGroup),
         tenant: tenant_name.and_then(|name| names.tenant(name)),
-        expected_load: message.optional_f64(at.expected_load)?,
-        time_remaining: message.u64(at.time_remaining)?,
-        reconnecting: message.bool(at.reconnecting)?,
-        retry: message.bool(at.retry)?,
-        mid_flow: message.bool(at.mid_flow)?,
+        expected_load: message.optional_f64(positions.expected_load)?,
+        time_remaining: message.u64(positions.time_remaining)?,
+        reconnecting: message.bool(positions.reconnecting)?,
+        retry: message.bool(positions.retry)?,
+        mid_flow: message.bool(positions.mid_flow)?,
         allowed_zones: ZoneSet::ALL,
     })
 }
@@ -163,8 +165,8 @@
     message: &Message<'_>, index: usize, names: &NameTable,
 ) -> Result<Option<LoadReport>, MessageError> {
     let Some(value) = message.optional(index) else { return Ok(None) };
-    let figures = value.as_object().ok_or_else(|| message.wrong(index, "a load report"))?;
-    Ok(Some(names.load_report(|name| figures.get(name).and_then(Value::as_f64))))
+    let fields = value.as_object().ok_or_else(|| message.wrong(index, "a load report"))?;
+    Ok(Some(names.load_report(|name| fields.get(name).and_then(Value::as_f64))))
 }
 
 fn from_hexadecimal(text: &str) -> Result<Vec<u8>, MessageError> {
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -91,7 +91,7 @@
     fn end_batch(&mut self, message: &Message<'_>) -> Result<String, MessageError> {
         message.expect_at_most(0)?;
         self.in_batch = false;
-        self.push(&encode_batch_end(self.batch));
+        self.push_reply(&encode_batch_end(self.batch));
         Ok(std::mem::take(&mut self.reply))
     }
 
@@ -128,15 +128,15 @@
         let mut actions = Vec::new();
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions)));
         for action in actions {
-            self.push(&encode_action(id, action));
+            self.push_reply(&encode_action(id, action));
         }
         if let Err(panic) = handled {
-            self.push(&encode_panic(id, &panic_text(&*panic)));
+            self.push_reply(&encode_panic(id, &panic_text(&*panic)));
         }
         Ok(())
     }
 
-    fn push(&mut self, line: &Value) {
+    fn push_reply(&mut self, line: &Value) {
         self.reply.push_str(&line.to_string());
         self.reply.push('\n');
     }
--- a/tests/compatibility/relay/command_line.rs
+++ b/tests/compatibility/relay/command_line.rs
@@ -87,7 +87,7 @@
     let (status, _, errors) = run(&["check-config"]);
     assert_eq!(
         (status, errors),
-        (Some(2), format!("{PROGRAM_NAME}: EDGE_CONFIG is not set; it names the configuration file\n"))
+        (Some(2), format!("{PROGRAM_NAME}: EDGE_CONFIG is not set; it must name the configuration file\n"))
     );
 }
 
