--- a/crates/lease/tests/simulation/clients.rs
+++ b/crates/lease/tests/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a simulation: requests, actions and effects.
 
-use honeyknot_lease::{Answer, Command, FencingToken, Micros, Rejection, RequestTime};
+use honeyknot_lease::{Command, CommandOutcome, FencingToken, Micros, Rejection, RequestTime};
 use rand::Rng;
 
 use crate::event::{Event, Request};
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sends a new request, or the last one again.
+    /// Sends a new acquire request, or the last one again.
     fn send_acquire(&mut self, client: usize) {
         self.clients[client].nonce += u64::from(self.rng.random_bool(0.7));
         let (holder, nonce) = (format!("n{client}"), self.clients[client].nonce);
@@ -79,7 +79,8 @@
 
     fn check_effect(&mut self, token: FencingToken) {
         if token < self.highest_token {
-            self.report.violation = Some(format!("an effect by {token:?} after {:?}", self.highest_token));
+            self.report.violation =
+                Some(format!("an effect with {token:?} follows one with {:?}", self.highest_token));
         }
         self.report.holder_changes += u64::from(token > self.highest_token);
         self.highest_token = self.highest_token.max(token);
@@ -87,14 +88,14 @@
         self.report.last_effect = self.now;
     }
 
-    pub fn answer_arrives(&mut self, request: &Request, answer: Answer) {
+    pub fn response_arrives(&mut self, request: &Request, outcome: CommandOutcome) {
         let client = &mut self.clients[request.client];
         let now = client.clock.at(self.now);
-        match (&request.command, answer) {
-            (Command::Acquire { .. } | Command::Renew { .. }, Answer::Held(token)) => {
+        match (&request.command, outcome) {
+            (Command::Acquire { .. } | Command::Renew { .. }, CommandOutcome::Held(token)) => {
                 client.holder.granted(request.sent_at, now, token);
             }
-            (Command::Renew { token, .. }, Answer::Rejected(Rejection::LeaseEnded)) => {
+            (Command::Renew { token, .. }, CommandOutcome::Rejected(Rejection::LeaseEnded)) => {
                 client.holder.lease_ended(*token);
             }
             _ => {}
--- a/crates/lease/tests/simulation/event.rs
+++ b/crates/lease/tests/simulation/event.rs
@@ -1,6 +1,6 @@
 //! Events of a simulation.
 
-use honeyknot_lease::{Answer, Command, Micros, RequestTime};
+use honeyknot_lease::{Command, CommandOutcome, Micros, RequestTime};
 
 /// A client's request with one command.
 #[derive(Clone)]
@@ -11,7 +11,7 @@
 }
 
 pub enum Event {
-    /// A client acts and sends requests.
+    /// A client performs effects and sends requests.
     ClientStep(usize),
     /// The leader expires leases.
     LeaderTick,
@@ -19,16 +19,16 @@
         replica: usize,
         request: Request,
     },
-    /// A proposal of the leader of an epoch is committed.
+    /// A proposal is committed if the epoch of its leader still lasts.
     Committed {
         epoch: u64,
         request: Option<Request>,
         command: Command,
         received_at: Micros,
     },
-    AnswerArrives {
+    ResponseArrives {
         request: Request,
-        answer: Answer,
+        outcome: CommandOutcome,
     },
     Fault,
 }
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -1,7 +1,7 @@
 //! The names of classes, tenants, zones and machine types in the settings, which requests, endpoint lists and
 //! messages refer to.
 
-use honeyknot_balancer::{ClassId, KindId, LoadReport, TenantId, ZoneId};
+use honeyknot_balancer::{ClassId, LoadReport, MachineTypeId, TenantId, ZoneId};
 
 /// Maps the names in a settings object to the identifiers that the balancer uses: their positions in the
 /// settings' lists.
@@ -31,8 +31,8 @@
     }
 
     /// Returns the machine type with this name; `None` if there is none.
-    pub fn kind(&self, name: &str) -> Option<KindId> {
-        position(&self.kinds, name).map(KindId)
+    pub fn kind(&self, name: &str) -> Option<MachineTypeId> {
+        position(&self.kinds, name).map(MachineTypeId)
     }
 
     /// Returns the zone with this name; `None` if there is none.
