--- a/src/relay/endpoints/discovery_client/http.rs
+++ b/src/relay/endpoints/discovery_client/http.rs
@@ -29,10 +29,10 @@
     /// The status line or a header is malformed.
     #[error(transparent)]
     InvalidHead(#[from] httparse::Error),
-    /// The response exceeds [`MAX_BODY_BYTES`].
+    /// The response is larger than the accepted maximum.
     #[error("the HTTP response is larger than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// `Content-Length` is not a number, or exceeds [`MAX_BODY_BYTES`].
+    /// `Content-Length` is not a number, or exceeds the accepted maximum.
     #[error("`Content-Length` of the HTTP response is not a number of at most {MAX_BODY_BYTES}")]
     InvalidLength,
     /// A chunk's size is malformed.
--- a/src/relay/lifecycle/hot_restart/maintenance_state.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance_state.rs
@@ -73,7 +73,7 @@
     /// The file ends too early.
     #[error("the file is truncated")]
     Truncated,
-    /// The file does not begin with [`MAGIC`].
+    /// The file does not begin with the expected format and version.
     #[error("the file is not a maintenance file of this version")]
     UnknownFormat,
     /// The checksum does not match the file's content.
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -114,7 +114,7 @@
     relay: &SharedRelay, config: &ExporterConfig, previous: Option<StoppedExporter>,
 ) -> ExporterState {
     let max_bytes = config.buffer as usize;
-    // A previous process may have exported in the current second, so the first export uses the next one.
+    // A previous process may have exported in the current second, so the first export gets a later one.
     let last_second = relay.borrow().timers.clock.now() / MICROS_PER_SECOND + 1;
     let history = ExportHistory { last_snapshot: None, last_second };
     let mut initial = ExporterState { queue: FrameQueue::new(max_bytes), history };
--- a/src/relay/metrics/exporter_connection.rs
+++ b/src/relay/metrics/exporter_connection.rs
@@ -88,7 +88,7 @@
         self.open = None;
     }
 
-    /// Uses a transport that was opened from now on.
+    /// Starts to use a newly opened transport.
     pub(super) fn record_opened(&mut self, config: &ExporterConfig, transport: OpenTransport) {
         if std::mem::take(&mut self.consecutive_failures) > 0 {
             info!(target: "metrics", exporter = config.name, "exporter recovered");
