--- a/src/config_summary.rs
+++ b/src/config_summary.rs
@@ -1,4 +1,5 @@
-//! The summary of a configuration that `honeyknot-relay check-config` prints.
+//! The summary of a configuration that `honeyknot-relay check-config` prints. Scripts tell its lines apart by
+//! their first words, so these do not change.
 
 use honeyknot_gossip::GossipConfig;
 use honeyknot_zone_failover::ZoneFailoverConfig;
@@ -9,9 +10,9 @@
 pub fn print(config: &Config) {
     println!("relay {} listens on {}, discovery at {}", config.name, config.listen, config.discovery);
     let known_endpoints = config.known_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
-    println!("at most {} file descriptors, {known_endpoints} known endpoints", config.max_descriptors);
+    println!("{} descriptors, {known_endpoints} known endpoints", config.max_descriptors);
     if let Some(admin) = config.admin {
-        println!("admin address {admin}");
+        println!("operators call at {admin}");
     }
     if let Some(zone_failover) = &config.zone_failover {
         print_zone_failover(zone_failover);
@@ -21,7 +22,7 @@
     }
     if let Some(metrics) = &config.metrics {
         for exporter in &metrics.exporters {
-            println!("metrics: exporter {} sends to {}", exporter.name, exporter.address);
+            println!("metrics: sink {} at {}", exporter.name, exporter.address);
         }
     }
 }
@@ -29,7 +30,7 @@
 fn print_zone_failover(config: &ZoneFailoverConfig) {
     let (spill_percent, leave_percent) = (config.spill_limit * 100.0, config.leave_limit * 100.0);
     println!(
-        "zone failover: up to {spill_percent}% of a zone's capacity for other zones, up to {leave_percent}% \
+        "sites: up to {spill_percent}% of a zone's capacity for other zones, up to {leave_percent}% \
          of new connections may leave their zone"
     );
 }
@@ -37,5 +38,5 @@
 fn print_gossip(config: &GossipConfig) {
     let (fleet, port, seeds) = (&config.fleet, config.port, config.seeds.len());
     let probers = config.probers_per_endpoint;
-    println!("gossip: fleet {fleet}, port {port}, {seeds} seeds, {probers} relays check each endpoint");
+    println!("neighbors: fleet {fleet}, port {port}, {seeds} seeds, {probers} relays check each endpoint");
 }
