--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -29,14 +29,14 @@
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = GossipConfig::from_section(Section::file(file, &tree, &faults));
-        Section::errors(faults).map(|()| config)
+        Section::into_result(faults).map(|()| config)
     }
 
     fn from_section(mut top: Section) -> GossipConfig {
         let fleet = top.required("fleet", units::text()).unwrap_or_default();
         let port = top.required("port", units::number(1_024..=65_535)).unwrap_or(1_024) as u16;
         let probers_per_endpoint = top.value("witnesses", units::number(1..=9)).unwrap_or(3) as usize;
-        let plain_network = top.bare("plain-network");
+        let plain_network = top.flag("plain-network");
         let seeds = parse_seeds(&mut top, plain_network);
         top.finish();
         GossipConfig { fleet, port, seeds, probers_per_endpoint, plain_network }
@@ -59,14 +59,14 @@
 /// Parses the `seed` directives.
 fn parse_seeds(top: &mut Section, plain_network: bool) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    let directives = top.each("seed");
+    let directives = top.directives("seed");
     for directive in &directives {
-        top.no_block(directive);
+        top.reject_block(directive);
         let [address] = &directive.words[..] else {
             top.error(&directive.name, "`seed` takes one address".into());
             continue;
         };
-        let parsed: Option<SocketAddr> = top.word("seed", address, units::address());
+        let parsed: Option<SocketAddr> = top.parse_word("seed", address, units::address());
         match parsed {
             Some(seed) if !seed.ip().is_loopback() && !plain_network => {
                 let reason = "is not a loopback address: what relays say is neither secret nor signed; \
--- a/crates/gossip/src/counters.rs
+++ b/crates/gossip/src/counters.rs
@@ -8,7 +8,7 @@
     /// Datagrams dropped.
     pub dropped: u64,
     /// Received states that were not newer than the known one, expired, from a clock too far ahead, or too long.
-    pub stale: u64,
+    pub rejected_states: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
 }
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -143,7 +143,7 @@
 
     /// Returns the counters.
     pub fn counters(&self) -> GossipCounters {
-        GossipCounters { stale: self.states.borrow().stale(), ..self.counters }
+        GossipCounters { rejected_states: self.states.borrow().rejected_states(), ..self.counters }
     }
 
     fn receive(
--- a/crates/gossip/src/member_states.rs
+++ b/crates/gossip/src/member_states.rs
@@ -17,13 +17,13 @@
     local: MemberId,
     now: Micros,
     states: BTreeMap<SocketAddr, MemberState>,
-    stale: u64,
+    rejected_states: u64,
 }
 
 impl MemberStates {
     /// Creates an empty set for the local member.
     pub(crate) fn new(local: MemberId, now: Micros) -> MemberStates {
-        MemberStates { local, now, states: BTreeMap::new(), stale: 0 }
+        MemberStates { local, now, states: BTreeMap::new(), rejected_states: 0 }
     }
 
     /// Sets the time. Expired states are kept until their room is needed, so that an older one is not accepted again.
@@ -32,8 +32,8 @@
     }
 
     /// Returns how many received states were rejected.
-    pub(crate) fn stale(&self) -> u64 {
-        self.stale
+    pub(crate) fn rejected_states(&self) -> u64 {
+        self.rejected_states
     }
 
     /// Returns the states that have not expired, each with its age.
@@ -50,7 +50,7 @@
             return false;
         }
         if !self.is_acceptable(state) {
-            self.stale += 1;
+            self.rejected_states += 1;
             return false;
         }
         self.store(state.clone());
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -34,7 +34,7 @@
     /// When the view was created.
     pub created_at: Micros,
     /// Number of the local member.
-    pub local: u64,
+    pub local_member: u64,
     /// Numbers of the living members, the local one among them, in ascending order.
     pub alive: Vec<u64>,
     observations: BTreeMap<u32, Vec<MemberObservation>>,
@@ -42,13 +42,13 @@
 
 impl GossipView {
     /// Creates the view of a member that knows no other.
-    pub fn alone(created_at: Micros, local: u64) -> GossipView {
-        GossipView { created_at, local, alive: vec![local], observations: BTreeMap::new() }
+    pub fn alone(created_at: Micros, local_member: u64) -> GossipView {
+        GossipView { created_at, local_member, alive: vec![local_member], observations: BTreeMap::new() }
     }
 
     /// Creates a view from published states and their ages. Observations by members that cannot be assigned are left out.
     pub(crate) fn new<'a>(
-        created_at: Micros, local: u64, alive: Vec<u64>, probers_per_endpoint: usize,
+        created_at: Micros, local_member: u64, alive: Vec<u64>, probers_per_endpoint: usize,
         states: impl Iterator<Item = (Micros, &'a MemberState)>,
     ) -> GossipView {
         let mut observations = observations_by_endpoint(states);
@@ -57,7 +57,7 @@
             observed.retain(|observation| candidates.contains(&observation.member));
         }
         observations.retain(|_, observed| !observed.is_empty());
-        GossipView { created_at, local, alive, observations }
+        GossipView { created_at, local_member, alive, observations }
     }
 
     /// Returns the members' observations of an endpoint.
@@ -69,7 +69,7 @@
     pub fn aggregated(&self, now: Micros, endpoint: u32, max_age: Micros) -> Option<AggregatedHealth> {
         let view_age = now.saturating_sub(self.created_at);
         let is_usable = |observation: &&MemberObservation| {
-            observation.member != self.local && observation.age + view_age < max_age
+            observation.member != self.local_member && observation.age + view_age < max_age
         };
         let usable: Vec<&MemberObservation> = self.observations(endpoint).iter().filter(is_usable).collect();
         AggregatedHealth::from_observations(&usable)
--- a/crates/health-check-budget/src/budget.rs
+++ b/crates/health-check-budget/src/budget.rs
@@ -141,7 +141,7 @@
             self.assigned_among.clone_from(&view.alive);
         }
         let probers = self.probers_per_endpoint;
-        let compute = || assigned_probers(&view.alive, endpoint, probers).contains(&view.local);
+        let compute = || assigned_probers(&view.alive, endpoint, probers).contains(&view.local_member);
         *self.assignments.entry(endpoint).or_insert_with(compute)
     }
 }
--- a/crates/health-check-budget/tests/health_check_budget.rs
+++ b/crates/health-check-budget/tests/health_check_budget.rs
@@ -38,7 +38,7 @@
     let mut fleet = settled_fleet(40, 4);
     let endpoint = 1;
     let stopped = assigned_probers(&fleet.relays[&0].view.alive, endpoint, PROBERS);
-    fleet.relays.retain(|_, relay| !stopped.contains(&relay.view.local));
+    fleet.relays.retain(|_, relay| !stopped.contains(&relay.view.local_member));
     assert_eq!(fleet.relays.len(), 37);
     let from = fleet.now;
     fleet.run(8 * S, Delivery::All);
@@ -63,10 +63,10 @@
     let mut fleet = settled_fleet(12, 1);
     let endpoint = 0;
     let probers = assigned_probers(&fleet.relays[&0].view.alive, endpoint, PROBERS);
-    let not_assigned = fleet.relays.iter().find(|(_, relay)| !probers.contains(&relay.view.local));
+    let not_assigned = fleet.relays.iter().find(|(_, relay)| !probers.contains(&relay.view.local_member));
     let not_assigned = *not_assigned.expect("a relay that is not assigned").0;
     // All probers but one stop, and what they published expires.
-    fleet.relays.retain(|_, relay| !probers[1..].contains(&relay.view.local));
+    fleet.relays.retain(|_, relay| !probers[1..].contains(&relay.view.local_member));
     fleet.run(2_100 * MS, Delivery::All);
     let now = fleet.now;
     let relay = fleet.relays.get_mut(&not_assigned).expect("the relay runs");
--- a/crates/metrics/src/collectd/decode.rs
+++ b/crates/metrics/src/collectd/decode.rs
@@ -31,15 +31,15 @@
 
 /// A value as a receiver decodes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Received {
+pub struct ReceivedValue {
     /// The host's name.
     pub host: String,
     /// The plugin's instance.
-    pub instance: String,
+    pub plugin_instance: String,
     /// The type.
-    pub kind: String,
+    pub type_name: String,
     /// The type's instance.
-    pub name: String,
+    pub type_instance: String,
     /// Unix microseconds, rounded to the nearest.
     pub timestamp: u64,
     /// The value.
@@ -47,14 +47,16 @@
 }
 
 /// Looks up a user's password.
-pub type Passwords<'a> = &'a dyn Fn(&str) -> Option<String>;
+pub type PasswordLookup<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 /// Decodes a packet; with `passwords` it has to be signed or encrypted by one of their users.
 ///
 /// # Errors
 ///
 /// If a part is malformed, or the packet is not protected as required.
-pub fn read(packet: &[u8], passwords: Option<Passwords>) -> Result<Vec<Received>, PacketError> {
+pub fn decode_packet(
+    packet: &[u8], passwords: Option<PasswordLookup>,
+) -> Result<Vec<ReceivedValue>, PacketError> {
     let (kind, body, rest) = split_part(packet, 0)?;
     match (kind, passwords) {
         (part_type::SIGNATURE, Some(passwords)) => {
@@ -68,7 +70,7 @@
     }
 }
 
-fn verify_signature(body: &[u8], content: &[u8], passwords: Passwords) -> Result<(), PacketError> {
+fn verify_signature(body: &[u8], content: &[u8], passwords: PasswordLookup) -> Result<(), PacketError> {
     let malformed = PacketError::Malformed(part_type::SIGNATURE, 0);
     let (signature, user) = body.split_at_checked(SIGNATURE_BYTES).ok_or(malformed)?;
     let (user, password) = credentials(user, passwords)?;
@@ -78,7 +80,7 @@
     }
 }
 
-fn decrypt(body: &[u8], passwords: Passwords) -> Result<Vec<u8>, PacketError> {
+fn decrypt(body: &[u8], passwords: PasswordLookup) -> Result<Vec<u8>, PacketError> {
     let malformed = || PacketError::Malformed(part_type::ENCRYPTION, 0);
     let (length, body) = body.split_at_checked(2).ok_or_else(malformed)?;
     let length = usize::from(u16::from_be_bytes([length[0], length[1]]));
@@ -95,7 +97,7 @@
 }
 
 /// Returns a user's name and password.
-fn credentials(user: &[u8], passwords: Passwords) -> Result<(String, String), PacketError> {
+fn credentials(user: &[u8], passwords: PasswordLookup) -> Result<(String, String), PacketError> {
     let user = String::from_utf8_lossy(user).into_owned();
     let password = passwords(&user).ok_or_else(|| PacketError::NotGenuine(user.clone()))?;
     Ok((user, password))
@@ -112,13 +114,13 @@
 }
 
 /// Decodes the parts of a packet's content.
-fn parts(mut bytes: &[u8]) -> Result<Vec<Received>, PacketError> {
+fn parts(mut bytes: &[u8]) -> Result<Vec<ReceivedValue>, PacketError> {
     let size = bytes.len();
-    let mut current = Received {
+    let mut current = ReceivedValue {
         host: String::new(),
-        instance: String::new(),
-        kind: String::new(),
-        name: String::new(),
+        plugin_instance: String::new(),
+        type_name: String::new(),
+        type_instance: String::new(),
         timestamp: 0,
         value: MetricValue::Counter(0),
     };
@@ -130,13 +132,13 @@
         let malformed = PacketError::Malformed(kind, offset);
         match kind {
             part_type::HOST => current.host = string(body).ok_or(malformed)?,
-            part_type::PLUGIN_INSTANCE => current.instance = string(body).ok_or(malformed)?,
-            part_type::TYPE => current.kind = string(body).ok_or(malformed)?,
-            part_type::TYPE_INSTANCE => current.name = string(body).ok_or(malformed)?,
+            part_type::PLUGIN_INSTANCE => current.plugin_instance = string(body).ok_or(malformed)?,
+            part_type::TYPE => current.type_name = string(body).ok_or(malformed)?,
+            part_type::TYPE_INSTANCE => current.type_instance = string(body).ok_or(malformed)?,
             part_type::TIME => current.timestamp = time(body).ok_or(malformed)?,
             part_type::VALUES => {
                 let values = values(body).ok_or(malformed)?;
-                received.extend(values.into_iter().map(|value| Received { value, ..current.clone() }));
+                received.extend(values.into_iter().map(|value| ReceivedValue { value, ..current.clone() }));
             }
             _ => {}
         }
--- a/crates/metrics/src/collectd/encode.rs
+++ b/crates/metrics/src/collectd/encode.rs
@@ -50,7 +50,7 @@
 /// Encodes a snapshot as packets of at most [`MAX_PACKET_BYTES`].
 ///
 /// `instance` is the plugin's instance; `initialization_vector` is called for each encrypted packet.
-pub fn packets(
+pub fn encode_packets(
     host: &str, instance: &str, snapshot: &MetricsSnapshot, interval_micros: u64, security: &Security,
     mut initialization_vector: impl FnMut() -> [u8; 16],
 ) -> Vec<Vec<u8>> {
@@ -107,7 +107,9 @@
 }
 
 /// Encodes a snapshot in the text protocol, as a unixsock or exec plugin reads it: one `PUTVAL` a sample.
-pub fn putvals(host: &str, instance: &str, snapshot: &MetricsSnapshot, interval_micros: u64) -> String {
+pub fn encode_putvals(
+    host: &str, instance: &str, snapshot: &MetricsSnapshot, interval_micros: u64,
+) -> String {
     let mut text = String::new();
     for sample in &snapshot.samples {
         let (kind, _) = type_of(sample.value);
--- a/crates/metrics/src/collectd/mod.rs
+++ b/crates/metrics/src/collectd/mod.rs
@@ -8,8 +8,8 @@
 mod encode;
 mod security;
 
-pub use decode::{PacketError, Passwords, Received, read};
-pub use encode::{packets, putvals};
+pub use decode::{PacketError, PasswordLookup, ReceivedValue, decode_packet};
+pub use encode::{encode_packets, encode_putvals};
 pub use security::Security;
 
 /// The largest packet in bytes, which fits a datagram on Ethernet; collectd's own default.
--- a/crates/metrics/src/config.rs
+++ b/crates/metrics/src/config.rs
@@ -49,11 +49,11 @@
     /// The nodes before the relay's name in Graphite's paths.
     pub prefix: String,
     /// The largest number of bytes that wait in memory.
-    pub buffer: u64,
+    pub max_buffer_bytes: u64,
     /// The largest number of bytes that wait on disk; 0 is no spool.
-    pub spool: u64,
+    pub max_spool_bytes: u64,
     /// Frames a second that are sent from the spool.
-    pub fill: f64,
+    pub spool_frames_per_second: f64,
 }
 
 /// The operators' configuration of metrics.
@@ -82,7 +82,7 @@
         let series_cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(DEFAULT_SERIES_CAP);
         let state_directory = top.value("state", units::text()).map(PathBuf::from);
         let mut exporters: Vec<ExporterConfig> = Vec::new();
-        for directive in top.each("sink") {
+        for directive in top.directives("sink") {
             let exporter = read_exporter(&top, directive, &read_key, state_directory.is_some());
             let Some(exporter) = exporter else { continue };
             if exporters.iter().any(|other| other.name == exporter.name) {
@@ -94,7 +94,7 @@
             exporters.push(exporter);
         }
         top.finish();
-        Section::errors(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
+        Section::into_result(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
     }
 }
 
@@ -113,7 +113,7 @@
         let graphite = block.value("graphite", units::address());
         let graphite_pickle = block.value("graphite-pickle", units::address());
         let collectd = block.value("collectd", units::address());
-        let tags = block.value("tags", units::flag()).unwrap_or(false);
+        let tags = block.value("tags", units::on_off()).unwrap_or(false);
         let path_style = if tags { PathStyle::Tags } else { PathStyle::Nodes };
         let sign = block.value("sign", read_key);
         let encrypt = block.value("encrypt", read_key);
@@ -177,15 +177,26 @@
     let interval = units::duration(Duration::from_millis(100)..=Duration::from_secs(3600));
     let interval = block.value("interval", interval).unwrap_or(DEFAULT_INTERVAL);
     let prefix = block.value("prefix", units::text()).unwrap_or_else(|| DEFAULT_PREFIX.to_owned());
-    let spool = block.value("spool", units::bytes(4 << 20..=1 << 40));
-    let fill = block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(DEFAULT_FILL_RATE);
-    let buffer = block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(DEFAULT_BUFFER_BYTES);
+    let max_spool_bytes = block.value("spool", units::bytes(4 << 20..=1 << 40));
+    let spool_frames_per_second =
+        block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(DEFAULT_FILL_RATE);
+    let max_buffer_bytes =
+        block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(DEFAULT_BUFFER_BYTES);
     protocol.check(&block, directive, interval);
     block.finish();
     let (protocol, address) = protocol.into_protocol(top, directive)?;
-    let spool = spool.unwrap_or(0);
-    if spool > 0 && !has_state_directory {
+    let max_spool_bytes = max_spool_bytes.unwrap_or(0);
+    if max_spool_bytes > 0 && !has_state_directory {
         top.error(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
     }
-    Some(ExporterConfig { name: name.text.clone(), protocol, address, interval, prefix, buffer, spool, fill })
+    Some(ExporterConfig {
+        name: name.text.clone(),
+        protocol,
+        address,
+        interval,
+        prefix,
+        max_buffer_bytes,
+        max_spool_bytes,
+        spool_frames_per_second,
+    })
 }
--- a/crates/metrics/src/families.rs
+++ b/crates/metrics/src/families.rs
@@ -23,7 +23,7 @@
     /// The tag by which its series differ; empty where there is one.
     pub tag: &'static str,
     /// The values of that tag; empty where it is dynamic: its values are zones or classes, known when the relay runs.
-    pub values: &'static [&'static str],
+    pub tag_values: &'static [&'static str],
     /// The meaning, for operators.
     pub help: &'static str,
 }
@@ -36,7 +36,7 @@
             kind: MetricKind::$kind,
             unit: $unit,
             tag: $tag,
-            values: &[$($value),*],
+            tag_values: &[$($value),*],
             help: $help,
         }),*];
 
--- a/crates/metrics/src/graphite.rs
+++ b/crates/metrics/src/graphite.rs
@@ -66,7 +66,7 @@
 }
 
 /// Encodes a snapshot as plaintext lines; gauges that are not finite are left out.
-pub fn lines(prefix: &str, snapshot: &MetricsSnapshot, style: PathStyle) -> String {
+pub fn encode_lines(prefix: &str, snapshot: &MetricsSnapshot, style: PathStyle) -> String {
     let timestamp = snapshot.timestamp / 1_000_000;
     let mut text = String::with_capacity(snapshot.samples.len() * 64);
     for sample in &snapshot.samples {
@@ -84,7 +84,7 @@
 pub type PickledSample = (String, (i64, f64));
 
 /// Decodes a pickle with its length before it, as a receiver does; none if the bytes are not one.
-pub fn read_pickle(bytes: &[u8]) -> Option<Vec<PickledSample>> {
+pub fn decode_pickle(bytes: &[u8]) -> Option<Vec<PickledSample>> {
     let (length, body) = bytes.split_at_checked(4)?;
     let length = u32::from_be_bytes(length.try_into().ok()?) as usize;
     (body.len() == length).then(|| serde_pickle::from_slice(body, serde_pickle::DeOptions::new()).ok())?
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// If a list cannot be pickled.
-pub fn pickles(
+pub fn encode_pickles(
     prefix: &str, snapshot: &MetricsSnapshot, style: PathStyle,
 ) -> Result<Vec<Vec<u8>>, serde_pickle::Error> {
     let timestamp = (snapshot.timestamp / 1_000_000) as i64;
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -15,7 +15,7 @@
 /// The quantiles of histograms and their statistics' names.
 pub const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p999", 0.999)];
 /// The tag value that sums all values beyond the series cap.
-pub const OTHERS: &str = "others";
+pub const OTHERS_TAG_VALUE: &str = "others";
 
 /// The state of one series.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
 /// Counters, gauges and histograms of a relay.
 ///
 /// Families whose tag values are listed in [`METRIC_FAMILIES`] have their series from the start. A dynamic tag gets a series
-/// for each new value up to a cap; further values are summed under [`OTHERS`], which bounds memory and exports.
+/// for each new value up to a cap; further values are summed under [`OTHERS_TAG_VALUE`], which bounds memory and exports.
 #[derive(Clone, Debug)]
 pub struct MetricsRegistry {
     /// The series of each family, in the order of its tag values.
@@ -75,7 +75,7 @@
     /// Creates a registry with a cap on the values of each dynamic tag.
     pub fn new(series_cap: usize) -> MetricsRegistry {
         let cells = |family: &MetricDescriptor| {
-            let count = if family.tag.is_empty() { 1 } else { family.values.len() };
+            let count = if family.tag.is_empty() { 1 } else { family.tag_values.len() };
             (0..count).map(|_| MetricCell::new(family.kind)).collect()
         };
         MetricsRegistry {
@@ -99,7 +99,7 @@
 
     /// Adds one to the counter with a tag value; an unknown value is ignored.
     pub fn increment(&mut self, family: MetricFamily, tag_value: &str) {
-        if let Some(index) = family.descriptor().values.iter().position(|value| *value == tag_value) {
+        if let Some(index) = family.descriptor().tag_values.iter().position(|value| *value == tag_value) {
             self.add(family, index, 1);
         }
     }
@@ -110,7 +110,7 @@
     }
 
     /// Returns what this process has counted for a dynamic tag's value.
-    pub fn own_total(&self, family: MetricFamily, tag_value: &str) -> u64 {
+    pub fn total_since_start(&self, family: MetricFamily, tag_value: &str) -> u64 {
         let key = (family as usize, tag_value.to_owned());
         let total = self.dynamic.get(&key).map_or(0, MetricCell::total);
         total.saturating_sub(self.restored.get(&key).copied().unwrap_or(0))
@@ -126,11 +126,11 @@
         if let Some(cell) = self.dynamic.get_mut(&key) {
             return cell.add(count);
         }
-        // `OTHERS` does not count, so that restored values keep their series.
+        // `OTHERS_TAG_VALUE` does not count, so that restored values keep their series.
         let all = self.dynamic.range((family, String::new())..(family + 1, String::new()));
-        let series = all.filter(|((_, value), _)| value != OTHERS).count();
-        let has_own_series = series < self.series_cap || tag_value == OTHERS;
-        let key = if has_own_series { key } else { (family, OTHERS.to_owned()) };
+        let series = all.filter(|((_, value), _)| value != OTHERS_TAG_VALUE).count();
+        let has_own_series = series < self.series_cap || tag_value == OTHERS_TAG_VALUE;
+        let key = if has_own_series { key } else { (family, OTHERS_TAG_VALUE.to_owned()) };
         self.dynamic.entry(key).or_insert(MetricCell::Counter(0)).add(count);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Returns the counters and histograms as they are stored. `timestamp` is in Unix microseconds.
-    pub fn stored(&self, relay: &str, timestamp: u64, incarnation: u64) -> StoredMetrics {
+    pub fn to_stored(&self, relay: &str, timestamp: u64, incarnation: u64) -> StoredMetrics {
         let mut stored =
             StoredMetrics { relay: relay.to_owned(), timestamp, incarnation, ..StoredMetrics::default() };
         for (family, tag_value, cell) in self.cells() {
@@ -163,8 +163,8 @@
             match cell {
                 MetricCell::Counter(0) | MetricCell::Gauge(_) => {}
                 MetricCell::Counter(total) => {
-                    let value = tag_value.unwrap_or_default().to_owned();
-                    stored.counters.push(CounterState { name, value, total: *total });
+                    let tag_value = tag_value.unwrap_or_default().to_owned();
+                    stored.counters.push(CounterState { name, tag_value, total: *total });
                 }
                 MetricCell::Histogram(histogram) => {
                     let counts =
@@ -190,7 +190,7 @@
         let descriptor = &METRIC_FAMILIES[family];
         let index = match descriptor.tag {
             "" => Some(0),
-            _ => descriptor.values.iter().position(|value| *value == counter.value),
+            _ => descriptor.tag_values.iter().position(|value| *value == counter.tag_value),
         };
         match index {
             Some(index) => {
@@ -198,9 +198,9 @@
                     cell.add(counter.total);
                 }
             }
-            None if descriptor.values.is_empty() => {
-                *self.restored.entry((family, counter.value.clone())).or_insert(0) += counter.total;
-                self.add_dynamic_at(family, &counter.value, counter.total);
+            None if descriptor.tag_values.is_empty() => {
+                *self.restored.entry((family, counter.tag_value.clone())).or_insert(0) += counter.total;
+                self.add_dynamic_at(family, &counter.tag_value, counter.total);
             }
             None => return None,
         }
@@ -232,7 +232,7 @@
             cells
                 .iter()
                 .enumerate()
-                .map(move |(index, cell)| (family, family.values.get(index).copied(), cell))
+                .map(move |(index, cell)| (family, family.tag_values.get(index).copied(), cell))
         });
         let dynamic = self.dynamic.iter();
         fixed.chain(
--- a/crates/metrics/src/stored.rs
+++ b/crates/metrics/src/stored.rs
@@ -24,7 +24,7 @@
     /// The family's name.
     pub name: String,
     /// The tag's value; empty where there is no tag.
-    pub value: String,
+    pub tag_value: String,
     /// The total.
     pub total: u64,
 }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -4,7 +4,7 @@
 
 /// One error: the file, the position in it, what is wrong and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}:{line}:{column}: {what}")]
+#[error("{file}:{line}:{column}: {message}")]
 pub struct ConfigError {
     /// The file's name as the caller gave it.
     pub file: String,
@@ -13,7 +13,7 @@
     /// The column, in characters, counted from 1.
     pub column: u32,
     /// What is wrong, with the word that is, and what is allowed there.
-    pub what: String,
+    pub message: String,
 }
 
 /// All errors of a file by position; never empty.
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -59,8 +59,8 @@
 }
 
 impl Parser<'_> {
-    fn error(&mut self, line: u32, column: u32, what: impl Into<String>) {
-        self.errors.push(ConfigError { file: self.file.to_owned(), line, column, what: what.into() });
+    fn error(&mut self, line: u32, column: u32, message: impl Into<String>) {
+        self.errors.push(ConfigError { file: self.file.to_owned(), line, column, message: message.into() });
     }
 
     fn tree(&mut self, text: &str) -> Vec<Directive> {
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -48,27 +48,27 @@
     }
 
     /// Reports an error at a word.
-    pub fn error(&self, at: &Word, what: String) {
-        self.error_at(at.line, at.column, what);
+    pub fn error(&self, at: &Word, message: String) {
+        self.error_at(at.line, at.column, message);
     }
 
-    fn error_at(&self, line: u32, column: u32, what: String) {
-        self.errors.borrow_mut().push(ConfigError { file: self.file.to_owned(), line, column, what });
+    fn error_at(&self, line: u32, column: u32, message: String) {
+        self.errors.borrow_mut().push(ConfigError { file: self.file.to_owned(), line, column, message });
     }
 
     /// Returns all directives of a name.
-    pub fn each(&mut self, name: &'static str) -> Vec<&'a Directive> {
+    pub fn directives(&mut self, name: &'static str) -> Vec<&'a Directive> {
         self.known.push(name);
         self.items.iter().filter(|d| d.name.text == name).collect()
     }
 
     /// Returns the only directive of a name; a second one is an error.
-    pub fn only(&mut self, name: &'static str) -> Option<&'a Directive> {
-        let found = self.each(name);
+    pub fn single(&mut self, name: &'static str) -> Option<&'a Directive> {
+        let found = self.directives(name);
         if let [first, again @ ..] = &found[..] {
             for directive in again {
-                let what = format!("`{name}` is given again; the first is in line {}", first.name.line);
-                self.error(&directive.name, what);
+                let message = format!("`{name}` is given again; the first is in line {}", first.name.line);
+                self.error(&directive.name, message);
             }
         }
         found.first().copied()
@@ -76,10 +76,10 @@
 
     /// Returns the value of a directive of one word; none if it is missing or wrong.
     pub fn value<T>(&mut self, name: &'static str, read: impl Fn(&str) -> ParseResult<T>) -> Option<T> {
-        let directive = self.only(name)?;
-        self.no_block(directive);
+        let directive = self.single(name)?;
+        self.reject_block(directive);
         match &directive.words[..] {
-            [word] => self.word(name, word, read),
+            [word] => self.parse_word(name, word, read),
             _ => {
                 let count = directive.words.len();
                 self.error(&directive.name, format!("`{name}` takes one value; there are {count}"));
@@ -89,9 +89,9 @@
     }
 
     /// Returns whether a directive without words is present; one with a word or a block is an error and counts as absent.
-    pub fn bare(&mut self, name: &'static str) -> bool {
-        self.only(name).is_some_and(|directive| {
-            self.no_block(directive);
+    pub fn flag(&mut self, name: &'static str) -> bool {
+        self.single(name).is_some_and(|directive| {
+            self.reject_block(directive);
             directive.words.is_empty() || {
                 self.error(&directive.name, format!("`{name}` takes no word"));
                 false
@@ -111,18 +111,18 @@
     }
 
     /// Parses a word of a directive, and reports an error if it is wrong.
-    pub fn word<T>(&self, name: &str, word: &Word, read: impl Fn(&str) -> ParseResult<T>) -> Option<T> {
+    pub fn parse_word<T>(&self, name: &str, word: &Word, read: impl Fn(&str) -> ParseResult<T>) -> Option<T> {
         match read(&word.text) {
             Ok(value) => Some(value),
-            Err(what) => {
-                self.error(word, format!("`{name}`: `{}`: {what}", word.text));
+            Err(message) => {
+                self.error(word, format!("`{name}`: `{}`: {message}", word.text));
                 None
             }
         }
     }
 
     /// Reports an error if the directive has a block.
-    pub fn no_block(&self, directive: &Directive) {
+    pub fn reject_block(&self, directive: &Directive) {
         if directive.block.is_some() {
             self.error(&directive.name, format!("`{}` takes no block", directive.name.text));
         }
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// All errors of the list.
-    pub fn errors(list: RefCell<Vec<ConfigError>>) -> Result<(), ConfigErrors> {
+    pub fn into_result(list: RefCell<Vec<ConfigError>>) -> Result<(), ConfigErrors> {
         ConfigErrors::from_list(list.into_inner()).map_or(Ok(()), Err)
     }
 }
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -31,7 +31,7 @@
 }
 
 /// A share in percent, such as `25%`; the value is a part of 1.
-pub fn share(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
+pub fn percentage(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
     move |word| {
         let percent = word.strip_suffix('%').and_then(|n| n.parse::<f64>().ok()).filter(|n| n.is_finite());
         let percent = percent.ok_or("not a share in percent, such as 25%")?;
@@ -103,7 +103,7 @@
 }
 
 /// `on` or `off`.
-pub fn flag() -> impl Fn(&str) -> ParseResult<bool> {
+pub fn on_off() -> impl Fn(&str) -> ParseResult<bool> {
     choice(&[("on", true), ("off", false)])
 }
 
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -52,13 +52,13 @@
     let mut top = Section::file("x.conf", &tree, &faults);
     let most = Duration::from_secs(60);
     assert_eq!(top.value("wait", units::duration(Duration::ZERO..=most)), None);
-    assert_eq!(top.value("limit", units::share(0.0..=1.0)), None);
+    assert_eq!(top.value("limit", units::percentage(0.0..=1.0)), None);
     assert_eq!(top.value("rate", units::rate(0.0..=5.0)), None);
     assert_eq!(top.value("size", units::bytes(0..=9)), None);
-    assert_eq!(top.value("end", units::flag()), None);
+    assert_eq!(top.value("end", units::on_off()), None);
     assert_eq!(top.required("must", units::text()), None);
     top.finish();
-    let told = Section::errors(faults).expect_err("faults").to_string();
+    let told = Section::into_result(faults).expect_err("faults").to_string();
     let lines = [
         "x.conf:1:1: the file lacks `must`",
         "x.conf:1:6: `wait`: `5`: not a span of time with its unit, such as 30s or 250ms",
@@ -77,10 +77,10 @@
 fn values_with_units_are_read() {
     assert_eq!(units::bytes(0..=u64::MAX)("64MiB"), Ok(64 << 20));
     assert_eq!(units::rate(0.0..=9.0)("90/m"), Ok(1.5));
-    assert_eq!(units::share(0.0..=1.0)("25%"), Ok(0.25));
+    assert_eq!(units::percentage(0.0..=1.0)("25%"), Ok(0.25));
     assert_eq!(units::duration(Duration::ZERO..=Duration::MAX)("1m 30s"), Ok(Duration::from_secs(90)));
     assert!(units::bytes(0..=u64::MAX)("99999999999GiB").is_err());
-    assert!(units::share(0.0..=1.0)("NaN%").is_err());
+    assert!(units::percentage(0.0..=1.0)("NaN%").is_err());
     assert!(units::address()("127.0.0.1:0").is_err());
 }
 
--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -36,7 +36,7 @@
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &faults), zone_names);
-        Section::errors(faults).map(|()| config)
+        Section::into_result(faults).map(|()| config)
     }
 
     fn from_section(mut top: Section, zone_names: &[String]) -> ZoneFailoverConfig {
@@ -45,15 +45,20 @@
         config.read_recovery(&mut top);
         config.read_rebalancing(&mut top);
         config.read_retry_after(&mut top);
-        for directive in top.each("prefer") {
+        for directive in top.directives("prefer") {
             config.read_tiers(&top, directive, zone_names);
         }
-        for directive in top.each("receive") {
-            let found =
-                read_zone_value(&top, directive, zone_names, &config.receive_limits, units::share(0.0..=1.0));
+        for directive in top.directives("receive") {
+            let found = read_zone_value(
+                &top,
+                directive,
+                zone_names,
+                &config.receive_limits,
+                units::percentage(0.0..=1.0),
+            );
             config.receive_limits.extend(found);
         }
-        for directive in top.each("relays") {
+        for directive in top.directives("relays") {
             let found = read_zone_value(
                 &top,
                 directive,
@@ -70,22 +75,22 @@
 
     /// Reads limits and load thresholds.
     fn read_limits(&mut self, top: &mut Section) {
-        let share = units::share(0.0..=1.0);
-        let load = units::share(0.05..=1.0);
+        let share = units::percentage(0.0..=1.0);
+        let load = units::percentage(0.05..=1.0);
         set(&mut self.spill_limit, top.value("spill-limit", &share));
         set(&mut self.leave_limit, top.value("leave-limit", &share));
         set(&mut self.overflow_share, top.value("overflow", &share));
         set(&mut self.relay_skew, top.value("skew", units::number(1.0..=16.0)));
-        set(&mut self.connection_load, top.value("session-load", units::share(0.0001..=1.0)));
+        set(&mut self.connection_load, top.value("session-load", units::percentage(0.0001..=1.0)));
         set(&mut self.affinity_group_cost, top.value("deck-cost", units::number(0.0..=100.0)));
         set(&mut self.spill_threshold, top.value("spill-at", &load));
         set(&mut self.receive_threshold, top.value("yield-at", &load));
-        set(&mut self.give_back_threshold, top.value("give-back-at", units::share(0.05..=2.0)));
+        set(&mut self.give_back_threshold, top.value("give-back-at", units::percentage(0.05..=2.0)));
     }
 
     /// Reads when a zone is lost and how it recovers.
     fn read_recovery(&mut self, top: &mut Section) {
-        let share = units::share(0.0..=1.0);
+        let share = units::percentage(0.0..=1.0);
         set(&mut self.lost_threshold, top.value("lost-below", &share));
         set(&mut self.recovered_threshold, top.value("back-above", &share));
         set(&mut self.partial_recovery_delay, top.value("small-after", micros(0, MAX_SHORT_DURATION)));
@@ -100,7 +105,7 @@
 
     /// Reads the pace of rebalancing and the assumptions behind shared limits.
     fn read_rebalancing(&mut self, top: &mut Section) {
-        let load = units::share(0.05..=1.0);
+        let load = units::percentage(0.05..=1.0);
         set(&mut self.migrations_per_second, top.value("moves", units::rate(0.0..=10_000.0)));
         set(&mut self.rebalance_threshold, top.value("home-below", &load));
         set(&mut self.max_update_skew, top.value("news-skew", micros(0, MAX_SHORT_DURATION)));
@@ -109,11 +114,11 @@
     }
 
     fn read_retry_after(&mut self, top: &mut Section) {
-        let Some(directive) = top.only("come-back") else { return };
+        let Some(directive) = top.single("come-back") else { return };
         let [least, most] = &directive.words[..] else {
             return top.error(&directive.name, "`come-back` takes the least and the longest time".into());
         };
-        let read = |word| top.word("come-back", word, micros(1, HOUR));
+        let read = |word| top.parse_word("come-back", word, micros(1, HOUR));
         if let (Some(from), Some(to)) = (read(least), read(most)) {
             if from > to {
                 top.error(least, "`come-back`: the least time is longer than the longest".into());
@@ -127,7 +132,7 @@
         let mut block = top.block(directive);
         let mut named: Vec<String> = Vec::new();
         let mut zone = |section: &Section, word: &Word| {
-            let name = section.word("site", word, |text| known_zone(text, zone_names))?;
+            let name = section.parse_word("site", word, |text| known_zone(text, zone_names))?;
             if named.contains(&name) {
                 section.error(word, format!("the site `{name}` is named again"));
             }
@@ -142,8 +147,8 @@
             }
         };
         let mut tiers = Vec::new();
-        for tier in block.each("tier") {
-            block.no_block(tier);
+        for tier in block.directives("tier") {
+            block.reject_block(tier);
             if tier.words.is_empty() {
                 block.error(&tier.name, "`tier` takes one site or more".into());
             }
@@ -160,7 +165,7 @@
     fn check(&self, top: &mut Section) {
         let mut order = |low: (&'static str, f64), high: (&'static str, f64)| {
             if low.1 > high.1 {
-                let at = top.only(low.0).or_else(|| top.only(high.0));
+                let at = top.single(low.0).or_else(|| top.single(high.0));
                 let what = format!(
                     "`{}` ({:.0}%) must not be above `{}` ({:.0}%)",
                     low.0,
@@ -190,14 +195,14 @@
     top: &Section, directive: &Directive, zone_names: &[String], earlier: &BTreeMap<String, T>,
     read: impl Fn(&str) -> units::ParseResult<T>,
 ) -> Option<(String, T)> {
-    top.no_block(directive);
+    top.reject_block(directive);
     let name = &directive.name;
     let [zone, value] = &directive.words[..] else {
         top.error(name, format!("`{}` takes a site and a value", name.text));
         return None;
     };
-    let found = top.word(&name.text, zone, |text| known_zone(text, zone_names));
-    let value = top.word(&name.text, value, read);
+    let found = top.parse_word(&name.text, zone, |text| known_zone(text, zone_names));
+    let value = top.parse_word(&name.text, value, read);
     if found.as_ref().is_some_and(|found| earlier.contains_key(found)) {
         top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
     }
--- a/src/gossip/counters.rs
+++ b/src/gossip/counters.rs
@@ -14,11 +14,11 @@
     /// Datagrams dropped.
     pub dropped: AtomicU64,
     /// Received states that were not accepted.
-    pub stale: AtomicU64,
+    pub rejected_states: AtomicU64,
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
     /// Batches of observations that found the queue to the thread full.
-    pub unsent: AtomicU64,
+    pub dropped_batches: AtomicU64,
 }
 
 impl SharedGossipCounters {
@@ -28,7 +28,7 @@
             (&self.alive, alive as u64),
             (&self.received, counters.received),
             (&self.dropped, counters.dropped),
-            (&self.stale, counters.stale),
+            (&self.rejected_states, counters.rejected_states),
             (&self.sent_bytes, counters.sent_bytes),
         ];
         for (counter, value) in values {
--- a/src/gossip/handle.rs
+++ b/src/gossip/handle.rs
@@ -95,7 +95,7 @@
         let due = self.budget.start_due_checks(now, &view, numbered.iter().map(|(number, _)| *number));
         let observations = self.budget.observations(now, &view);
         if !observations.is_empty() && self.observations.try_send(observations).is_err() {
-            self.counters.unsent.fetch_add(1, Ordering::Relaxed);
+            self.counters.dropped_batches.fetch_add(1, Ordering::Relaxed);
         }
         let due_endpoints = numbered.into_iter().filter(|(number, _)| due.contains(number));
         due_endpoints.map(|(_, id)| id.clone()).collect()
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -91,7 +91,7 @@
 
 fn list_names() -> String {
     let line = |family: &MetricDescriptor| {
-        let (kind, values) = (family.kind.as_str(), family.values.join(","));
+        let (kind, values) = (family.kind.as_str(), family.tag_values.join(","));
         format!("{}\t{kind}\t{}\t{}\t{values}\t{}\n", family.name, family.unit, family.tag, family.help)
     };
     METRIC_FAMILIES.iter().map(line).collect()
@@ -106,7 +106,7 @@
             .map(|snapshot| describe_snapshot(&snapshot))
             .map_err(|source| InspectError::Snapshot { path, source });
     }
-    if let Some(points) = graphite::read_pickle(&bytes) {
+    if let Some(points) = graphite::decode_pickle(&bytes) {
         return Ok(points.iter().map(|(name, (at, value))| format!("{name} {value} {at}\n")).collect());
     }
     let credentials = key_file.map(read_credentials).transpose()?;
@@ -124,19 +124,22 @@
         let known = credentials.filter(|credentials| credentials.user == user);
         known.map(|credentials| credentials.password.clone())
     };
-    let passwords: Option<collectd::Passwords<'_>> = credentials.is_some().then_some(&password_of);
-    let values = collectd::read(bytes, passwords)?;
+    let passwords: Option<collectd::PasswordLookup<'_>> = credentials.is_some().then_some(&password_of);
+    let values = collectd::decode_packet(bytes, passwords)?;
     Ok(values.iter().map(describe_value).collect())
 }
 
-fn describe_value(received: &collectd::Received) -> String {
+fn describe_value(received: &collectd::ReceivedValue) -> String {
     let value = match received.value {
         MetricValue::Counter(total) => total.to_string(),
         MetricValue::Gauge(gauge) => gauge.to_string(),
     };
     let seconds = received.timestamp as f64 / 1e6;
-    let plugin = format!("{}-{}", collectd::PLUGIN_NAME, received.instance);
-    format!("{}/{plugin}/{}-{} {value} {seconds:.3}\n", received.host, received.kind, received.name)
+    let plugin = format!("{}-{}", collectd::PLUGIN_NAME, received.plugin_instance);
+    format!(
+        "{}/{plugin}/{}-{} {value} {seconds:.3}\n",
+        received.host, received.type_name, received.type_instance
+    )
 }
 
 fn describe_snapshot(snapshot: &StoredMetrics) -> String {
@@ -147,7 +150,7 @@
         snapshot.incarnation
     );
     for total in &snapshot.counters {
-        let tag = if total.value.is_empty() { String::new() } else { format!(" {}", total.value) };
+        let tag = if total.tag_value.is_empty() { String::new() } else { format!(" {}", total.tag_value) };
         text.push_str(&format!("{}{tag} {}\n", total.name, total.total));
     }
     for histogram in &snapshot.histograms {
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -67,7 +67,7 @@
         let tree = parse(file, text)?;
         let faults = RefCell::default();
         let config = LeaseConfig::from_section(Section::file(file, &tree, &faults));
-        Section::errors(faults).map(|()| config)
+        Section::into_result(faults).map(|()| config)
     }
 
     /// Number of servers.
@@ -80,7 +80,7 @@
         let parameters = read_parameters(&mut section);
         let election_timeout =
             section.value("election", duration_units(100, 60)).unwrap_or(DEFAULT_ELECTION_TIMEOUT);
-        let plain_network = section.bare("plain-network");
+        let plain_network = section.flag("plain-network");
         let servers = read_servers(&mut section, plain_network);
         check_durations(&mut section, &parameters, election_timeout);
         section.finish();
@@ -95,7 +95,7 @@
 fn read_parameters(section: &mut Section) -> LeaseParameters {
     let lease_duration = section.value("lease", duration_units(500, 3_600)).unwrap_or(DEFAULT_LEASE_DURATION);
     let mut parameters = LeaseParameters::new(lease_duration);
-    if let Some(drift) = section.value("clock-drift", units::share(0.0..=0.1)) {
+    if let Some(drift) = section.value("clock-drift", units::percentage(0.0..=0.1)) {
         parameters.drift_ppm = (drift * 1e6).round() as u64;
     }
     if let Some(margin) = section.value("margin", duration_units(0, 3_600)) {
@@ -106,23 +106,24 @@
 
 fn read_servers(section: &mut Section, plain_network: bool) -> BTreeMap<ReplicaId, SocketAddr> {
     let mut servers = BTreeMap::new();
-    let directives = section.each("keeper");
+    let directives = section.directives("keeper");
     for directive in &directives {
-        section.no_block(directive);
+        section.reject_block(directive);
         let [number, address] = &directive.words[..] else {
             section.error(&directive.name, "`keeper` takes a number and an address".into());
             continue;
         };
-        let number = section.word("keeper", number, units::number(SERVER_IDS));
-        let address = section.word("keeper", address, units::address()).filter(|address: &SocketAddr| {
-            let allowed = address.ip().is_loopback() || plain_network;
-            if !allowed {
-                let what = "is not a loopback address: what keepers say is neither secret nor signed; \
+        let number = section.parse_word("keeper", number, units::number(SERVER_IDS));
+        let address =
+            section.parse_word("keeper", address, units::address()).filter(|address: &SocketAddr| {
+                let allowed = address.ip().is_loopback() || plain_network;
+                if !allowed {
+                    let what = "is not a loopback address: what keepers say is neither secret nor signed; \
                     `plain-network` allows it on a network that is trusted";
-                section.error(&directive.words[1], format!("`{address}` {what}"));
-            }
-            allowed
-        });
+                    section.error(&directive.words[1], format!("`{address}` {what}"));
+                }
+                allowed
+            });
         if let (Some(number), Some(address)) = (number, address)
             && servers.insert(number, address).is_some()
         {
@@ -146,12 +147,12 @@
 fn check_durations(section: &mut Section, parameters: &LeaseParameters, election_timeout: Micros) {
     let lease_duration = parameters.lease_duration;
     if parameters.usable_duration() < lease_duration / 2
-        && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
+        && let Some(directive) = section.single("margin").or_else(|| section.single("clock-drift"))
     {
         section.error(&directive.name, "margin and drift leave less than half of the lease".into());
     }
     if election_timeout > lease_duration / 3
-        && let Some(directive) = section.only("election").or_else(|| section.only("lease"))
+        && let Some(directive) = section.single("election").or_else(|| section.single("lease"))
     {
         let what = "`election` is longer than a third of `lease`: a change of leader loses leases";
         section.error(&directive.name, what.into());
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -70,7 +70,7 @@
             alive = value(&counters.alive),
             received = value(&counters.received),
             dropped = value(&counters.dropped),
-            unsent = value(&counters.unsent),
+            unsent = value(&counters.dropped_batches),
             "gossip counters"
         );
     }
--- a/src/relay/metrics/export_format.rs
+++ b/src/relay/metrics/export_format.rs
@@ -55,16 +55,16 @@
     let samples = snapshot.samples.len() as u64;
     match &config.protocol {
         Protocol::GraphiteLines(paths) => {
-            let text = graphite::lines(&prefix, snapshot, *paths);
+            let text = graphite::encode_lines(&prefix, snapshot, *paths);
             vec![Frame { bytes: text.into_bytes(), samples }]
         }
         Protocol::GraphitePickle(paths) => {
-            into_frames(graphite::pickles(&prefix, snapshot, *paths).unwrap_or_default(), samples)
+            into_frames(graphite::encode_pickles(&prefix, snapshot, *paths).unwrap_or_default(), samples)
         }
         Protocol::Collectd(security) => {
             let interval = config.interval.as_micros() as u64;
             let initialization_vector = || rng.random();
-            let packets = collectd::packets(
+            let packets = collectd::encode_packets(
                 relay_name,
                 COLLECTD_INSTANCE,
                 snapshot,
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -112,7 +112,7 @@
 async fn initial_state(
     relay: &SharedRelay, config: &ExporterConfig, previous: Option<StoppedExporter>,
 ) -> ExporterState {
-    let max_bytes = config.buffer as usize;
+    let max_bytes = config.max_buffer_bytes as usize;
     // The previous process may have exported in the current second.
     let last_second = relay.borrow().timers.clock.now() / MICROS_PER_SECOND + 1;
     let history = ExportHistory { last_snapshot: None, last_second };
@@ -252,7 +252,8 @@
 
     /// Queues the oldest frame of the spool.
     async fn refill_from_spool(&mut self) {
-        self.next_refill_at = Instant::now() + Duration::from_secs_f64(1.0 / self.config.fill);
+        self.next_refill_at =
+            Instant::now() + Duration::from_secs_f64(1.0 / self.config.spool_frames_per_second);
         if let Some(frame) = self.spool.take_first(&self.relay).await {
             let evicted = self.state.queue.push(frame);
             if !evicted.is_empty() {
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -72,7 +72,7 @@
         if counters.saved_at >= up_to {
             return Ok(());
         }
-        let encoded = metrics.stored(&counters.relay_name, now, counters.incarnation).encode();
+        let encoded = metrics.to_stored(&counters.relay_name, now, counters.incarnation).encode();
         (encoded.map(|bytes| counters.directory.write(bytes)), now)
     };
     let result = match write {
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -32,9 +32,9 @@
     /// Opens an exporter's spool if one is configured; without one that can be opened, frames wait in memory alone.
     pub(super) async fn open(relay: &SharedRelay, config: &ExporterConfig) -> SpoolQueue {
         let mut queue = SpoolQueue { spool: None, in_flight: None, write_failing: false };
-        let directory = relay.borrow().spool_directory(&config.name).filter(|_| config.spool > 0);
+        let directory = relay.borrow().spool_directory(&config.name).filter(|_| config.max_spool_bytes > 0);
         let Some(directory) = directory else { return queue };
-        let max_bytes = config.spool;
+        let max_bytes = config.max_spool_bytes;
         match run_blocking(move || Spool::open(&directory, max_bytes)).await {
             Ok((spool, torn_segments)) => {
                 for torn in torn_segments {
--- a/src/relay/metrics/stats.rs
+++ b/src/relay/metrics/stats.rs
@@ -12,7 +12,7 @@
 impl Relay {
     /// Returns the operators' statistics as one line of JSON.
     pub(in crate::relay) fn stats(&self) -> String {
-        let count = |family, class: &String| self.metrics.own_total(family, class);
+        let count = |family, class: &String| self.metrics.total_since_start(family, class);
         let class_results = |class: &String| {
             let [succeeded, declined, aborted, forwards] = CLASS_FAMILIES.map(|family| count(family, class));
             let results = json!({"succeeded": succeeded, "declined": declined, "aborted": aborted, "forwards": forwards});
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -74,8 +74,10 @@
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
-    let state =
-        honeyknot_metrics::MetricsRegistry::new(1).stored("n0", 5_000_000, 2).encode().expect("a snapshot");
+    let state = honeyknot_metrics::MetricsRegistry::new(1)
+        .to_stored("n0", 5_000_000, 2)
+        .encode()
+        .expect("a snapshot");
     let file = folder.0.join("state");
     fs::write(&file, &state).expect("a file");
     let output = run(&["metrics", "decode", &file.display().to_string()]);
@@ -83,7 +85,7 @@
     fs::write(&file, &state[..state.len() - 1]).expect("a file");
     let (code, text) = failure(&run(&["metrics", "decode", &file.display().to_string()]));
     assert!(code == Some(2) && text.contains("the snapshot has"), "{text}");
-    let packet = honeyknot_metrics::collectd::packets(
+    let packet = honeyknot_metrics::collectd::encode_packets(
         "n0",
         "relay",
         &honeyknot_metrics::MetricsRegistry::new(1).snapshot(5_000_000),
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use honeyknot_metrics::collectd::{self, Received, Security};
+use honeyknot_metrics::collectd::{self, ReceivedValue, Security};
 use honeyknot_metrics::families::{METRIC_FAMILIES, MetricFamily, MetricKind};
 use honeyknot_metrics::graphite::{self, PathStyle};
 use honeyknot_metrics::spool_record::{self, ValidPrefix};
@@ -62,7 +62,7 @@
 #[test]
 fn metrics_have_the_names_kinds_units_and_tags_of_the_previous_version() {
     let lines = METRIC_FAMILIES.iter().map(|family| {
-        let (kind, values) = (kind_word(family.kind), family.values.join(","));
+        let (kind, values) = (kind_word(family.kind), family.tag_values.join(","));
         format!("{}\t{kind}\t{}\t{}\t{values}\n", family.name, family.unit, family.tag)
     });
     assert_eq!(lines.collect::<String>(), fixture_text(METRIC_NAMES));
@@ -73,21 +73,21 @@
     let text = fixture_text("graphite-nodes.txt");
     assert!(text.contains("honeyknot.n0.refused.reason.closing 1 1700000000\n"));
     assert!(text.contains("honeyknot.n0.placed.site.others 7 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Nodes), text);
+    assert_eq!(graphite::encode_lines("honeyknot.n0", &sample(), PathStyle::Nodes), text);
     let tagged = fixture_text("graphite-tags.txt");
     assert!(tagged.contains("honeyknot.n0.refused;reason=closing 1 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Tags), tagged);
+    assert_eq!(graphite::encode_lines("honeyknot.n0", &sample(), PathStyle::Tags), tagged);
 }
 
 #[test]
 fn a_sample_is_told_to_graphite_as_a_pickle_as_by_the_previous_version() {
     let frame = fixture("graphite.pickle");
-    let points = graphite::read_pickle(&frame).expect("a pickle");
+    let points = graphite::decode_pickle(&frame).expect("a pickle");
     let point = |path: &str, value| (path.to_owned(), (1_700_000_000, value));
     assert!(points.contains(&point("honeyknot.n0.placed.site.tema", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.setup.count", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.roll_age", 1.5)));
-    let written = graphite::pickles("honeyknot.n0", &sample(), PathStyle::Nodes).expect("a pickle");
+    let written = graphite::encode_pickles("honeyknot.n0", &sample(), PathStyle::Nodes).expect("a pickle");
     assert_eq!(written, [frame]);
 }
 
@@ -102,25 +102,27 @@
 }
 
 fn write_packets(security: &Security) -> Vec<Vec<u8>> {
-    collectd::packets("n0", "relay", &sample(), INTERVAL, security, || INITIALIZATION_VECTOR)
+    collectd::encode_packets("n0", "relay", &sample(), INTERVAL, security, || INITIALIZATION_VECTOR)
 }
 
 /// The first point of the registry, as collectd receives it.
-fn first_received() -> Received {
-    Received {
+fn first_received() -> ReceivedValue {
+    ReceivedValue {
         host: "n0".into(),
-        instance: "relay".into(),
-        kind: "derive".into(),
-        name: "requests".into(),
+        plugin_instance: "relay".into(),
+        type_name: "derive".into(),
+        type_instance: "requests".into(),
         timestamp: TAKEN_AT,
         value: MetricValue::Counter(9_007_199_254_740_993),
     }
 }
 
-fn assert_packets(name: &str, security: &Security, passwords: Option<collectd::Passwords>) {
+fn assert_packets(name: &str, security: &Security, passwords: Option<collectd::PasswordLookup>) {
     let frozen = packets(name);
-    let received: Vec<Received> =
-        frozen.iter().flat_map(|packet| collectd::read(packet, passwords).expect("a packet")).collect();
+    let received: Vec<ReceivedValue> = frozen
+        .iter()
+        .flat_map(|packet| collectd::decode_packet(packet, passwords).expect("a packet"))
+        .collect();
     assert_eq!(received.first(), Some(&first_received()));
     assert_eq!(received.len(), sample().samples.len());
     assert_eq!(write_packets(security), frozen);
@@ -142,12 +144,12 @@
 
 #[test]
 fn a_sample_is_told_to_collectd_as_text_as_by_the_previous_version() {
-    let text = collectd::putvals("n0", "relay", &sample(), INTERVAL);
+    let text = collectd::encode_putvals("n0", "relay", &sample(), INTERVAL);
     assert_eq!(text, fixture_text("collectd-putval.txt"));
 }
 
 fn counter(name: &str, value: &str, total: u64) -> CounterState {
-    CounterState { name: name.into(), value: value.into(), total }
+    CounterState { name: name.into(), tag_value: value.into(), total }
 }
 
 fn histogram(name: &str, counts: &[(u64, u64)]) -> HistogramState {
@@ -192,7 +194,7 @@
     let counters = StoredMetrics::decode(&bytes).expect("a sound snapshot");
     let mut registry = MetricsRegistry::new(SERIES_CAP);
     assert_eq!(registry.restore(&counters), 0);
-    assert_eq!(registry.stored("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
+    assert_eq!(registry.to_stored("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
 }
 
 /// The frames of the fixture's segment and the points that each holds.
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -133,9 +133,9 @@
         address: address(at),
         interval: Duration::from_secs(10),
         prefix: "honeyknot".into(),
-        buffer: 1 << 20,
-        spool: 0,
-        fill: 20.0,
+        max_buffer_bytes: 1 << 20,
+        max_spool_bytes: 0,
+        spool_frames_per_second: 20.0,
     }
 }
 
@@ -161,9 +161,9 @@
         ExporterConfig {
             interval: Duration::from_secs(2),
             prefix: "edge".into(),
-            buffer: 8 << 10,
-            spool: 64 << 20,
-            fill: 7.0,
+            max_buffer_bytes: 8 << 10,
+            max_spool_bytes: 64 << 20,
+            spool_frames_per_second: 7.0,
             ..sink("pickles", Protocol::GraphitePickle(PathStyle::Tags), "127.0.0.1:2004")
         },
         sink(
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use honeyknot_metrics::MetricValue;
-use honeyknot_metrics::collectd::read;
+use honeyknot_metrics::collectd::decode_packet;
 use process::{Relay, ScratchDirectory, config, first_answer, unused_address};
 
 /// A Graphite that hands on every line it gets.
@@ -115,9 +115,10 @@
     let wrong = |_: &str| Some("other".to_owned());
     for _ in 0..1_000 {
         let count = sink.recv(&mut packet).expect("a packet");
-        assert!(read(&packet[..count], Some(&wrong)).is_err());
-        let values = read(&packet[..count], Some(&password)).expect("a genuine packet");
-        if values.iter().any(|v| v.name == "refused-decisions" && v.value == MetricValue::Counter(1)) {
+        assert!(decode_packet(&packet[..count], Some(&wrong)).is_err());
+        let values = decode_packet(&packet[..count], Some(&password)).expect("a genuine packet");
+        if values.iter().any(|v| v.type_instance == "refused-decisions" && v.value == MetricValue::Counter(1))
+        {
             assert!(values.iter().all(|v| v.host == "n0"));
             return;
         }
