--- a/crates/gossip/src/assignment.rs
+++ b/crates/gossip/src/assignment.rs
@@ -1,16 +1,18 @@
-//! Assignment of probers to endpoints by rendezvous hashing, with the same result at every member.
+//! Assigns probers to endpoints by rendezvous hashing. Members with the same list of living members get the
+//! same result.
 
 use honeyknot_balancer::EndpointId;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Returns the number by which members refer to an endpoint.
+/// Returns the number by which members refer to an endpoint in messages: the upper half of the XXH3 hash of
+/// its id.
 pub fn endpoint_number(id: &EndpointId) -> u32 {
     (xxh3_64(id.0.as_bytes()) >> 32) as u32
 }
 
-/// Returns the members, out of these, that are assigned to check an endpoint: those with the lowest hashes.
+/// Returns the `probers` members with the lowest hashes for an endpoint, which are assigned to check it.
 ///
-/// The loss of a member changes only its own assignments.
+/// When a member fails, only the endpoints assigned to it get another prober.
 pub fn assigned_probers(members: &[u64], endpoint: u32, probers: usize) -> Vec<u64> {
     let mut by_hash: Vec<(u64, u64)> = members
         .iter()
--- a/crates/gossip/src/broadcast.rs
+++ b/crates/gossip/src/broadcast.rs
@@ -1,4 +1,4 @@
-//! The engine's access to the published states that travel on its messages.
+//! Lets the membership engine receive and forward the published states piggybacked on its messages.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use crate::member_state::{MemberState, StateVersion};
 use crate::member_states::MemberStates;
 
-/// The states, shared by the engine and the member.
+/// The published states, shared by the engine and [`GossipMember`](crate::GossipMember).
 pub(crate) type SharedMemberStates = Rc<RefCell<MemberStates>>;
 
-/// Identifies a published state among those that wait to be sent on.
+/// Identifies a published state in the queue of states to forward.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateKey {
     member: SocketAddr,
@@ -24,12 +24,12 @@
     }
 }
 
-/// A received state cannot be decoded.
+/// A published state could not be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("a word cannot be read ({0}): finish the upgrade of all relays")]
+#[error("a published state cannot be decoded ({0}): upgrade all relays to the same version")]
 pub(crate) struct StateDecodeError(#[from] postcard::Error);
 
-/// Decodes received states and stores them.
+/// Decodes received states and stores those that are accepted.
 pub(crate) struct StateReceiver(pub(crate) SharedMemberStates);
 
 impl foca::BroadcastHandler<MemberId> for StateReceiver {
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,51 +1,52 @@
-//! Gossip's configuration: the operators' file `neighbors.conf` and its checks.
+//! Configuration of gossip, from the operator file `neighbors.conf`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
 use honeyknot_operator_config::{ConfigErrors, Section, parse, units};
 
-/// Configuration of a member.
+/// Gossip configuration of one relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipConfig {
-    /// Name of the fleet. Members drop datagrams of other fleets.
+    /// Name of the fleet. Datagrams from members of other fleets are dropped.
     pub fleet: String,
-    /// UDP port, at the address at which clients connect.
+    /// UDP port for datagrams, at the same IP address on which the relay accepts clients.
     pub port: u16,
-    /// Members to which a new member announces itself; one that is alive is enough.
+    /// Addresses of members to which this one announces itself; one reachable seed is enough to join.
     pub seeds: Vec<SocketAddr>,
-    /// Number of members that check each endpoint's health for all.
+    /// Number of members that check the health of each endpoint on behalf of all.
     pub probers_per_endpoint: usize,
-    /// Whether addresses beyond loopback are allowed.
+    /// Whether addresses other than loopback are allowed, although datagrams are neither encrypted nor
+    /// signed.
     pub plain_network: bool,
 }
 
 impl GossipConfig {
-    /// Reads the text of an operator file; `file` is its name in errors.
+    /// Reads the text of an operator file. `file` is the name that errors report.
     ///
     /// # Errors
-    /// All faults of the file at once.
+    /// All errors of the file.
     pub fn read(file: &str, text: &str) -> Result<GossipConfig, ConfigErrors> {
         let tree = parse(file, text)?;
-        let faults = RefCell::default();
-        let config = GossipConfig::from_section(Section::file(file, &tree, &faults));
-        Section::into_result(faults).map(|()| config)
+        let errors = RefCell::default();
+        let config = GossipConfig::from_section(Section::file(file, &tree, &errors));
+        Section::into_result(errors).map(|()| config)
     }
 
-    fn from_section(mut top: Section) -> GossipConfig {
-        let fleet = top.required("fleet", units::text()).unwrap_or_default();
-        let port = top.required("port", units::number(1_024..=65_535)).unwrap_or(1_024) as u16;
-        let probers_per_endpoint = top.value("witnesses", units::number(1..=9)).unwrap_or(3) as usize;
-        let plain_network = top.flag("plain-network");
-        let seeds = parse_seeds(&mut top, plain_network);
-        top.finish();
+    fn from_section(mut section: Section) -> GossipConfig {
+        let fleet = section.required("fleet", units::text()).unwrap_or_default();
+        let port = section.required("port", units::number(1_024..=65_535)).unwrap_or(1_024) as u16;
+        let probers_per_endpoint = section.value("witnesses", units::number(1..=9)).unwrap_or(3) as usize;
+        let plain_network = section.flag("plain-network");
+        let seeds = parse_seeds(&mut section, plain_network);
+        section.finish();
         GossipConfig { fleet, port, seeds, probers_per_endpoint, plain_network }
     }
 
-    /// Returns the address at which a relay that listens for clients at `listen` receives datagrams.
+    /// Returns the UDP address on which a relay that accepts clients at `listen` receives datagrams.
     ///
     /// # Errors
-    /// If the address is not a loopback address and the file does not declare the network as trusted.
+    /// If the address is not a loopback address and the file lacks `plain-network`.
     pub fn gossip_address(&self, listen: SocketAddr) -> Result<SocketAddr, NetworkNotTrusted> {
         let address = SocketAddr::new(listen.ip(), self.port);
         if address.ip().is_loopback() || self.plain_network {
@@ -56,39 +57,40 @@
     }
 }
 
-/// Parses the `seed` directives.
-fn parse_seeds(top: &mut Section, plain_network: bool) -> Vec<SocketAddr> {
+/// Parses the `seed` directives, of which at least one is required.
+fn parse_seeds(section: &mut Section, plain_network: bool) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    let directives = top.directives("seed");
+    let directives = section.directives("seed");
     for directive in &directives {
-        top.reject_block(directive);
+        section.reject_block(directive);
         let [address] = &directive.words[..] else {
-            top.error(&directive.name, "`seed` takes one address".into());
+            section.error(&directive.name, "`seed` takes one address".into());
             continue;
         };
-        let parsed: Option<SocketAddr> = top.parse_word("seed", address, units::address());
+        let parsed: Option<SocketAddr> = section.parse_word("seed", address, units::address());
         match parsed {
             Some(seed) if !seed.ip().is_loopback() && !plain_network => {
                 let reason = "is not a loopback address: what relays say is neither secret nor signed; \
                     `plain-network` allows it on a network that is trusted";
-                top.error(address, format!("`{seed}` {reason}"));
+                section.error(address, format!("`{seed}` {reason}"));
             }
             Some(seed) if seeds.contains(&seed) => {
-                top.error(address, format!("`seed {seed}` is given again"))
+                section.error(address, format!("`seed {seed}` is given more than once"))
             }
             seed => seeds.extend(seed),
         }
     }
     if directives.is_empty() {
-        top.required("seed", units::text());
+        section.required("seed", units::text());
     }
     seeds
 }
 
-/// The relay would send gossip over a network that the file does not declare as trusted.
+/// The address for datagrams is not a loopback address, and the operator file does not declare the network as
+/// trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "neighbours would be heard at {0}, which is not a loopback address: write `plain-network` into the file if the network \
-     is trusted, or leave the file away"
+    "gossip would use {0}, which is not a loopback address, and gossip is neither encrypted nor signed: add \
+     `plain-network` to the file if the network is trusted, or run without the file"
 )]
 pub struct NetworkNotTrusted(SocketAddr);
--- a/crates/gossip/src/datagram.rs
+++ b/crates/gossip/src/datagram.rs
@@ -1,4 +1,5 @@
-//! The envelope of a datagram: one byte of version and eight of the fleet's hash, before the engine's message.
+//! The envelope of a datagram: one byte for the format version and eight for the hash of the fleet's name,
+//! followed by the membership engine's message.
 
 use std::net::SocketAddr;
 
@@ -8,7 +9,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Length of the envelope, in bytes.
 pub(crate) const ENVELOPE_BYTES: usize = 9;
-/// Version of the format. Members drop datagrams of other versions.
+/// Version of the datagram format. Datagrams of other versions are dropped.
 const VERSION: u8 = 1;
 
 /// A datagram to send.
@@ -16,60 +17,67 @@
 pub struct OutgoingDatagram {
     /// Address of the receiver.
     pub to: SocketAddr,
-    /// The datagram's content.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Why a datagram was dropped.
+/// Why a received datagram was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// The datagram is too short or too long, or the member knows as many members as it may.
-    #[error("a datagram of {length} bytes from {from}: check what else sends to this port")]
+    /// The length is out of range, or this member already knows the maximum number of members.
+    #[error(
+        "datagram of {length} bytes from {from} is shorter than its header or longer than {MAX_DATAGRAM_BYTES} \
+         bytes, or the fleet has too many members: check what sends to this port"
+    )]
     Size {
-        /// Length in bytes.
+        /// Length of the datagram, in bytes.
         length: usize,
-        /// The sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// The sender uses another version of the format.
+    /// The sender uses another version of the datagram format.
     #[error(
-        "{from} speaks version {version} of the neighbours' language, this relay {VERSION}: finish the upgrade"
+        "datagram from {from} has format version {version}, but this relay uses version {VERSION}: finish the \
+         upgrade of all relays"
     )]
     Version {
-        /// The sender's version.
+        /// Format version of the datagram.
         version: u8,
-        /// The sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
     /// The sender belongs to another fleet.
-    #[error("{from} is of another fleet: check `fleet` and the seeds in both files")]
+    #[error(
+        "datagram from {from} belongs to another fleet: check `fleet` and `seed` in the gossip files of both \
+         relays"
+    )]
     Fleet {
-        /// The sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// The engine could not decode the message.
-    #[error("{from} sent what cannot be read ({reason}): check what else sends to this port")]
+    /// The membership engine could not decode the message.
+    #[error("datagram from {from} cannot be decoded ({reason}): check what else sends to this port")]
     Undecodable {
-        /// The engine's error.
+        /// Error message of the engine.
         reason: String,
-        /// The sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
 }
 
-/// Adds and checks the envelope of one fleet's datagrams.
+/// Adds the envelope to the datagrams of one fleet, and checks it on received ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Envelope {
     fleet_hash: u64,
 }
 
 impl Envelope {
-    /// Creates the envelope of the fleet of this name.
+    /// Creates the envelope for the fleet with this name.
     pub(crate) fn new(fleet: &str) -> Envelope {
         Envelope { fleet_hash: xxh3_64(fleet.as_bytes()) }
     }
 
-    /// Returns the datagram that carries a message.
+    /// Returns a message with the envelope before it.
     pub(crate) fn wrap(self, message: &[u8]) -> Vec<u8> {
         let mut datagram = Vec::with_capacity(ENVELOPE_BYTES + message.len());
         datagram.push(VERSION);
@@ -78,10 +86,10 @@
         datagram
     }
 
-    /// Returns the message in a datagram.
+    /// Checks the envelope of a received datagram and returns the message in it.
     ///
     /// # Errors
-    /// If the length is out of range, or the version or the fleet is another.
+    /// If the length is out of range, or the version or the fleet differs.
     pub(crate) fn unwrap(self, datagram: &[u8], from: SocketAddr) -> Result<&[u8], DatagramError> {
         if datagram.len() <= ENVELOPE_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Size { length: datagram.len(), from });
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -1,4 +1,4 @@
-//! One member: the membership engine, its timers, and the states that members publish.
+//! One member: the membership engine (SWIM), its timers, and the states that members publish.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -26,7 +26,8 @@
 
 type Engine = Foca<MemberId, PostcardCodec, Pcg64Mcg, StateReceiver>;
 
-/// One relay's part in gossip.
+/// One relay's membership in the fleet. Does no I/O: the caller passes in datagrams and the time, and sends
+/// the datagrams that it returns.
 pub struct GossipMember {
     id: MemberId,
     envelope: Envelope,
@@ -34,8 +35,9 @@
     states: SharedMemberStates,
     engine: Engine,
     timers: EngineTimers,
-    /// When the member announces itself to the seeds next.
+    /// When the member next announces itself to the seeds.
     announce_at: Micros,
+    /// Number of states published so far.
     published: u64,
     counters: GossipCounters,
 }
@@ -49,9 +51,10 @@
 }
 
 impl GossipMember {
-    /// Creates a member of a fleet of about `expected_members`.
+    /// Creates a member of a fleet of about `expected_members` members.
     ///
-    /// The incarnation in `id` has to grow from one start to the next, as the time of the start does.
+    /// The incarnation in `id` must increase from one start of the relay to the next; the start time is
+    /// suitable.
     pub fn new(
         config: &GossipConfig, id: MemberId, expected_members: usize, seed: u64, now: Micros,
     ) -> GossipMember {
@@ -72,12 +75,12 @@
         }
     }
 
-    /// Returns the time at which [`handle_timeout`](Self::handle_timeout) has something to do next.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) must be called next.
     pub fn next_timeout(&self) -> Micros {
         self.timers.next_deadline().map_or(self.announce_at, |deadline| deadline.min(self.announce_at))
     }
 
-    /// Handles the timers that have expired. Datagrams to send are appended to `datagrams`.
+    /// Handles expired timers. Datagrams to send are appended to `datagrams`.
     pub fn handle_timeout(&mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>) {
         self.set_time(now);
         let first_new = datagrams.len();
@@ -108,7 +111,7 @@
         result
     }
 
-    /// Publishes the local member's observations, the first [`MAX_OBSERVATIONS`] of them.
+    /// Publishes the local member's observations, at most the first [`MAX_OBSERVATIONS`].
     pub fn publish(&mut self, now: Micros, mut observations: Vec<HealthObservation>) {
         self.set_time(now);
         self.published += 1;
@@ -120,18 +123,19 @@
             published_at: now,
             observations,
         };
-        // The engine refuses only a state that is too long, which the maximum rules out.
+        // The engine rejects only states that are too long, which `MAX_OBSERVATIONS` rules out.
         if let Ok(bytes) = postcard::to_allocvec(&state) {
             let _ = self.engine.add_broadcast(&bytes);
         }
     }
 
-    /// Leaves the fleet, so that the others need not detect it.
+    /// Announces to the fleet that this member leaves, so that the others need not detect its failure.
     pub fn leave(&mut self, now: Micros, datagrams: &mut Vec<OutgoingDatagram>) {
         self.call_engine(now, datagrams, |engine, runtime| engine.leave_cluster(runtime));
     }
 
-    /// Returns the living members and their observations at a time, with this many probers assigned to each endpoint.
+    /// Returns the living members and their observations at `now`, with this many probers assigned to each
+    /// endpoint.
     pub fn view(&self, now: Micros, probers_per_endpoint: usize) -> GossipView {
         let mut alive: Vec<u64> = self.engine.iter_members().map(|member| member.id().number()).collect();
         alive.push(self.id.number());
@@ -159,7 +163,8 @@
             Ok(())
         });
         match result {
-            // A late answer, to a probe or an incarnation of this member that has ended, is no fault.
+            // Not an error: a late reply, to a probe that has ended or to an earlier incarnation of this
+            // member.
             Ok(()) | Err(foca::Error::DataFromOurselves | foca::Error::NotConnected) => Ok(()),
             Err(error) => Err(DatagramError::Undecodable { reason: error.to_string(), from }),
         }
@@ -169,7 +174,7 @@
         let alone = self.engine.num_members() == 0;
         self.announce_at = now + if alone { SEED_INTERVAL_WHEN_ALONE_MICROS } else { SEED_INTERVAL_MICROS };
         for address in self.seeds.clone() {
-            // The seed's incarnation is unknown; the engine addresses it by address alone.
+            // The seed's incarnation is unknown; the engine uses only the address.
             let seed = MemberId { address, incarnation: 0 };
             self.call_engine(now, datagrams, |engine, runtime| engine.announce(seed, runtime));
         }
@@ -184,7 +189,8 @@
         call: impl FnOnce(&mut Engine, &mut EngineRuntime) -> Result<(), foca::Error>,
     ) {
         let mut runtime = EngineRuntime { now, envelope: self.envelope, timers: &mut self.timers, datagrams };
-        // The engine refuses a round that has become late, as after a stop of the process; the next one follows.
+        // The engine rejects a protocol period that is overdue, such as after a suspension of the process;
+        // the next one runs as usual.
         let _ = call(&mut self.engine, &mut runtime);
     }
 
--- a/crates/gossip/src/engine_runtime.rs
+++ b/crates/gossip/src/engine_runtime.rs
@@ -1,4 +1,4 @@
-//! What the membership engine asks for: timers and datagrams.
+//! The membership engine's timers, and the runtime through which it starts timers and sends datagrams.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -10,7 +10,8 @@
 use crate::datagram::{Envelope, OutgoingDatagram};
 use crate::member_id::MemberId;
 
-/// A timer of the engine, ordered by its deadline and then by its start.
+/// A timer of the engine. Timers are ordered by deadline, and those with the same deadline by when they were
+/// started.
 struct TimerEntry {
     deadline: Micros,
     sequence: u64,
@@ -37,15 +38,16 @@
     }
 }
 
-/// The engine's timers.
+/// The engine's pending timers.
 #[derive(Default)]
 pub(crate) struct EngineTimers {
     entries: BinaryHeap<Reverse<TimerEntry>>,
+    /// Number of timers started so far.
     started: u64,
 }
 
 impl EngineTimers {
-    /// Returns the earliest deadline.
+    /// Returns the earliest deadline, or `None` if no timer is pending.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
         self.entries.peek().map(|Reverse(entry)| entry.deadline)
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// Collects what the engine asks for during one call.
+/// Collects the timers and datagrams that the engine requests during one call.
 pub(crate) struct EngineRuntime<'a> {
     pub(crate) now: Micros,
     pub(crate) envelope: Envelope,
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,15 +1,17 @@
 //! Membership and health observations of a fleet of relays, exchanged by gossip.
 //!
-//! [`GossipMember`] is the part of one relay. Membership is SWIM's ([`foca`]), which does no I/O of its own; the state that
-//! each member publishes travels on its messages. Datagrams and the time go in; datagrams to send and a [`GossipView`] come
-//! out. It does no I/O, reads no clock and draws every random number from its seed.
+//! A [`GossipMember`] is one relay's member of the fleet. Membership follows the SWIM protocol ([`foca`]);
+//! the state that each member publishes is piggybacked on SWIM's messages. The caller passes in datagrams and
+//! the time, and gets datagrams to send and a [`GossipView`]. The crate does no I/O, reads no clock and draws
+//! every random number from a seed.
 //!
-//! A view lists the living members and what the assigned probers of each endpoint have observed, each estimate with its age.
-//! Outdated observations, and those of members that are not assigned, are left out. Nothing is decided here. The view of a
-//! relay that receives nothing lists itself alone, which is an ordinary state.
+//! A view lists the living members, and for each endpoint the observations of its assigned probers with their
+//! ages. Outdated observations, and those of members that are not assigned, are left out. The crate makes no
+//! decisions from them. The view of a relay that receives no datagrams lists only that relay, which is a
+//! normal state.
 //!
-//! A member sends 4 datagrams of at most [`MAX_DATAGRAM_BYTES`] each 150 ms, whatever the number of members, and one SWIM
-//! probe each 800 ms. Memory grows by one state a living member, up to [`MAX_MEMBERS`].
+//! A member sends 4 datagrams of at most [`MAX_DATAGRAM_BYTES`] every 150 ms, whatever the number of members,
+//! and one SWIM probe every 800 ms. It holds one state per living member, up to [`MAX_MEMBERS`].
 
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
--- a/crates/gossip/src/member_id.rs
+++ b/crates/gossip/src/member_id.rs
@@ -5,17 +5,17 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A member in one of its incarnations. The order of the fields is part of the wire format.
+/// Identifies one incarnation of a member. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId {
     /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Grows with each start of the relay at this address.
+    /// Increases with each start of the relay at this address.
     pub incarnation: u64,
 }
 
 impl MemberId {
-    /// Returns the member's number, which is the same in all its incarnations.
+    /// Returns the member's number, which is a hash of its address and so is the same in all incarnations.
     pub fn number(&self) -> u64 {
         member_number(self.address)
     }
--- a/crates/gossip/src/member_states.rs
+++ b/crates/gossip/src/member_states.rs
@@ -9,7 +9,7 @@
 use crate::member_id::MemberId;
 use crate::member_state::{MAX_OBSERVATIONS, MemberState, STATE_LIFETIME_MICROS};
 
-/// How far another member's clock may be ahead, in microseconds.
+/// Maximum time by which another member's clock may be ahead of the local one, in microseconds.
 const MAX_CLOCK_LEAD_MICROS: Micros = 500_000;
 
 /// The newest accepted state of each member.
@@ -21,30 +21,32 @@
 }
 
 impl MemberStates {
-    /// Creates an empty set for the local member.
+    /// Creates an empty set of states. `local` is the member that holds it.
     pub(crate) fn new(local: MemberId, now: Micros) -> MemberStates {
         MemberStates { local, now, states: BTreeMap::new(), rejected_states: 0 }
     }
 
-    /// Sets the time. Expired states are kept until their room is needed, so that an older one is not accepted again.
+    /// Sets the current time. Expired states are kept until their memory is needed, so that an older state of
+    /// the same member is not accepted again.
     pub(crate) fn set_time(&mut self, now: Micros) {
         self.now = now;
     }
 
-    /// Returns how many received states were rejected.
+    /// Returns the number of received states that were rejected.
     pub(crate) fn rejected_states(&self) -> u64 {
         self.rejected_states
     }
 
-    /// Returns the states that have not expired, each with its age.
+    /// Returns the states that have not expired, each with its age in microseconds.
     pub(crate) fn current(&self, now: Micros) -> impl Iterator<Item = (Micros, &MemberState)> {
         let with_age = self.states.values().map(move |state| (now.saturating_sub(state.published_at), state));
         with_age.filter(|(age, _)| *age < STATE_LIFETIME_MICROS)
     }
 
-    /// Stores a received state. Returns whether it is accepted, and so is to be sent on.
+    /// Stores a received state if it is acceptable. Returns whether it was accepted and must be forwarded to
+    /// other members.
     ///
-    /// A state in the local member's name that comes from another member is ignored.
+    /// A state of the local member that another member sends is ignored.
     pub(crate) fn receive(&mut self, state: &MemberState, sender: Option<&MemberId>) -> bool {
         if sender.is_some() && state.member == self.local.address {
             return false;
--- a/crates/gossip/src/observation.rs
+++ b/crates/gossip/src/observation.rs
@@ -1,4 +1,4 @@
-//! What a member has observed of an endpoint.
+//! The observation of an endpoint that a member publishes.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,17 +13,18 @@
     Unresponsive,
 }
 
-/// The last health check that a member made of an endpoint. The order of the fields is part of the wire format.
+/// The last health check that a member made of an endpoint. The order of the fields is part of the wire
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthObservation {
-    /// The endpoint's number; see [`endpoint_number`](crate::endpoint_number).
+    /// Number of the endpoint, as [`endpoint_number`](crate::endpoint_number) returns it.
     pub endpoint: u32,
     /// How the health check ended.
     pub outcome: HealthCheckOutcome,
-    /// Reported load over capacity, in hundredths; `None` without a report.
+    /// Reported load over capacity, in percent and at most 255; `None` if no load was reported.
     pub load_percent: Option<u8>,
-    /// Reported time that a message takes, in milliseconds; `None` without a report.
+    /// Reported message latency, in milliseconds; `None` if no latency was reported.
     pub latency_ms: Option<u16>,
-    /// Age of the observation at the time of its publication, in milliseconds.
+    /// Age of the observation when it was published, in milliseconds.
     pub age_ms: u16,
 }
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the fleet as one member knows it.
+//! A snapshot of the fleet as one member sees it.
 
 use std::collections::BTreeMap;
 
@@ -10,33 +10,35 @@
 use crate::member_state::MemberState;
 use crate::observation::HealthCheckOutcome;
 
-/// Number of candidates beyond the assigned probers whose observations count, since members' lists of the living may differ.
+/// Number of members after the assigned probers in hash order whose observations also count, because members
+/// may differ about which members are alive.
 const EXTRA_PROBERS: usize = 2;
 
-/// What one member has observed of an endpoint.
+/// The observation of an endpoint by one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberObservation {
-    /// Number of the member.
+    /// Number of the member; see [`MemberId::number`](crate::MemberId::number).
     pub member: u64,
-    /// How its health check ended.
+    /// How the member's health check ended.
     pub outcome: HealthCheckOutcome,
-    /// Load over capacity.
+    /// Reported load over capacity; `None` if no load was reported.
     pub load: Option<f64>,
-    /// Time that a message takes, in milliseconds.
+    /// Reported message latency, in milliseconds; `None` if no latency was reported.
     pub latency_ms: Option<f64>,
-    /// Age of the observation at the view's time, in microseconds.
+    /// Age of the observation when the view was created, in microseconds.
     pub age: Micros,
 }
 
-/// The living members and their observations at one time.
+/// The living members and their observations at a point in time.
 #[derive(Clone, Debug)]
 pub struct GossipView {
-    /// When the view was created.
+    /// When the view was created, in Unix microseconds.
     pub created_at: Micros,
     /// Number of the local member.
     pub local_member: u64,
-    /// Numbers of the living members, the local one among them, in ascending order.
+    /// Numbers of the living members including the local one, in ascending order.
     pub alive: Vec<u64>,
+    /// Observations by endpoint number.
     observations: BTreeMap<u32, Vec<MemberObservation>>,
 }
 
@@ -46,7 +48,8 @@
         GossipView { created_at, local_member, alive: vec![local_member], observations: BTreeMap::new() }
     }
 
-    /// Creates a view from published states and their ages. Observations by members that cannot be assigned are left out.
+    /// Creates a view from published states and their ages in microseconds. For each endpoint, only the
+    /// observations of the assigned probers and of [`EXTRA_PROBERS`] more members are included.
     pub(crate) fn new<'a>(
         created_at: Micros, local_member: u64, alive: Vec<u64>, probers_per_endpoint: usize,
         states: impl Iterator<Item = (Micros, &'a MemberState)>,
@@ -65,7 +68,8 @@
         self.observations.get(&endpoint).map_or(&[], Vec::as_slice)
     }
 
-    /// Aggregates the other members' observations of an endpoint that are younger than `max_age`, in microseconds.
+    /// Aggregates the other members' observations of an endpoint that are younger than `max_age`, in
+    /// microseconds. Returns `None` if there are none.
     pub fn aggregated(&self, now: Micros, endpoint: u32, max_age: Micros) -> Option<AggregatedHealth> {
         let view_age = now.saturating_sub(self.created_at);
         let is_usable = |observation: &&MemberObservation| {
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 use support::{Fleet, MS, Network, PROBERS, S, START, address, config};
 
-/// Time in which a fleet that starts has to be complete at each member.
+/// Time within which every member of a starting fleet must see all others.
 const JOIN_TIMEOUT: u64 = 12 * S;
 const ENVELOPE_BYTES: usize = 9;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The first datagrams of a member that announces itself to the seeds.
+/// Returns the datagrams by which a new member announces itself to the seeds.
 fn announcements(config: &GossipConfig, index: usize) -> Vec<OutgoingDatagram> {
     let id = MemberId { address: address(index), incarnation: 1 };
     let mut datagrams = Vec::new();
@@ -50,8 +50,8 @@
         assert_eq!(fleet.alive_range(), (members, members), "the fleet was complete after {joined_after} us");
         assert!(fleet.longest_datagram <= MAX_DATAGRAM_BYTES);
         let bytes_per_second = fleet.sent_bytes / 5 / members as u64;
-        // 27 datagrams of gossip each second, and the engine's probes.
-        assert!(bytes_per_second <= 40_000, "{members} members: {bytes_per_second} bytes a second each");
+        // About 27 datagrams of gossip per second, and the engine's probes.
+        assert!(bytes_per_second <= 40_000, "{members} members: {bytes_per_second} bytes per second each");
     }
 }
 
@@ -60,7 +60,10 @@
     let mut fleet = fleet_of(30, 2);
     (20..30).for_each(|index| drop(fleet.members.remove(&index)));
     let detected_after = fleet.run_until_alive(20, 15 * S);
-    assert!(detected_after >= S, "one lost datagram is no proof, but detection took {detected_after} us");
+    assert!(
+        detected_after >= S,
+        "one lost datagram must not suffice, but detection took only {detected_after} us"
+    );
     (20..30).for_each(|index| fleet.start(index));
     fleet.run_until_alive(30, 8 * S);
 }
@@ -120,12 +123,12 @@
     fleet.run(S);
     let view = fleet.view(20);
     let counted = (0..40).filter(|endpoint| !view.observations(*endpoint).is_empty()).count();
-    // For each endpoint the observations of 5 of the 40 members count.
+    // For each endpoint, the observations of 5 of the 40 members count.
     assert!(counted <= 12, "the member's observations count for {counted} of 40 endpoints");
 }
 
 #[test]
-fn datagrams_of_another_fleet_version_or_length_are_dropped_with_a_remedy() {
+fn datagrams_of_another_fleet_version_or_length_are_dropped_with_an_error_that_says_what_to_do() {
     let mut fleet = fleet_of(2, 7);
     let other_fleet = GossipConfig { fleet: "other".into(), ..config() };
     let bytes = announcements(&other_fleet, 5).swap_remove(0).bytes;
@@ -163,18 +166,18 @@
 }
 
 #[test]
-fn all_faults_of_the_operators_file_are_reported_at_once() {
+fn all_errors_of_an_operator_file_are_reported_together() {
     let text = "port 80\nseed 10.0.0.1:7500\nseed x\nwitnesses 0\nfoo 1\n";
-    let message = GossipConfig::read("f", text).expect_err("faults").to_string();
-    let faults =
+    let message = GossipConfig::read("f", text).expect_err("errors").to_string();
+    let expected_errors =
         ["lacks `fleet`", "`port`: `80`", "not a loopback address", "`witnesses`: `0`", "directive `foo`"];
-    for fault in faults {
-        assert!(message.contains(fault), "`{fault}` is not in {message}");
+    for expected in expected_errors {
+        assert!(message.contains(expected), "`{expected}` is not in {message}");
     }
 }
 
 #[test]
-fn a_network_beyond_loopback_is_rejected_with_the_directive_that_allows_it() {
+fn an_address_other_than_loopback_is_rejected_with_the_directive_that_allows_it() {
     let listen = SocketAddr::from(([10, 0, 0, 9], 5000));
     let message = config().gossip_address(listen).expect_err("not loopback").to_string();
     assert!(message.contains("plain-network"), "{message}");
--- a/crates/gossip/tests/support/mod.rs
+++ b/crates/gossip/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of members in one process on a virtual clock, and a network that loses, delays, duplicates and cuts off datagrams.
+//! A fleet of members in one process on a virtual clock, with a network that loses, delays and duplicates
+//! datagrams, and may be partitioned.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,13 +15,13 @@
 pub const MS: Micros = 1_000;
 /// A second, in microseconds.
 pub const S: Micros = 1_000_000;
-/// When each fleet starts, in Unix microseconds.
+/// Start time of each fleet, in Unix microseconds.
 pub const START: Micros = 1_700_000_000 * S;
 /// Probers assigned to each endpoint.
 pub const PROBERS: usize = 3;
-/// Step of the virtual clock.
+/// Step of the virtual clock, in microseconds.
 const STEP: Micros = 10 * MS;
-/// Interval at which a condition is checked.
+/// Interval at which [`Fleet::run_until_alive`] checks its condition, in microseconds.
 const CONDITION_INTERVAL: Micros = 100 * MS;
 
 /// Returns the address of the member with this index.
@@ -28,7 +29,7 @@
     SocketAddr::from((Ipv4Addr::new(127, 9, (index / 200) as u8, (index % 200) as u8 + 1), 7500))
 }
 
-/// Returns the configuration of each member.
+/// Returns the configuration that all members use.
 pub fn config() -> GossipConfig {
     let text = "fleet test\nport 7500\nseed 127.9.0.1:7500\nseed 127.9.0.2:7500\nseed 127.9.0.3:7500\n";
     GossipConfig::read("test", text).expect("a valid configuration")
@@ -39,15 +40,16 @@
 pub struct Network {
     /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Maximum delay in microseconds.
+    /// Maximum delay of a datagram, in microseconds.
     pub max_delay: Micros,
     /// Probability that a datagram arrives twice.
     pub duplication: f64,
-    /// Members below this index and those from it on do not reach each other.
+    /// Index that divides the members into two sides that cannot reach each other: those below it and all
+    /// others. `None` without a partition.
     pub partition: Option<usize>,
 }
 
-/// A datagram on its way.
+/// A datagram that has been sent but has not arrived.
 struct DatagramInFlight {
     from: SocketAddr,
     to: SocketAddr,
@@ -65,13 +67,14 @@
     pub longest_datagram: usize,
     rng: Pcg64Mcg,
     indices: BTreeMap<SocketAddr, usize>,
-    /// By time of arrival, then by order of sending.
+    /// Datagrams by arrival time, and then by the order in which they were sent.
     in_flight: BTreeMap<(Micros, u64), DatagramInFlight>,
+    /// Number of datagrams sent, including duplicates but not lost ones.
     sent: u64,
 }
 
 impl Fleet {
-    /// Starts this many members.
+    /// Starts a fleet of this many members.
     pub fn new(members: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             now: START,
@@ -95,7 +98,7 @@
         self.members.insert(index, GossipMember::new(&config(), id, self.indices.len(), seed, self.now));
     }
 
-    /// Lets time pass, in microseconds.
+    /// Advances the virtual clock by `duration` microseconds.
     pub fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
@@ -105,7 +108,8 @@
         }
     }
 
-    /// Runs until all members see exactly this many living ones. Returns the time that it took.
+    /// Runs until every member sees exactly `expected` living members. Returns the elapsed time in
+    /// microseconds.
     pub fn run_until_alive(&mut self, expected: usize, timeout: Micros) -> Micros {
         let started_at = self.now;
         while self.alive_range() != (expected, expected) {
@@ -119,13 +123,13 @@
         self.now - started_at
     }
 
-    /// Returns the smallest and the largest number of living members in any member's view.
+    /// Returns the smallest and the largest number of living members in the members' views.
     pub fn alive_range(&self) -> (usize, usize) {
         let counts: Vec<usize> = self.members.keys().map(|index| self.view(*index).alive.len()).collect();
         (counts.iter().copied().min().unwrap_or(0), counts.iter().copied().max().unwrap_or(0))
     }
 
-    /// Returns a member's view.
+    /// Returns a member's current view.
     pub fn view(&self, index: usize) -> GossipView {
         self.members[&index].view(self.now, PROBERS)
     }
--- a/crates/health-check-budget/src/budget.rs
+++ b/crates/health-check-budget/src/budget.rs
@@ -1,4 +1,4 @@
-//! Which health checks one relay makes.
+//! Decides which health checks one relay makes.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +12,35 @@
 
 /// Interval at which an assigned prober checks an endpoint, in microseconds.
 const CHECK_INTERVAL_MICROS: Micros = 800_000;
-/// Minimum time between two checks that are requested of an assigned prober, in microseconds.
+/// Minimum time between two checks by an assigned prober on request, in microseconds. Within it, the last
+/// result is the answer.
 const MIN_REQUEST_INTERVAL_MICROS: Micros = 300_000;
-/// Age from which other members' observations are not used, in microseconds.
+/// Age at which other members' observations are no longer used, in microseconds.
 const MAX_OBSERVATION_AGE_MICROS: Micros = 2_000_000;
-/// Minimum number of observations that are used; a single one may be wrong.
+/// Minimum number of fresh observations from which a request is answered, because a single one may be wrong.
 const MIN_OBSERVATIONS: usize = 2;
-/// Time for which an assigned prober publishes its result again, in microseconds.
+/// Time for which an assigned prober keeps publishing a result, in microseconds.
 const PUBLISH_DURATION_MICROS: Micros = 2_500_000;
-/// Time after the last check for which an endpoint is remembered, in microseconds.
+/// Time after its last check for which an endpoint is remembered, in microseconds.
 const LOCAL_CHECK_RETENTION_MICROS: Micros = 4 * PUBLISH_DURATION_MICROS;
 
-/// One relay's part of the fleet's budget of health checks.
+/// One relay's part of the fleet's budget of health checks. Endpoints are identified by the numbers that
+/// gossip uses.
 #[derive(Debug)]
 pub struct HealthCheckBudget {
     probers_per_endpoint: usize,
     rng: Pcg64Mcg,
+    /// The last health check by this relay, by endpoint number.
     checks: BTreeMap<u32, LocalCheck>,
-    /// Whether this relay is assigned to an endpoint; valid for `assigned_among`.
+    /// Whether this relay is assigned to an endpoint, by endpoint number. Computed for the members in
+    /// `assigned_among`.
     assignments: BTreeMap<u32, bool>,
-    /// The living members for which `assignments` hold.
+    /// The living members for which `assignments` was computed.
     assigned_among: Vec<u64>,
 }
 
 impl HealthCheckBudget {
-    /// Creates a budget with this many probers assigned to each endpoint.
+    /// Creates a budget for `probers_per_endpoint` probers assigned to each endpoint.
     pub fn new(probers_per_endpoint: usize, seed: u64) -> HealthCheckBudget {
         HealthCheckBudget {
             probers_per_endpoint,
@@ -47,7 +51,7 @@
         }
     }
 
-    /// Decides on a requested health check of an endpoint.
+    /// Decides whether this relay makes a requested health check of an endpoint.
     pub fn request(&mut self, now: Micros, view: &GossipView, endpoint: u32) -> HealthCheckDecision {
         if self.makes_all_checks(view) {
             return self.start_requested(now, endpoint);
@@ -67,7 +71,8 @@
         }
     }
 
-    /// Starts the assigned health checks that are due and returns their endpoints, out of `endpoints`.
+    /// Records the start of the assigned health checks that are due, and returns the endpoints out of
+    /// `endpoints` to check.
     pub fn start_due_checks(
         &mut self, now: Micros, view: &GossipView, endpoints: impl Iterator<Item = u32>,
     ) -> Vec<u32> {
@@ -84,14 +89,14 @@
         due
     }
 
-    /// Records the end of a health check that this relay made.
+    /// Records the result of a health check that this relay made.
     pub fn check_ended(&mut self, now: Micros, endpoint: u32, outcome: Outcome, report: Option<&LoadReport>) {
         if let Some(result) = LocalResult::new(now, outcome, report) {
             self.checks.entry(endpoint).or_insert(LocalCheck::started(now)).result = Some(result);
         }
     }
 
-    /// Returns the observations to publish, the newest first.
+    /// Returns the observations of assigned endpoints to publish, newest first.
     pub fn observations(&mut self, now: Micros, view: &GossipView) -> Vec<HealthObservation> {
         self.checks.retain(|_, check| check.elapsed(now) < LOCAL_CHECK_RETENTION_MICROS);
         let results = self.checks.iter().filter_map(|(endpoint, check)| Some((*endpoint, check.result?)));
@@ -120,7 +125,7 @@
         HealthCheckDecision::Check
     }
 
-    /// Records the start of a check. The result of the one before is kept until this one ends.
+    /// Records the start of a check. The result of the previous check is kept until this one ends.
     fn start(&mut self, now: Micros, endpoint: u32) {
         self.checks.entry(endpoint).or_insert(LocalCheck::started(now)).started_at = now;
     }
@@ -129,7 +134,8 @@
         self.checks.get(&endpoint).is_none_or(|check| check.elapsed(now) >= CHECK_INTERVAL_MICROS)
     }
 
-    /// Returns whether there are no more members than probers, so that each member makes all of its checks.
+    /// Returns whether there are no more living members than probers, so that each member makes all of its
+    /// checks.
     fn makes_all_checks(&self, view: &GossipView) -> bool {
         view.alive.len() <= self.probers_per_endpoint
     }
--- a/crates/health-check-budget/src/decision.rs
+++ b/crates/health-check-budget/src/decision.rs
@@ -1,28 +1,28 @@
-//! The answer to a requested health check.
+//! The decision on a requested health check.
 
 use honeyknot_balancer::{LoadReport, Outcome};
 use honeyknot_gossip::{AggregatedHealth, HealthCheckOutcome};
 
-/// Whether a requested health check is made.
+/// Whether this relay makes a requested health check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HealthCheckDecision {
-    /// The relay makes the check.
+    /// The relay must make the check.
     Check,
-    /// The relay uses this result and makes no check.
+    /// The relay must not make the check, and uses this result instead.
     Known {
-        /// The outcome; [`Outcome::Cancelled`] if none is known.
+        /// The known outcome; [`Outcome::Cancelled`] if no result is known.
         outcome: Outcome,
-        /// The load report; `None` without any reported value.
+        /// The known load report; `None` if no value was reported.
         report: Option<LoadReport>,
     },
 }
 
 impl HealthCheckDecision {
-    /// Makes no check although no result is known, which does not count as a failure.
+    /// No check is made although no result is known. The outcome does not count as a failure.
     pub(crate) const NOT_CHECKED: HealthCheckDecision =
         HealthCheckDecision::Known { outcome: Outcome::Cancelled, report: None };
 
-    /// Uses this result.
+    /// Returns the decision to use a known result.
     pub(crate) fn known(outcome: HealthCheckOutcome, load: Option<f64>, latency_ms: Option<f64>) -> Self {
         let outcome = match outcome {
             HealthCheckOutcome::Healthy => Outcome::Ok,
--- a/crates/health-check-budget/tests/health_check_budget.rs
+++ b/crates/health-check-budget/tests/health_check_budget.rs
@@ -1,4 +1,5 @@
-//! The budget over many relays: which of them check an endpoint, what the others know, and what happens without gossip.
+//! The budget in fleets of relays: which relays check an endpoint, which results the others use, and what
+//! happens without gossip.
 
 mod support;
 
@@ -7,7 +8,7 @@
 use honeyknot_health_check_budget::HealthCheckDecision;
 use support::{Delivery, Fleet, MS, PROBERS, S, START};
 
-/// Time in which the relays know each other and the assigned probers check.
+/// Time, in microseconds, after which all relays know each other and the assigned probers make checks.
 const SETTLE_DURATION: u64 = 9 * S;
 
 fn settled_fleet(relays: usize, endpoints: u32) -> Fleet {
@@ -29,7 +30,7 @@
         assert!(unanswered * 20 <= requests, "{unanswered} of {requests} requests were not answered");
     }
     let limit = 1.2 * max_checks[0] as f64 + 1.0;
-    assert!(max_checks[1] as f64 <= limit, "{max_checks:?} checks in a second at 12 and 60 relays");
+    assert!(max_checks[1] as f64 <= limit, "{max_checks:?} checks per second at 12 and 60 relays");
     assert!(max_checks[1] <= 12, "{max_checks:?}");
 }
 
@@ -43,11 +44,11 @@
     let from = fleet.now;
     fleet.run(8 * S, Delivery::All);
     let max_checks = fleet.max_checks_per_second(from);
-    assert!(max_checks <= 14, "{max_checks} checks in a second until the probers were replaced");
+    assert!(max_checks <= 14, "{max_checks} checks per second until the probers were replaced");
     let second = fleet.now / S;
     let checks_in = |second| fleet.checks.get(&(endpoint, second)).copied().unwrap_or(0);
     let checks: usize = (second - 2..second).map(checks_in).sum();
-    assert!(checks >= 4, "other probers make {checks} checks in two seconds");
+    assert!(checks >= 4, "the new probers made {checks} checks in two seconds");
 }
 
 #[test]
@@ -55,7 +56,7 @@
     let mut fleet = Fleet::new(10, 3);
     fleet.run(5 * S, Delivery::Nothing);
     assert_eq!((fleet.answered, fleet.unanswered), (0, 0));
-    assert!(fleet.max_checks_per_second(START + S) >= 9, "each relay checks");
+    assert!(fleet.max_checks_per_second(START + S) >= 9, "each relay makes its own checks");
 }
 
 #[test]
@@ -65,7 +66,7 @@
     let probers = assigned_probers(&fleet.relays[&0].view.alive, endpoint, PROBERS);
     let not_assigned = fleet.relays.iter().find(|(_, relay)| !probers.contains(&relay.view.local_member));
     let not_assigned = *not_assigned.expect("a relay that is not assigned").0;
-    // All probers but one stop, and what they published expires.
+    // All probers but one stop, and the observations that they published expire.
     fleet.relays.retain(|_, relay| !probers[1..].contains(&relay.view.local_member));
     fleet.run(2_100 * MS, Delivery::All);
     let now = fleet.now;
@@ -80,5 +81,5 @@
         |decision: &HealthCheckDecision| *decision != HealthCheckDecision::Check && *decision != not_checked;
     assert!(!decisions.iter().any(is_used));
     let checks = decisions.iter().filter(|decision| **decision == HealthCheckDecision::Check).count();
-    assert!((10..=120).contains(&checks), "{checks} of 200 requests lead to a check, by chance");
+    assert!((10..=120).contains(&checks), "{checks} of 200 requests led to a check");
 }
--- a/crates/health-check-budget/tests/support/mod.rs
+++ b/crates/health-check-budget/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Relays that gossip over a network without faults, and endpoints that answer each health check at once.
+//! Relays that gossip over a network without faults, and endpoints that answer each health check immediately.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,17 +11,17 @@
 pub const MS: Micros = 1_000;
 /// A second, in microseconds.
 pub const S: Micros = 1_000_000;
-/// When each fleet starts, in Unix microseconds.
+/// Start time of each fleet, in Unix microseconds.
 pub const START: Micros = 1_700_000_000 * S;
 /// Probers assigned to each endpoint.
 pub const PROBERS: usize = 3;
-/// Step of the virtual clock.
+/// Step of the virtual clock, in microseconds.
 const STEP: Micros = 20 * MS;
-/// Steps from one round of health checks to the next.
+/// Number of steps between two rounds of health checks.
 const STEPS_PER_ROUND: u64 = 5;
-/// Rounds from one request for an endpoint's health to the next, at each relay.
+/// Number of rounds between two requests for the health of an endpoint, at each relay.
 const ROUNDS_PER_REQUEST: u64 = 10;
-/// The load that each endpoint reports.
+/// Load over capacity that each endpoint reports.
 const REPORTED_LOAD: f64 = 0.4;
 
 /// Whether datagrams reach their receivers.
@@ -39,22 +39,23 @@
     member: GossipMember,
 }
 
-/// A datagram on its way.
+/// A datagram that has been sent but has not arrived.
 struct DatagramInFlight {
     from: SocketAddr,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// Relays by index. Each requests the health of each endpoint once a second, not in step with the others.
+/// Relays by index. Each relay requests the health of each endpoint once per second, at a different time from
+/// the others.
 pub struct Fleet {
     pub now: Micros,
     pub relays: BTreeMap<usize, Relay>,
-    /// Requests that were answered by other relays' observations.
+    /// Number of requests that were answered with a known result.
     pub answered: usize,
-    /// Requests that were not answered.
+    /// Number of requests for which no check was made and no result was known.
     pub unanswered: usize,
-    /// Health checks by endpoint and second.
+    /// Number of health checks by endpoint and second.
     pub checks: BTreeMap<(u32, u64), usize>,
     endpoints: u32,
     in_flight: Vec<DatagramInFlight>,
@@ -79,7 +80,7 @@
 }
 
 impl Fleet {
-    /// Starts relays that know of this many endpoints.
+    /// Starts this many relays, each of which knows `endpoints` endpoints.
     pub fn new(relays: usize, endpoints: u32) -> Fleet {
         let text = "fleet t\nport 7500\nseed 127.9.0.1:7500\nseed 127.9.0.2:7500\n";
         let config = GossipConfig::read("test", text).expect("a valid configuration");
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Lets time pass, in microseconds.
+    /// Advances the virtual clock by `duration` microseconds.
     pub fn run(&mut self, duration: Micros, delivery: Delivery) {
         let end = self.now + duration;
         while self.now < end {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Returns the largest number of checks of one endpoint in one second, from a time on.
+    /// Returns the largest number of checks of one endpoint in any one second that begins at or after `from`.
     pub fn max_checks_per_second(&self, from: Micros) -> usize {
         let first_second = from.div_ceil(S);
         let checks = self.checks.iter().filter(|((_, second), _)| *second >= first_second);
@@ -147,7 +148,7 @@
         self.in_flight.extend(datagrams.into_iter().map(in_flight));
     }
 
-    /// Makes the assigned checks that are due and the requested ones, and publishes what they found.
+    /// Makes the assigned checks that are due and the requested ones, and publishes their results.
     fn run_round(&mut self, index: usize, round: u64) {
         let (now, endpoints) = (self.now, self.endpoints);
         let relay = self.relay(index);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Requests an endpoint's health. Returns whether the relay has to check it.
+    /// Requests an endpoint's health. Returns whether the relay must check it.
     fn request(&mut self, index: usize, endpoint: u32) -> bool {
         let now = self.now;
         let relay = self.relay(index);
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,12 +1,15 @@
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
-//! Operator files: one directive a line, `#` begins a comment, quotes as in a shell, a block's lines between `{` and
-//! `}`.
+//! Parser for operator files.
 //!
-//! Text goes into [`parse`], a tree of [`Directive`]s comes out; a [`Section`] reads that tree with typed values
-//! ([`units`]) and collects every [`ConfigError`], so that all are reported at once. This package knows the syntax of
-//! directives and not their meaning: each part of the program reads its own file with it. It opens no file and changes
-//! nothing; the caller decides what happens to a file with errors (as a rule, it is rejected whole).
+//! A file has one directive a line: a name and the words after it, quoted as in a shell. `#` begins a
+//! comment. A directive may have a block of further directives between `{` and `}`.
+//!
+//! [`parse`] turns the text of a file into a tree of [`Directive`]s. A [`Section`] reads typed values
+//! ([`units`]) from the tree and collects every [`ConfigError`], so that all errors of a file are reported
+//! together. This crate knows the syntax of directives but not their meaning: each part of the program reads
+//! its own file with it. It does no I/O; the caller decides what happens to a file with errors (normally the
+//! whole file is rejected).
 
 mod error;
 mod parse;
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -1,21 +1,26 @@
-//! Typed values of directives. Each function returns a parser that turns a word into a value, or says what is allowed.
+//! Typed values of directives. Each function returns a parser that turns a word into a value, or an error
+//! message that says what is allowed.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The value of a word, or what is wrong with it; the caller adds the position and the word.
+/// The value of a word, or a message that says what is wrong with it. The caller adds the position and the
+/// word.
 pub type ParseResult<T> = Result<T, String>;
 
-fn within<T: PartialOrd>(value: T, range: &RangeInclusive<T>, show: impl Fn(&T) -> String) -> ParseResult<T> {
+/// Returns the value if it is in the range; otherwise an error that states the range.
+fn within<T: PartialOrd>(
+    value: T, range: &RangeInclusive<T>, display: impl Fn(&T) -> String,
+) -> ParseResult<T> {
     match range.contains(&value) {
         true => Ok(value),
-        false => Err(format!("allowed is {} to {}", show(range.start()), show(range.end()))),
+        false => Err(format!("allowed is {} to {}", display(range.start()), display(range.end()))),
     }
 }
 
-/// A span of time with its unit, such as `30s`, `250ms` or `1m 30s` in quotes.
+/// Parses a duration with its unit, such as `30s`, `250ms` or, in quotes, `1m 30s`.
 pub fn duration(range: RangeInclusive<Duration>) -> impl Fn(&str) -> ParseResult<Duration> {
     move |word| {
         let span = humantime::parse_duration(word)
@@ -24,13 +29,13 @@
     }
 }
 
-/// A span of time as [`duration`] reads it; the value is in microseconds.
+/// Parses a duration as [`duration`] does, into microseconds.
 pub fn micros(range: RangeInclusive<Duration>) -> impl Fn(&str) -> ParseResult<u64> {
-    let read = duration(range);
-    move |word| read(word).map(|span| span.as_micros() as u64)
+    let parse = duration(range);
+    move |word| parse(word).map(|span| span.as_micros() as u64)
 }
 
-/// A share in percent, such as `25%`; the value is a part of 1.
+/// Parses a percentage such as `25%` into a fraction (0.25).
 pub fn percentage(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
     move |word| {
         let percent = word.strip_suffix('%').and_then(|n| n.parse::<f64>().ok()).filter(|n| n.is_finite());
@@ -39,7 +44,7 @@
     }
 }
 
-/// A number without unit.
+/// Parses a number without a unit.
 pub fn number<T>(range: RangeInclusive<T>) -> impl Fn(&str) -> ParseResult<T>
 where
     T: std::str::FromStr + PartialOrd + Display,
@@ -51,23 +56,23 @@
     }
 }
 
-/// A rate such as `2/s` or `90/m`; the value is in a second.
+/// Parses a rate such as `2/s`, `90/m` or `10/h` into a number per second.
 pub fn rate(range: RangeInclusive<f64>) -> impl Fn(&str) -> ParseResult<f64> {
     move |word| {
-        let read = word.split_once('/').and_then(|(count, unit)| {
-            let span = match unit {
+        let per_second = word.split_once('/').and_then(|(count, unit)| {
+            let seconds = match unit {
                 "s" => 1.0,
                 "m" => 60.0,
                 "h" => 3600.0,
                 _ => return None,
             };
-            count.parse::<f64>().ok().filter(|n| n.is_finite()).map(|n| n / span)
+            count.parse::<f64>().ok().filter(|n| n.is_finite()).map(|count| count / seconds)
         });
-        within(read.ok_or("not a rate such as 2/s, 90/m or 10/h")?, &range, |r| format!("{r}/s"))
+        within(per_second.ok_or("not a rate such as 2/s, 90/m or 10/h")?, &range, |r| format!("{r}/s"))
     }
 }
 
-/// An amount of memory or disk such as `64MiB`, `512KiB` or `100B`; the value is in bytes.
+/// Parses a size of memory or disk such as `64MiB`, `512KiB` or `100B` into bytes.
 pub fn bytes(range: RangeInclusive<u64>) -> impl Fn(&str) -> ParseResult<u64> {
     move |word| {
         let split = word.find(|c: char| !c.is_ascii_digit()).unwrap_or(word.len());
@@ -79,35 +84,35 @@
             _ => None,
         };
         let amount = word[..split].parse::<u64>().ok().zip(factor).and_then(|(n, f)| n.checked_mul(f));
-        within(amount.ok_or("not an amount such as 64MiB, 512KiB or 100B")?, &range, |n| format!("{n}B"))
+        within(amount.ok_or("not a size such as 64MiB, 512KiB or 100B")?, &range, |n| format!("{n}B"))
     }
 }
 
-/// An address with its port, such as `127.0.0.1:2003` or `[::1]:2003`.
+/// Parses an IP address with a port other than 0, such as `127.0.0.1:2003` or `[::1]:2003`.
 pub fn address() -> impl Fn(&str) -> ParseResult<SocketAddr> {
     |word| {
-        let at = word.parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
-        at.ok_or_else(|| "not an address with its port, such as 127.0.0.1:2003".to_owned())
+        let address = word.parse::<SocketAddr>().ok().filter(|address| address.port() != 0);
+        address.ok_or_else(|| "not an address with its port, such as 127.0.0.1:2003".to_owned())
     }
 }
 
-/// One of some words, each with the value that it stands for.
+/// Parses one of several words into the value paired with it.
 pub fn choice<T: Copy + 'static>(choices: &'static [(&'static str, T)]) -> impl Fn(&str) -> ParseResult<T> {
     move |word| {
         let found = choices.iter().find(|(name, _)| *name == word).map(|(_, value)| *value);
         found.ok_or_else(|| {
-            let names: Vec<&str> = choices.iter().map(|c| c.0).collect();
+            let names: Vec<&str> = choices.iter().map(|choice| choice.0).collect();
             format!("allowed is {}", names.join(" or "))
         })
     }
 }
 
-/// `on` or `off`.
+/// Parses `on` or `off`.
 pub fn on_off() -> impl Fn(&str) -> ParseResult<bool> {
     choice(&[("on", true), ("off", false)])
 }
 
-/// Any word that is not empty.
+/// Accepts any word that is not empty.
 pub fn text() -> impl Fn(&str) -> ParseResult<String> {
-    |word| if word.is_empty() { Err("a word is expected".into()) } else { Ok(word.to_owned()) }
+    |word| if word.is_empty() { Err("must not be empty".into()) } else { Ok(word.to_owned()) }
 }
--- a/src/gossip/counters.rs
+++ b/src/gossip/counters.rs
@@ -1,28 +1,29 @@
-//! Gossip's counters, shared by the thread and the event loop.
+//! Gossip counters shared by the gossip thread and the event loop.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use honeyknot_gossip::GossipCounters;
 
-/// Counters since the start, and the number of living members.
+/// Counters since the start of the relay, and the current number of living members.
 #[derive(Debug, Default)]
 pub struct SharedGossipCounters {
-    /// Living members, this relay among them.
+    /// Living members, including this relay.
     pub alive: AtomicU64,
     /// Datagrams accepted.
     pub received: AtomicU64,
     /// Datagrams dropped.
     pub dropped: AtomicU64,
-    /// Received states that were not accepted.
+    /// Received states that were rejected because they were outdated, expired, timestamped too far in the
+    /// future or too long.
     pub rejected_states: AtomicU64,
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
-    /// Batches of observations that found the queue to the thread full.
+    /// Batches of observations dropped because the queue to the thread was full.
     pub dropped_batches: AtomicU64,
 }
 
 impl SharedGossipCounters {
-    /// Stores the thread's counters.
+    /// Stores the thread's number of living members and counters.
     pub(super) fn store(&self, alive: usize, counters: GossipCounters) {
         let values = [
             (&self.alive, alive as u64),
--- a/src/gossip/error.rs
+++ b/src/gossip/error.rs
@@ -1,4 +1,4 @@
-//! Why a relay cannot take part in gossip.
+//! Errors that prevent a relay from joining gossip.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,17 +8,18 @@
 /// Why a relay cannot join gossip.
 #[derive(Debug, thiserror::Error)]
 pub enum JoinGossipError {
-    /// The configuration allows loopback addresses only.
+    /// The address is not a loopback address, and the configuration allows no other.
     #[error(transparent)]
     NetworkNotTrusted(#[from] NetworkNotTrusted),
-    /// The socket cannot be bound.
+    /// The UDP socket cannot be bound.
     #[error(
-        "neighbours cannot be heard at {0} ({1}): free the port, or write another `port` into the file of all relays"
+        "cannot bind the gossip socket to {0} ({1}): free the port, or set another `port` in the gossip files of \
+         all relays"
     )]
     Bind(SocketAddr, io::Error),
-    /// The thread does not start.
+    /// The gossip thread cannot be started.
     #[error(
-        "the neighbours' thread does not start ({0}): raise the limit on threads, or leave the file away"
+        "cannot start the gossip thread ({0}): raise the limit on threads, or run without the gossip file"
     )]
     StartThread(io::Error),
 }
--- a/src/gossip/handle.rs
+++ b/src/gossip/handle.rs
@@ -1,4 +1,4 @@
-//! The event loop's side of gossip.
+//! The event loop's access to gossip.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use super::thread::GossipThread;
 use crate::relay::clock::Clock;
 
-/// Maximum number of batches of observations that wait for the thread.
+/// Maximum number of batches of observations in the queue to the thread.
 const OBSERVATION_QUEUE_CAPACITY: usize = 16;
 
 /// The event loop's access to gossip. Dropping it makes the thread leave the fleet.
@@ -31,10 +31,11 @@
 }
 
 impl GossipHandle {
-    /// Binds the socket at the address of `listen` and starts the thread.
+    /// Binds the UDP socket to the IP address of `listen` and starts the thread.
     ///
     /// # Errors
-    /// If the network is not trusted, the socket cannot be bound or the thread does not start.
+    /// If the configuration does not allow the address, the socket cannot be bound or the thread cannot be
+    /// started.
     pub fn join(
         config: &GossipConfig, listen: SocketAddr, expected_members: u32, seed: u64,
     ) -> Result<GossipHandle, JoinGossipError> {
@@ -48,7 +49,7 @@
         let (thread_view, thread_counters) = (view.clone(), counters.clone());
         let thread_config = config.clone();
         let run = move || {
-            // A member is not `Send`, so the thread creates its own.
+            // `GossipMember` is not `Send`, so it is created in the thread.
             let member = GossipMember::new(&thread_config, id, expected_members as usize, seed, clock.now());
             GossipThread {
                 socket,
@@ -69,24 +70,25 @@
         Ok(GossipHandle { view, observations, counters, budget })
     }
 
-    /// Returns the counters.
+    /// Returns the counters that the thread updates.
     pub fn counters(&self) -> &SharedGossipCounters {
         &self.counters
     }
 
-    /// Decides on a requested health check of an endpoint.
+    /// Decides whether this relay makes a requested health check of an endpoint.
     pub fn request_health_check(&mut self, now: Micros, endpoint: &EndpointId) -> HealthCheckDecision {
         self.budget.request(now, &self.view.load(), endpoint_number(endpoint))
     }
 
-    /// Records the end of a health check that this relay made.
+    /// Records the result of a health check that this relay made.
     pub fn health_check_ended(
         &mut self, now: Micros, endpoint: &EndpointId, outcome: Outcome, report: Option<&LoadReport>,
     ) {
         self.budget.check_ended(now, endpoint_number(endpoint), outcome, report);
     }
 
-    /// Returns the assigned health checks that are due, out of `endpoints`, and queues this relay's observations for publication.
+    /// Starts the assigned health checks that are due, and queues this relay's observations for publication.
+    /// Returns the endpoints out of `endpoints` to check.
     pub fn start_assigned_health_checks<'a>(
         &mut self, now: Micros, endpoints: impl Iterator<Item = &'a EndpointId>,
     ) -> Vec<EndpointId> {
--- a/src/gossip/thread.rs
+++ b/src/gossip/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the socket and the member.
+//! The thread that owns the UDP socket and the gossip member.
 
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::counters::SharedGossipCounters;
 use crate::relay::clock::Clock;
 
-/// Interval at which a view is published, in microseconds.
+/// Interval at which a new view is stored for the event loop, in microseconds.
 const PUBLISH_INTERVAL_MICROS: Micros = 100_000;
 /// Minimum time to wait for a datagram, in microseconds.
 const MIN_RECEIVE_TIMEOUT_MICROS: Micros = 1_000;
@@ -24,24 +24,26 @@
 /// Minimum time between two log lines about dropped datagrams, in microseconds.
 const DROP_LOG_INTERVAL_MICROS: Micros = 10_000_000;
 
-/// The thread's state.
+/// State of the gossip thread.
 pub(super) struct GossipThread {
     pub(super) socket: UdpSocket,
     pub(super) clock: Clock,
     pub(super) member: GossipMember,
-    /// Observations to publish; disconnected when the relay ends.
+    /// Batches of observations to publish. Disconnected when the [`GossipHandle`](super::GossipHandle) is
+    /// dropped.
     pub(super) queue: Receiver<Vec<HealthObservation>>,
     pub(super) view: Arc<ArcSwap<GossipView>>,
     pub(super) counters: Arc<SharedGossipCounters>,
     pub(super) probers_per_endpoint: usize,
-    /// When a dropped datagram was last logged.
+    /// When a dropped datagram was last logged; `None` if none has been.
     pub(super) drop_logged_at: Option<Micros>,
 }
 
 impl GossipThread {
-    /// Runs until the handle is dropped, then leaves the fleet.
+    /// Runs until the [`GossipHandle`](super::GossipHandle) is dropped, then leaves the fleet.
     pub(super) fn run(mut self) {
-        // One byte more than allowed, so that a longer datagram is detected.
+        // One byte longer than the maximum, so that datagrams above the maximum are detected instead of
+        // truncated to it.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut datagrams = Vec::new();
         let mut publish_at = 0;
@@ -69,7 +71,7 @@
     /// Waits for a datagram for about `timeout` microseconds and handles it.
     fn receive(&mut self, timeout: Micros, buffer: &mut [u8], datagrams: &mut Vec<OutgoingDatagram>) {
         let timeout = timeout.clamp(MIN_RECEIVE_TIMEOUT_MICROS, MAX_RECEIVE_TIMEOUT_MICROS);
-        // The only error is that of a zero timeout.
+        // Fails only for a timeout of zero, which the minimum rules out.
         let _ = self.socket.set_read_timeout(Some(Duration::from_micros(timeout)));
         let Ok((length, from)) = self.socket.recv_from(buffer) else { return };
         let now = self.clock.now();
@@ -79,7 +81,7 @@
         self.send(datagrams);
     }
 
-    /// Sends datagrams. One that the system refuses counts as lost.
+    /// Sends datagrams. One that the operating system rejects is treated like one lost on the network.
     fn send(&self, datagrams: &mut Vec<OutgoingDatagram>) {
         for datagram in datagrams.drain(..) {
             let _ = self.socket.send_to(&datagram.bytes, datagram.to);
