--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -40,7 +40,7 @@
         let tree = parse(file, text)?;
         let errors = RefCell::default();
         let config = ZoneFailoverConfig::from_section(Section::file(file, &tree, &errors), zone_names);
-        Section::errors(errors).map(|()| config)
+        Section::into_result(errors).map(|()| config)
     }
 
     fn from_section(mut top: Section, zone_names: &[String]) -> ZoneFailoverConfig {
@@ -49,15 +49,20 @@
         config.read_recovery(&mut top);
         config.read_rebalancing(&mut top);
         config.read_retry_after(&mut top);
-        for directive in top.each("prefer") {
+        for directive in top.directives("prefer") {
             config.read_tiers(&top, directive, zone_names);
         }
-        for directive in top.each("receive") {
-            let entry =
-                read_zone_value(&top, directive, zone_names, &config.receive_limits, units::share(0.0..=1.0));
+        for directive in top.directives("receive") {
+            let entry = read_zone_value(
+                &top,
+                directive,
+                zone_names,
+                &config.receive_limits,
+                units::percentage(0.0..=1.0),
+            );
             config.receive_limits.extend(entry);
         }
-        for directive in top.each("relays") {
+        for directive in top.directives("relays") {
             let entry = read_zone_value(
                 &top,
                 directive,
@@ -74,22 +79,22 @@
 
     /// Reads the spill limits and the load thresholds.
     fn read_limits(&mut self, top: &mut Section) {
-        let share = units::share(0.0..=1.0);
-        let load = units::share(0.05..=1.0);
+        let share = units::percentage(0.0..=1.0);
+        let load = units::percentage(0.05..=1.0);
         set(&mut self.spill_limit, top.value("spill-limit", &share));
         set(&mut self.leave_limit, top.value("leave-limit", &share));
         set(&mut self.overflow_share, top.value("overflow", &share));
         set(&mut self.relay_skew, top.value("skew", units::number(1.0..=16.0)));
-        set(&mut self.connection_load, top.value("session-load", units::share(0.0001..=1.0)));
+        set(&mut self.connection_load, top.value("session-load", units::percentage(0.0001..=1.0)));
         set(&mut self.affinity_group_cost, top.value("deck-cost", units::number(0.0..=100.0)));
         set(&mut self.spill_threshold, top.value("spill-at", &load));
         set(&mut self.receive_threshold, top.value("yield-at", &load));
-        set(&mut self.give_back_threshold, top.value("give-back-at", units::share(0.05..=2.0)));
+        set(&mut self.give_back_threshold, top.value("give-back-at", units::percentage(0.05..=2.0)));
     }
 
     /// Reads the settings for the loss and the recovery of zones.
     fn read_recovery(&mut self, top: &mut Section) {
-        let share = units::share(0.0..=1.0);
+        let share = units::percentage(0.0..=1.0);
         set(&mut self.lost_threshold, top.value("lost-below", &share));
         set(&mut self.recovered_threshold, top.value("back-above", &share));
         set(&mut self.partial_recovery_delay, top.value("small-after", micros(0, MAX_SHORT_DURATION)));
@@ -104,7 +109,7 @@
 
     /// Reads the settings for rebalancing and for the relays' shares of the spill limits.
     fn read_rebalancing(&mut self, top: &mut Section) {
-        let load = units::share(0.05..=1.0);
+        let load = units::percentage(0.05..=1.0);
         set(&mut self.migrations_per_second, top.value("moves", units::rate(0.0..=10_000.0)));
         set(&mut self.rebalance_threshold, top.value("home-below", &load));
         set(&mut self.max_update_skew, top.value("news-skew", micros(0, MAX_SHORT_DURATION)));
@@ -113,14 +118,14 @@
     }
 
     fn read_retry_after(&mut self, top: &mut Section) {
-        let Some(directive) = top.only("come-back") else { return };
+        let Some(directive) = top.single("come-back") else { return };
         let [min_word, max_word] = &directive.words[..] else {
             return top.error(
                 &directive.name,
                 "`come-back` takes two durations, the minimum and the maximum".into(),
             );
         };
-        let read = |word| top.word("come-back", word, micros(1, HOUR));
+        let read = |word| top.parse_word("come-back", word, micros(1, HOUR));
         if let (Some(from), Some(to)) = (read(min_word), read(max_word)) {
             if from > to {
                 top.error(min_word, "`come-back`: the minimum is longer than the maximum".into());
@@ -134,7 +139,7 @@
         let mut block = top.block(directive);
         let mut listed_zones: Vec<String> = Vec::new();
         let mut zone = |section: &Section, word: &Word| {
-            let name = section.word("site", word, |text| parse_zone_name(text, zone_names))?;
+            let name = section.parse_word("site", word, |text| parse_zone_name(text, zone_names))?;
             if listed_zones.contains(&name) {
                 section.error(word, format!("the site `{name}` is already listed in this `prefer` block"));
             }
@@ -149,8 +154,8 @@
             }
         };
         let mut tiers = Vec::new();
-        for tier in block.each("tier") {
-            block.no_block(tier);
+        for tier in block.directives("tier") {
+            block.reject_block(tier);
             if tier.words.is_empty() {
                 block.error(&tier.name, "`tier` takes one or more sites".into());
             }
@@ -167,7 +172,7 @@
     fn check(&self, top: &mut Section) {
         let mut check_not_above = |low: (&'static str, f64), high: (&'static str, f64)| {
             if low.1 > high.1 {
-                let at = top.only(low.0).or_else(|| top.only(high.0));
+                let at = top.single(low.0).or_else(|| top.single(high.0));
                 let message = format!(
                     "`{}` ({:.0}%) must not be above `{}` ({:.0}%)",
                     low.0,
@@ -199,14 +204,14 @@
     top: &Section, directive: &Directive, zone_names: &[String], earlier: &BTreeMap<String, T>,
     read: impl Fn(&str) -> units::ParseResult<T>,
 ) -> Option<(String, T)> {
-    top.no_block(directive);
+    top.reject_block(directive);
     let name = &directive.name;
     let [zone, value] = &directive.words[..] else {
         top.error(name, format!("`{}` takes a site and a value", name.text));
         return None;
     };
-    let zone_name = top.word(&name.text, zone, |text| parse_zone_name(text, zone_names));
-    let value = top.word(&name.text, value, read);
+    let zone_name = top.parse_word(&name.text, zone, |text| parse_zone_name(text, zone_names));
+    let value = top.parse_word(&name.text, value, read);
     if zone_name.as_ref().is_some_and(|zone_name| earlier.contains_key(zone_name)) {
         top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
     }
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -72,7 +72,7 @@
             alive = value(&counters.alive),
             received = value(&counters.received),
             dropped = value(&counters.dropped),
-            unsent = value(&counters.unsent),
+            unsent = value(&counters.dropped_batches),
             "gossip counters"
         );
     }
--- a/src/relay/metrics/exporter.rs
+++ b/src/relay/metrics/exporter.rs
@@ -113,8 +113,8 @@
 async fn initial_state(
     relay: &SharedRelay, config: &ExporterConfig, previous: Option<StoppedExporter>,
 ) -> ExporterState {
-    let max_bytes = config.buffer as usize;
-    // A previous process may have exported in the current second, so the first export gets a later one.
+    let max_bytes = config.max_buffer_bytes as usize;
+    // A previous process may have exported in the current second, so the first export uses the next one.
     let last_second = relay.borrow().timers.clock.now() / MICROS_PER_SECOND + 1;
     let history = ExportHistory { last_snapshot: None, last_second };
     let mut initial = ExporterState { queue: FrameQueue::new(max_bytes), history };
@@ -254,7 +254,8 @@
 
     /// Queues the oldest frame of the spool for sending.
     async fn refill_from_spool(&mut self) {
-        self.next_refill_at = Instant::now() + Duration::from_secs_f64(1.0 / self.config.fill);
+        self.next_refill_at =
+            Instant::now() + Duration::from_secs_f64(1.0 / self.config.spool_frames_per_second);
         if let Some(frame) = self.spool.take_first(&self.relay).await {
             let evicted = self.state.queue.push(frame);
             if !evicted.is_empty() {
