--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Output;
 
-use process::{Relay, ScratchDirectory, config, first_answer, relay_command, unused_address};
+use process::{Relay, ScratchDirectory, config, first_answer_line, relay_command, unused_address};
 use serde_json::json;
 
 fn failure(output: &Output) -> (Option<i32>, String) {
@@ -63,7 +63,7 @@
         (&json!("relay"), &json!("n0"), &json!("INFO"))
     );
     // It still serves: without endpoints a request is rejected at once, with a retry time.
-    let line = first_answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
+    let line = first_answer_line(listen, "OPEN 1 2 c=study,d=1200\r\n");
     assert!(line.starts_with("BUSY"), "{line}");
 }
 
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -62,6 +62,6 @@
         state_directory: folder.map(Rc::new),
         predecessor: None,
     };
-    let ended = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
-    loopback::Relay { address: at, admin, reloads, stop, ended }
+    let serve_task = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
+    loopback::Relay { address: at, admin, reloads, stop, serve_task }
 }
--- a/tests/idle_connections.rs
+++ b/tests/idle_connections.rs
@@ -7,47 +7,48 @@
 use tokio::task::{LocalSet, yield_now};
 
 /// Records the name of a connection when its task ends.
-struct RecordsEnd {
+struct EvictionRecorder {
     name: &'static str,
-    ended: Rc<RefCell<Vec<&'static str>>>,
+    evicted: Rc<RefCell<Vec<&'static str>>>,
 }
 
-impl Drop for RecordsEnd {
+impl Drop for EvictionRecorder {
     fn drop(&mut self) {
-        self.ended.borrow_mut().push(self.name);
+        self.evicted.borrow_mut().push(self.name);
     }
 }
 
-/// How often `act` is called for each connection.
+/// How often `on_round` is called for each connection.
 const ROUNDS: u32 = 2;
 
-/// The names of the connections in the order of their eviction. `act` is called with name, round and slot of each.
+/// Returns the names of the connections in the order of their eviction. Before that, each round calls
+/// `on_round` with the name, the round and the slot of each connection.
 fn eviction_order(
-    names: &[&'static str], act: impl Fn(&'static str, u32, &mut IdleSlot),
+    names: &[&'static str], on_round: impl Fn(&'static str, u32, &mut IdleSlot),
 ) -> Vec<&'static str> {
     let connections = IdleConnections::default();
     let slots = RefCell::new(Vec::new());
-    let ended = Rc::default();
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let evicted = Rc::default();
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
         for name in names {
-            let records_end = RecordsEnd { name, ended: Rc::clone(&ended) };
+            let recorder = EvictionRecorder { name, evicted: Rc::clone(&evicted) };
             connections.admit(|slot| {
                 slots.borrow_mut().push((*name, slot));
                 async move {
-                    let _records_end = records_end;
+                    let _recorder = recorder;
                     std::future::pending().await
                 }
             });
         }
         for round in 0..ROUNDS {
-            slots.borrow_mut().iter_mut().for_each(|(name, slot)| act(name, round, slot));
+            slots.borrow_mut().iter_mut().for_each(|(name, slot)| on_round(name, round, slot));
         }
         while connections.evict_one() {
             yield_now().await;
         }
     });
-    ended.take()
+    evicted.take()
 }
 
 #[test]
@@ -62,11 +63,11 @@
 }
 
 #[test]
-fn a_connection_that_goes_on_sending_is_evicted_after_a_later_one_that_has_stopped() {
-    let evicted = eviction_order(&["goes on", "stopped"], |name, round, slot| {
-        if name == "goes on" || round == 0 {
+fn a_connection_that_continues_to_send_is_evicted_after_a_newer_one_that_has_stopped() {
+    let evicted = eviction_order(&["sending", "stopped"], |name, round, slot| {
+        if name == "sending" || round == 0 {
             slot.mark_receiving();
         }
     });
-    assert_eq!(evicted, ["stopped", "goes on"]);
+    assert_eq!(evicted, ["stopped", "sending"]);
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -11,7 +11,7 @@
 
 use honeyknot_metrics::MetricValue;
 use honeyknot_metrics::collectd::read;
-use process::{Relay, ScratchDirectory, config, first_answer, unused_address};
+use process::{Relay, ScratchDirectory, config, first_answer_line, unused_address};
 
 /// A Graphite that hands on every line it gets.
 fn graphite(listener: TcpListener) -> Receiver<String> {
@@ -80,7 +80,7 @@
     for life in 0..2 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
         for _ in 0..3 {
-            let line = first_answer(listen, HEAD);
+            let line = first_answer_line(listen, HEAD);
             assert!(line.starts_with("BUSY"), "{line}");
             sum += 1.0;
         }
@@ -109,7 +109,7 @@
     let text = format!("sink c {{\n  collectd {at}\n  interval 100ms\n  encrypt {}\n}}\n", key.display());
     let plan = folder.write("metrics.conf", &text);
     let _relay = Relay::start(&folder, &config, "log", &["--metrics", &plan.display().to_string()]);
-    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+    assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
     let mut packet = [0; 2048];
     let password = |user: &str| (user == "edge").then(|| "secret".to_owned());
     let wrong = |_: &str| Some("other".to_owned());
@@ -162,7 +162,7 @@
             second.wait_for_log("another relay uses this folder");
         }
         for _ in 0..2 {
-            assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+            assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
         }
         told += 2.0;
         totals(&got, &mut last, REFUSED, told);
@@ -203,14 +203,14 @@
     let plan = folder.write("metrics.conf", &text(unused_address())).display().to_string();
     let relay = Relay::start(&folder, &config, "log", &["--metrics", &plan]);
     for _ in 0..3 {
-        assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+        assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
     }
     relay.wait_for_log("exporter failed");
     std::thread::sleep(Duration::from_millis(1_200));
     folder.write("metrics.conf", &text(sink.local_addr().expect("an address")));
     relay.send_sighup();
     relay.wait_for_log("\"message\":\"configuration applied\"");
-    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+    assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     store.reaches(REFUSED, 4.0);
     assert_eq!(store.sum(REFUSED), 4.0);
@@ -233,7 +233,7 @@
     for life in 0..2 {
         let mut relay = Relay::start(&folder, &config, &format!("log-{life}"), &["--metrics", &plan]);
         for _ in 0..4 {
-            assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+            assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
             asked += 1.0;
             std::thread::sleep(Duration::from_millis(1_000));
         }
@@ -275,6 +275,6 @@
     let mut store = Store { got: graphite(sink), points: BTreeMap::new() };
     let relay = Relay::start(&folder, &config, "log", &["--metrics", &plan]);
     relay.wait_for_log("persistent counters unavailable");
-    assert!(first_answer(listen, HEAD).starts_with("BUSY"));
+    assert!(first_answer_line(listen, HEAD).starts_with("BUSY"));
     store.reaches(REFUSED, 1.0);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Parsers of the relay: property tests with truncated, split and arbitrary input, from a fixed seed.
+//! Property tests of the relay's parsers with truncated, split and arbitrary input, from a fixed seed.
 
 use bytes::{Bytes, BytesMut};
 use honeyknot_relay::relay::connections::protocol::{
@@ -10,19 +10,19 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A request with every field that the relay reads, and one that it does not.
+/// A request with every field that the relay reads, and one unknown field.
 const OPEN: &str =
     "OPEN 9b1f03aa5c7e2d41 7f3a c=study-session,d=2000,g=5c0f,r=1,again=1,h=3.5,at=s-1,x=y\r\n";
-/// A complete endpoint list of discovery.
+/// A full endpoint list as discovery's JSON.
 const ENDPOINT_LIST: &str = r#"{"version":41,"full":true,"servers":[
 {"id":"s-1","addr":"127.0.0.1:5000","zone":"a","kind":"m2","cell":3,"state":"active","weight":1.0,"started_ms":2},
 {"id":"s-2","addr":"127.0.0.1:5001","state":"leaving"},{"id":"s-3","state":"left"}]}"#;
-/// A configuration, with `LIST` in the place of [`ENDPOINT_LIST`].
+/// A configuration in which `LIST` stands for [`ENDPOINT_LIST`].
 const CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f",
 "limits":{"sockets":4096},"known":LIST,"settings":{"services":[{"name":"study-session","hardLimitUs":1200000}],
 "rules":{"startCapacity":0.3,"coldUs":1,"overloadFactor":3.0}}}"#;
 
-/// HTTP responses with this body: one with its length, one in two chunks.
+/// Returns two HTTP responses with this body: one with `Content-Length`, one in two chunks.
 fn http_responses(body: &str) -> [String; 2] {
     let (first, second) = body.split_at(body.len() / 2);
     [
@@ -35,8 +35,8 @@
     ]
 }
 
-/// The lines that a tracker finds in these pieces, and whether it ends between two lines.
-fn tracked_lines(pieces: &[&[u8]]) -> (Vec<String>, bool) {
+/// Returns the lines that a tracker finds in the pieces, and whether it ends between two lines.
+fn track_lines(pieces: &[&[u8]]) -> (Vec<String>, bool) {
     let mut tracker = LineTracker::default();
     let mut lines = Vec::new();
     for piece in pieces {
@@ -64,15 +64,15 @@
     }
 
     #[test]
-    fn another_time_remaining_changes_nothing_else_of_a_request(
-        milliseconds in 0u64..100_000, more in "[a-z0-9=,]{0,20}",
+    fn forwarding_a_request_replaces_only_its_time_remaining(
+        milliseconds in 0u64..100_000, extra_fields in "[a-z0-9=,]{0,20}",
     ) {
-        let line = OPEN.replace("x=y", &format!("x=y{more}"));
+        let line = OPEN.replace("x=y", &format!("x=y{extra_fields}"));
         if let Ok(request) = OpenRequest::parse(line.clone().into()) {
             let digits = milliseconds.to_string();
             let pieces = request.with_time_remaining_ms(digits.as_bytes());
             let forwarded: Vec<u8> = pieces.iter().flat_map(|piece| piece.to_vec()).collect();
-            if more.is_empty() || !more.contains("d=") {
+            if extra_fields.is_empty() || !extra_fields.contains("d=") {
                 let expected = line.replace("d=2000", &format!("d={milliseconds}"));
                 prop_assert_eq!(String::from_utf8(forwarded).unwrap(), expected);
             }
@@ -83,7 +83,7 @@
     fn arbitrary_bytes_never_panic_a_parser(
         bytes in proptest::collection::vec(any::<u8>(), 0..200), tail in "[ -~]{0,80}",
     ) {
-        let _ = (first_line_end(&bytes), EndpointLine::parse(&bytes), tracked_lines(&[&bytes]));
+        let _ = (first_line_end(&bytes), EndpointLine::parse(&bytes), track_lines(&[&bytes]));
         let mut line = format!("OPEN {tail}").into_bytes();
         line.extend(b"\r\n");
         let _ = OpenRequest::parse(line.into());
@@ -96,18 +96,23 @@
     }
 
     #[test]
-    fn lines_in_pieces_are_parsed_as_in_one(cuts in proptest::collection::vec(0usize..70, 0..6)) {
+    fn lines_received_in_pieces_are_parsed_as_in_one_piece(
+        cut_positions in proptest::collection::vec(0usize..70, 0..6),
+    ) {
         let text = b"UP r1\r\nLOAD 812.5\r\ncard 4 of 9\r\nLOAD x\r\nBYE inflight=7,util=0.61\r\nMO";
-        let mut cuts: Vec<usize> = cuts.into_iter().map(|cut| cut.min(text.len())).collect();
-        cuts.extend([0, text.len()]);
-        cuts.sort_unstable();
-        let pieces: Vec<&[u8]> = cuts.windows(2).map(|ends| &text[ends[0]..ends[1]]).collect();
-        prop_assert_eq!(tracked_lines(&pieces), tracked_lines(&[text]));
+        let mut cut_positions: Vec<usize> =
+            cut_positions.into_iter().map(|position| position.min(text.len())).collect();
+        cut_positions.extend([0, text.len()]);
+        cut_positions.sort_unstable();
+        let pieces: Vec<&[u8]> = cut_positions.windows(2).map(|range| &text[range[0]..range[1]]).collect();
+        prop_assert_eq!(track_lines(&pieces), track_lines(&[text]));
     }
 
     #[test]
-    fn an_http_response_in_pieces_is_taken_once_it_is_complete(cut in 0usize..400, form in 0usize..2) {
-        let response = &http_responses(ENDPOINT_LIST)[form];
+    fn an_http_response_received_in_pieces_is_parsed_once_it_is_complete(
+        cut in 0usize..400, encoding in 0usize..2,
+    ) {
+        let response = &http_responses(ENDPOINT_LIST)[encoding];
         let cut = cut.min(response.len() - 1);
         let mut bytes = BytesMut::from(&response.as_bytes()[..cut]);
         prop_assert_eq!(take_response(&mut bytes), Ok(None));
@@ -131,8 +136,9 @@
             ("active", "asleep"), ("1.0", "\"big\""), ("[", "{\"a\":["),
         ][field];
         let text = ENDPOINT_LIST.replacen(valid, invalid, 1);
-        let read = serde_json::from_str(&text).map(|value| parse_endpoint_list(&value, &NameTable::default()).is_err());
-        prop_assert!(read.unwrap_or(true), "{}", text);
+        let rejected = serde_json::from_str(&text)
+            .map(|value| parse_endpoint_list(&value, &NameTable::default()).is_err());
+        prop_assert!(rejected.unwrap_or(true), "{}", text);
     }
 }
 
@@ -151,7 +157,7 @@
 }
 
 #[test]
-fn an_endpoint_list_is_parsed_with_endpoints_and_addresses() {
+fn an_endpoint_list_is_parsed_into_endpoints_and_addresses() {
     let update =
         parse_endpoint_list(&serde_json::from_str(ENDPOINT_LIST).unwrap(), &NameTable::default()).unwrap();
     assert_eq!(
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -1,5 +1,5 @@
-//! Race conditions: an event between two others that usually follow each other. Each test forces the order by gates
-//! instead of waiting for it.
+//! Race conditions: an event occurs between two others that usually follow each other. Each test forces the
+//! order of the events instead of waiting for it to occur by chance.
 
 #[path = "support/loopback.rs"]
 mod loopback;
@@ -14,153 +14,171 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longer than any step here should take, shorter than the relay's own timeouts.
-const SOON: Duration = Duration::from_secs(5);
+/// Longer than any step of a test should take, shorter than the relay's own timeouts.
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A configuration without health checks, with a connect timeout that late connections meet.
-fn patient(mut config: Value) -> Value {
+/// Changes a configuration so that late connections succeed: no health checks, and a long connect timeout.
+fn with_late_connects(mut config: Value) -> Value {
     let permissions = &mut config["settings"]["permissions"];
     permissions["probing"] = json!(false);
     permissions["connectTimeoutUs"] = json!(4_000_000);
     config
 }
 
-/// Where lists are pushed, the agent's list is authoritative from the start of the process.
+/// With pushed discovery, the local agent's list is authoritative from the start of the process.
 #[test]
-fn a_pushed_list_is_watched_at_once_and_replaces_the_cached_one() {
+fn with_pushed_discovery_the_watch_starts_at_once_and_its_list_replaces_the_cached_one() {
     run_case(async {
-        let ((_server, address), (agent, agent_at)) = (listen().await, listen().await);
-        let mut config = config_value(&[("s-1", address, "active")], 256, agent_at);
+        let ((_server, address), (agent, agent_address)) = (listen().await, listen().await);
+        let mut config = config_value(&[("s-1", address, "active")], 256, agent_address);
         config["settings"]["discovery"] = json!("pushed");
-        let relay = Relay::of(config).await;
-        let first = timeout(SOON, accept_request(&agent, "GET /registry/instances?index=1&wait=125 ")).await;
+        let relay = Relay::with_config(config).await;
+        let first_watch =
+            timeout(STEP_TIMEOUT, accept_request(&agent, "GET /registry/instances?index=1&wait=125 ")).await;
         respond(
-            first.expect("a call at once"),
+            first_watch.expect("a watch starts at once"),
             "200 OK",
             &endpoint_list(2, false, &[("s-1", address, "leaving")]),
         )
         .await;
-        let next = timeout(SOON, accept_request(&agent, "GET /registry/instances?index=2&wait=125 ")).await;
-        // The list was received, and the watch continues although this request is never answered.
-        let next = next.expect("the watch goes on");
-        let answered = timeout(SOON, receive_to_end(relay.client(OPEN).await)).await.expect("an answer");
-        assert!(answered.starts_with("BUSY"), "{answered}");
-        let reopened = timeout(
+        let next_watch =
+            timeout(STEP_TIMEOUT, accept_request(&agent, "GET /registry/instances?index=2&wait=125 ")).await;
+        // The relay has received the list. It continues to watch; this request is never answered.
+        let next_watch = next_watch.expect("the watch continues");
+        let answer = timeout(STEP_TIMEOUT, receive_to_end(relay.client(OPEN).await))
+            .await
+            .expect("the client gets an answer");
+        assert!(answer.starts_with("BUSY"), "{answer}");
+        let reopened_watch = timeout(
             Duration::from_secs(2),
             accept_request(&agent, "GET /registry/instances?index=2&wait=125 "),
         );
-        reopened.await.expect("a watch that fell silent is opened anew");
-        drop(next);
+        reopened_watch.await.expect("an unanswered watch is reopened");
+        drop(next_watch);
     });
 }
 
-/// The attempt starts before the endpoint drains, and its upstream connects afterwards.
+/// The attempt starts before the endpoint begins to drain, and its upstream connects afterwards.
 #[test]
-fn an_upstream_connected_after_its_endpoint_drains_is_sent_nothing() {
+fn an_upstream_that_connects_after_its_endpoint_began_to_drain_is_sent_nothing() {
     run_case(async {
-        let (discovery, discovery_at) = listen().await;
+        let (discovery, discovery_address) = listen().await;
         let mut late = LateListener::new();
-        let mut config = config_value(&[("s-1", late.address, "active")], 256, discovery_at);
+        let mut config = config_value(&[("s-1", late.address, "active")], 256, discovery_address);
         config["settings"]["rules"]["stopSendingWithinUs"] = json!(20_000_000);
-        let relay = Relay::of(patient(config)).await;
+        let relay = Relay::with_config(with_late_connects(config)).await;
         let watch = accept_request(&discovery, "GET /registry/instances?index=1&").await;
         let client = relay.client(OPEN).await;
         let address = late.address;
         respond(watch, "200 OK", &endpoint_list(2, false, &[("s-1", address, "leaving")])).await;
         let _next_watch = accept_request(&discovery, "GET /registry/instances?index=2&").await;
-        late.accept_waiting();
-        let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up or is given up");
-        assert_eq!(got, "", "nothing new after the news");
+        late.accept_pending();
+        let received = timeout(STEP_TIMEOUT, late.next_connection())
+            .await
+            .expect("the attempt connects or is cancelled");
+        assert_eq!(received, "", "a draining endpoint is sent nothing");
         assert!(receive_to_end(client).await.starts_with("BUSY"));
     });
 }
 
-const RETURNING: &str = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
+/// A reconnecting client's request; `at` names its endpoint.
+const RECONNECT_REQUEST: &str = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
 
-/// A relay without discovery, and its one endpoint, which accepts late.
-async fn with_late_endpoint() -> (Relay, LateListener) {
+/// Starts a relay whose discovery refuses connections, with one endpoint that accepts connections late.
+async fn start_relay_with_late_endpoint() -> (Relay, LateListener) {
     let late = LateListener::new();
-    let unreachable = "127.0.0.1:1".parse().expect("an address");
-    let relay = Relay::of(patient(config_value(&[("s-1", late.address, "active")], 256, unreachable))).await;
+    let unreachable = "127.0.0.1:1".parse().expect("a valid address");
+    let relay = Relay::with_config(with_late_connects(config_value(
+        &[("s-1", late.address, "active")],
+        256,
+        unreachable,
+    )))
+    .await;
     (relay, late)
 }
 
-/// The upstream connects at the moment in which the client leaves: a new client, and a reconnecting one.
+/// The upstream connects at the moment at which the client disconnects. Tests a new and a reconnecting
+/// client.
 #[test]
 fn a_request_whose_client_left_while_connecting_is_not_forwarded() {
-    for first in [OPEN, RETURNING] {
+    for request in [OPEN, RECONNECT_REQUEST] {
         run_case(async {
-            let (relay, mut late) = with_late_endpoint().await;
-            let client = relay.client(first).await;
-            late.wait_for_dial().await;
+            let (relay, mut late) = start_relay_with_late_endpoint().await;
+            let client = relay.client(request).await;
+            late.wait_for_connection_attempt().await;
             // The relay runs on this thread, so it sees both events only after both have happened.
-            late.accept_waiting();
-            drop(client.into_inner().into_std().expect("a plain socket"));
+            late.accept_pending();
+            drop(client.into_inner().into_std().expect("the socket is converted"));
             std::thread::sleep(Duration::from_millis(1_500));
-            let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up");
-            assert_eq!(got, "", "nothing for a client that has gone: {first}");
+            let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
+            assert_eq!(received, "", "the client has disconnected: {request}");
         });
     }
 }
 
-/// The client waits for its endpoint and sends more than is buffered.
+/// A client that waits for its endpoint sends more than the relay buffers.
 #[test]
-fn a_reconnecting_client_that_floods_is_answered_while_its_endpoint_is_unknown() {
+fn a_reconnecting_client_that_exceeds_the_buffer_while_its_endpoint_is_unknown_gets_an_error() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut client = relay.client("OPEN 9b1f 7f3a c=study,d=40000,at=s-9\r\n").await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        client.get_mut().write_all(&[b'a'; 20_000]).await.expect("a write");
-        assert_eq!(timeout(SOON, receive_to_end(client)).await.expect("an answer at once"), "ERR\r\n");
+        client.get_mut().write_all(&[b'a'; 20_000]).await.expect("the bytes are sent");
+        assert_eq!(
+            timeout(STEP_TIMEOUT, receive_to_end(client)).await.expect("an immediate answer"),
+            "ERR\r\n"
+        );
     });
 }
 
 /// An operator starts the endpoint's maintenance while a reconnecting client's upstream connects.
 #[test]
-fn a_reconnecting_client_is_not_forwarded_to_an_endpoint_in_maintenance_since() {
+fn a_reconnecting_client_is_not_forwarded_to_an_endpoint_whose_maintenance_has_started() {
     run_case(async {
-        let (relay, mut late) = with_late_endpoint().await;
-        let _client = relay.client(RETURNING).await;
-        late.wait_for_dial().await;
+        let (relay, mut late) = start_relay_with_late_endpoint().await;
+        let _client = relay.client(RECONNECT_REQUEST).await;
+        late.wait_for_connection_attempt().await;
         assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
-        late.accept_waiting();
-        let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up");
-        assert_eq!(got, "", "nothing to a card server that is out");
+        late.accept_pending();
+        let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
+        assert_eq!(received, "", "an endpoint in maintenance is sent nothing");
     });
 }
 
-/// The second attempt connects when the endpoints no longer know the first one's key.
+/// The second attempt connects after the endpoints have forgotten the idempotency key of the first.
 #[test]
 fn a_retry_connected_after_the_idempotency_key_expires_is_not_sent() {
     run_case(async {
-        let ((first, first_at), (discovery, discovery_at)) = (listen().await, listen().await);
+        let ((first, first_address), (discovery, discovery_address)) = (listen().await, listen().await);
         let mut late = LateListener::new();
-        let mut config = config_value(&[("s-1", first_at, "active")], 256, discovery_at);
+        let mut config = config_value(&[("s-1", first_address, "active")], 256, discovery_address);
         config["settings"]["services"][0]["effect"] = json!("deduplicated");
         config["settings"]["services"][0]["group"] = json!("all");
         config["settings"]["services"][0]["keyTtlUs"] = json!(700_000);
-        let relay = Relay::of(patient(config)).await;
+        let relay = Relay::with_config(with_late_connects(config)).await;
         let watch = accept_request(&discovery, "GET /registry/instances?index=1&").await;
         let client = relay.client(OPEN).await;
         let (upstream, _) = accept_connection(&first).await;
-        let both = [("s-1", first_at, "active"), ("s-2", late.address, "active")];
-        respond(watch, "200 OK", &endpoint_list(2, false, &both)).await;
+        let both_endpoints = [("s-1", first_address, "active"), ("s-2", late.address, "active")];
+        respond(watch, "200 OK", &endpoint_list(2, false, &both_endpoints)).await;
         let _next_watch = accept_request(&discovery, "GET /registry/instances?index=2&").await;
-        // The request may have run; the retry starts at once, before the key expires, and connects after that.
+        // The request may have been executed. The retry starts at once, before the key expires, and connects
+        // after that.
         drop(upstream);
-        late.wait_for_dial().await;
+        late.wait_for_connection_attempt().await;
         std::thread::sleep(Duration::from_millis(800));
-        late.accept_waiting();
-        let got = timeout(SOON, late.next_connection()).await.expect("the dial comes up");
-        assert_eq!(got, "", "a repeat after the key time");
-        let answered = timeout(SOON, receive_to_end(client)).await.expect("one final answer");
-        assert!(answered.starts_with("BUSY"), "{answered}");
+        late.accept_pending();
+        let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
+        assert_eq!(received, "", "no retry is sent after the key has expired");
+        let answer =
+            timeout(STEP_TIMEOUT, receive_to_end(client)).await.expect("the client gets a final answer");
+        assert!(answer.starts_with("BUSY"), "{answer}");
     });
 }
 
-/// Answers that the line protocol does not allow here.
+/// The endpoint answers a request with a line that the protocol does not allow there.
 #[test]
-fn a_malformed_answer_of_an_endpoint_ends_the_attempt_and_the_client_gets_one_answer() {
+fn a_malformed_answer_of_an_endpoint_ends_the_attempt_and_its_client_gets_one_rejection() {
     let endless = "a".repeat(100_000);
     for malformed in ["UP\r\n", "UP \r\n", "PONG\r\n", "\r\n", "\u{7}\r\n", "UP r1\n", &endless] {
         run_case(async {
@@ -169,15 +187,16 @@
             let client = relay.client(OPEN).await;
             let (mut upstream, _) = accept_connection(&endpoint).await;
             let _ = upstream.get_mut().write_all(malformed.as_bytes()).await;
-            let answer = timeout(SOON, receive_to_end(client)).await.expect("one final answer");
+            let answer =
+                timeout(STEP_TIMEOUT, receive_to_end(client)).await.expect("the client gets a final answer");
             assert!(answer.starts_with("BUSY"), "{malformed:.20}: {answer}");
         });
     }
 }
 
-/// The endpoint has sent half a line when the relay shuts down, and the rest arrives too late.
+/// The endpoint has sent an incomplete line when the relay shuts down, and the rest does not arrive in time.
 #[test]
-fn half_a_line_does_not_keep_a_client_from_migrating() {
+fn an_incomplete_line_does_not_delay_migration_on_shutdown() {
     run_case(async {
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
@@ -185,16 +204,19 @@
         let (mut upstream, _) = accept_connection(&endpoint).await;
         send(&mut upstream, "UP r1\r\ncard 1\r\ncard 2 o").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-        relay.stop.send(()).expect("a relay that runs");
-        assert_eq!(timeout(SOON, receive_to_end(client)).await.expect("a move"), "card 1\r\nMOVE\r\n");
+        relay.stop.send(()).expect("the relay runs");
+        assert_eq!(
+            timeout(STEP_TIMEOUT, receive_to_end(client)).await.expect("the client is migrated"),
+            "card 1\r\nMOVE\r\n"
+        );
         drop(upstream);
-        relay.ended.await.expect("no panic").expect("an orderly end");
+        relay.serve_task.await.expect("the relay does not panic").expect("the relay stops without an error");
     });
 }
 
-/// A line beyond the limit is forwarded without being buffered.
+/// A line beyond the length limit is forwarded without being buffered as a whole.
 #[test]
-fn a_line_that_is_too_long_is_forwarded_as_it_arrives() {
+fn a_line_beyond_the_length_limit_is_forwarded_as_it_arrives() {
     run_case(async {
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
@@ -203,103 +225,119 @@
         let long = "b".repeat(30_000);
         send(&mut upstream, &format!("UP r1\r\n{long}")).await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-        let mut some = vec![0; 20_000];
-        timeout(SOON, client.read_exact(&mut some)).await.expect("it passes").expect("bytes");
+        let mut received = vec![0; 20_000];
+        timeout(STEP_TIMEOUT, client.read_exact(&mut received))
+            .await
+            .expect("the line is forwarded in time")
+            .expect("the line is received");
         send(&mut upstream, "\r\nBYE\r\n").await;
         drop(upstream);
         assert_eq!(receive_to_end(client).await, format!("{}\r\nBYE\r\n", &long[20_000..]));
     });
 }
 
-/// One connection is idle after a `PONG`, one is in the middle of its first line, one has sent nothing. Each is answered
-/// before it is closed.
+/// One connection is idle after a `PONG`, one has sent a part of its first line, one has sent nothing. Each
+/// is answered before it is closed.
 #[test]
 fn idle_connections_are_answered_when_the_relay_shuts_down() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut idle = relay.client("PING\r\n").await;
         assert_eq!(receive_line(&mut idle).await, "PONG\r\n");
-        let (slow, silent) = (relay.client("OPEN 9b20 7f3a c=st").await, relay.client("").await);
-        relay.stop.send(()).expect("a relay that runs");
-        let ended = timeout(SOON, async {
-            (receive_to_end(idle).await, receive_to_end(slow).await, receive_to_end(silent).await)
+        let (incomplete, silent) = (relay.client("OPEN 9b20 7f3a c=st").await, relay.client("").await);
+        relay.stop.send(()).expect("the relay runs");
+        let answers = timeout(STEP_TIMEOUT, async {
+            (receive_to_end(idle).await, receive_to_end(incomplete).await, receive_to_end(silent).await)
         });
-        let ended = ended.await.expect("all have ended");
-        assert_eq!(ended, ("BUSY\r\n".into(), "BUSY\r\n".into(), "BUSY\r\n".into()));
-        relay.ended.await.expect("no panic").expect("an orderly end");
+        let answers = answers.await.expect("all connections are closed");
+        assert_eq!(answers, ("BUSY\r\n".into(), "BUSY\r\n".into(), "BUSY\r\n".into()));
+        relay.serve_task.await.expect("the relay does not panic").expect("the relay stops without an error");
     });
 }
 
-/// A request arrives after the relay has begun to close the idle connection: its client reads an answer and the end.
+/// A request arrives after the relay has begun to close the idle connection. Its client reads an answer and
+/// then the end of the connection, not a reset.
 #[test]
-fn a_request_on_an_idle_connection_being_closed_is_not_reset() {
+fn a_request_on_an_idle_connection_that_is_being_closed_does_not_cause_a_reset() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
         let mut client = relay.client("PING\r\n").await;
         assert_eq!(receive_line(&mut client).await, "PONG\r\n");
-        // The relay closes it by its idle timeout; the request is written after that answer.
-        assert_eq!(timeout(SOON, receive_line(&mut client)).await.expect("an end"), "BUSY\r\n");
+        // The relay closes the connection after its idle timeout. The request is sent after the answer to
+        // that.
+        assert_eq!(
+            timeout(STEP_TIMEOUT, receive_line(&mut client)).await.expect("an answer before the close"),
+            "BUSY\r\n"
+        );
         send(&mut client, OPEN).await;
         assert_eq!(receive_to_end(client).await, "");
     });
 }
 
-/// Discovery, endpoints, health checks and operators still get descriptors while idle clients take all they can.
+/// Discovery, endpoints, health checks and admin commands still get descriptors while idle clients use as
+/// many as they can.
 #[test]
 fn idle_connections_leave_descriptors_for_everything_else() {
     run_case(async {
-        let ((endpoint, address), (discovery, discovery_at)) = (listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", address, "active")], 96, discovery_at).await;
+        let ((endpoint, address), (discovery, discovery_address)) = (listen().await, listen().await);
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 96, discovery_address).await;
         let mut idle = Vec::new();
         for _ in 0..400 {
             idle.push(relay.client("PING\r\n").await);
         }
-        let watch = timeout(SOON, accept_request(&discovery, "GET /registry/instances?index=1&"))
+        let watch = timeout(STEP_TIMEOUT, accept_request(&discovery, "GET /registry/instances?index=1&"))
             .await
-            .expect("a call");
+            .expect("the relay polls discovery");
         respond(watch, "503 Busy", "").await;
-        timeout(SOON, accept_request(&discovery, "GET /registry/instances?index=1&"))
+        timeout(STEP_TIMEOUT, accept_request(&discovery, "GET /registry/instances?index=1&"))
             .await
-            .expect("it is called again");
-        assert_eq!(timeout(SOON, relay.admin_command("status\n")).await.expect("an answer"), "YES\n");
+            .expect("the relay polls discovery again");
+        assert_eq!(
+            timeout(STEP_TIMEOUT, relay.admin_command("status\n"))
+                .await
+                .expect("an answer to the admin command"),
+            "YES\n"
+        );
         let mut client = relay.client(OPEN).await;
-        let (mut upstream, _) = timeout(SOON, accept_connection(&endpoint)).await.expect("a session");
+        let (mut upstream, _) =
+            timeout(STEP_TIMEOUT, accept_connection(&endpoint)).await.expect("the request is forwarded");
         send(&mut upstream, "UP r1\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
     });
 }
 
-/// Discovery refuses connections, or does not answer.
+/// Discovery either refuses connections or does not answer.
 #[test]
 fn a_relay_is_ready_at_once_while_discovery_is_down() {
     run_case(async {
-        let (_silent, silent_at) = listen().await;
-        for discovery in ["127.0.0.1:1".parse().expect("an address"), silent_at] {
+        let (_silent, silent_address) = listen().await;
+        for discovery in ["127.0.0.1:1".parse().expect("a valid address"), silent_address] {
             let (_server, address) = listen().await;
             let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, discovery).await;
-            let mut front = relay.client("PING\r\n").await;
-            let pong = timeout(Duration::from_secs(1), receive_line(&mut front)).await;
-            assert_eq!(pong.expect("an answer at once"), "PONG\r\n");
+            let mut client = relay.client("PING\r\n").await;
+            let pong = timeout(Duration::from_secs(1), receive_line(&mut client)).await;
+            assert_eq!(pong.expect("an immediate answer"), "PONG\r\n");
         }
     });
 }
 
-/// The watch is silent, and the endpoints that it should have reported as removed are gone.
+/// The watch does not answer, and the endpoints that it should have reported as removed no longer exist.
 #[test]
 fn a_silent_watch_is_reopened_when_endpoints_refuse_connections() {
     run_case(async {
-        let (discovery, discovery_at) = listen().await;
-        let (one, two) = (listen().await, listen().await);
-        let config = config_value(&[("s-1", one.1, "active"), ("s-2", two.1, "active")], 256, discovery_at);
-        drop((one, two));
-        let relay = Relay::of(patient(config)).await;
-        let silent = accept_request(&discovery, "GET /registry/instances?index=1&").await;
-        // A younger watch may still be about to answer.
+        let (discovery, discovery_address) = listen().await;
+        let (first, second) = (listen().await, listen().await);
+        let config =
+            config_value(&[("s-1", first.1, "active"), ("s-2", second.1, "active")], 256, discovery_address);
+        drop((first, second));
+        let relay = Relay::with_config(with_late_connects(config)).await;
+        let silent_watch = accept_request(&discovery, "GET /registry/instances?index=1&").await;
+        // A younger watch is not reopened, because it may still be about to answer.
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         assert!(receive_to_end(relay.client(OPEN).await).await.starts_with("BUSY"));
-        timeout(SOON, accept_request(&discovery, "GET /registry/instances?index=1&"))
+        timeout(STEP_TIMEOUT, accept_request(&discovery, "GET /registry/instances?index=1&"))
             .await
-            .expect("it is opened anew");
-        assert_eq!(receive_to_end(silent).await, "", "and the silent one is left");
+            .expect("the watch is reopened");
+        assert_eq!(receive_to_end(silent_watch).await, "", "the unanswered watch is closed");
     });
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay on real sockets of the loopback, with small endpoints in the test.
+//! The relay on loopback sockets, with endpoints and discovery played by the tests.
 
 #[path = "support/loopback.rs"]
 mod loopback;
@@ -17,16 +17,17 @@
 use tokio::task::spawn_local;
 
 #[test]
-fn a_connection_is_forwarded_to_an_endpoint_and_ends_as_the_endpoint_ends_it() {
+fn a_connection_is_forwarded_to_an_endpoint_and_ends_when_the_endpoint_closes_it() {
     run_case(async {
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
-        let (mut upstream, first) = accept_connection(&endpoint).await;
-        let wait = first.strip_prefix("OPEN 9b1f 7f3a c=study,d=").and_then(|t| t.split_once(','));
-        let (wait, after) = wait.expect("the head with another wait");
-        assert!(wait.parse::<u64>().is_ok_and(|ms| (1..=25_000).contains(&ms)), "{first}");
-        assert_eq!(after, "g=5c0f,x=1\r\n");
+        let (mut upstream, first_line) = accept_connection(&endpoint).await;
+        let time_remaining =
+            first_line.strip_prefix("OPEN 9b1f 7f3a c=study,d=").and_then(|t| t.split_once(','));
+        let (time_remaining, other_fields) = time_remaining.expect("the request with another time remaining");
+        assert!(time_remaining.parse::<u64>().is_ok_and(|ms| (1..=25_000).contains(&ms)), "{first_line}");
+        assert_eq!(other_fields, "g=5c0f,x=1\r\n");
         send(&mut upstream, "UP r1\r\nLOAD 81").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
         send(&mut client, "answer 1\r\n").await;
@@ -38,12 +39,12 @@
 }
 
 #[test]
-fn a_reset_by_the_endpoint_reaches_the_client_as_a_reset() {
+fn a_connection_reset_by_the_endpoint_is_reset_for_the_client() {
     run_case(async {
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let (mut client, upstream) = establish_connection(&relay, &endpoint).await;
-        upstream.get_ref().set_zero_linger().expect("an option");
+        upstream.get_ref().set_zero_linger().expect("the socket option is set");
         drop(upstream);
         assert!(client.read(&mut [0; 8]).await.is_err());
     });
@@ -53,42 +54,45 @@
 fn a_ping_is_answered_and_a_malformed_first_line_gets_one_error() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
-        let mut front = relay.client("PING\r\n").await;
-        assert_eq!(receive_line(&mut front).await, "PONG\r\n");
-        let waits = ["0", "-5", "+5", "", "soon", "99999999999999999999999", "5,d=6"];
-        let waits = waits.map(|d| format!("OPEN 1 2 c=study,d={d}\r\n"));
-        let bad = [
+        let mut client = relay.client("PING\r\n").await;
+        assert_eq!(receive_line(&mut client).await, "PONG\r\n");
+        let invalid_times = ["0", "-5", "+5", "", "soon", "99999999999999999999999", "5,d=6"];
+        let invalid_times = invalid_times.map(|d| format!("OPEN 1 2 c=study,d={d}\r\n"));
+        let malformed = [
             "HELLO\r\n",
             "OPEN 1\r\n",
             "OPEN 1 2\r\n",
             "OPEN 1 2 c=other,d=5\r\n",
             "OPEN 1 \u{7} c=study\r\n",
         ];
-        let bad = bad.into_iter().chain(["a\n", "PING\r\nPING\r\n"]).chain(waits.iter().map(String::as_str));
-        for bad in bad {
-            assert_eq!(receive_to_end(relay.client(bad).await).await, "ERR\r\n", "{bad}");
+        let malformed = malformed
+            .into_iter()
+            .chain(["a\n", "PING\r\nPING\r\n"])
+            .chain(invalid_times.iter().map(String::as_str));
+        for malformed in malformed {
+            assert_eq!(receive_to_end(relay.client(malformed).await).await, "ERR\r\n", "{malformed}");
         }
         assert_eq!(receive_to_end(relay.client(&"a".repeat(5_000)).await).await, "ERR\r\n");
         let mut half = relay.client("OPEN 1 2 c=st").await;
-        half.shutdown().await.expect("an end");
+        half.shutdown().await.expect("the connection is half closed");
         assert_eq!(receive_to_end(half).await, "ERR\r\n");
     });
 }
 
-/// An endpoint that accepts every connection and counts the requests.
-async fn accepting_endpoint(endpoint: TcpListener, heads: Rc<Cell<usize>>) {
+/// Runs an endpoint that accepts every request and counts them.
+async fn accepting_endpoint(endpoint: TcpListener, requests: Rc<Cell<usize>>) {
     loop {
-        let (mut end, _) = accept_connection(&endpoint).await;
-        heads.set(heads.get() + 1);
+        let (mut connection, _) = accept_connection(&endpoint).await;
+        requests.set(requests.get() + 1);
         spawn_local(async move {
-            send(&mut end, "UP r1\r\n").await;
-            receive_to_end(end).await
+            send(&mut connection, "UP r1\r\n").await;
+            receive_to_end(connection).await
         });
     }
 }
 
 #[test]
-fn silent_idle_connections_do_not_keep_requests_out() {
+fn requests_are_served_while_idle_clients_fill_the_descriptor_limit() {
     run_case(async {
         let (endpoint, address) = listen().await;
         spawn_local(accepting_endpoint(endpoint, Rc::default()));
@@ -96,7 +100,8 @@
         let (mut idle_clients, mut served) = (Vec::new(), Vec::new());
         for round in 0..10 {
             for _ in 0..40 {
-                idle_clients.push(TcpStream::connect(relay.address).await.expect("a connection"));
+                idle_clients
+                    .push(TcpStream::connect(relay.address).await.expect("the relay accepts connections"));
             }
             let mut client = relay.client(&open_request(&round.to_string())).await;
             assert_eq!(receive_line(&mut client).await, "UP r1\r\n", "round {round}");
@@ -106,22 +111,22 @@
 }
 
 #[test]
-fn an_open_id_or_many_requests_at_once_get_one_error_and_nothing_is_forwarded() {
+fn a_duplicate_id_or_many_requests_at_once_get_one_error_and_nothing_is_forwarded() {
     run_case(async {
-        let ((endpoint, address), heads) = (listen().await, Rc::new(Cell::new(0)));
-        spawn_local(accepting_endpoint(endpoint, heads.clone()));
+        let ((endpoint, address), requests) = (listen().await, Rc::new(Cell::new(0)));
+        spawn_local(accepting_endpoint(endpoint, requests.clone()));
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-        let taken = "OPEN 9b1f 8888 c=study,d=26000\r\n";
+        let same_id = "OPEN 9b1f 8888 c=study,d=26000\r\n";
         assert_eq!(
-            receive_to_end(relay.client(taken).await).await,
+            receive_to_end(relay.client(same_id).await).await,
             "ERR\r\n",
-            "the id of an open connection"
+            "the id of an established connection"
         );
         let flood = "OPEN 1 2 c=study,d=26000\r\n".repeat(2_000);
-        assert_eq!(receive_to_end(relay.client(&flood).await).await, "ERR\r\n", "many at once");
-        assert_eq!(heads.get(), 1);
+        assert_eq!(receive_to_end(relay.client(&flood).await).await, "ERR\r\n", "many requests at once");
+        assert_eq!(requests.get(), 1);
         send(&mut client, "answer 1\r\n").await;
     });
 }
@@ -130,18 +135,18 @@
 fn the_timeout_of_a_first_line_is_not_extended_by_single_bytes() {
     run_case(async {
         let relay = Relay::start(&[], 256).await;
-        let (mut drip, mut front) = (relay.client("OPEN").await, relay.client("PING\r\n").await);
-        assert_eq!(receive_line(&mut front).await, "PONG\r\n");
-        // The timeout is 3 s; half of it again is left for a slow machine.
-        let owed = Duration::from_millis(4_500);
-        let (end, mut dripping) = drip.get_mut().split();
-        let dripped = tokio::time::timeout(owed, async {
+        let (mut slow, mut idle) = (relay.client("OPEN").await, relay.client("PING\r\n").await);
+        assert_eq!(receive_line(&mut idle).await, "PONG\r\n");
+        // The timeout is 3 s; half of that is added for a slow machine.
+        let time_limit = Duration::from_millis(4_500);
+        let (receiver, mut slow_sender) = slow.get_mut().split();
+        let slow_answer = tokio::time::timeout(time_limit, async {
             let mut answer = String::new();
-            let mut end = BufReader::new(end);
+            let mut receiver = BufReader::new(receiver);
             tokio::select! {
-                read = end.read_line(&mut answer) => drop(read.expect("a line")),
+                read = receiver.read_line(&mut answer) => drop(read.expect("the answer is read")),
                 () = async {
-                    while dripping.write_all(b" ").await.is_ok() {
+                    while slow_sender.write_all(b" ").await.is_ok() {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
                     std::future::pending().await
@@ -149,22 +154,27 @@
             }
             answer
         });
-        let left = tokio::time::timeout(owed, receive_to_end(front));
-        let (dripped, left) = tokio::join!(dripped, left);
-        assert_eq!((dripped.as_deref(), left.as_deref()), (Ok("ERR\r\n"), Ok("BUSY\r\n")));
+        let idle_answer = tokio::time::timeout(time_limit, receive_to_end(idle));
+        let (slow_answer, idle_answer) = tokio::join!(slow_answer, idle_answer);
+        assert_eq!((slow_answer.as_deref(), idle_answer.as_deref()), (Ok("ERR\r\n"), Ok("BUSY\r\n")));
     });
 }
 
 #[test]
 fn a_request_without_capacity_or_descriptors_is_rejected_with_a_retry_time() {
     run_case(async {
-        let (gone, nowhere) = listen().await;
-        drop(gone);
-        for (endpoints, max_descriptors) in [(vec![("s-1", nowhere, "active")], 256), (vec![], 32)] {
+        let (closed_listener, closed_address) = listen().await;
+        drop(closed_listener);
+        for (endpoints, max_descriptors) in [(vec![("s-1", closed_address, "active")], 256), (vec![], 32)] {
             let relay = Relay::start(&endpoints, max_descriptors).await;
             let answer = receive_to_end(relay.client(OPEN).await).await;
-            let ms = answer.strip_prefix("BUSY ").and_then(|ms| ms.trim_end().parse::<u64>().ok());
-            assert!(ms.is_some_and(|ms| (300..=600).contains(&ms)), "{answer}");
+            let retry_after_ms = answer
+                .strip_prefix("BUSY ")
+                .and_then(|retry_after_ms| retry_after_ms.trim_end().parse::<u64>().ok());
+            assert!(
+                retry_after_ms.is_some_and(|retry_after_ms| (300..=600).contains(&retry_after_ms)),
+                "{answer}"
+            );
         }
     });
 }
@@ -172,15 +182,16 @@
 #[test]
 fn an_attempt_that_an_endpoint_rejects_is_closed_before_the_retry() {
     run_case(async {
-        let ((one, one_at), (two, two_at)) = (listen().await, listen().await);
-        let relay = Relay::start(&[("s-1", one_at, "active"), ("s-2", two_at, "active")], 256).await;
+        let ((first, first_address), (second, second_address)) = (listen().await, listen().await);
+        let relay =
+            Relay::start(&[("s-1", first_address, "active"), ("s-2", second_address, "active")], 256).await;
         let mut client = relay.client(OPEN).await;
         let ((mut upstream, _), other) = tokio::select! {
-            upstream = accept_connection(&one) => (upstream, &two),
-            upstream = accept_connection(&two) => (upstream, &one),
+            upstream = accept_connection(&first) => (upstream, &second),
+            upstream = accept_connection(&second) => (upstream, &first),
         };
         send(&mut upstream, "BUSY\r\n").await;
-        assert_eq!(receive_to_end(upstream).await, "", "the attempt is closed");
+        assert_eq!(receive_to_end(upstream).await, "", "the relay closes the rejected attempt");
         let (mut upstream, _) = accept_connection(other).await;
         send(&mut upstream, "UP r2\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP r2\r\n");
@@ -188,14 +199,14 @@
 }
 
 #[test]
-fn a_reconnecting_client_reaches_its_endpoint_though_it_is_draining() {
+fn a_reconnecting_client_is_forwarded_to_its_endpoint_while_that_drains() {
     run_case(async {
-        let ((endpoint, address), (_other, other_at)) = (listen().await, listen().await);
-        let relay = Relay::start(&[("s-1", address, "leaving"), ("s-2", other_at, "active")], 256).await;
-        let first = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
-        let mut client = relay.client(first).await;
-        let (mut upstream, got) = accept_connection(&endpoint).await;
-        assert_eq!(got, first);
+        let ((endpoint, address), (_other, other_address)) = (listen().await, listen().await);
+        let relay = Relay::start(&[("s-1", address, "leaving"), ("s-2", other_address, "active")], 256).await;
+        let request = "OPEN 9b1f 7f3a c=study,d=40000,at=s-1\r\n";
+        let mut client = relay.client(request).await;
+        let (mut upstream, forwarded) = accept_connection(&endpoint).await;
+        assert_eq!(forwarded, request);
         send(&mut upstream, "UP old\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP old\r\n");
     });
@@ -210,19 +221,20 @@
         let (mut upstream, _) = accept_connection(&endpoint).await;
         send(&mut upstream, "UP r1\r\ncard 1").await;
         assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
-        let mut front = relay.client("PING\r\n").await;
-        assert_eq!(receive_line(&mut front).await, "PONG\r\n");
-        relay.stop.send(()).expect("a relay that runs");
-        send(&mut front, "PING\r\n").await;
-        assert_eq!(receive_line(&mut front).await, "BUSY\r\n");
-        let new_client = BufReader::new(TcpStream::connect(relay.address).await.expect("a connection"));
+        let mut idle = relay.client("PING\r\n").await;
+        assert_eq!(receive_line(&mut idle).await, "PONG\r\n");
+        relay.stop.send(()).expect("the relay runs");
+        send(&mut idle, "PING\r\n").await;
+        assert_eq!(receive_line(&mut idle).await, "BUSY\r\n");
+        let new_client =
+            BufReader::new(TcpStream::connect(relay.address).await.expect("the relay accepts connections"));
         let mut new_client = new_client;
         send(&mut new_client, &open_request("9b20")).await;
         assert!(receive_to_end(new_client).await.starts_with("BUSY "));
         send(&mut upstream, " of 9\r\n").await;
         assert_eq!(receive_to_end(client).await, "card 1 of 9\r\nMOVE\r\n");
         assert_eq!(receive_to_end(upstream).await, "");
-        relay.ended.await.expect("no panic").expect("an orderly end");
+        relay.serve_task.await.expect("the relay does not panic").expect("the relay stops without an error");
     });
 }
 
@@ -231,41 +243,45 @@
     run_case(async {
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
-        let (mut whole, mut half) = (relay.client(OPEN).await, relay.client(&open_request("9b20")).await);
-        // Either may connect first; the first line says whose connection it is.
-        let mut ends = [accept_connection(&endpoint).await, accept_connection(&endpoint).await];
-        ends.sort_by_key(|(_, first)| !first.starts_with("OPEN 9b1f "));
-        let [(mut one, _), (mut two, other)] = ends;
-        assert!(other.starts_with("OPEN 9b20 "), "{other}");
-        for (client, upstream) in [(&mut whole, &mut one), (&mut half, &mut two)] {
+        let (mut first_client, mut second_client) =
+            (relay.client(OPEN).await, relay.client(&open_request("9b20")).await);
+        // Either may connect first; the id in the first line tells them apart.
+        let mut upstreams = [accept_connection(&endpoint).await, accept_connection(&endpoint).await];
+        upstreams.sort_by_key(|(_, first_line)| !first_line.starts_with("OPEN 9b1f "));
+        let [(mut first_upstream, _), (mut second_upstream, second_line)] = upstreams;
+        assert!(second_line.starts_with("OPEN 9b20 "), "{second_line}");
+        for (client, upstream) in
+            [(&mut first_client, &mut first_upstream), (&mut second_client, &mut second_upstream)]
+        {
             send(upstream, "UP r1\r\n").await;
             assert_eq!(receive_line(client).await, "UP r1\r\n");
             send(client, "answer 1\r\n").await;
         }
-        // Neither a load report nor half a line counts as an answer.
+        // Neither a load report nor an incomplete line counts as an answer.
         spawn_local(async move {
-            send(&mut two, "card 1 o").await;
-            while one.write_all(b"LOAD 7\r\n").await.is_ok() {
+            send(&mut second_upstream, "card 1 o").await;
+            while first_upstream.write_all(b"LOAD 7\r\n").await.is_ok() {
                 tokio::time::sleep(Duration::from_millis(300)).await;
             }
         });
-        // Half a line is not forwarded, so that `MOVE` can be sent between lines.
-        assert_eq!(receive_to_end(half).await, "MOVE\r\n");
-        assert!(receive_to_end(whole).await.ends_with("LOAD 7\r\nMOVE\r\n"));
+        // An incomplete line is not forwarded, so that `MOVE` can be sent between lines.
+        assert_eq!(receive_to_end(second_client).await, "MOVE\r\n");
+        assert!(receive_to_end(first_client).await.ends_with("LOAD 7\r\nMOVE\r\n"));
     });
 }
 
-/// An endpoint that accepts every connection, answers lines at once, and reports slow messages.
+/// Runs an endpoint that accepts every connection and answers each line at once, but reports a high message
+/// latency.
 async fn slow_endpoint(endpoint: TcpListener) {
     loop {
-        let mut end = BufReader::new(endpoint.accept().await.expect("a connection").0);
+        let mut connection = BufReader::new(endpoint.accept().await.expect("the connection is accepted").0);
         spawn_local(async move {
             let mut text = String::new();
-            while end.read_line(&mut text).await.is_ok_and(|n| n > 0) {
+            while connection.read_line(&mut text).await.is_ok_and(|n| n > 0) {
                 let health_check = text == "STATS\r\n";
                 let answer =
                     if health_check { "PONG util=0.2,latency_ms=900,x0=0.2\r\n" } else { "UP r\r\n" };
-                send(&mut end, answer).await;
+                send(&mut connection, answer).await;
                 text.clear();
             }
         });
@@ -284,7 +300,7 @@
             if receive_line(&mut client).await.starts_with("BUSY") {
                 break;
             }
-            // A fast answer on the connection does not outweigh the load reports.
+            // A fast answer on the connection does not outweigh the reported latency.
             send(&mut client, "answer 1\r\n").await;
             established.push(client);
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -293,22 +309,25 @@
     });
 }
 
-const WATCH: &str = "GET /registry/instances?index=1&wait=";
-const WHOLE: &str = "GET /registry/instances HTTP/1.1";
+const WATCH_REQUEST: &str = "GET /registry/instances?index=1&wait=";
+const FULL_LIST_REQUEST: &str = "GET /registry/instances HTTP/1.1";
 
-fn leaving(whole: bool, address: SocketAddr) -> String {
-    endpoint_list(2, whole, &[("s-1", address, "leaving")])
+/// Returns an endpoint list whose only endpoint drains.
+fn draining_endpoint_list(full: bool, address: SocketAddr) -> String {
+    endpoint_list(2, full, &[("s-1", address, "leaving")])
 }
 
 #[test]
-fn an_endpoint_that_drains_after_failed_polls_has_its_connections_migrated() {
+fn connections_of_an_endpoint_that_drains_after_failed_polls_are_migrated() {
     run_case(async {
-        let ((endpoint, address), (discovery, discovery_at)) = (listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, discovery_at).await;
-        let (mut client, _held) = establish_connection(&relay, &endpoint).await;
-        drop(accept_request(&discovery, WATCH).await);
-        for (status, body) in [("503 Busy", ""), ("200 OK", "[]"), ("200 OK", &leaving(false, address))] {
-            respond(accept_request(&discovery, WATCH).await, status, body).await;
+        let ((endpoint, address), (discovery, discovery_address)) = (listen().await, listen().await);
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, discovery_address).await;
+        let (mut client, _upstream) = establish_connection(&relay, &endpoint).await;
+        drop(accept_request(&discovery, WATCH_REQUEST).await);
+        for (status, body) in
+            [("503 Busy", ""), ("200 OK", "[]"), ("200 OK", &draining_endpoint_list(false, address))]
+        {
+            respond(accept_request(&discovery, WATCH_REQUEST).await, status, body).await;
         }
         assert_eq!(receive_line(&mut client).await, "MOVE\r\n");
         assert!(receive_to_end(relay.client(&open_request("9b20")).await).await.starts_with("BUSY "));
@@ -321,13 +340,13 @@
         let (endpoint, address) = listen().await;
         let relay = Relay::start(&[("s-1", address, "active")], 256).await;
         let (mut client, mut health_check) =
-            (relay.client(OPEN).await, endpoint.accept().await.expect("a probe").0);
+            (relay.client(OPEN).await, endpoint.accept().await.expect("the health check connects").0);
         let mut stats = [0; 7];
-        for asked in 0..4 {
-            health_check.read_exact(&mut stats).await.expect("a probe");
+        for round in 0..4 {
+            health_check.read_exact(&mut stats).await.expect("a health check is sent");
             assert_eq!(&stats, b"STATS\r\n");
-            health_check.write_all(b"PONG x0=0.65\r\n").await.expect("a write");
-            if asked == 0 {
+            health_check.write_all(b"PONG x0=0.65\r\n").await.expect("the answer is sent");
+            if round == 0 {
                 let (mut upstream, _) = accept_connection(&endpoint).await;
                 send(&mut upstream, "UP r1\r\n").await;
                 assert_eq!(receive_line(&mut client).await, "UP r1\r\n");
@@ -340,64 +359,69 @@
 #[test]
 fn a_reload_polls_the_new_discovery_and_keeps_connections() {
     run_case(async {
-        let ((endpoint, address), (old, old_at), (new, new_at)) =
+        let ((endpoint, address), (old, old_address), (new, new_address)) =
             (listen().await, listen().await, listen().await);
-        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, old_at).await;
+        let relay = Relay::with_discovery(&[("s-1", address, "active")], 256, old_address).await;
         let (mut client, mut upstream) = establish_connection(&relay, &endpoint).await;
-        let watch = accept_request(&old, WATCH).await;
-        // A half-written file: configuration and watch stay as they are.
-        relay.reloads.send(read_config(b"{\"name\":")).expect("a relay that runs");
+        let watch = accept_request(&old, WATCH_REQUEST).await;
+        // An incomplete configuration file changes neither the configuration nor the watch.
+        relay.reloads.send(read_config(b"{\"name\":")).expect("the relay runs");
         for _ in 0..2 {
-            relay.reloads.send(config(&[], 256, new_at)).expect("a relay that runs");
+            relay.reloads.send(config(&[], 256, new_address)).expect("the relay runs");
         }
-        assert_eq!(receive_to_end(watch).await, "", "the call at the old address is dropped");
-        // The endpoint list stays, the failed request is repeated, and the new discovery's list applies.
+        assert_eq!(receive_to_end(watch).await, "", "the watch at the old address is closed");
+        // The endpoint list stays until the new discovery answers, after a retry, with its own.
         send(&mut client, "answer 1\r\n").await;
         assert_eq!(receive_line(&mut upstream).await, "answer 1\r\n");
-        respond(accept_request(&new, WHOLE).await, "503 Busy", "").await;
-        respond(accept_request(&new, WHOLE).await, "200 OK", &leaving(true, address)).await;
+        respond(accept_request(&new, FULL_LIST_REQUEST).await, "503 Busy", "").await;
+        respond(
+            accept_request(&new, FULL_LIST_REQUEST).await,
+            "200 OK",
+            &draining_endpoint_list(true, address),
+        )
+        .await;
         assert_eq!(receive_line(&mut client).await, "MOVE\r\n");
         accept_request(&new, "GET /registry/instances?index=2&wait=").await;
-        relay.stop.send(()).expect("a relay that runs");
-        relay.reloads.send(config(&[], 256, old_at)).expect("a relay on its way out");
-        relay.ended.await.expect("no panic").expect("an orderly end");
+        relay.stop.send(()).expect("the relay runs");
+        relay.reloads.send(config(&[], 256, old_address)).expect("the relay is shutting down");
+        relay.serve_task.await.expect("the relay does not panic").expect("the relay stops without an error");
     });
 }
 
-/// A relay's process, killed at the end of its test.
-struct Program(std::process::Child);
+/// A relay process, killed when dropped.
+struct ChildProcess(std::process::Child);
 
-impl Drop for Program {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         let _ = (self.0.kill(), self.0.wait());
     }
 }
 
 #[test]
-fn sighup_makes_the_program_follow_the_file_rather_than_its_environment() {
+fn sighup_applies_the_configuration_file_over_environment_variables() {
     run_case(async {
-        let ((old, old_at), (new, new_at)) = (listen().await, listen().await);
+        let ((old, old_address), (new, new_address)) = (listen().await, listen().await);
         let file = std::env::temp_dir().join(format!("honeyknot-{}.json", std::process::id()));
-        std::fs::write(&file, config_text(&[], 256, old_at)).expect("a file");
+        std::fs::write(&file, config_text(&[], 256, old_address)).expect("the file is written");
         let program = std::process::Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"))
             .arg("serve")
             .env("EDGE_CONFIG", &file)
             .env("EDGE_LISTEN", "127.83.5.1:5077")
-            .env("EDGE_DISCOVERY", old_at.to_string())
+            .env("EDGE_DISCOVERY", old_address.to_string())
             .spawn();
-        let mut program = Program(program.expect("the program"));
-        let hang_up = |id: u32| {
-            let sent = std::process::Command::new("sh").args(["-c", &format!("kill -HUP {id}")]).status();
-            assert!(sent.expect("a shell").success());
+        let mut program = ChildProcess(program.expect("the program starts"));
+        let send_sighup = |pid: u32| {
+            let sent = std::process::Command::new("sh").args(["-c", &format!("kill -HUP {pid}")]).status();
+            assert!(sent.expect("the shell runs").success());
         };
-        let watch = accept_request(&old, WATCH).await;
-        std::fs::write(&file, "{").expect("a file");
-        hang_up(program.0.id());
-        std::fs::write(&file, config_text(&[], 256, new_at)).expect("a file");
-        hang_up(program.0.id());
+        let watch = accept_request(&old, WATCH_REQUEST).await;
+        std::fs::write(&file, "{").expect("the file is written");
+        send_sighup(program.0.id());
+        std::fs::write(&file, config_text(&[], 256, new_address)).expect("the file is written");
+        send_sighup(program.0.id());
         assert_eq!(receive_to_end(watch).await, "");
-        let _asked = accept_request(&new, WHOLE).await;
-        assert!(program.0.try_wait().expect("a child").is_none(), "it runs on");
-        std::fs::remove_file(&file).expect("a file");
+        let _request = accept_request(&new, FULL_LIST_REQUEST).await;
+        assert!(program.0.try_wait().expect("the status is known").is_none(), "the program still runs");
+        std::fs::remove_file(&file).expect("the file is removed");
     });
 }
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -1,4 +1,4 @@
-//! The spool on disk: order, its limit, torn and damaged segments.
+//! The spool on disk: frame order, size limit, and torn or damaged segments.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use honeyknot_metrics::spool_record;
 use honeyknot_relay::relay::metrics::spool::Spool;
 
-/// A directory that is removed with this value.
+/// A temporary directory, removed when dropped.
 struct ScratchDirectory(PathBuf);
 
 impl ScratchDirectory {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A frame that zstd cannot compress.
+/// Returns a frame of pseudo-random bytes, which zstd cannot compress, that begins with its number.
 fn frame(number: u64, size: usize) -> Vec<u8> {
     let mut state = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
@@ -37,17 +37,20 @@
     frame
 }
 
-/// The file of the oldest segment.
-fn first_segment(directory: &Path) -> PathBuf {
-    let entries = fs::read_dir(directory).expect("a directory");
-    entries.map(|entry| entry.expect("an entry").path()).min().expect("a segment")
+/// Returns the path of the oldest segment file.
+fn oldest_segment(directory: &Path) -> PathBuf {
+    let entries = fs::read_dir(directory).expect("the directory is readable");
+    entries.map(|entry| entry.expect("the entry is readable").path()).min().expect("the spool has a segment")
 }
 
-fn drain(spool: &mut Spool) -> Vec<u64> {
+/// Marks every frame as sent and returns their numbers in order.
+fn send_all(spool: &mut Spool) -> Vec<u64> {
     let mut numbers = Vec::new();
-    while let Some(record) = spool.first().expect("a record") {
-        numbers.push(u64::from_le_bytes(record.frame[..8].try_into().expect("a number")));
-        spool.mark_sent(&record).expect("a note");
+    while let Some(record) = spool.first().expect("the record is read") {
+        numbers.push(u64::from_le_bytes(
+            record.frame[..8].try_into().expect("the frame begins with its number"),
+        ));
+        spool.mark_sent(&record).expect("the record is marked as sent");
     }
     numbers
 }
@@ -55,45 +58,46 @@
 #[test]
 fn spool_reopened_and_appended_to_returns_frames_in_order() {
     let directory = ScratchDirectory::new("order");
-    let (mut spool, _) = Spool::open(&directory.0, 64 << 20).expect("a spool");
+    let (mut spool, _) = Spool::open(&directory.0, 64 << 20).expect("the spool opens");
     for number in 0..30 {
-        assert_eq!(spool.append(&frame(number, 200_000), 1).expect("an append"), 0);
+        assert_eq!(spool.append(&frame(number, 200_000), 1).expect("the frame is appended"), 0);
     }
-    let record = spool.first().expect("a read").expect("a record");
-    spool.mark_sent(&record).expect("a note");
+    let record = spool.first().expect("the record is read").expect("the spool has a record");
+    spool.mark_sent(&record).expect("the record is marked as sent");
     drop(spool);
-    let (mut spool, torn) = Spool::open(&directory.0, 64 << 20).expect("a spool");
+    let (mut spool, torn) = Spool::open(&directory.0, 64 << 20).expect("the spool opens");
     assert!(torn.is_empty() && !spool.is_empty());
     // The first segment is sent again from its beginning.
-    spool.append(&frame(30, 100), 1).expect("an append");
-    assert_eq!(drain(&mut spool), (0..31).collect::<Vec<_>>());
+    spool.append(&frame(30, 100), 1).expect("the frame is appended");
+    assert_eq!(send_all(&mut spool), (0..31).collect::<Vec<_>>());
     assert!(spool.is_empty() && spool.bytes() == 0);
-    spool.append(&frame(31, 100), 1).expect("an append");
-    assert_eq!(drain(&mut spool), [31]);
+    spool.append(&frame(31, 100), 1).expect("the frame is appended");
+    assert_eq!(send_all(&mut spool), [31]);
 }
 
 #[test]
 fn append_beyond_limit_drops_oldest_frames_and_returns_their_samples() {
     let directory = ScratchDirectory::new("bound");
-    let (mut spool, _) = Spool::open(&directory.0, 3 << 20).expect("a spool");
-    let dropped: u64 = (0..40).map(|n| spool.append(&frame(n, 200_000), 7).expect("an append")).sum();
+    let (mut spool, _) = Spool::open(&directory.0, 3 << 20).expect("the spool opens");
+    let dropped: u64 =
+        (0..40).map(|n| spool.append(&frame(n, 200_000), 7).expect("the frame is appended")).sum();
     assert!(spool.bytes() <= 3 << 20);
-    let left = drain(&mut spool);
-    assert_eq!(dropped, 7 * (40 - left.len() as u64));
-    assert_eq!(left.last(), Some(&39));
-    assert!(left.len() > 8, "{left:?}");
+    let remaining = send_all(&mut spool);
+    assert_eq!(dropped, 7 * (40 - remaining.len() as u64));
+    assert_eq!(remaining.last(), Some(&39));
+    assert!(remaining.len() > 8, "{remaining:?}");
 }
 
 #[test]
 fn torn_or_corrupted_records_are_rejected_and_open_truncates_the_segment() {
-    let whole: Vec<Vec<u8>> =
-        (0..3).map(|n| spool_record::encode(&frame(n, 40), 1).expect("a record")).collect();
-    let bytes = whole.concat();
-    let ends: Vec<usize> = whole
+    let records: Vec<Vec<u8>> =
+        (0..3).map(|n| spool_record::encode(&frame(n, 40), 1).expect("the record is encoded")).collect();
+    let bytes = records.concat();
+    let ends: Vec<usize> = records
         .iter()
-        .scan(0, |at, r| {
-            *at += r.len();
-            Some(*at)
+        .scan(0, |end, record| {
+            *end += record.len();
+            Some(*end)
         })
         .collect();
     for cut in 0..bytes.len() {
@@ -107,25 +111,25 @@
         assert!(spool_record::valid_prefix(&torn).records < 3, "bit {bit}");
     }
     let directory = ScratchDirectory::new("torn");
-    fs::create_dir_all(&directory.0).expect("a directory");
+    fs::create_dir_all(&directory.0).expect("the directory is created");
     let file = directory.0.join("wait-0000000000000001.spool");
-    fs::write(&file, &bytes[..bytes.len() - 1]).expect("a file");
-    let (mut spool, torn) = Spool::open(&directory.0, 1 << 20).expect("a spool");
+    fs::write(&file, &bytes[..bytes.len() - 1]).expect("the file is written");
+    let (mut spool, torn) = Spool::open(&directory.0, 1 << 20).expect("the spool opens");
     assert_eq!((torn.len(), torn[0].valid_bytes as usize), (1, ends[1]));
-    spool.append(&frame(9, 40), 1).expect("an append");
-    assert_eq!(drain(&mut spool), [0, 1, 9]);
+    spool.append(&frame(9, 40), 1).expect("the frame is appended");
+    assert_eq!(send_all(&mut spool), [0, 1, 9]);
 }
 
 #[test]
 fn segment_damaged_after_writing_loses_only_its_remaining_frames() {
     let directory = ScratchDirectory::new("damage");
-    let (mut spool, _) = Spool::open(&directory.0, 64 << 20).expect("a spool");
+    let (mut spool, _) = Spool::open(&directory.0, 64 << 20).expect("the spool opens");
     assert!((0..12).all(|n| spool.append(&frame(n, 300_000), 2).is_ok()));
-    let first = first_segment(&directory.0);
-    let mut bytes = fs::read(&first).expect("bytes");
+    let segment = oldest_segment(&directory.0);
+    let mut bytes = fs::read(&segment).expect("the segment is readable");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
-    fs::write(&first, bytes).expect("a write");
-    assert_eq!(drain(&mut spool), [0, 3, 4, 5, 6, 7, 8, 9, 10, 11]);
+    fs::write(&segment, bytes).expect("the segment is written");
+    assert_eq!(send_all(&mut spool), [0, 3, 4, 5, 6, 7, 8, 9, 10, 11]);
     assert_eq!(spool.take_lost_samples(), 4);
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,5 +1,5 @@
-//! The relay's program as a process of a test.
-#![allow(dead_code)] // each test file uses a part
+//! Runs the relay's program as a child process of a test.
+#![allow(dead_code)] // Each test file uses only some of these helpers.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
@@ -11,19 +11,19 @@
 use serde_json::json;
 use tokio::net::TcpSocket;
 
-/// A directory of this test's own, removed with it.
+/// A temporary directory of one test, removed when dropped.
 pub struct ScratchDirectory(pub PathBuf);
 
 impl ScratchDirectory {
     pub fn new(name: &str) -> ScratchDirectory {
         let path = std::env::temp_dir().join(format!("honeyknot-{name}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the directory is created");
         ScratchDirectory(path)
     }
 
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        fs::write(&path, text).expect("a file");
+        fs::write(&path, text).expect("the file is written");
         path
     }
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns a configuration with two zones whose discovery is down.
+/// Returns a configuration with two zones, whose discovery refuses connections.
 pub fn config(listen: SocketAddr) -> String {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": "127.0.0.1:1", "seed": "1f",
@@ -46,9 +46,9 @@
     .to_string()
 }
 
-pub fn relay_command(config: &Path, words: &[&str]) -> Command {
+pub fn relay_command(config: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_honeyknot-relay"));
-    command.args(words).env("EDGE_CONFIG", config);
+    command.args(arguments).env("EDGE_CONFIG", config);
     for name in [
         "EDGE_NAME",
         "EDGE_LISTEN",
@@ -62,33 +62,36 @@
     command
 }
 
-/// A relay's process, killed at the end of the test.
+/// A relay process, killed when dropped.
 pub struct Relay {
     pub child: Child,
     pub log: PathBuf,
 }
 
 impl Relay {
-    /// Starts a relay whose log is a file of that name in the directory, and waits until it serves.
-    pub fn start(folder: &ScratchDirectory, config: &Path, log: &str, words: &[&str]) -> Relay {
+    /// Starts a relay that logs to a file of that name in the directory, and waits until it serves.
+    pub fn start(folder: &ScratchDirectory, config: &Path, log: &str, arguments: &[&str]) -> Relay {
         let log = folder.0.join(log);
         let mut command = relay_command(config, &["serve", "--log-form", "json"]);
-        command.args(words).stderr(fs::File::create(&log).expect("a log")).stdout(Stdio::null());
-        let relay = Relay { child: command.spawn().expect("a relay"), log };
+        command
+            .args(arguments)
+            .stderr(fs::File::create(&log).expect("the log file is created"))
+            .stdout(Stdio::null());
+        let relay = Relay { child: command.spawn().expect("the relay starts"), log };
         relay.wait_for_log("\"message\":\"serving\"");
         relay
     }
 
     pub fn send_sighup(&self) {
         let sent = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status();
-        assert!(sent.expect("a signal").success());
+        assert!(sent.expect("`kill` runs").success());
     }
 
     /// Waits until the log contains a text.
     pub fn wait_for_log(&self, text: &str) {
-        let until = Instant::now() + Duration::from_secs(30);
+        let deadline = Instant::now() + Duration::from_secs(30);
         while !fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text)) {
-            assert!(Instant::now() < until, "no `{text}` in {:?}", fs::read_to_string(&self.log));
+            assert!(Instant::now() < deadline, "no `{text}` in {:?}", fs::read_to_string(&self.log));
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -103,22 +106,22 @@
 
 /// Returns an address that nothing listens on, reserved until this process ends.
 ///
-/// The socket stays bound without listening. The system then gives its port to no other socket that asks for any port,
-/// while a listener that binds this address with `SO_REUSEADDR`, as relays do, may take it.
+/// The socket stays bound without listening, so the system assigns its port to no other socket that binds
+/// port 0. A listener that binds this address with `SO_REUSEADDR`, as relays do, may still use it.
 pub fn unused_address() -> SocketAddr {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_reuseaddr(true).expect("an option");
-    socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a port");
-    let address = socket.local_addr().expect("an address");
+    let socket = TcpSocket::new_v4().expect("the socket is created");
+    socket.set_reuseaddr(true).expect("the socket option is set");
+    socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
+    let address = socket.local_addr().expect("the socket has an address");
     std::mem::forget(socket);
     address
 }
 
-/// Sends a request and returns the first line of the answer.
-pub fn first_answer(relay: SocketAddr, head: &str) -> String {
-    let mut client = TcpStream::connect(relay).expect("a connection");
-    client.write_all(head.as_bytes()).expect("a write");
+/// Sends a request to a relay and returns the first line of its answer.
+pub fn first_answer_line(relay: SocketAddr, request: &str) -> String {
+    let mut client = TcpStream::connect(relay).expect("the relay accepts connections");
+    client.write_all(request.as_bytes()).expect("the request is sent");
     let mut line = String::new();
-    BufReader::new(client).read_line(&mut line).expect("a line");
+    BufReader::new(client).read_line(&mut line).expect("the answer is read");
     line
 }
