--- a/crates/metrics/src/collectd/mod.rs
+++ b/crates/metrics/src/collectd/mod.rs
@@ -1,8 +1,10 @@
-//! collectd's formats: the binary network protocol, unsigned, signed or encrypted, and the text protocol.
+//! collectd's formats: the binary network protocol (unsigned, signed or encrypted) and the plain text
+//! protocol.
 //!
-//! Source: collectd's documentation, "Binary protocol" and "Plain text protocol". A packet is a sequence of parts, each with
-//! its type and its whole length, two bytes each and big-endian. Strings end with a zero byte. Values are big-endian, except
-//! gauges, which are little-endian doubles. Times are in units of 2^-30 s.
+//! Source: collectd's documentation, "Binary protocol" and "Plain text protocol". A packet is a sequence of
+//! parts. Each part begins with its type and its total length, both two bytes and big-endian. Strings end
+//! with a zero byte. Values are big-endian, except gauges, which are little-endian doubles. Times are in
+//! units of 2^-30 s.
 
 mod decode;
 mod encode;
@@ -12,12 +14,12 @@
 pub use encode::{encode_packets, encode_putvals};
 pub use security::Security;
 
-/// The largest packet in bytes, which fits a datagram on Ethernet; collectd's own default.
+/// Maximum size of a packet, in bytes: collectd's default, with which a packet fits in one Ethernet frame.
 pub const MAX_PACKET_BYTES: usize = 1452;
-/// The plugin of all series.
+/// Plugin name of all series.
 pub const PLUGIN_NAME: &str = "honeyknot";
 
-/// Types of parts.
+/// Type codes of parts.
 mod part_type {
     pub(super) const HOST: u16 = 0x0000;
     pub(super) const PLUGIN: u16 = 0x0002;
@@ -31,9 +33,9 @@
     pub(super) const ENCRYPTION: u16 = 0x0210;
 }
 
-/// The value code of gauges.
+/// Value code of gauges.
 const GAUGE: u8 = 1;
-/// The value code of counters.
+/// Value code of counters.
 const DERIVE: u8 = 2;
-/// Bytes of a part's type and length.
+/// Size of a part's type and length, in bytes.
 const PART_HEADER_BYTES: usize = 4;
--- a/crates/metrics/src/collectd/security.rs
+++ b/crates/metrics/src/collectd/security.rs
@@ -1,7 +1,8 @@
 //! Signed and encrypted packets.
 //!
-//! A signature is an HMAC-SHA-256 of the user's name and all that follows it; encryption is AES-256 in OFB mode under the SHA-256 of
-//! the password, over a SHA-1 of the content and the content.
+//! A signature is the HMAC-SHA-256 of the user's name and of all bytes after it. An encrypted packet holds
+//! the SHA-1 checksum of the content and the content, encrypted with AES-256 in OFB mode; the key is the
+//! SHA-256 hash of the password.
 
 use aes::Aes256;
 use hmac::{Hmac, KeyInit, Mac};
@@ -13,29 +14,29 @@
 use super::encode::push_part;
 use super::part_type;
 
-/// How packets are protected.
+/// Protection of packets.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Security {
-    /// Not at all.
+    /// Neither signed nor encrypted.
     None,
     /// Signed with the user's password.
     Sign {
-        /// The user's name.
+        /// Name of the user.
         user: String,
-        /// The password.
+        /// Password of the user.
         password: String,
     },
     /// Encrypted with the user's password.
     Encrypt {
-        /// The user's name.
+        /// Name of the user.
         user: String,
-        /// The password.
+        /// Password of the user.
         password: String,
     },
 }
 
 impl std::fmt::Debug for Security {
-    /// Leaves passwords out.
+    /// Omits passwords.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Security::None => f.write_str("None"),
@@ -46,7 +47,7 @@
 }
 
 impl Security {
-    /// Returns the bytes that protection adds to a packet.
+    /// Returns the number of bytes that the protection adds to a packet.
     pub(super) fn overhead(&self) -> usize {
         match self {
             Security::None => 0,
@@ -56,7 +57,7 @@
     }
 }
 
-/// Returns the signature's HMAC over the user's name and the content.
+/// Returns the HMAC of the user's name and the content; `None` if the password cannot be used as a key.
 pub(super) fn mac(user: &str, password: &str, content: &[u8]) -> Option<Hmac<Sha256>> {
     let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(password.as_bytes()).ok()?;
     mac.update(user.as_bytes());
@@ -64,7 +65,8 @@
     Some(mac)
 }
 
-/// Signs or encrypts a packet.
+/// Signs or encrypts a packet as `security` requires. `iv` is called once to get the initialization vector
+/// for encryption.
 pub(super) fn protect(packet: Vec<u8>, security: &Security, iv: &mut impl FnMut() -> [u8; 16]) -> Vec<u8> {
     match security {
         Security::None => packet,
@@ -78,14 +80,14 @@
             out
         }
         Security::Encrypt { user, password } => {
-            let mut sealed = Sha1::digest(&packet).to_vec();
-            sealed.extend(packet);
+            let mut encrypted = Sha1::digest(&packet).to_vec();
+            encrypted.extend(packet);
             let iv = iv();
-            crypt(password, &iv, &mut sealed);
+            crypt(password, &iv, &mut encrypted);
             let mut body = (user.len() as u16).to_be_bytes().to_vec();
             body.extend(user.as_bytes());
             body.extend(iv);
-            body.extend(sealed);
+            body.extend(encrypted);
             let mut out = Vec::with_capacity(body.len() + 4);
             push_part(&mut out, part_type::ENCRYPTION, &body);
             out
@@ -93,7 +95,7 @@
     }
 }
 
-/// Encrypts or decrypts; the two are the same.
+/// Encrypts or decrypts bytes in place; in OFB mode, both are the same operation.
 pub(super) fn crypt(password: &str, iv: &[u8; 16], bytes: &mut [u8]) {
     let key: [u8; 32] = Sha256::digest(password.as_bytes()).into();
     Ofb::<Aes256>::new(&key.into(), &(*iv).into()).apply_keystream(bytes);
--- a/crates/metrics/src/config.rs
+++ b/crates/metrics/src/config.rs
@@ -1,4 +1,4 @@
-//! The operator file `metrics.conf`: exporters, and where counters are kept.
+//! Configuration of metrics, from the operator file `metrics.conf`: exporters and persistent counters.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,95 +10,98 @@
 use crate::collectd::Security;
 use crate::graphite::PathStyle;
 
-/// The shortest interval at Graphite, which stores one value a second.
+/// Minimum export interval for Graphite, which stores one value per second.
 const MIN_GRAPHITE_INTERVAL: Duration = Duration::from_secs(1);
-/// The largest number of exporters.
+/// Maximum number of exporters.
 const MAX_EXPORTERS: usize = 16;
 const DEFAULT_SERIES_CAP: usize = 256;
 const DEFAULT_INTERVAL: Duration = Duration::from_secs(10);
 const DEFAULT_PREFIX: &str = "honeyknot";
 const DEFAULT_BUFFER_BYTES: u64 = 1 << 20;
-/// Frames a second.
-const DEFAULT_FILL_RATE: f64 = 20.0;
+const DEFAULT_SPOOL_FRAMES_PER_SECOND: f64 = 20.0;
 
-/// A user and a password.
+/// A user name and a password.
 type Credentials = (String, String);
 
-/// The protocol of an exporter.
+/// Protocol of an exporter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Protocol {
-    /// Graphite's plaintext over TCP.
+    /// Graphite's plaintext protocol over TCP.
     GraphiteLines(PathStyle),
-    /// Graphite's pickles over TCP.
+    /// Graphite's pickle protocol over TCP.
     GraphitePickle(PathStyle),
     /// collectd's binary protocol over UDP.
     Collectd(Security),
 }
 
-/// One exporter.
+/// Configuration of an exporter, from a `sink` directive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExporterConfig {
-    /// The name.
+    /// Name of the sink.
     pub name: String,
-    /// The protocol.
+    /// Protocol and its options.
     pub protocol: Protocol,
-    /// The receiver's address.
+    /// Address of the receiver.
     pub address: SocketAddr,
-    /// The time between two snapshots.
+    /// Time between two exports.
     pub interval: Duration,
-    /// The nodes before the relay's name in Graphite's paths.
+    /// Path nodes before the relay's name, joined by dots. Used for Graphite only.
     pub prefix: String,
-    /// The largest number of bytes that wait in memory.
+    /// Maximum size of the queue in memory, in bytes.
     pub max_buffer_bytes: u64,
-    /// The largest number of bytes that wait on disk; 0 is no spool.
+    /// Maximum size of the spool on disk, in bytes; 0 disables the spool.
     pub max_spool_bytes: u64,
-    /// Frames a second that are sent from the spool.
+    /// Number of frames per second that are sent from the spool. A frame holds several samples.
     pub spool_frames_per_second: f64,
 }
 
-/// The operators' configuration of metrics.
+/// Configuration of metrics.
 #[derive(Clone, Debug)]
 pub struct MetricsConfig {
-    /// The exporters.
+    /// Exporters, in the order of the file.
     pub exporters: Vec<ExporterConfig>,
-    /// The largest number of values of a dynamic tag.
+    /// Maximum number of values of a dynamic tag that have their own series.
     pub series_cap: usize,
-    /// The directory in which counters are kept over processes, if any.
+    /// Directory in which counters are kept across restarts; `None` if counters are not persistent.
     pub state_directory: Option<PathBuf>,
 }
 
 impl MetricsConfig {
-    /// Reads a file's text; `file` is its name in errors. `read_key` reads a key file that the text names.
+    /// Reads the text of an operator file. `file` is the name that errors report. `read_key` returns the user
+    /// and password from a key file that the text names.
     ///
     /// # Errors
     ///
-    /// All errors of the file together.
+    /// All errors of the file.
     pub fn read(
         file: &str, text: &str, read_key: impl Fn(&str) -> Result<Credentials, String>,
     ) -> Result<MetricsConfig, ConfigErrors> {
         let tree = parse(file, text)?;
-        let faults = RefCell::default();
-        let mut top = Section::file(file, &tree, &faults);
-        let series_cap = top.value("series-cap", units::number(1..=100_000)).unwrap_or(DEFAULT_SERIES_CAP);
-        let state_directory = top.value("state", units::text()).map(PathBuf::from);
+        let errors = RefCell::default();
+        let mut section = Section::file(file, &tree, &errors);
+        let series_cap =
+            section.value("series-cap", units::number(1..=100_000)).unwrap_or(DEFAULT_SERIES_CAP);
+        let state_directory = section.value("state", units::text()).map(PathBuf::from);
         let mut exporters: Vec<ExporterConfig> = Vec::new();
-        for directive in top.directives("sink") {
-            let exporter = read_exporter(&top, directive, &read_key, state_directory.is_some());
+        for directive in section.directives("sink") {
+            let exporter = read_exporter(&section, directive, &read_key, state_directory.is_some());
             let Some(exporter) = exporter else { continue };
             if exporters.iter().any(|other| other.name == exporter.name) {
-                top.error(&directive.name, format!("the sink `{}` is given again", exporter.name));
+                section
+                    .error(&directive.name, format!("the sink `{}` is given more than once", exporter.name));
             }
             if exporters.len() == MAX_EXPORTERS {
-                top.error(&directive.name, format!("there are more than {MAX_EXPORTERS} sinks"));
+                section
+                    .error(&directive.name, format!("there are more than {MAX_EXPORTERS} `sink` directives"));
             }
             exporters.push(exporter);
         }
-        top.finish();
-        Section::into_result(faults).map(|()| MetricsConfig { exporters, series_cap, state_directory })
+        section.finish();
+        Section::into_result(errors).map(|()| MetricsConfig { exporters, series_cap, state_directory })
     }
 }
 
-/// The directives that name a protocol and what belongs to it.
+/// The directives of a sink that concern its protocol. Each is `None` if it is not given.
 struct ProtocolDirectives {
     graphite: Option<SocketAddr>,
     graphite_pickle: Option<SocketAddr>,
@@ -120,22 +123,27 @@
         ProtocolDirectives { graphite, graphite_pickle, collectd, path_style, sign, encrypt }
     }
 
+    /// Reports combinations of directives that are not allowed.
     fn check(&self, block: &Section, directive: &Directive, interval: Duration) {
         let graphite = self.graphite.is_some() || self.graphite_pickle.is_some();
         if graphite && interval < MIN_GRAPHITE_INTERVAL {
             block.error(
                 &directive.name,
-                "`interval`: Graphite keeps one point a second; allowed is 1s and more".into(),
+                "`interval`: Graphite stores one value per second; the minimum is 1s".into(),
             );
         }
         let (signed, encrypted) = (self.sign.is_some(), self.encrypt.is_some());
         if (signed || encrypted) && self.collectd.is_none() || signed && encrypted {
-            block.error(&directive.name, "`sign` or `encrypt`, one of them, goes with `collectd`".into());
+            block.error(
+                &directive.name,
+                "`sign` and `encrypt` require `collectd`, and exclude each other".into(),
+            );
         }
     }
 
-    /// Returns the one protocol and its address; none, and an error in the file, if there is not exactly one.
-    fn into_protocol(self, top: &Section, directive: &Directive) -> Option<(Protocol, SocketAddr)> {
+    /// Returns the protocol and its address. If there is not exactly one protocol, reports an error and
+    /// returns `None`.
+    fn into_protocol(self, section: &Section, directive: &Directive) -> Option<(Protocol, SocketAddr)> {
         let security = match (self.sign, self.encrypt) {
             (Some((user, password)), _) => Security::Sign { user, password },
             (None, Some((user, password))) => Security::Encrypt { user, password },
@@ -153,11 +161,14 @@
             (None, _) => {
                 let what =
                     "a sink needs one of `graphite`, `graphite-pickle` or `collectd`, with its address";
-                top.error(&directive.name, what.into());
+                section.error(&directive.name, what.into());
                 None
             }
             (Some(_), Some(_)) => {
-                top.error(&directive.name, "a sink speaks one protocol; this one names several".into());
+                section.error(
+                    &directive.name,
+                    "a sink takes only one of `graphite`, `graphite-pickle` and `collectd`".into(),
+                );
                 None
             }
         }
@@ -165,29 +176,32 @@
 }
 
 fn read_exporter(
-    top: &Section, directive: &Directive, read_key: &impl Fn(&str) -> Result<Credentials, String>,
+    section: &Section, directive: &Directive, read_key: &impl Fn(&str) -> Result<Credentials, String>,
     has_state_directory: bool,
 ) -> Option<ExporterConfig> {
     let [name] = &directive.words[..] else {
-        top.error(&directive.name, "`sink` takes one word, its name".into());
+        section.error(&directive.name, "`sink` takes one value, its name".into());
         return None;
     };
-    let mut block = top.block(directive);
+    let mut block = section.block(directive);
     let protocol = ProtocolDirectives::read(&mut block, read_key);
     let interval = units::duration(Duration::from_millis(100)..=Duration::from_secs(3600));
     let interval = block.value("interval", interval).unwrap_or(DEFAULT_INTERVAL);
     let prefix = block.value("prefix", units::text()).unwrap_or_else(|| DEFAULT_PREFIX.to_owned());
     let max_spool_bytes = block.value("spool", units::bytes(4 << 20..=1 << 40));
     let spool_frames_per_second =
-        block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(DEFAULT_FILL_RATE);
+        block.value("fill", units::rate(0.1..=10_000.0)).unwrap_or(DEFAULT_SPOOL_FRAMES_PER_SECOND);
     let max_buffer_bytes =
         block.value("buffer", units::bytes(4 << 10..=1 << 30)).unwrap_or(DEFAULT_BUFFER_BYTES);
     protocol.check(&block, directive, interval);
     block.finish();
-    let (protocol, address) = protocol.into_protocol(top, directive)?;
+    let (protocol, address) = protocol.into_protocol(section, directive)?;
     let max_spool_bytes = max_spool_bytes.unwrap_or(0);
     if max_spool_bytes > 0 && !has_state_directory {
-        top.error(&directive.name, "`spool` needs a folder that lasts: `state FOLDER`".into());
+        section.error(
+            &directive.name,
+            "`spool` needs a directory on persistent storage: add `state DIRECTORY`".into(),
+        );
     }
     Some(ExporterConfig {
         name: name.text.clone(),
--- a/crates/metrics/src/graphite.rs
+++ b/crates/metrics/src/graphite.rs
@@ -1,34 +1,36 @@
-//! Graphite's formats: plaintext lines and pickled lists, with plain paths or tags.
+//! Graphite's formats: the plaintext and pickle protocols, with tags as path nodes or as Graphite tags.
 //!
-//! Sources: Graphite's documentation, "Feeding in your data" (plaintext: `path value timestamp\n`; pickle: a length of
-//! four bytes, big-endian, before a pickled list of `(path, (timestamp, value))`) and "Tag support"
-//! (`path;tag=value`; a tag's name is not empty and holds none of `;!^=`, its value is not empty, holds no `;` and does
-//! not begin with `~`).
+//! Sources: Graphite's documentation, "Feeding in your data" (plaintext: `path value timestamp\n`; pickle: a
+//! big-endian length of four bytes, followed by a pickled list of `(path, (timestamp, value))`) and "Tag
+//! support" (`path;tag=value`; the name of a tag is not empty and contains none of `;!^=`; its value is not
+//! empty, contains no `;` and does not begin with `~`).
 
 use crate::snapshot::{MetricValue, MetricsSnapshot, Sample};
 
-/// How a sample's tag is written in its path.
+/// How the tag of a sample is written in its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathStyle {
-    /// As further nodes: `prefix.refused.reason.capacity`.
+    /// As path nodes: `prefix.refused.reason.capacity`.
     Nodes,
-    /// As a tag: `prefix.refused;reason=capacity`.
+    /// As a Graphite tag: `prefix.refused;reason=capacity`.
     Tags,
 }
 
-/// The longest path in bytes; Graphite's stores make file names of paths.
+/// Maximum length of a path, in bytes. Graphite's storage uses paths as file names, whose length is limited.
 const MAX_PATH_BYTES: usize = 250;
-/// The largest number of samples in a pickle; Graphite's receiver takes up to 1 MiB.
+/// Maximum number of samples in a pickle. Graphite's receiver accepts pickles of up to 1 MiB.
 pub const MAX_PICKLE_SAMPLES: usize = 500;
 
-/// Returns a node of a path: characters other than letters, digits, `_` and `-` become `_`.
+/// Returns a valid path node: all characters other than ASCII letters, digits, `_` and `-` are replaced by
+/// `_`.
 fn node(text: &str) -> String {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '_' || c == '-' { c } else { '_' };
     let node: String = text.chars().map(plain).collect();
     if node.is_empty() { "_".to_owned() } else { node }
 }
 
-/// Returns a tag's value: characters that the format does not allow, and white space, become `_`.
+/// Returns a valid tag value: white space, control characters, `;` and a `~` at the beginning are replaced by
+/// `_`.
 fn tag_value(text: &str) -> String {
     let plain = |c: char| if c == ';' || c.is_whitespace() || c.is_control() { '_' } else { c };
     let value: String = text.chars().map(plain).collect();
@@ -39,7 +41,7 @@
     }
 }
 
-/// Returns the path of a sample below a prefix of nodes joined by dots.
+/// Returns the path of a sample. `prefix` is a list of path nodes joined by dots, which may be empty.
 pub fn path(prefix: &str, sample: &Sample, style: PathStyle) -> String {
     let prefix: Vec<String> = prefix.split('.').filter(|n| !n.is_empty()).map(node).collect();
     let mut path = prefix.join(".");
@@ -65,7 +67,7 @@
     path
 }
 
-/// Encodes a snapshot as plaintext lines; gauges that are not finite are left out.
+/// Encodes a snapshot in the plaintext protocol. Gauges that are not finite are left out.
 pub fn encode_lines(prefix: &str, snapshot: &MetricsSnapshot, style: PathStyle) -> String {
     let timestamp = snapshot.timestamp / 1_000_000;
     let mut text = String::with_capacity(snapshot.samples.len() * 64);
@@ -80,21 +82,23 @@
     text
 }
 
-/// An entry of a pickle: its path, its time in Unix seconds and its value.
+/// An entry of a pickle: the path, the time in Unix seconds and the value.
 pub type PickledSample = (String, (i64, f64));
 
-/// Decodes a pickle with its length before it, as a receiver does; none if the bytes are not one.
+/// Decodes a pickle with its length prefix, as Graphite's receiver does. Returns `None` if the bytes are not
+/// a valid pickle.
 pub fn decode_pickle(bytes: &[u8]) -> Option<Vec<PickledSample>> {
     let (length, body) = bytes.split_at_checked(4)?;
     let length = u32::from_be_bytes(length.try_into().ok()?) as usize;
     (body.len() == length).then(|| serde_pickle::from_slice(body, serde_pickle::DeOptions::new()).ok())?
 }
 
-/// Encodes a snapshot as pickled lists, each with its length before it.
+/// Encodes a snapshot in the pickle protocol, as frames of a length prefix and a pickle of at most
+/// [`MAX_PICKLE_SAMPLES`] samples. Gauges that are not finite are left out.
 ///
 /// # Errors
 ///
-/// If a list cannot be pickled.
+/// If a list of samples cannot be pickled.
 pub fn encode_pickles(
     prefix: &str, snapshot: &MetricsSnapshot, style: PathStyle,
 ) -> Result<Vec<Vec<u8>>, serde_pickle::Error> {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,11 +1,12 @@
 #![forbid(unsafe_code)]
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
-//! Metrics of a relay and their formats at Graphite and collectd.
+//! Metrics of a relay and their export formats for Graphite and collectd.
 //!
-//! [`MetricsRegistry`] holds counters, gauges and histograms; updating it allocates nothing once a series exists. A
-//! [`MetricsSnapshot`] is its state at a point in time. [`graphite`] and [`collectd`] encode snapshots in the published formats,
-//! [`StoredMetrics`](stored::StoredMetrics) and [`spool_record`] are the forms on disk. [`MetricsConfig`] is the operator file.
-//! Nothing here opens a socket, reads a clock or a file.
+//! [`MetricsRegistry`] holds counters, gauges and histograms; updating an existing series allocates no
+//! memory. A [`MetricsSnapshot`] is the registry's state at a point in time. [`graphite`] and [`collectd`]
+//! encode snapshots in the published formats of these systems. [`StoredMetrics`](stored::StoredMetrics) and
+//! [`spool_record`] are the formats on disk. [`MetricsConfig`] is the content of the operator file. The crate
+//! does no I/O and reads no clock.
 
 pub mod collectd;
 pub mod config;
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: current values of counters, gauges and histograms.
+//! The registry of the current values of all metrics.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use crate::snapshot::{MetricValue, MetricsSnapshot, Sample};
 use crate::stored::{CounterState, HistogramState, StoredMetrics};
 
-/// The largest value of a histogram in microseconds; larger ones are recorded as this.
+/// Maximum value in a histogram, in microseconds. Larger values are recorded as this value.
 const MAX_HISTOGRAM_MICROS: u64 = 3_600_000_000;
-/// Significant digits of histograms; a quantile is off by 1% at most.
+/// Number of significant decimal digits of values in histograms; with 2, quantiles are accurate to 1%.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The quantiles of histograms and their statistics' names.
+/// Exported quantiles of histograms, each with the name of its statistic.
 pub const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p999", 0.999)];
-/// The tag value that sums all values beyond the series cap.
+/// Value of a dynamic tag whose series sums all tag values beyond the series cap.
 pub const OTHERS_TAG_VALUE: &str = "others";
 
-/// The state of one series.
+/// Current state of one series.
 #[derive(Clone, Debug)]
 enum MetricCell {
     Counter(u64),
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Adds to a counter; other kinds are unchanged.
+    /// Adds to a counter. Has no effect on other kinds.
     fn add(&mut self, count: u64) {
         if let MetricCell::Counter(total) = self {
             *total = total.saturating_add(count);
         }
     }
 
+    /// Returns the total of a counter, and 0 for other kinds.
     fn total(&self) -> u64 {
         match self {
             MetricCell::Counter(total) => *total,
@@ -52,27 +53,28 @@
     }
 }
 
-/// The index of a metric family and the value of its dynamic tag.
+/// Index of a metric family and value of its dynamic tag.
 type DynamicKey = (usize, String);
 
 /// Counters, gauges and histograms of a relay.
 ///
-/// Families whose tag values are listed in [`METRIC_FAMILIES`] have their series from the start. A dynamic tag gets a series
-/// for each new value up to a cap; further values are summed under [`OTHERS_TAG_VALUE`], which bounds memory and exports.
+/// Families without a tag, and those whose tag values are listed in [`METRIC_FAMILIES`], have all their
+/// series from the start. A dynamic tag gets a series for each new value up to a cap; further values are
+/// summed under [`OTHERS_TAG_VALUE`], which bounds memory and the size of exports.
 #[derive(Clone, Debug)]
 pub struct MetricsRegistry {
-    /// The series of each family, in the order of its tag values.
+    /// Series of each family without a dynamic tag, in the order of its tag values.
     fixed: Vec<Vec<MetricCell>>,
-    /// The series of dynamic tags.
+    /// Series of families with a dynamic tag.
     dynamic: BTreeMap<DynamicKey, MetricCell>,
-    /// The largest number of values of a dynamic tag.
+    /// Maximum number of values of a dynamic tag that have their own series.
     series_cap: usize,
-    /// The restored totals of dynamic tags.
+    /// Totals restored from storage, for families with a dynamic tag.
     restored: BTreeMap<DynamicKey, u64>,
 }
 
 impl MetricsRegistry {
-    /// Creates a registry with a cap on the values of each dynamic tag.
+    /// Creates a registry in which at most `series_cap` values of each dynamic tag have their own series.
     pub fn new(series_cap: usize) -> MetricsRegistry {
         let cells = |family: &MetricDescriptor| {
             let count = if family.tag.is_empty() { 1 } else { family.tag_values.len() };
@@ -90,33 +92,35 @@
         self.fixed.get_mut(family as usize)?.get_mut(index)
     }
 
-    /// Adds to a counter. `index` is that of the tag value in the family, 0 where there is no tag; an unknown one is ignored.
+    /// Adds to a counter. `index` is the index of the tag value in the descriptor, or 0 if the family has no
+    /// tag. An unknown index is ignored.
     pub fn add(&mut self, family: MetricFamily, index: usize, count: u64) {
         if let Some(cell) = self.cell(family, index) {
             cell.add(count);
         }
     }
 
-    /// Adds one to the counter with a tag value; an unknown value is ignored.
+    /// Adds one to the counter with a tag value. An unknown tag value is ignored.
     pub fn increment(&mut self, family: MetricFamily, tag_value: &str) {
         if let Some(index) = family.descriptor().tag_values.iter().position(|value| *value == tag_value) {
             self.add(family, index, 1);
         }
     }
 
-    /// Creates the counter of a dynamic tag's value, whatever the cap.
+    /// Creates the counter for a value of a dynamic tag, even beyond the series cap.
     pub fn register_dynamic(&mut self, family: MetricFamily, tag_value: &str) {
         self.dynamic.entry((family as usize, tag_value.to_owned())).or_insert(MetricCell::Counter(0));
     }
 
-    /// Returns what this process has counted for a dynamic tag's value.
+    /// Returns the total for a value of a dynamic tag since the start of this process, without restored
+    /// counts.
     pub fn total_since_start(&self, family: MetricFamily, tag_value: &str) -> u64 {
         let key = (family as usize, tag_value.to_owned());
         let total = self.dynamic.get(&key).map_or(0, MetricCell::total);
         total.saturating_sub(self.restored.get(&key).copied().unwrap_or(0))
     }
 
-    /// Adds to the counter of a dynamic tag's value.
+    /// Adds to the counter for a value of a dynamic tag.
     pub fn add_dynamic(&mut self, family: MetricFamily, tag_value: &str, count: u64) {
         self.add_dynamic_at(family as usize, tag_value, count);
     }
@@ -126,7 +130,7 @@
         if let Some(cell) = self.dynamic.get_mut(&key) {
             return cell.add(count);
         }
-        // `OTHERS_TAG_VALUE` does not count, so that restored values keep their series.
+        // `OTHERS_TAG_VALUE` does not count towards the cap, so that restored values keep their own series.
         let all = self.dynamic.range((family, String::new())..(family + 1, String::new()));
         let series = all.filter(|((_, value), _)| value != OTHERS_TAG_VALUE).count();
         let has_own_series = series < self.series_cap || tag_value == OTHERS_TAG_VALUE;
@@ -134,7 +138,7 @@
         self.dynamic.entry(key).or_insert(MetricCell::Counter(0)).add(count);
     }
 
-    /// Sets a gauge.
+    /// Sets the value of a gauge.
     pub fn set(&mut self, family: MetricFamily, value: f64) {
         if let Some(MetricCell::Gauge(gauge)) = self.cell(family, 0) {
             *gauge = value;
@@ -148,13 +152,13 @@
         }
     }
 
-    /// Returns a counter's total, for tests and reports.
+    /// Returns the total of a counter; 0 if `index` is unknown. For tests and reports.
     pub fn total(&self, family: MetricFamily, index: usize) -> u64 {
         let cell = self.fixed.get(family as usize).and_then(|cells| cells.get(index));
         cell.map_or(0, MetricCell::total)
     }
 
-    /// Returns the counters and histograms as they are stored. `timestamp` is in Unix microseconds.
+    /// Returns the counters and histograms to store on disk. `timestamp` is in Unix microseconds.
     pub fn to_stored(&self, relay: &str, timestamp: u64, incarnation: u64) -> StoredMetrics {
         let mut stored =
             StoredMetrics { relay: relay.to_owned(), timestamp, incarnation, ..StoredMetrics::default() };
@@ -176,7 +180,8 @@
         stored
     }
 
-    /// Adds stored counters and histograms; returns how many of them this version does not know.
+    /// Adds stored counters and histograms. Returns the number of those that this version of the program does
+    /// not know.
     pub fn restore(&mut self, stored: &StoredMetrics) -> usize {
         let unknown_counters =
             stored.counters.iter().filter(|counter| self.restore_counter(counter).is_none()).count();
@@ -185,6 +190,7 @@
         unknown_counters + unknown_histograms
     }
 
+    /// Adds a stored counter. Returns `None` if its name or tag value is unknown.
     fn restore_counter(&mut self, counter: &CounterState) -> Option<()> {
         let family = family_index(&counter.name)?;
         let descriptor = &METRIC_FAMILIES[family];
@@ -207,6 +213,7 @@
         Some(())
     }
 
+    /// Adds a stored histogram. Returns `None` if its name is unknown.
     fn restore_histogram(&mut self, stored: &HistogramState) -> Option<()> {
         let family = family_index(&stored.name)?;
         let Some(MetricCell::Histogram(histogram)) = self.fixed[family].first_mut() else { return None };
@@ -216,7 +223,7 @@
 
     /// Returns all current values. `timestamp` is in Unix microseconds.
     ///
-    /// A histogram gives its count, and its quantiles and maximum unless it is empty.
+    /// A histogram has a sample for its count and, unless it is empty, for each quantile and the maximum.
     pub fn snapshot(&self, timestamp: u64) -> MetricsSnapshot {
         let mut samples = Vec::new();
         for (family, tag_value, cell) in self.cells() {
@@ -226,7 +233,8 @@
         MetricsSnapshot { timestamp, samples }
     }
 
-    /// Returns all series with their family and tag value: the fixed ones, then those of dynamic tags.
+    /// Returns all series with their family and tag value: first those of fixed tags, then those of dynamic
+    /// tags.
     fn cells(&self) -> impl Iterator<Item = (&'static MetricDescriptor, Option<&str>, &MetricCell)> {
         let fixed = METRIC_FAMILIES.iter().zip(&self.fixed).flat_map(|(family, cells)| {
             cells
--- a/crates/metrics/src/snapshot.rs
+++ b/crates/metrics/src/snapshot.rs
@@ -2,25 +2,25 @@
 
 use std::collections::BTreeMap;
 
-/// A value at a point in time.
+/// Value of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MetricValue {
-    /// A total that only grows.
+    /// A total that only increases.
     Counter(u64),
     /// A current value.
     Gauge(f64),
 }
 
-/// One series at a point in time.
+/// The value of one series at a point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// The metric family's name.
+    /// Name of the metric family.
     pub name: &'static str,
-    /// The statistic of a histogram (`count`, `p50` to `p999`, `max`); empty elsewhere.
+    /// Statistic of a histogram (`count`, `p50` to `p999`, `max`); empty for counters and gauges.
     pub statistic: &'static str,
-    /// The tag's name and value; none where the family has one series.
+    /// Name and value of the tag; `None` if the family has only one series.
     pub tag: Option<(&'static str, String)>,
-    /// The value.
+    /// Value of the series.
     pub value: MetricValue,
 }
 
@@ -30,31 +30,33 @@
     }
 }
 
-/// A series' name, statistic and tag value.
+/// Identifies a series by its name, statistic and tag value.
 type SeriesKey<'a> = (&'static str, &'static str, Option<&'a str>);
 
-/// All series at a point in time.
+/// The values of all series at a point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricsSnapshot {
-    /// Unix microseconds.
+    /// Time of the snapshot, in Unix microseconds.
     pub timestamp: u64,
-    /// The samples, by family.
+    /// Samples of all series.
     pub samples: Vec<Sample>,
 }
 
 impl MetricsSnapshot {
-    /// Returns the snapshot with each counter as its increment since an earlier snapshot of the same process.
+    /// Returns the snapshot with each counter replaced by its increment since an earlier snapshot of the same
+    /// process.
     ///
-    /// A series that the earlier snapshot does not have counts from zero. Gauges are unchanged.
+    /// For a series that the earlier snapshot lacks, the increment is counted from zero. Gauges are
+    /// unchanged.
     pub fn since(&self, earlier: Option<&MetricsSnapshot>) -> MetricsSnapshot {
-        let counter = |sample: &MetricValue| match sample {
+        let counter_total = |value: &MetricValue| match value {
             MetricValue::Counter(total) => Some(*total),
             MetricValue::Gauge(_) => None,
         };
         let earlier_totals: BTreeMap<SeriesKey, u64> = earlier
             .iter()
             .flat_map(|snapshot| &snapshot.samples)
-            .filter_map(|sample| Some((sample.series_key(), counter(&sample.value)?)))
+            .filter_map(|sample| Some((sample.series_key(), counter_total(&sample.value)?)))
             .collect();
         let increment = |sample: &Sample| match sample.value {
             MetricValue::Counter(total) => {
--- a/crates/metrics/src/spool_record.rs
+++ b/crates/metrics/src/spool_record.rs
@@ -1,37 +1,38 @@
-//! Records of a spool: export frames on disk, each recognised as valid or torn.
+//! Records of a spool: export frames on disk, with a checksum that detects incomplete and damaged records.
 //!
-//! A record is a header of [`HEADER_BYTES`] bytes (the body's length, the frame's number of samples and the XXH3 checksum of
-//! both and the body, integers little-endian) and a body, the frame compressed with zstd. A segment is a sequence of
-//! records. What follows its first invalid record is a torn tail, which was being written when the process ended.
+//! A record is a header of [`HEADER_BYTES`] bytes and a body. The header holds the length of the body, the
+//! number of samples in the frame and the XXH3 checksum of these two and the body; all integers are
+//! little-endian. The body is the frame, compressed with zstd. A segment is a sequence of records. Bytes from
+//! the first invalid record on are a torn write: they were being written when the process ended.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes before a record's body.
+/// Size of the header of a record, in bytes.
 pub const HEADER_BYTES: usize = 4 + 4 + 8;
-/// The largest frame in bytes.
+/// Maximum size of a frame before compression, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
-/// The zstd compression level.
+/// zstd compression level.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// A frame and the number of samples in it.
+/// A decoded record: an export frame and its number of samples.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The bytes that the exporter sends.
+    /// Bytes to send to the receiver.
     pub frame: Vec<u8>,
-    /// The samples in the frame.
+    /// Number of samples in the frame.
     pub samples: u32,
-    /// Bytes that the record takes in its segment.
+    /// Size of the record in its segment, in bytes.
     pub size_bytes: usize,
 }
 
 /// The valid records at the beginning of a segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ValidPrefix {
-    /// Their length in bytes.
+    /// Total size of the records, in bytes.
     pub bytes: usize,
-    /// Their number.
+    /// Number of records.
     pub records: usize,
-    /// The samples in them.
+    /// Total number of samples in the records.
     pub samples: u64,
 }
 
@@ -43,7 +44,8 @@
     hasher.digest()
 }
 
-/// Encodes a frame as a record; none if it is larger than [`MAX_FRAME_BYTES`] or cannot be compressed.
+/// Encodes a frame as a record. Returns `None` if the frame is larger than [`MAX_FRAME_BYTES`] or cannot be
+/// compressed.
 pub fn encode(frame: &[u8], samples: u32) -> Option<Vec<u8>> {
     let body =
         zstd::bulk::compress(frame, COMPRESSION_LEVEL).ok().filter(|_| frame.len() <= MAX_FRAME_BYTES)?;
@@ -55,7 +57,8 @@
     Some(bytes)
 }
 
-/// Decodes the first record of some bytes; none where they end, are torn or are not a record.
+/// Decodes the record at the beginning of `bytes`. Returns `None` if it is incomplete, damaged or not a
+/// record.
 pub fn decode_first(bytes: &[u8]) -> Option<Record> {
     let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
     let word = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
@@ -69,7 +72,7 @@
     Some(Record { frame, samples, size_bytes: HEADER_BYTES + body.len() })
 }
 
-/// Measures the valid records at the beginning of some bytes.
+/// Finds the valid records at the beginning of `bytes`.
 pub fn valid_prefix(bytes: &[u8]) -> ValidPrefix {
     let mut prefix = ValidPrefix::default();
     while let Some(record) = decode_first(&bytes[prefix.bytes..]) {
--- a/crates/metrics/src/stored.rs
+++ b/crates/metrics/src/stored.rs
@@ -1,75 +1,77 @@
-//! Counters and histograms as they are stored, in a snapshot that is decoded as a whole or not at all.
+//! The format in which counters and histograms are stored on disk. A stored snapshot is decoded completely or
+//! not at all.
 //!
-//! A snapshot is a header of [`HEADER_BYTES`] bytes and a body. The header holds the magic `HKGAUGES`, the format's version, the body's length
-//! and the XXH3 checksum of version, length and body (integers little-endian); the body is a postcard record, compressed
-//! with zstd. Any cut, or any bit that differs, fails the checksum.
+//! A snapshot is a header of [`HEADER_BYTES`] bytes and a body. The header holds the magic bytes `HKGAUGES`,
+//! the version of the format, the length of the body and the XXH3 checksum of version, length and body; all
+//! integers are little-endian. The body is a postcard record, compressed with zstd. A truncated snapshot, or
+//! one with any bit changed, is rejected.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The first bytes of each snapshot.
+/// First bytes of every snapshot.
 pub const MAGIC: &[u8; 8] = b"HKGAUGES";
-/// The format's version.
+/// Version of the format.
 const VERSION: u32 = 1;
-/// Bytes before the body.
+/// Size of the header, in bytes.
 pub const HEADER_BYTES: usize = 8 + 4 + 4 + 8;
-/// The largest body, compressed or not, in bytes.
+/// Maximum size of the body before and after compression, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// The zstd compression level.
+/// zstd compression level.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// A stored counter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterState {
-    /// The family's name.
+    /// Name of the metric family.
     pub name: String,
-    /// The tag's value; empty where there is no tag.
+    /// Value of the tag; empty if the family has no tag.
     pub tag_value: String,
-    /// The total.
+    /// Total of the counter.
     pub total: u64,
 }
 
-/// A stored histogram: how often each recorded value was seen.
+/// A stored histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramState {
-    /// The family's name.
+    /// Name of the metric family.
     pub name: String,
-    /// Values and their counts.
+    /// Recorded values, each with the number of times it was recorded.
     pub counts: Vec<(u64, u64)>,
 }
 
-/// The stored metrics of a relay. The order of fields is the stored format.
+/// Stored metrics of a relay. The order of the fields is part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredMetrics {
-    /// The relay's name.
+    /// Name of the relay.
     pub relay: String,
-    /// When they were stored, in Unix microseconds.
+    /// Time at which the metrics were stored, in Unix microseconds.
     pub timestamp: u64,
-    /// The number of the process among those that stored metrics, from 1.
+    /// Number of the process among all processes that stored metrics for this relay, counted from 1.
     pub incarnation: u64,
-    /// The counters.
+    /// Counters other than 0.
     pub counters: Vec<CounterState>,
-    /// The histograms.
+    /// Histograms.
     pub histograms: Vec<HistogramState>,
 }
 
-/// Why bytes are not a valid snapshot.
+/// Why a snapshot cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// Their length is not that of the header and body.
-    #[error("the snapshot has {0} bytes where {1} belong")]
+    /// The length is not the one that the header requires. Holds the actual and the required number of bytes.
+    #[error("the snapshot has {0} bytes, but {1} are expected: it is truncated or damaged")]
     Length(usize, usize),
-    /// They do not begin with [`MAGIC`].
-    #[error("this is no snapshot")]
+    /// The bytes do not begin with [`MAGIC`].
+    #[error("the file is not a snapshot: it does not begin with `HKGAUGES`")]
     Magic,
-    /// A later version wrote them.
-    #[error("the snapshot is of version {0}; this program reads version {VERSION}")]
+    /// Another version of the program wrote the snapshot. Holds the version of the format.
+    #[error("the snapshot has format version {0}, but this program reads only version {VERSION}")]
     Version(u32),
-    /// The checksum differs.
-    #[error("the snapshot's sum is wrong: it is torn or damaged")]
+    /// The checksum does not match.
+    #[error("the checksum of the snapshot does not match: it is truncated or damaged")]
     Checksum,
     /// The body cannot be encoded or decoded.
-    #[error("the snapshot's record cannot be read: {0}")]
+    #[error("the snapshot cannot be encoded or decoded: {0}")]
     Record(String),
 }
 
@@ -82,7 +84,7 @@
 }
 
 impl StoredMetrics {
-    /// Encodes a snapshot.
+    /// Encodes the metrics as a snapshot.
     ///
     /// # Errors
     ///
@@ -92,7 +94,7 @@
         let record = postcard::to_allocvec(self).map_err(|e| record_error(&e))?;
         let body = zstd::bulk::compress(&record, COMPRESSION_LEVEL).map_err(|e| record_error(&e))?;
         if record.len() > MAX_BODY_BYTES || body.len() > MAX_BODY_BYTES {
-            return Err(SnapshotError::Record(format!("it is larger than {MAX_BODY_BYTES} bytes")));
+            return Err(SnapshotError::Record(format!("the metrics are larger than {MAX_BODY_BYTES} bytes")));
         }
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_le_bytes());
