--- a/crates/metrics/src/config.rs
+++ b/crates/metrics/src/config.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// The directives of a sink that concern its protocol. Each is `None` if it is not given.
+/// The directives of a sink that concern its protocol; those that are not given are `None`.
 struct ProtocolDirectives {
     graphite: Option<SocketAddr>,
     graphite_pickle: Option<SocketAddr>,
