--- a/crates/testbed/src/commands/cold_start.rs
+++ b/crates/testbed/src/commands/cold_start.rs
@@ -53,34 +53,34 @@
             return self.scenario.script(self.relay_count(), self.full_list_ms, self.seed);
         };
         let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-        fleet::script::read(&file.display().to_string(), &text)
+        fleet::script::parse_script(&file.display().to_string(), &text)
     }
 
     /// Returns the fleet's plan, on the loopback network of that number.
-    fn plan(&self, net: &fleet::run::Net, folder: PathBuf) -> Result<fleet::Plan, String> {
+    fn plan(&self, network: &fleet::run::LoopbackNetwork, folder: PathBuf) -> Result<fleet::Plan, String> {
         let relays = self.relay_count();
         Ok(fleet::Plan {
-            net: net.number,
+            network: network.number,
             seed: self.seed,
             relays,
-            told: self.configured_fleet_size.map_or(relays, |size| size as usize),
-            cards: usize::from(self.endpoints),
-            call_ms: self.full_list_ms,
+            configured_fleet_size: self.configured_fleet_size.map_or(relays, |size| size as usize),
+            endpoints: usize::from(self.endpoints),
+            full_list_ms: self.full_list_ms,
             clients: usize::from(self.clients),
-            held: self.scenario.held(),
-            cold_cards: self.cold_endpoints,
+            initial_list: self.scenario.initial_list(),
+            cold_endpoints: self.cold_endpoints,
             links: Vec::new(),
             folder,
             program: self.run.program()?,
-            part: (0, 1),
+            process_parameters: (0, 1),
             ..fleet::Plan::default()
         })
     }
 
     /// Prints the generated script of a run that broke a promise, so that it can be replayed.
     fn print_generated_script(&self) {
-        if self.scenario == ColdStart::Drawn && self.fault_script.is_none() {
-            let text = self.scenario.text(self.relay_count(), self.full_list_ms, self.seed);
+        if self.scenario == ColdStart::Generated && self.fault_script.is_none() {
+            let text = self.scenario.script_text(self.relay_count(), self.full_list_ms, self.seed);
             eprintln!("seed {}; --faults with these lines replays the script:\n{text}", self.seed);
         }
     }
@@ -93,15 +93,21 @@
 pub(crate) async fn run(args: ColdStartArgs, own_folder: &Path) -> Result<Outcome, String> {
     let folder = args.run.event_log_folder(own_folder)?;
     let script = args.script()?;
-    let net = fleet::run::Net::take(args.seed)?;
-    let plan = args.plan(&net, folder)?;
-    let run = fleet::run::play(&plan, &script, own_program()?, interrupted()).await?;
+    let network = fleet::run::LoopbackNetwork::reserve(args.seed)?;
+    let plan = args.plan(&network, folder)?;
+    let run = fleet::run::run_script(&plan, &script, own_program()?, interrupted()).await?;
     let scenario = args.scenario;
-    let report =
-        fleet::analysis::analyze(&plan, scenario.name(), run.began, &run.records, scenario.expectations());
-    if !report.broken.is_empty() {
+    let report = fleet::analysis::analyze(
+        &plan,
+        scenario.name(),
+        run.started_at,
+        &run.records,
+        scenario.expectations(),
+    );
+    if !report.violations.is_empty() {
         args.print_generated_script();
     }
-    let verdict = Verdict { broken: &report.broken, lag_ms: report.starved.then_some(report.lag_ms) };
+    let verdict =
+        Verdict { broken: &report.violations, lag_ms: report.machine_overloaded.then_some(report.lag_ms) };
     verdict.print(&report, args.run.json)
 }
--- a/crates/testbed/src/commands/leases.rs
+++ b/crates/testbed/src/commands/leases.rs
@@ -46,9 +46,9 @@
 /// A text where the run could not be done.
 pub(crate) async fn run(args: LeaseArgs, own_folder: &Path) -> Result<Outcome, String> {
     let folder = args.run.event_log_folder(own_folder)?;
-    let net = fleet::run::Net::take(args.seed)?;
+    let network = fleet::run::LoopbackNetwork::reserve(args.seed)?;
     let plan = fleet::Plan {
-        net: net.number,
+        network: network.number,
         seed: args.seed,
         relays: usize::from(args.relays),
         folder,
@@ -63,7 +63,9 @@
         ..fleet::Plan::default()
     };
     let length = Duration::from_secs(args.length_s);
-    let report = leases::run::play(plan, args.scenario, length, own_program()?, interrupted()).await?;
-    let verdict = Verdict { broken: &report.broken, lag_ms: report.starved.then_some(report.lag_ms) };
+    let report =
+        leases::run::run_scenario(plan, args.scenario, length, own_program()?, interrupted()).await?;
+    let verdict =
+        Verdict { broken: &report.violations, lag_ms: report.machine_overloaded.then_some(report.lag_ms) };
     verdict.print(&report, args.run.json)
 }
--- a/crates/testbed/src/commands/part.rs
+++ b/crates/testbed/src/commands/part.rs
@@ -34,13 +34,13 @@
 /// A text where the part does not start.
 pub(crate) async fn run(args: PartArgs) -> Result<(), String> {
     match args.kind {
-        PartKind::Discovery => fleet::run_part(fleet::discovery::start).await,
-        PartKind::Endpoints => fleet::run_part(fleet::endpoints::start).await,
-        PartKind::Clients => fleet::run_part(fleet::clients::start).await,
-        PartKind::Links => fleet::run_part(fleet::fault_proxy::start).await,
-        PartKind::Relays => fleet::run_part(fleet::relays::start).await,
-        PartKind::RecordingServer => fleet::run_part(leases::recording_server::start).await,
-        PartKind::LeaseHolder => fleet::run_part(leases::holder::start).await,
-        PartKind::LeaseServer => leases::lease_server::run_part(),
+        PartKind::Discovery => fleet::run_process(fleet::discovery::start).await,
+        PartKind::Endpoints => fleet::run_process(fleet::endpoints::start).await,
+        PartKind::Clients => fleet::run_process(fleet::clients::start).await,
+        PartKind::Links => fleet::run_process(fleet::fault_proxy::start).await,
+        PartKind::Relays => fleet::run_process(fleet::relays::start).await,
+        PartKind::RecordingServer => fleet::run_process(leases::recording_server::start).await,
+        PartKind::LeaseHolder => fleet::run_process(leases::holder::start).await,
+        PartKind::LeaseServer => leases::lease_server::run_process(),
     }
 }
--- a/crates/testbed/src/fleet/analysis.rs
+++ b/crates/testbed/src/fleet/analysis.rs
@@ -5,7 +5,7 @@
 use super::event_log::{Answer, Event, Record, RequestKind, RequestOutcome};
 use super::relay_history::RelayHistory;
 use super::report::{Expectations, Report, check_expectations};
-use super::{Held, Plan, VERSION, discovery};
+use super::{CURRENT_LIST_VERSION, InitialList, Plan, discovery};
 
 /// Time after a relay learns that an endpoint drains within which an attempt may still arrive there, in microseconds: the rule's
 /// 0.5 s and the delay of sockets.
@@ -65,19 +65,23 @@
 
 impl<'a> Analysis<'a> {
     fn new(plan: &'a Plan, scenario: &str, began: u64, expectations: Expectations) -> Self {
-        let full_list_s = plan.call_ms as f64 / 1e3;
+        let full_list_s = plan.full_list_ms as f64 / 1e3;
         let report = Report {
             scenario: scenario.to_owned(),
             seed: plan.seed,
             relays: plan.relays,
-            ideal_s: plan.relays as f64 * full_list_s * cheapest_request(plan) + expectations.down_s,
+            ideal_s: plan.relays as f64 * full_list_s * cheapest_request(plan) + expectations.outage_s,
             ..Report::default()
         };
         Analysis {
             plan,
             report,
             began,
-            target_version: if expectations.fills { plan.cards as u64 + 1 } else { VERSION },
+            target_version: if expectations.refills_list {
+                plan.endpoints as u64 + 1
+            } else {
+                CURRENT_LIST_VERSION
+            },
             histories: BTreeMap::new(),
             exited: BTreeSet::new(),
             time_to_list: BTreeMap::new(),
@@ -99,14 +103,14 @@
             match &record.event {
                 Event::ProcessAction { action, relay: Some(relay) } => {
                     self.histories.entry(*relay).or_default().push(record.time_us, action);
-                    self.report.starts += u64::from(action == "start");
+                    self.report.relay_starts += u64::from(action == "start");
                 }
                 Event::ProcessAction { action, relay: None } => {
-                    self.report.list_starts += u64::from(action == "list fresh");
+                    self.report.empty_discovery_starts += u64::from(action == "list fresh");
                 }
                 Event::RelayExited { relay, reason } => {
                     self.exited.insert(*relay);
-                    self.report.broken.push(format!("relay n{relay} ended by itself: {reason}"));
+                    self.report.violations.push(format!("relay n{relay} ended by itself: {reason}"));
                 }
                 _ => {}
             }
@@ -130,18 +134,18 @@
             Event::AttemptEnded { endpoint, id, .. } => self.add_attempt_end(now, *endpoint, id),
             Event::EndpointState { open_connections, max_overload, has_failed, .. } => {
                 let report = &mut self.report;
-                report.worst_open_connections = report.worst_open_connections.max(*open_connections);
-                report.worst_cold_multiple = report.worst_cold_multiple.max(*max_overload);
-                report.fallen += usize::from(*has_failed);
+                report.max_open_connections = report.max_open_connections.max(*open_connections);
+                report.max_overload = report.max_overload.max(*max_overload);
+                report.failed_endpoint_records += usize::from(*has_failed);
             }
             Event::ClientRequest { id, .. } => {
-                self.report.clients_asked += 1;
+                self.report.client_requests += 1;
                 self.requested_at.insert(id, now);
             }
             Event::ClientAnswer { relay, id, answer } => self.add_answer(now, *relay, id, *answer),
-            Event::DuplicateAnswer { .. } => self.report.double_answers += 1,
+            Event::DuplicateAnswer { .. } => self.report.duplicate_answers += 1,
             Event::ConnectionEnded { relay, is_expected: false } => {
-                self.report.cut_off += u64::from(!self.is_excused(*relay, now, now));
+                self.report.unexpected_disconnects += u64::from(!self.is_excused(*relay, now, now));
             }
             Event::ProcessAction { action, relay: None } if action == "list fresh" => {
                 // Relays must get the list anew from a discovery that has lost it.
@@ -174,12 +178,12 @@
         let is_answered = *outcome == RequestOutcome::Answered;
         let work_s = *work_us as f64 / 1e6;
         let report = &mut self.report;
-        report.list_calls += u64::from(*is_first_pass);
-        report.whole_list_calls += u64::from(*kind == RequestKind::FullList);
-        report.late_calls += u64::from(*outcome == RequestOutcome::Rejected);
-        report.list_work_s += work_s;
-        report.list_work_wasted_s += if is_answered { 0.0 } else { work_s };
-        report.longest_queue = report.longest_queue.max(*queue_length);
+        report.discovery_requests += u64::from(*is_first_pass);
+        report.full_list_requests += u64::from(*kind == RequestKind::FullList);
+        report.rejected_discovery_requests += u64::from(*outcome == RequestOutcome::Rejected);
+        report.discovery_work_s += work_s;
+        report.wasted_discovery_work_s += if is_answered { 0.0 } else { work_s };
+        report.max_queue_length = report.max_queue_length.max(*queue_length);
         self.discovery_requested_at.extend(is_first_pass.then_some(*received_at_us));
         if is_answered {
             self.add_received_version(now, *relay, *version);
@@ -212,7 +216,7 @@
         self.open_attempts.entry(id).or_default().push(Attempt { endpoint, started_at: now });
         let known_at = relay_of(id).and_then(|relay| self.drain_known_at.get(&(relay, endpoint)));
         let is_late = known_at.is_some_and(|known_at| now > known_at + DRAIN_GRACE_US);
-        self.report.late_sends_to_draining += u64::from(is_late);
+        self.report.late_attempts_to_draining += u64::from(is_late);
     }
 
     fn add_attempt_end(&mut self, now: u64, endpoint: usize, id: &str) {
@@ -231,7 +235,7 @@
                 self.report.served += 1;
                 self.time_to_serve.entry(relay).or_insert(now - self.began);
             }
-            Answer::Rejected => self.report.refused += 1,
+            Answer::Rejected => self.report.rejected += 1,
             Answer::Failed => self.report.failed += 1,
             Answer::TimedOut => {
                 let since = self.requested_at.get(id).copied().unwrap_or(now);
@@ -252,20 +256,20 @@
         let still_open = self.open_attempts.values().filter(|attempts| attempts.len() > 1).count();
         self.report.overlapping_attempts += still_open as u64;
         self.count_requests_by_second();
-        self.report.worst_connects_per_s = max_per_second(&self.accepted_at);
-        self.report.worst_probes_per_s = max_per_second(&self.health_checked_at);
+        self.report.max_connections_accepted_per_s = max_per_second(&self.accepted_at);
+        self.report.max_health_checks_per_s = max_per_second(&self.health_checked_at);
         let should_run = |(relay, history): (&usize, &RelayHistory)| history.should_run().then_some(*relay);
         let expected: Vec<usize> = self.histories.iter().filter_map(should_run).collect();
         self.report.alive = expected.iter().filter(|relay| !self.exited.contains(relay)).count();
         self.add_times(&expected);
-        self.report.starved = self.report.lag_ms * 1_000 > MAX_LAG_US;
+        self.report.machine_overloaded = self.report.lag_ms * 1_000 > MAX_LAG_US;
         check_expectations(&mut self.report, self.plan, expectations, expected.len());
         self.report
     }
 
     fn count_requests_by_second(&mut self) {
         self.discovery_requested_at.sort_unstable();
-        let by_second = &mut self.report.calls_by_second;
+        let by_second = &mut self.report.discovery_requests_by_second;
         for requested_at in &self.discovery_requested_at {
             let second = (requested_at.saturating_sub(self.began) / SECOND_US) as usize;
             if by_second.len() <= second {
@@ -273,7 +277,7 @@
             }
             by_second[second] += 1;
         }
-        self.report.peak_calls_per_s = by_second.iter().copied().max().unwrap_or(0);
+        self.report.peak_discovery_requests_per_s = by_second.iter().copied().max().unwrap_or(0);
     }
 
     /// Fills in the times after which the expected relays had the list and served a client.
@@ -285,23 +289,24 @@
             let index = (times.len() as f64 * part) as usize;
             times.get(index).or(times.last()).copied().unwrap_or(0) as f64 / 1e6
         };
-        self.report.list_p50_s = quantile_s(0.5);
-        self.report.list_p99_s = quantile_s(0.99);
-        self.report.list_last_s = (times.len() == expected.len()).then(|| quantile_s(1.0));
+        self.report.time_to_list_p50_s = quantile_s(0.5);
+        self.report.time_to_list_p99_s = quantile_s(0.99);
+        self.report.time_to_list_max_s = (times.len() == expected.len()).then(|| quantile_s(1.0));
         let served: Option<Vec<u64>> =
             expected.iter().map(|relay| self.time_to_serve.get(relay).copied()).collect();
-        self.report.served_by_s =
+        self.report.time_to_serve_max_s =
             served.and_then(|times| times.into_iter().max()).map(|time| time as f64 / 1e6);
     }
 }
 
 /// Returns the work of the cheapest request that brings a relay the current list, as a part of a full list's.
 fn cheapest_request(plan: &Plan) -> f64 {
-    if plan.held == Held::Nothing || plan.cold_cards {
+    if plan.initial_list == InitialList::Absent || plan.cold_endpoints {
         return 1.0;
     }
-    let new = (0..plan.cards).filter(|endpoint| discovery::is_missing(plan.held, *endpoint)).count();
-    discovery::changes_cost(new, plan.cards)
+    let new =
+        (0..plan.endpoints).filter(|endpoint| discovery::is_missing(plan.initial_list, *endpoint)).count();
+    discovery::changes_cost(new, plan.endpoints)
 }
 
 /// Returns the highest number of times within one second among all endpoints.
--- a/crates/testbed/src/fleet/clients.rs
+++ b/crates/testbed/src/fleet/clients.rs
@@ -89,7 +89,7 @@
     /// Makes one request and stays connected while it is served; returns the relay's `Retry-After` in milliseconds, if any.
     async fn connect(&mut self) -> Option<u64> {
         let relay = self.relay;
-        let connecting = TcpStream::connect(self.plan.relay_for_clients(relay));
+        let connecting = TcpStream::connect(self.plan.relay_address_for_clients(relay));
         let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, connecting).await else {
             self.event_log.record(Event::RelayUnreachable { relay });
             return None;
--- a/crates/testbed/src/fleet/cold_start.rs
+++ b/crates/testbed/src/fleet/cold_start.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
-use super::Held;
+use super::InitialList;
 use super::generated_script::generate;
 use super::report::Expectations;
-use super::script::{Script, read};
+use super::script::{Script, parse_script};
 
 /// A scenario of faults while all relays start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -21,7 +21,8 @@
     /// A full list takes 400 ms for the first 20 s, and requests are never rejected.
     Slow,
     /// For 10 s discovery is silent to a third of the relays, resets another third, and its answers to the rest are lost.
-    Deaf,
+    #[value(name = "deaf")]
+    Unresponsive,
     /// Discovery restarts with an empty list and fills it over 10 s.
     Empty,
     /// A rolling restart of all relays, a tenth at a time, while another tenth is killed and started each second.
@@ -29,7 +30,8 @@
     /// All relays are stopped for 8 s and continue together.
     Stopped,
     /// Three to six faults generated from the seed; a failed run prints the script that replays it.
-    Drawn,
+    #[value(name = "drawn")]
+    Generated,
 }
 
 impl ColdStart {
@@ -41,20 +43,20 @@
             ColdStart::Stale => "stale",
             ColdStart::Down => "down",
             ColdStart::Slow => "slow",
-            ColdStart::Deaf => "deaf",
+            ColdStart::Unresponsive => "deaf",
             ColdStart::Empty => "empty",
             ColdStart::Rolling => "rolling",
             ColdStart::Stopped => "stopped",
-            ColdStart::Drawn => "drawn",
+            ColdStart::Generated => "drawn",
         }
     }
 
     /// Returns the list that relays hold at their start.
-    pub fn held(self) -> Held {
+    pub fn initial_list(self) -> InitialList {
         match self {
-            ColdStart::NoList => Held::Nothing,
-            ColdStart::Stale => Held::Stale,
-            _ => Held::Old,
+            ColdStart::NoList => InitialList::Absent,
+            ColdStart::Stale => InitialList::Stale,
+            _ => InitialList::Old,
         }
     }
 
@@ -63,20 +65,20 @@
     /// # Errors
     ///
     /// The faults of the script; a scenario's script has none.
-    pub fn script(self, relays: usize, call_ms: u64, seed: u64) -> Result<Script, String> {
-        read(&format!("the day `{}`", self.name()), &self.text(relays, call_ms, seed))
+    pub fn script(self, relays: usize, full_list_ms: u64, seed: u64) -> Result<Script, String> {
+        parse_script(&format!("the day `{}`", self.name()), &self.script_text(relays, full_list_ms, seed))
     }
 
     /// Returns the text of that script.
-    pub fn text(self, relays: usize, call_ms: u64, seed: u64) -> String {
-        let work = relays as u64 * call_ms / 1_000;
+    pub fn script_text(self, relays: usize, full_list_ms: u64, seed: u64) -> String {
+        let work = relays as u64 * full_list_ms / 1_000;
         let (third, last) = (relays / 3, relays.saturating_sub(1));
         let start = "at 0s start relays * within 400ms";
         let drain =
             |at: u64| format!("at {at}s list state 0 leaving\nat {}ms card 0 drain", at * 1_000 + 800);
         let settled = 14 + 2 * work;
         match self {
-            ColdStart::Drawn => generate(seed, relays, call_ms),
+            ColdStart::Generated => generate(seed, relays, full_list_ms),
             ColdStart::Healthy | ColdStart::NoList | ColdStart::Stale => {
                 format!("length {}s\n{start}\n{}", settled + 10, drain(settled))
             }
@@ -84,11 +86,11 @@
                 format!("length {}s\nat 0s list down\n{start}\nat 20s list up", 40 + 2 * work)
             }
             ColdStart::Slow => format!(
-                "length {}s\nat 0s list patient on\nat 0s list cost 400ms\n{start}\nat 20s list cost {call_ms}ms\n{}",
+                "length {}s\nat 0s list patient on\nat 0s list cost 400ms\n{start}\nat 20s list cost {full_list_ms}ms\n{}",
                 60 + 2 * work,
                 drain(50 + 2 * work)
             ),
-            ColdStart::Deaf => format!(
+            ColdStart::Unresponsive => format!(
                 "length {}s\n{start}\nat 0s link list/0-{} hole\nat 0s link list/{third}-{} reset 60B\n\
                  at 0s link list/{}-{last} cut back\nat 10s link list/* clear",
                 45 + 2 * work,
@@ -123,13 +125,17 @@
 
     /// Returns what a run of the scenario must meet.
     pub fn expectations(self) -> Expectations {
-        let down_s = match self {
+        let outage_s = match self {
             ColdStart::Down | ColdStart::Slow => 20.0,
-            ColdStart::Deaf | ColdStart::Empty => 10.0,
+            ColdStart::Unresponsive | ColdStart::Empty => 10.0,
             _ => 0.0,
         };
         // Relays that start repeatedly, or a list that fills during the run, have no single time to the list.
-        let is_time_checked = !matches!(self, ColdStart::Empty | ColdStart::Rolling | ColdStart::Drawn);
-        Expectations { down_s, slack_s: is_time_checked.then_some(2.0), fills: self == ColdStart::Empty }
+        let is_time_checked = !matches!(self, ColdStart::Empty | ColdStart::Rolling | ColdStart::Generated);
+        Expectations {
+            outage_s,
+            slack_s: is_time_checked.then_some(2.0),
+            refills_list: self == ColdStart::Empty,
+        }
     }
 }
--- a/crates/testbed/src/fleet/discovery.rs
+++ b/crates/testbed/src/fleet/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::event_log::{Event, EventLog, RequestKind, RequestOutcome};
-use super::{Held, Plan, VERSION};
+use super::{CURRENT_LIST_VERSION, InitialList, Plan};
 use crate::emulators::protocol::{DiscoveryRequest, read_request};
 
 /// Time in the queue after which a request is rejected, in microseconds.
@@ -68,42 +68,42 @@
 type Shared = Rc<RefCell<Service>>;
 
 /// Returns whether a relay's initial list lacks an endpoint.
-pub fn is_missing(held: Held, endpoint: usize) -> bool {
-    match held {
-        Held::Old => endpoint % 4 == 3,
-        Held::Nothing => true,
-        Held::Stale => endpoint.is_multiple_of(2),
+pub fn is_missing(initial_list: InitialList, endpoint: usize) -> bool {
+    match initial_list {
+        InitialList::Old => endpoint % 4 == 3,
+        InitialList::Absent => true,
+        InitialList::Stale => endpoint.is_multiple_of(2),
     }
 }
 
 /// Encodes a list entry as one relay receives it.
 fn entry_json(plan: &Plan, relay: usize, s: usize, entry: &Entry) -> serde_json::Value {
-    json!({"id": format!("s-{s}"), "addr": plan.card_for(relay, s).to_string(), "zone": "z", "kind": "m", "cell": 0,
+    json!({"id": format!("s-{s}"), "addr": plan.endpoint_address_for(relay, s).to_string(), "zone": "z", "kind": "m", "cell": 0,
         "state": entry.state, "weight": 1.0, "started_ms": entry.started_ms})
 }
 
 /// Returns the list that a relay's configuration holds at its start.
 pub fn initial_list(plan: &Plan, relay: usize) -> serde_json::Value {
-    if plan.held == Held::Nothing {
+    if plan.initial_list == InitialList::Absent {
         return serde_json::Value::Null;
     }
     let old = Entry { state: "active", changed: 0, started_ms: 0 };
-    let mut servers: Vec<_> = (0..plan.cards)
-        .filter(|s| !is_missing(plan.held, *s))
+    let mut servers: Vec<_> = (0..plan.endpoints)
+        .filter(|s| !is_missing(plan.initial_list, *s))
         .map(|s| entry_json(plan, relay, s, &old))
         .collect();
-    if plan.held == Held::Stale {
-        for s in (0..plan.cards).filter(|s| is_missing(plan.held, *s)) {
+    if plan.initial_list == InitialList::Stale {
+        for s in (0..plan.endpoints).filter(|s| is_missing(plan.initial_list, *s)) {
             // An endpoint that was removed long ago: nobody listens at its address.
             let mut dead = entry_json(plan, relay, s, &old);
             dead["id"] = json!(format!("dead-{s}"));
-            let mut address = plan.card(s);
+            let mut address = plan.endpoint_address(s);
             address.set_port(6001);
             dead["addr"] = json!(address.to_string());
             servers.push(dead);
         }
     }
-    json!({"version": super::OLD_VERSION, "full": true, "servers": servers})
+    json!({"version": super::INITIAL_LIST_VERSION, "full": true, "servers": servers})
 }
 
 /// Starts discovery. Commands: `cost MS`, `mute on|off`, `patient on|off`, `state ENDPOINT STATE`.
@@ -114,16 +114,20 @@
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "list")?;
     event_log.record_scheduling_lag();
-    let started_ms = if plan.cold_cards { super::now() / 1_000 } else { 0 };
+    let started_ms = if plan.cold_endpoints { super::now() / 1_000 } else { 0 };
     let mut entries = BTreeMap::new();
     if plan.fill_ms.is_none() {
-        for s in 0..plan.cards {
-            let changed = if is_missing(plan.held, s) || plan.cold_cards { VERSION - 5 } else { 1 };
+        for s in 0..plan.endpoints {
+            let changed = if is_missing(plan.initial_list, s) || plan.cold_endpoints {
+                CURRENT_LIST_VERSION - 5
+            } else {
+                1
+            };
             entries.insert(s, Entry { state: "active", changed, started_ms });
         }
     }
-    let version = watch::Sender::new(if plan.fill_ms.is_some() { 1 } else { VERSION });
-    let full_list_us = plan.call_ms * 1_000;
+    let version = watch::Sender::new(if plan.fill_ms.is_some() { 1 } else { CURRENT_LIST_VERSION });
+    let full_list_us = plan.full_list_ms * 1_000;
     let service = Service {
         plan: plan.clone(),
         event_log,
@@ -137,7 +141,7 @@
     let service = Rc::new(RefCell::new(service));
     let wake = Rc::new(Notify::new());
     for relay in 0..plan.relays {
-        let at = plan.list(relay);
+        let at = plan.discovery_address(relay);
         let listener = TcpListener::bind(at).await.map_err(|e| format!("list service at {at}: {e}"))?;
         let (service, wake) = (service.clone(), wake.clone());
         spawn_local(async move {
@@ -152,8 +156,8 @@
     if let Some(fill) = plan.fill_ms {
         let service = service.clone();
         spawn_local(async move {
-            let step = Duration::from_millis(fill) / plan.cards.max(1) as u32;
-            for s in 0..plan.cards {
+            let step = Duration::from_millis(fill) / plan.endpoints.max(1) as u32;
+            for s in 0..plan.endpoints {
                 sleep(step).await;
                 change_endpoint(&service, s, "active", started_ms);
             }
@@ -207,7 +211,7 @@
             let new = service.entries.values().filter(|e| e.changed > request.since).count();
             let part = match request.kind {
                 RequestKind::FullList => 1.0,
-                RequestKind::Changes => changes_cost(new, service.plan.cards),
+                RequestKind::Changes => changes_cost(new, service.plan.endpoints),
                 RequestKind::NoChanges => WATCH_COST,
             };
             let work_us =
--- a/crates/testbed/src/fleet/endpoints.rs
+++ b/crates/testbed/src/fleet/endpoints.rs
@@ -50,13 +50,13 @@
 ///
 /// A message if the event log cannot be opened or an address is in use.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let (part, parts) = plan.part;
+    let (part, parts) = plan.process_parameters;
     let event_log = EventLog::open(&plan.folder, &format!("cards{part}"))?;
     event_log.record_scheduling_lag();
     let mut endpoints = BTreeMap::new();
-    for number in (0..plan.cards).filter(|number| number % parts == part) {
+    for number in (0..plan.endpoints).filter(|number| number % parts == part) {
         let endpoint = Rc::new(RefCell::new(new_endpoint(&plan, number, event_log.clone())));
-        let address = plan.card(number);
+        let address = plan.endpoint_address(number);
         let listener =
             TcpListener::bind(address).await.map_err(|e| format!("card server at {address}: {e}"))?;
         spawn_local(accept(endpoint.clone(), listener));
@@ -78,14 +78,14 @@
     let clients = (plan.relays * plan.clients) as f64;
     let make = EndpointParameters {
         weight: 1.0,
-        capacity: (clients / plan.cards as f64 / FLEET_UTILIZATION).max(MIN_CAPACITY),
+        capacity: (clients / plan.endpoints as f64 / FLEET_UTILIZATION).max(MIN_CAPACITY),
         cold_capacity_fraction: INITIAL_CAPACITY,
         warm_up: SLOW_START_US,
         affinity_group_cost: 3.0,
         report_interval: LOAD_REPORT_INTERVAL_US,
         report_delay: 0,
     };
-    let started_at = if plan.cold_cards { super::now() } else { super::now() - 2 * SLOW_START_US };
+    let started_at = if plan.cold_endpoints { super::now() } else { super::now() - 2 * SLOW_START_US };
     let model = EndpointModel::new(make, started_at);
     Endpoint { number, model, open_connections: 0, event_log, attempts: 0, is_draining: false }
 }
--- a/crates/testbed/src/fleet/fault_proxy.rs
+++ b/crates/testbed/src/fleet/fault_proxy.rs
@@ -23,21 +23,21 @@
     /// Probability of a loss and the time until TCP has sent the data again, in milliseconds.
     pub loss: Option<(f64, u64)>,
     /// Connections stay open and carry nothing both ways.
-    pub hole: bool,
+    pub blackhole: bool,
     /// Nothing is carried from the connecting side.
-    pub cut_there: bool,
+    pub cut_to_upstream: bool,
     /// Nothing is carried to the connecting side.
-    pub cut_back: bool,
+    pub cut_to_downstream: bool,
     /// New connections are refused.
     pub refuse: bool,
     /// Number of bytes after which a connection is reset.
-    pub reset: Option<u64>,
+    pub reset_after_bytes: Option<u64>,
     /// Upstream connections are closed, downstream ones stay open and silent.
-    pub half: bool,
+    pub upstream_closed: bool,
     /// Rate limit in bytes per second.
-    pub rate: Option<u64>,
+    pub bytes_per_second: Option<u64>,
     /// Maximum number of bytes carried at once.
-    pub drip: Option<usize>,
+    pub max_read_bytes: Option<usize>,
 }
 
 impl LinkFaults {
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// A message if the words name no fault or a value is out of range.
-    pub fn add(&mut self, words: &[&str]) -> Result<(), String> {
+    pub fn apply(&mut self, words: &[&str]) -> Result<(), String> {
         let number = |text: &str, unit: &str| -> Result<u64, String> {
             let digits = text.strip_suffix(unit).ok_or_else(|| format!("{text}: a number with `{unit}`"))?;
             digits.parse().map_err(|_| format!("{text}: a whole number with `{unit}`"))
@@ -67,14 +67,14 @@
                 }
                 self.loss = Some((part as f64 / 100.0, number(stall, "ms")?));
             }
-            ["hole"] => self.hole = true,
-            ["cut", "there"] => self.cut_there = true,
-            ["cut", "back"] => self.cut_back = true,
+            ["hole"] => self.blackhole = true,
+            ["cut", "there"] => self.cut_to_upstream = true,
+            ["cut", "back"] => self.cut_to_downstream = true,
             ["refuse"] => self.refuse = true,
-            ["reset", bytes] => self.reset = Some(number(bytes, "B")?),
-            ["half"] => self.half = true,
-            ["rate", bytes] => self.rate = Some(number(bytes, "B/s")?.max(1)),
-            ["drip", bytes] => self.drip = Some(number(bytes, "B")?.max(1) as usize),
+            ["reset", bytes] => self.reset_after_bytes = Some(number(bytes, "B")?),
+            ["half"] => self.upstream_closed = true,
+            ["rate", bytes] => self.bytes_per_second = Some(number(bytes, "B/s")?.max(1)),
+            ["drip", bytes] => self.max_read_bytes = Some(number(bytes, "B")?.max(1) as usize),
             _ => {
                 return Err(format!(
                     "{}: known are clear, delay FROMms TOms, loss N% Nms, hole, cut there|back, refuse, reset NB, half, \
@@ -100,7 +100,7 @@
     let mut links: BTreeMap<Link, FaultSender> = BTreeMap::new();
     for link in plan.all_links() {
         let faults = watch::Sender::new(LinkFaults::default());
-        let (at, _) = plan.link(link);
+        let (at, _) = plan.link_addresses(link);
         let listener = TcpListener::bind(at).await.map_err(|e| format!("a link at {at}: {e}"))?;
         spawn_local(listen(plan.clone(), link, listener, faults.subscribe()));
         links.insert(link, faults);
@@ -112,7 +112,7 @@
         };
         for (_, faults) in links.iter().filter(|(link, _)| link.matches(pattern)) {
             faults.send_modify(|now| {
-                if let Err(why) = now.add(fault) {
+                if let Err(why) = now.apply(fault) {
                     eprintln!("links: {why}");
                 }
             });
@@ -121,7 +121,7 @@
 }
 
 async fn listen(plan: Plan, link: Link, listener: TcpListener, mut faults: watch::Receiver<LinkFaults>) {
-    let (at, to) = plan.link(link);
+    let (at, to) = plan.link_addresses(link);
     let mut listener = Some(listener);
     let mut serial = 0u64;
     loop {
@@ -168,7 +168,7 @@
 ) {
     let _ = downstream.set_nodelay(true);
     // With this fault the connection is kept open and no upstream connection is made.
-    if faults.wait_for(|f| !f.hole).await.is_err() {
+    if faults.wait_for(|f| !f.blackhole).await.is_err() {
         return;
     }
     let Ok(upstream) = TcpStream::connect(to).await else {
@@ -196,7 +196,7 @@
     };
     let done = tokio::select! {
         done = both => Some(done),
-        _ = faults.wait_for(|f| f.half) => None,
+        _ = faults.wait_for(|f| f.upstream_closed) => None,
     };
     match done {
         Some(Ok(_)) => {}
@@ -210,7 +210,7 @@
         None => {
             drop((upstream_read, upstream_write));
             // The downstream connection stays open and silent until the fault is cleared.
-            let _ = faults.wait_for(|f| !f.half).await;
+            let _ = faults.wait_for(|f| !f.upstream_closed).await;
         }
     }
 }
@@ -230,13 +230,14 @@
     ) -> std::io::Result<()> {
         let mut bytes = vec![0; 16 << 10];
         loop {
-            let max_bytes = self.faults.borrow().drip.unwrap_or(bytes.len()).min(bytes.len());
+            let max_bytes = self.faults.borrow().max_read_bytes.unwrap_or(bytes.len()).min(bytes.len());
             let n = from.read(&mut bytes[..max_bytes]).await?;
             if n == 0 {
                 return to.shutdown().await;
             }
             let there = self.there;
-            let open = |f: &LinkFaults| !f.hole && !if there { f.cut_there } else { f.cut_back };
+            let open =
+                |f: &LinkFaults| !f.blackhole && !if there { f.cut_to_upstream } else { f.cut_to_downstream };
             let fault = match self.faults.wait_for(open).await {
                 Ok(fault) => fault.clone(),
                 Err(_) => return Ok(()),
@@ -248,12 +249,14 @@
                 wait += stall;
             }
             let wait = Duration::from_millis(wait)
-                + fault.rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(n as f64 / rate as f64));
+                + fault
+                    .bytes_per_second
+                    .map_or(Duration::ZERO, |rate| Duration::from_secs_f64(n as f64 / rate as f64));
             if !wait.is_zero() {
                 sleep(wait).await;
             }
             *self.carried_bytes.borrow_mut() += n as u64;
-            if fault.reset.is_some_and(|limit| *self.carried_bytes.borrow() > limit) {
+            if fault.reset_after_bytes.is_some_and(|limit| *self.carried_bytes.borrow() > limit) {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             to.write_all(&bytes[..n]).await?;
--- a/crates/testbed/src/fleet/generated_script.rs
+++ b/crates/testbed/src/fleet/generated_script.rs
@@ -14,7 +14,7 @@
 const FAULTS_S: u64 = 20;
 
 /// Generates the script of a seed for a number of relays and the work of a full list in milliseconds.
-pub fn generate(seed: u64, relays: usize, call_ms: u64) -> String {
+pub fn generate(seed: u64, relays: usize, full_list_ms: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xd4a7);
     let mut text =
         format!("length {}s\nat 0s start relays * within 400ms\n", FIRST_FAULT_S + FAULTS_S + RECOVERY_S);
@@ -39,7 +39,7 @@
             }
             "cost" => {
                 line(begin, format!("list cost {}ms", rng.random_range(100..600)));
-                line(end, format!("list cost {call_ms}ms"));
+                line(end, format!("list cost {full_list_ms}ms"));
             }
             "mute" => {
                 line(begin, "list mute on".into());
--- a/crates/testbed/src/fleet/link.rs
+++ b/crates/testbed/src/fleet/link.rs
@@ -6,15 +6,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
     /// From a relay to discovery.
-    List(usize),
+    Discovery(usize),
     /// From clients to a relay.
-    Front(usize),
+    Client(usize),
     /// From a group of relays to an endpoint.
-    Cards(usize, usize),
+    Endpoint(usize, usize),
     /// From a lease server to another.
-    Peer(usize, usize),
+    LeasePeer(usize, usize),
     /// From a lease holder to a lease server.
-    Ask(usize, usize),
+    LeaseClient(usize, usize),
 }
 
 impl Link {
@@ -22,11 +22,11 @@
     pub fn matches(self, pattern: &str) -> bool {
         let words: Vec<&str> = pattern.split('/').collect();
         match (self, &words[..]) {
-            (Link::List(n), ["list", p]) | (Link::Front(n), ["front", p]) => matches_number(p, n),
-            (Link::Cards(g, s), ["cards", group, card]) => {
+            (Link::Discovery(n), ["list", p]) | (Link::Client(n), ["front", p]) => matches_number(p, n),
+            (Link::Endpoint(g, s), ["cards", group, card]) => {
                 matches_number(group, g) && matches_number(card, s)
             }
-            (Link::Peer(from, to), ["peer", p, q]) | (Link::Ask(from, to), ["ask", p, q]) => {
+            (Link::LeasePeer(from, to), ["peer", p, q]) | (Link::LeaseClient(from, to), ["ask", p, q]) => {
                 matches_number(p, from) && matches_number(q, to)
             }
             _ => false,
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -31,8 +31,10 @@
 
 pub use lease_options::LeaseOptions;
 pub use link::Link;
-pub use plan::{Held, MAX_ENDPOINTS, MAX_LINK_GROUPS, MAX_RELAYS, OLD_VERSION, Plan, VERSION};
-pub use process::run_part;
+pub use plan::{
+    CURRENT_LIST_VERSION, INITIAL_LIST_VERSION, InitialList, MAX_ENDPOINTS, MAX_LINK_GROUPS, MAX_RELAYS, Plan,
+};
+pub use process::run_process;
 
 /// Returns the machine's clock in Unix microseconds, the time base of all processes.
 pub fn now() -> u64 {
--- a/crates/testbed/src/fleet/process.rs
+++ b/crates/testbed/src/fleet/process.rs
@@ -19,18 +19,18 @@
 const END_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A child process that runs one part of the fleet.
-pub(crate) struct Part {
+pub(crate) struct FleetProcess {
     pub(crate) child: Child,
     stdin: ChildStdin,
 }
 
-impl Part {
+impl FleetProcess {
     /// Starts a part, sends it its plan and waits until it reports that it is ready.
     ///
     /// # Errors
     ///
     /// A message if the process cannot be started or is not ready within [`READY_TIMEOUT`].
-    pub(crate) async fn start(testbed: &Path, kind: &str, plan: &Plan) -> Result<Part, String> {
+    pub(crate) async fn start(testbed: &Path, kind: &str, plan: &Plan) -> Result<FleetProcess, String> {
         let mut command = Command::new(testbed);
         command.args(["part", kind]).stdin(Stdio::piped()).stdout(Stdio::piped()).kill_on_drop(true);
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", testbed.display()))?;
@@ -45,7 +45,7 @@
         let mut line = String::new();
         let mut stdout = BufReader::new(stdout);
         match timeout(READY_TIMEOUT, stdout.read_line(&mut line)).await {
-            Ok(Ok(n)) if n > 0 => Ok(Part { child, stdin }),
+            Ok(Ok(n)) if n > 0 => Ok(FleetProcess { child, stdin }),
             _ => Err(format!("the part `{kind}` did not start")),
         }
     }
@@ -85,7 +85,7 @@
 /// # Errors
 ///
 /// A message if the plan is missing or not valid, the part does not start, or signals cannot be handled.
-pub async fn run_part<F: Future<Output = Result<S, String>>, S: FnMut(&str)>(
+pub async fn run_process<F: Future<Output = Result<S, String>>, S: FnMut(&str)>(
     start: impl FnOnce(Plan) -> F,
 ) -> Result<(), String> {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -165,7 +165,8 @@
         }
         if plan.neighbors {
             let file = plan.folder.join("neighbors.conf");
-            std::fs::write(&file, plan.neighbors_conf()).map_err(|e| format!("{}: {e}", file.display()))?;
+            std::fs::write(&file, plan.neighbors_config_text())
+                .map_err(|e| format!("{}: {e}", file.display()))?;
             command.arg("--neighbors").arg(file);
         }
         command.stdout(log.try_clone().map_err(|e| format!("{}: {e}", config.display()))?).stderr(log);
@@ -177,12 +178,12 @@
         let plan = &self.plan;
         let config = json!({
             "name": format!("n{relay}"),
-            "listen": plan.relay(relay).to_string(),
-            "discovery": plan.list_for(relay).to_string(),
+            "listen": plan.relay_address(relay).to_string(),
+            "discovery": plan.discovery_address_for(relay).to_string(),
             "seed": format!("{:x}", plan.seed ^ (relay as u64) << 32 ^ start),
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 1024},
             "known": discovery::initial_list(plan, relay),
-            "settings": relay_settings(plan.told, relay, "z", &["z".to_owned()]),
+            "settings": relay_settings(plan.configured_fleet_size, relay, "z", &["z".to_owned()]),
         });
         let path = plan.folder.join(format!("n{relay}.json"));
         std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::event_log::{Event, EventLog, Record, read_all};
-use super::process::Part;
+use super::process::FleetProcess;
 use super::script::{RelaySet, Script, Step};
 use super::{MAX_ENDPOINTS, MAX_RELAYS, Plan};
 
@@ -26,36 +26,36 @@
     testbed: PathBuf,
     plan: Plan,
     event_log: EventLog,
-    list: Option<Part>,
-    cards: Vec<Option<Part>>,
-    relays: Part,
-    clients: Part,
-    links: Option<Part>,
+    list: Option<FleetProcess>,
+    endpoints: Vec<Option<FleetProcess>>,
+    relays: FleetProcess,
+    clients: FleetProcess,
+    links: Option<FleetProcess>,
     /// Relays that run according to the script.
     running: BTreeSet<usize>,
 }
 
 /// A second byte of loopback addresses, reserved for one fleet while this value lives.
-pub struct Net {
+pub struct LoopbackNetwork {
     /// The byte.
     pub number: u8,
     _lock: std::net::TcpListener,
 }
 
-impl Net {
+impl LoopbackNetwork {
     /// Reserves one that no other fleet uses.
     ///
     /// # Errors
     ///
     /// A message if all are in use.
-    pub fn take(seed: u64) -> Result<Net, String> {
+    pub fn reserve(seed: u64) -> Result<LoopbackNetwork, String> {
         let from = (u64::from(std::process::id()) ^ seed) as u8;
         let free = |number: u8| {
             let bind = |c, d, port| std::net::TcpListener::bind((Ipv4Addr::new(127, number, c, d), port));
             let lock = bind(250, 1, 4999).ok()?;
             // Processes of a harness that was killed may not have ended yet.
             let rest = [bind(10, 1, 8500), bind(20, 1, 6000), bind(0, 1, 5000)];
-            rest.iter().all(Result::is_ok).then_some(Net { number, _lock: lock })
+            rest.iter().all(Result::is_ok).then_some(LoopbackNetwork { number, _lock: lock })
         };
         let mut nets = (0..200u8).map(|i| (20 + (u16::from(from) + u16::from(i)) % 200) as u8);
         nets.find_map(free).ok_or_else(|| "all addresses for fleets are in use".to_owned())
@@ -65,7 +65,7 @@
 /// A scenario run: when it began, and all event logs up to its end.
 pub struct ScenarioRun {
     /// Unix microseconds.
-    pub began: u64,
+    pub started_at: u64,
     /// Records of all event logs until the processes were ended.
     pub records: Vec<Record>,
 }
@@ -75,10 +75,10 @@
 /// # Errors
 ///
 /// A message if the plan is out of range, a part does not start, the run is stopped or the event logs cannot be read.
-pub async fn play(
+pub async fn run_script(
     plan: &Plan, script: &Script, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<ScenarioRun, String> {
-    if plan.relays == 0 || plan.relays > MAX_RELAYS || plan.cards == 0 || plan.cards > MAX_ENDPOINTS {
+    if plan.relays == 0 || plan.relays > MAX_RELAYS || plan.endpoints == 0 || plan.endpoints > MAX_ENDPOINTS {
         return Err(format!("allowed are 1 to {MAX_RELAYS} relays and 1 to {MAX_ENDPOINTS} card servers"));
     }
     let mut plan = plan.clone();
@@ -86,19 +86,19 @@
     let event_log = EventLog::open(&plan.folder, "harness")?;
     let links = match plan.links.is_empty() {
         true => None,
-        false => Some(Part::start(&testbed, "links", &plan).await?),
+        false => Some(FleetProcess::start(&testbed, "links", &plan).await?),
     };
-    let list = Some(Part::start(&testbed, "list", &plan).await?);
-    let mut cards = Vec::new();
+    let list = Some(FleetProcess::start(&testbed, "list", &plan).await?);
+    let mut endpoints = Vec::new();
     for part in 0..ENDPOINT_PROCESSES {
-        let plan = Plan { part: (part, ENDPOINT_PROCESSES), ..plan.clone() };
-        cards.push(Some(Part::start(&testbed, "cards", &plan).await?));
+        let plan = Plan { process_parameters: (part, ENDPOINT_PROCESSES), ..plan.clone() };
+        endpoints.push(Some(FleetProcess::start(&testbed, "cards", &plan).await?));
     }
-    let relays = Part::start(&testbed, "relays", &plan).await?;
-    let clients = Part::start(&testbed, "clients", &plan).await?;
-    let (began, at) = (super::now(), Instant::now());
+    let relays = FleetProcess::start(&testbed, "relays", &plan).await?;
+    let clients = FleetProcess::start(&testbed, "clients", &plan).await?;
+    let (started_at, at) = (super::now(), Instant::now());
     let running = BTreeSet::new();
-    let mut fleet = Fleet { testbed, plan, event_log, list, cards, relays, clients, links, running };
+    let mut fleet = Fleet { testbed, plan, event_log, list, endpoints, relays, clients, links, running };
     let script_run = async {
         for (n, (due, step)) in script.steps.iter().enumerate() {
             sleep_until(at + *due).await;
@@ -118,14 +118,14 @@
     done?;
     let mut records = read_all(&folder)?;
     records.retain(|record| record.time_us <= ended);
-    Ok(ScenarioRun { began, records })
+    Ok(ScenarioRun { started_at, records })
 }
 
 impl Fleet {
     async fn end(self) {
         self.clients.end().await;
         self.relays.end().await;
-        let rest = self.cards.into_iter().chain([self.list, self.links]);
+        let rest = self.endpoints.into_iter().chain([self.list, self.links]);
         for part in rest.flatten() {
             part.end().await;
         }
@@ -198,16 +198,16 @@
                 }
             }
             Step::EndpointProcess(part, verb) => {
-                let plan = Plan { part: (*part, ENDPOINT_PROCESSES), ..self.plan.clone() };
+                let plan = Plan { process_parameters: (*part, ENDPOINT_PROCESSES), ..self.plan.clone() };
                 let testbed = self.testbed.clone();
-                let place = self.cards.get_mut(*part);
+                let place = self.endpoints.get_mut(*part);
                 let place = place
                     .ok_or_else(|| format!("card servers run in parts 0 to {}", ENDPOINT_PROCESSES - 1))?;
                 act_on_process(place, verb, &testbed, "cards", &plan).await?;
             }
             Step::EndpointCommand(line) => {
                 let card = line.split(' ').nth(1).and_then(|s| s.parse::<usize>().ok()).unwrap_or(0);
-                if let Some(Some(part)) = self.cards.get_mut(card % ENDPOINT_PROCESSES) {
+                if let Some(Some(part)) = self.endpoints.get_mut(card % ENDPOINT_PROCESSES) {
                     part.send_command(line).await;
                 }
             }
@@ -223,7 +223,7 @@
 
 /// Starts, kills, stops or continues a part's process.
 async fn act_on_process(
-    part: &mut Option<Part>, verb: &str, testbed: &Path, kind: &str, plan: &Plan,
+    part: &mut Option<FleetProcess>, verb: &str, testbed: &Path, kind: &str, plan: &Plan,
 ) -> Result<(), String> {
     match verb {
         "down" => {
@@ -231,7 +231,7 @@
                 let _ = part.child.kill().await;
             }
         }
-        "up" if part.is_none() => *part = Some(Part::start(testbed, kind, plan).await?),
+        "up" if part.is_none() => *part = Some(FleetProcess::start(testbed, kind, plan).await?),
         "stop" => part.iter().for_each(|part| part.signal(Signal::STOP)),
         "cont" => part.iter().for_each(|part| part.signal(Signal::CONT)),
         _ => {}
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -133,7 +133,7 @@
         ["link", pattern, fault @ ..] => {
             link_kind(pattern)
                 .ok_or_else(|| format!("{pattern}: links are list/N, front/N, cards/GROUP/CARD"))?;
-            LinkFaults::default().add(fault)?;
+            LinkFaults::default().apply(fault)?;
             Step::LinkCommand(format!("{pattern} {}", fault.join(" ")))
         }
         _ => return Err(format!("{}: unknown; see the page on cold starts", words.join(" "))),
@@ -145,7 +145,7 @@
 /// # Errors
 ///
 /// All faults of the script, one a line, each with file and line number.
-pub fn read(file: &str, text: &str) -> Result<Script, String> {
+pub fn parse_script(file: &str, text: &str) -> Result<Script, String> {
     let tree = parse(file, text).map_err(|faults| faults.to_string())?;
     let (mut steps, mut links, mut length, mut faults) = (Vec::new(), Vec::new(), None, Vec::new());
     for directive in &tree {
--- a/crates/testbed/src/leases/holder.rs
+++ b/crates/testbed/src/leases/holder.rs
@@ -20,7 +20,7 @@
 ///
 /// A message if the lease configuration is not valid.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let n = plan.part.0;
+    let n = plan.process_parameters.0;
     let leases = plan.parse_lease_config(&plan.lease_holder_config(n))?;
     let clock = plan.leases.clock(plan.leases.servers + n);
     let name = format!("h{n}.{}", std::process::id());
@@ -47,7 +47,7 @@
 
 /// Acts on a task whenever the client grants a permit.
 async fn act_on_task(plan: Plan, client: Rc<Client>, task: usize, name: String, operations: Rc<Cell<u64>>) {
-    let mut rng = plan.rng(0xac7 ^ (plan.part.0 as u64) << 16 ^ task as u64);
+    let mut rng = plan.rng(0xac7 ^ (plan.process_parameters.0 as u64) << 16 ^ task as u64);
     let (task, lease) = (LeaseOptions::task_name(task), plan.leases.lease_ms * 1_000);
     // With many tasks each is polled less often, as polling is a cost of the testbed and not of the client.
     let poll_factor = (plan.leases.tasks as u64 / 6).max(1);
@@ -79,7 +79,7 @@
 /// Sends an effect; returns `None` on an error or where it was rejected.
 async fn send_effect(plan: &Plan, connection: &mut Option<RecordingConnection>, line: &str) -> Option<()> {
     if connection.is_none() {
-        let stream = TcpStream::connect(plan.recording_server()).await.ok()?;
+        let stream = TcpStream::connect(plan.recording_server_address()).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (from, to) = stream.into_split();
         *connection = Some((BufReader::new(from).lines(), to));
--- a/crates/testbed/src/leases/lease_server.rs
+++ b/crates/testbed/src/leases/lease_server.rs
@@ -11,12 +11,12 @@
 /// # Errors
 ///
 /// A message if the plan or the lease configuration is not valid.
-pub fn run_part() -> Result<(), String> {
+pub fn run_process() -> Result<(), String> {
     let mut input = std::io::stdin().lock();
     let mut line = String::new();
     input.read_line(&mut line).map_err(|e| e.to_string())?;
     let plan: Plan = serde_json::from_str(&line).map_err(|e| format!("a plan: {e}"))?;
-    let (number, bootstrap) = plan.part;
+    let (number, bootstrap) = plan.process_parameters;
     println!("ready");
     let leases = plan.parse_lease_config(&plan.lease_server_config(number))?;
     let options = LeaseServerOptions {
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -46,21 +46,31 @@
 
     /// Returns the lease configuration of a lease server.
     pub fn lease_server_config(&self, me: usize) -> String {
-        let links = self.linked("peer");
+        let links = self.has_links("peer");
         self.lease_config_text(|to| {
-            if links && to != me { self.link(Link::Peer(me, to)).0 } else { self.keeper(to) }
+            if links && to != me {
+                self.link_addresses(Link::LeasePeer(me, to)).0
+            } else {
+                self.lease_server_address(to)
+            }
         })
     }
 
     /// Returns the lease configuration of a holder.
     pub fn lease_holder_config(&self, n: usize) -> String {
-        let links = self.linked("ask");
-        self.lease_config_text(|to| if links { self.link(Link::Ask(n, to)).0 } else { self.keeper(to) })
+        let links = self.has_links("ask");
+        self.lease_config_text(|to| {
+            if links {
+                self.link_addresses(Link::LeaseClient(n, to)).0
+            } else {
+                self.lease_server_address(to)
+            }
+        })
     }
 
     /// Returns the address of the recording server.
-    pub fn recording_server(&self) -> std::net::SocketAddr {
-        self.at(168, 0, 7500)
+    pub fn recording_server_address(&self) -> std::net::SocketAddr {
+        self.address(168, 0, 7500)
     }
 
     /// Parses a lease configuration and adds the injected fault.
--- a/crates/testbed/src/leases/recording_server.rs
+++ b/crates/testbed/src/leases/recording_server.rs
@@ -22,7 +22,7 @@
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "far")?;
     event_log.record_scheduling_lag();
-    let at = plan.recording_server();
+    let at = plan.recording_server_address();
     let listener = TcpListener::bind(at).await.map_err(|e| format!("the far side at {at}: {e}"))?;
     let tokens = Tokens::default();
     spawn_local(async move {
--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -18,7 +18,7 @@
 
 use super::report::Report;
 use crate::fleet::event_log::{Event, EventLog, read_all};
-use crate::fleet::process::{Part, send_signal};
+use crate::fleet::process::{FleetProcess, send_signal};
 use crate::fleet::{LeaseOptions, Plan, now};
 
 /// What goes wrong while tasks are held.
@@ -44,9 +44,11 @@
     Stampede,
     /// Clocks are as far apart as a wide bound allows, no margin, with even seeds everything late; holders are cut off from
     /// keepers while they reach the far side.
-    Skew,
+    #[value(name = "skew")]
+    ClockSkew,
     /// One keeper's clock is 20% fast: beyond the bound, where tokens alone hold.
-    Fast,
+    #[value(name = "fast")]
+    FastClock,
 }
 
 /// The processes of a running lease scenario.
@@ -55,8 +57,8 @@
     testbed: PathBuf,
     direct: config::LeaseConfig,
     keepers: BTreeMap<usize, LeaseServerProcess>,
-    holders: BTreeMap<usize, Part>,
-    links: Option<Part>,
+    holders: BTreeMap<usize, FleetProcess>,
+    links: Option<FleetProcess>,
     event_log: EventLog,
     rng: Pcg64Mcg,
     faults: usize,
@@ -68,7 +70,7 @@
 /// A lease server's process.
 enum LeaseServerProcess {
     Program(Child),
-    Part(Part),
+    Part(FleetProcess),
 }
 
 impl LeaseServerProcess {
@@ -85,28 +87,29 @@
 /// # Errors
 ///
 /// A message if a part does not start, the run is stopped or the event logs cannot be read.
-pub async fn play(
+pub async fn run_scenario(
     mut plan: Plan, scenario: Scenario, length: Duration, testbed: PathBuf, stop: impl Future<Output = ()>,
 ) -> Result<Report, String> {
     let options = &mut plan.leases;
     (options.clock_drift_ppm, options.margin_ms) = (10_000, options.lease_ms / 20);
     match scenario {
-        Scenario::Skew => {
+        Scenario::ClockSkew => {
             // As far apart as they may be: keepers fast and holders slow is the worst.
             (options.clock_drift_ppm, options.margin_ms) = (100_000, 0);
             let holders = vec![-100_000; plan.relays];
             options.clock_error_ppm = [vec![100_000; options.servers], holders].concat();
         }
         // Keeper 1, which waits least before it asks to lead.
-        Scenario::Fast => options.clock_error_ppm = vec![200_000],
+        Scenario::FastClock => options.clock_error_ppm = vec![200_000],
         Scenario::Stampede => options.tasks = 1,
         _ => {}
     }
-    if matches!(scenario, Scenario::Partition | Scenario::OneWay | Scenario::Skew | Scenario::Fast) {
+    if matches!(scenario, Scenario::Partition | Scenario::OneWay | Scenario::ClockSkew | Scenario::FastClock)
+    {
         plan.links = vec!["peer".into(), "ask".into()];
     }
     let mut fleet = LeaseFleet::start(plan, testbed).await?;
-    let recording_server = Part::start(&fleet.testbed, "far", &fleet.plan).await?;
+    let recording_server = FleetProcess::start(&fleet.testbed, "far", &fleet.plan).await?;
     let began = Instant::now();
     let until = began + length;
     let done = tokio::select! {
@@ -121,11 +124,11 @@
 
 impl LeaseFleet {
     async fn start(plan: Plan, testbed: PathBuf) -> Result<LeaseFleet, String> {
-        let direct = plan.parse_lease_config(&plan.lease_config_text(|to| plan.keeper(to)))?;
+        let direct = plan.parse_lease_config(&plan.lease_config_text(|to| plan.lease_server_address(to)))?;
         let event_log = EventLog::open(&plan.folder, "harness")?;
         let links = match plan.links.is_empty() {
             true => None,
-            false => Some(Part::start(&testbed, "links", &plan).await?),
+            false => Some(FleetProcess::start(&testbed, "links", &plan).await?),
         };
         let rng = plan.rng(0x1ea5e);
         let (keepers, holders) = Default::default();
@@ -155,8 +158,8 @@
         let plan = &self.plan;
         let skewed = plan.leases.clock_error_ppm.get(number - 1).is_some_and(|ppm| *ppm != 0);
         if plan.leases.injected_fault.is_some() || skewed {
-            let plan = Plan { part: (number, usize::from(found)), ..plan.clone() };
-            let part = Part::start(&self.testbed, "keeper", &plan).await?;
+            let plan = Plan { process_parameters: (number, usize::from(found)), ..plan.clone() };
+            let part = FleetProcess::start(&self.testbed, "keeper", &plan).await?;
             self.keepers.insert(number, LeaseServerProcess::Part(part));
             return Ok(());
         }
@@ -180,8 +183,8 @@
     }
 
     async fn start_holder(&mut self, n: usize) -> Result<(), String> {
-        let plan = Plan { part: (n, self.plan.relays), ..self.plan.clone() };
-        let part = Part::start(&self.testbed, "holder", &plan).await?;
+        let plan = Plan { process_parameters: (n, self.plan.relays), ..self.plan.clone() };
+        let part = FleetProcess::start(&self.testbed, "holder", &plan).await?;
         self.holders.insert(n, part);
         Ok(())
     }
@@ -263,7 +266,7 @@
         while Instant::now() < quiet {
             match scenario {
                 Scenario::Steady => sleep_until(quiet).await,
-                Scenario::Skew | Scenario::Fast => {
+                Scenario::ClockSkew | Scenario::FastClock => {
                     let n = self.choose_holder().await;
                     self.note(format!("holder {n} reaches no keeper"));
                     self.links(&format!("ask/{n}/* hole")).await;
@@ -349,7 +352,7 @@
     /// Where clocks are skewed all ways to keepers are slow, with an even seed: what is counted from the wrong end shows. With an
     /// odd one they are not, as what is slow hides a drift that nobody reckons with.
     async fn delay_links(&mut self, scenario: Scenario, n: usize) {
-        if scenario == Scenario::Skew && self.plan.seed.is_multiple_of(2) {
+        if scenario == Scenario::ClockSkew && self.plan.seed.is_multiple_of(2) {
             let most = self.plan.leases.lease_ms / 5;
             self.links(&format!("ask/{n}/* delay 0ms {most}ms")).await;
             self.links(&format!("peer/*/* delay 0ms {}ms", most / 10)).await;
@@ -440,19 +443,19 @@
         let name = clap::ValueEnum::to_possible_value(&scenario).map(|v| v.get_name().to_owned());
         let mut report = Report {
             scenario: name.unwrap_or_default(),
-            keepers: self.plan.leases.servers,
-            relays: self.plan.relays,
+            lease_servers: self.plan.leases.servers,
+            holders: self.plan.relays,
             seed: self.plan.seed,
             lease_s: self.plan.leases.lease_ms as f64 / 1e3,
-            keeper_cpu: self.cpu / length.as_secs_f64(),
-            keeper_rss_mb: self.rss,
-            faults: self.faults,
+            lease_server_cpu_cores: self.cpu / length.as_secs_f64(),
+            lease_server_rss_mb: self.rss,
+            injected_faults: self.faults,
             ..Report::default()
         };
-        report.count(&records, ended);
-        if scenario == Scenario::Fast {
+        report.add_records(&records, ended);
+        if scenario == Scenario::FastClock {
             // Beyond the bound only a far side that checks tokens is promised anything.
-            report.broken.retain(|what| !what.contains("overlapped"));
+            report.violations.retain(|what| !what.contains("overlapped"));
             let told = |number: usize| {
                 let log = std::fs::read_to_string(self.plan.folder.join(format!("k{number}.log")));
                 let is_drift_of_first =
@@ -461,7 +464,7 @@
             };
             // The one part of a verdict that is not the far side's: whether staff are told.
             if !(2..=self.plan.leases.servers).all(told) {
-                report.broken.push("the others do not tell of keeper 1's clock".into());
+                report.violations.push("the others do not tell of keeper 1's clock".into());
             }
         }
         let wanted = LeaseOptions::task_name(0);
@@ -469,7 +472,7 @@
             .iter()
             .any(|record| matches!(&record.event, Event::TaskEffect { task, .. } if *task == wanted))
         {
-            report.broken.push(format!("nobody ever acted on {wanted}"));
+            report.violations.push(format!("nobody ever acted on {wanted}"));
         }
         Ok(report)
     }
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -5,8 +5,8 @@
 use honeyknot_testbed::fleet::analysis::analyze;
 use honeyknot_testbed::fleet::event_log::{Answer, Event, Record};
 use honeyknot_testbed::fleet::report::{Expectations, Report};
-use honeyknot_testbed::fleet::run::{Net, play};
-use honeyknot_testbed::fleet::{Held, Plan, script};
+use honeyknot_testbed::fleet::run::{LoopbackNetwork, run_script};
+use honeyknot_testbed::fleet::{InitialList, Plan, script};
 
 /// The relay's program, which is built beside the laboratory's.
 fn program() -> PathBuf {
@@ -22,34 +22,34 @@
     aims: Expectations,
 }
 
-/// Plays a day of twelve relays that are told to be `told`; a whole list takes 20 ms.
-fn day(day: &Day, told: usize) -> (Report, Vec<Record>) {
+/// Plays a day of twelve relays that are told to be `configured_fleet_size`; a whole list takes 20 ms.
+fn day(day: &Day, configured_fleet_size: usize) -> (Report, Vec<Record>) {
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(day.seed).expect("free addresses");
+    let network = LoopbackNetwork::reserve(day.seed).expect("free addresses");
     let plan = Plan {
-        net: net.number,
+        network: network.number,
         seed: day.seed,
         relays: 12,
-        told,
-        cards: 8,
-        call_ms: 20,
+        configured_fleet_size,
+        endpoints: 8,
+        full_list_ms: 20,
         clients: 8,
-        held: Held::Old,
-        cold_cards: false,
+        initial_list: InitialList::Old,
+        cold_endpoints: false,
         links: Vec::new(),
         folder: folder.path().to_owned(),
         program: program(),
-        part: (0, 1),
+        process_parameters: (0, 1),
         ..Plan::default()
     };
-    let script = script::read("day", day.text).expect("a sound script");
+    let script = script::parse_script("day", day.text).expect("a sound script");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
     let never = std::future::pending();
-    let played = tokio::task::LocalSet::new().block_on(&runtime, play(&plan, &script, lab, never));
+    let played = tokio::task::LocalSet::new().block_on(&runtime, run_script(&plan, &script, lab, never));
     let played = played.expect("a day");
-    let report = analyze(&plan, "test", played.began, &played.records, day.aims);
-    let lines = played.records.into_iter().filter(|line| line.time_us >= played.began).collect();
+    let report = analyze(&plan, "test", played.started_at, &played.records, day.aims);
+    let lines = played.records.into_iter().filter(|line| line.time_us >= played.started_at).collect();
     (report, lines)
 }
 
@@ -66,10 +66,10 @@
 #[test]
 fn discovery_restarting_empty_causes_no_rejected_or_failed_request() {
     let text = "length 22s\nat 0s start relays * within 400ms\nat 4s list fresh 5s\n";
-    let aims = Expectations { down_s: 5.0, slack_s: None, fills: true };
+    let aims = Expectations { outage_s: 5.0, slack_s: None, refills_list: true };
     let (report, lines) = day(&Day { seed: 31, text, aims }, 12);
-    assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
-    assert!(report.list_last_s.is_some(), "all hold the filled list at last: {report:?}");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
+    assert!(report.time_to_list_max_s.is_some(), "all hold the filled list at last: {report:?}");
     assert!(answered(&lines, 4, Answer::Established) > 10, "{report:?}");
     assert_eq!(
         (answered(&lines, 4, Answer::Rejected), answered(&lines, 4, Answer::Failed)),
@@ -85,9 +85,9 @@
                 at 0s link list/8-11 cut back\nat 4s link list/* clear\n\
                 at 15s list state 0 leaving\nat 15800ms card 0 drain\n";
     // A watch that was deaf is given up after 9.25 s at the latest.
-    let aims = Expectations { down_s: 8.0, slack_s: Some(2.0), fills: false };
+    let aims = Expectations { outage_s: 8.0, slack_s: Some(2.0), refills_list: false };
     let (report, _) = day(&Day { seed: 32, text, aims }, 12);
-    assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
     assert!(report.served > 90, "{report:?}");
 }
 
@@ -98,7 +98,7 @@
     let text = "length 22s\nat 0s list down\nat 0s start relays * within 400ms\nat 4s list up\n\
                 at 9s loop relays 11 1s 8s\nat 12s stop relays 0-10\nat 15s cont relays 0-10\n";
     // A wait after a refused call is up to 4.3 s long.
-    let aims = Expectations { down_s: 6.0, slack_s: Some(2.0), fills: false };
+    let aims = Expectations { outage_s: 6.0, slack_s: Some(2.0), refills_list: false };
     let (report, _) = day(&Day { seed: 33, text, aims }, 120);
-    assert_eq!(report.broken, Vec::<String>::new(), "{report:?}");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -10,26 +10,26 @@
 use honeyknot_testbed::fleet::cold_start::ColdStart;
 use honeyknot_testbed::fleet::event_log::{Answer, Event, Record, RequestKind, RequestOutcome};
 use honeyknot_testbed::fleet::report::{Expectations, Report};
-use honeyknot_testbed::fleet::run::Net;
-use honeyknot_testbed::fleet::{Held, Link, Plan, script};
+use honeyknot_testbed::fleet::run::LoopbackNetwork;
+use honeyknot_testbed::fleet::{InitialList, Link, Plan, script};
 
 const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
 
-fn plan(folder: &Path, seed: u64, net: &Net) -> Plan {
+fn plan(folder: &Path, seed: u64, network: &LoopbackNetwork) -> Plan {
     Plan {
-        net: net.number,
+        network: network.number,
         seed,
         relays: 2,
-        told: 2,
-        cards: 4,
-        call_ms: 20,
+        configured_fleet_size: 2,
+        endpoints: 4,
+        full_list_ms: 20,
         clients: 1,
-        held: Held::Old,
-        cold_cards: true,
+        initial_list: InitialList::Old,
+        cold_endpoints: true,
         links: vec!["list".into(), "cards".into()],
         folder: folder.to_owned(),
         program: PathBuf::from("/nowhere"),
-        part: (0, 1),
+        process_parameters: (0, 1),
         ..Plan::default()
     }
 }
@@ -74,18 +74,18 @@
 
 fn judged(more: Vec<Record>) -> Report {
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(1).expect("free addresses");
+    let network = LoopbackNetwork::reserve(1).expect("free addresses");
     let mut lines = good();
     lines.extend(more);
     lines.sort_by_key(|line| line.time_us);
-    let aims = Expectations { down_s: 0.0, slack_s: Some(2.0), fills: false };
-    analyze(&plan(folder.path(), 1, &net), "planted", S, &lines, aims)
+    let aims = Expectations { outage_s: 0.0, slack_s: Some(2.0), refills_list: false };
+    analyze(&plan(folder.path(), 1, &network), "planted", S, &lines, aims)
 }
 
 #[test]
 fn analysis_reports_each_violation_and_no_lookalike() {
     let well = judged(Vec::new());
-    assert_eq!((well.broken, well.alive, well.served), (Vec::<String>::new(), 2, 2));
+    assert_eq!((well.violations, well.alive, well.served), (Vec::<String>::new(), 2, 2));
     let first =
         |t, s, id: &str| Record { time_us: t, event: Event::AttemptStarted { endpoint: s, id: id.into() } };
     let answer = |t, s, id: &str| Record {
@@ -133,7 +133,7 @@
         (vec![told(8 * S, 0, RequestKind::FullList, RequestOutcome::Answered)], "whole lists"),
     ];
     for (lines, what) in planted {
-        let broken = judged(lines).broken;
+        let broken = judged(lines).violations;
         assert!(broken.iter().any(|b| b.contains(what)), "`{what}` is not among {broken:?}");
     }
     // What looks alike and is not wrong.
@@ -147,7 +147,7 @@
         .concat(),
     ];
     for lines in fine {
-        assert_eq!(judged(lines).broken, Vec::<String>::new());
+        assert_eq!(judged(lines).violations, Vec::<String>::new());
     }
 }
 
@@ -161,11 +161,11 @@
         }
     }
     for seed in 0..500 {
-        let script = ColdStart::Drawn.script(12, 20, seed).expect("a sound script");
-        assert_eq!(Ok(script), ColdStart::Drawn.script(12, 20, seed), "a seed replays its script");
+        let script = ColdStart::Generated.script(12, 20, seed).expect("a sound script");
+        assert_eq!(Ok(script), ColdStart::Generated.script(12, 20, seed), "a seed replays its script");
     }
     let text = "at 0s start relays 7-3\nat 1 kill relays *\nat 1s link list/x hole\nat 1s link list/* delay 9ms 3ms\nfoo\n";
-    let told = script::read("day", text).expect_err("faults");
+    let told = script::parse_script("day", text).expect_err("faults");
     for what in
         ["day:1: 7-3", "day:2:", "day:3: list/x", "day:4: delay", "day:5: `foo`", "`length` is missing"]
     {
@@ -217,11 +217,11 @@
 #[test]
 fn each_link_fault_takes_effect_and_clears() {
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(7).expect("free addresses");
-    let plan = plan(folder.path(), 7, &net);
+    let network = LoopbackNetwork::reserve(7).expect("free addresses");
+    let plan = plan(folder.path(), 7, &network);
     let mut links = Part::start("links", &plan);
     let _cards = Part::start("cards", &plan);
-    let (at, _) = plan.link(Link::Cards(0, 1));
+    let (at, _) = plan.link_addresses(Link::Endpoint(0, 1));
     let dial = || TcpStream::connect(at);
     // What was told has arrived once a link shows it; all waits are bounded.
     let shows = |fault: &str, what: &dyn Fn() -> bool| {
@@ -242,7 +242,7 @@
         links.tell(&format!("cards/0/1 {fault}"));
         shows(fault, &|| silent(250));
         // Others go on.
-        let (other, _) = plan.link(Link::Cards(0, 2));
+        let (other, _) = plan.link_addresses(Link::Endpoint(0, 2));
         assert!(ask(&mut TcpStream::connect(other).expect("a link"), 2_000).is_ok(), "{fault}");
         links.tell("cards/*/* clear");
         shows("clear", &pong);
@@ -329,15 +329,15 @@
 #[test]
 fn addresses_within_a_fleet_are_unique() {
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(3).expect("free addresses");
-    let big = Plan { relays: 400, cards: 40, ..plan(folder.path(), 3, &net) };
+    let network = LoopbackNetwork::reserve(3).expect("free addresses");
+    let big = Plan { relays: 400, endpoints: 40, ..plan(folder.path(), 3, &network) };
     let big = Plan { links: ["list", "cards", "front"].map(str::to_owned).to_vec(), ..big };
-    let mut all: Vec<_> = big.all_links().into_iter().map(|link| big.link(link).0).collect();
-    all.extend((0..400).flat_map(|n| [big.relay(n), big.list(n)]));
-    all.extend((0..40).map(|s| big.card(s)));
+    let mut all: Vec<_> = big.all_links().into_iter().map(|link| big.link_addresses(link).0).collect();
+    all.extend((0..400).flat_map(|n| [big.relay_address(n), big.discovery_address(n)]));
+    all.extend((0..40).map(|s| big.endpoint_address(s)));
     let count = all.len();
     all.sort_unstable();
     all.dedup();
     assert_eq!(all.len(), count);
-    assert!(TcpListener::bind(big.list(0)).is_ok());
+    assert!(TcpListener::bind(big.discovery_address(0)).is_ok());
 }
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use honeyknot_lease::InjectedFault;
-use honeyknot_testbed::fleet::run::Net;
+use honeyknot_testbed::fleet::run::LoopbackNetwork;
 use honeyknot_testbed::fleet::{LeaseOptions, Plan};
 use honeyknot_testbed::leases::report::Report;
-use honeyknot_testbed::leases::run::{Scenario, play};
+use honeyknot_testbed::leases::run::{Scenario, run_scenario};
 
 /// A day of three keepers and eight holders with leases of a second.
 fn day(scenario: Scenario, planted: Option<InjectedFault>, seed: u64, seconds: u64) -> Report {
@@ -15,9 +15,9 @@
     let program = lab.with_file_name("honeyknot-relay");
     assert!(program.is_file(), "build the whole workspace first: cargo build --workspace");
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(seed).expect("free addresses");
+    let network = LoopbackNetwork::reserve(seed).expect("free addresses");
     let plan = Plan {
-        net: net.number,
+        network: network.number,
         seed,
         relays: 8,
         folder: folder.path().to_owned(),
@@ -32,14 +32,14 @@
         ..Plan::default()
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let day = play(plan, scenario, Duration::from_secs(seconds), lab, std::future::pending());
+    let day = run_scenario(plan, scenario, Duration::from_secs(seconds), lab, std::future::pending());
     runtime.block_on(day).expect("a day is played")
 }
 
 fn holds(scenario: Scenario, seed: u64) {
     let report = day(scenario, None, seed, 15);
-    assert!(report.broken.is_empty() || report.starved, "{report:?}");
-    assert!(report.acts > 50 && report.holder_changes > 3 && report.faults > 0, "{report:?}");
+    assert!(report.violations.is_empty() || report.machine_overloaded, "{report:?}");
+    assert!(report.operations > 50 && report.holder_changes > 3 && report.injected_faults > 0, "{report:?}");
 }
 
 /// A planted fault shows on one of a few days: when it meets its moment is the machine's to say.
@@ -47,7 +47,7 @@
     let mut seen = Vec::new();
     for seed in [1, 3, 5, 7, 9] {
         let report = day(scenario, Some(planted), seed, 15);
-        if report.broken.iter().any(|what| what.contains(broken)) {
+        if report.violations.iter().any(|what| what.contains(broken)) {
             return;
         }
         seen.push(report);
@@ -87,5 +87,5 @@
 
 #[test]
 fn injected_ignored_clock_drift_is_detected() {
-    shows(Scenario::Skew, InjectedFault::NoDrift, "overlapped");
+    shows(Scenario::ClockSkew, InjectedFault::NoDrift, "overlapped");
 }
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use honeyknot_testbed::fleet::event_log::{Answer, Event, Record};
-use honeyknot_testbed::fleet::run::{Net, ScenarioRun, play};
-use honeyknot_testbed::fleet::{Held, Plan, script};
+use honeyknot_testbed::fleet::run::{LoopbackNetwork, ScenarioRun, run_script};
+use honeyknot_testbed::fleet::{InitialList, Plan, script};
 
 const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
 const S: u64 = 1_000_000;
@@ -18,33 +18,33 @@
 
 fn day(relays: usize, neighbors: bool, text: &str) -> ScenarioRun {
     let folder = tempfile::tempdir().expect("a folder");
-    let net = Net::take(relays as u64).expect("free addresses");
+    let network = LoopbackNetwork::reserve(relays as u64).expect("free addresses");
     let plan = Plan {
-        net: net.number,
+        network: network.number,
         seed: 5,
         relays,
-        told: relays,
-        cards: 4,
-        call_ms: 5,
+        configured_fleet_size: relays,
+        endpoints: 4,
+        full_list_ms: 5,
         clients: 4,
-        held: Held::Old,
+        initial_list: InitialList::Old,
         neighbors,
         folder: folder.path().to_owned(),
         program: program(),
-        part: (0, 1),
+        process_parameters: (0, 1),
         ..Plan::default()
     };
-    let script = script::read("the test's day", text).expect("a sound script");
+    let script = script::parse_script("the test's day", text).expect("a sound script");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
     local
-        .block_on(&runtime, play(&plan, &script, LAB.into(), std::future::pending()))
+        .block_on(&runtime, run_script(&plan, &script, LAB.into(), std::future::pending()))
         .unwrap_or_else(|why| panic!("the day is played: {why}"))
 }
 
 /// Probes at the card servers from one time of the day to another, in seconds.
 fn probes(played: &ScenarioRun, from: u64, to: u64) -> usize {
-    let span = played.began + from * S..played.began + to * S;
+    let span = played.started_at + from * S..played.started_at + to * S;
     let probe =
         |line: &&Record| matches!(line.event, Event::HealthCheck { .. }) && span.contains(&line.time_us);
     played.records.iter().filter(probe).count()
@@ -52,7 +52,7 @@
 
 /// Card servers that were probed in that time.
 fn probed(played: &ScenarioRun, from: u64, to: u64) -> BTreeMap<usize, usize> {
-    let span = played.began + from * S..played.began + to * S;
+    let span = played.started_at + from * S..played.started_at + to * S;
     let mut all = BTreeMap::new();
     for line in played.records.iter().filter(|line| span.contains(&line.time_us)) {
         if let Event::HealthCheck { endpoint: s } = line.event {
