--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -60,8 +60,8 @@
         self.throttle.should_reject(now, draw / relative_priority)
     }
 
-    /// Returns whether a request should be deferred because all balancers together have probably placed more
-    /// recently than the spare capacity, which load reports do not show yet.
+    /// Returns whether a request should be deferred because the recent placements of all balancers together
+    /// probably exceed the spare capacity. Load reports do not show these placements yet.
     ///
     /// Otherwise clients that reconnect all at once would overload one endpoint after another.
     pub(crate) fn is_surge(&mut self, now: Micros) -> bool {
--- a/crates/balancer/src/affinity.rs
+++ b/crates/balancer/src/affinity.rs
@@ -162,7 +162,8 @@
         zone_affinity::cross_zone_penalty(self.settings.prices.cross_zone, copy_cost)
     }
 
-    /// Returns the cost of endpoints in this zone for the request's group, per connection of the group.
+    /// Returns the cost of endpoints in this zone for the request's group, per connection of the group, in
+    /// mean connections.
     ///
     /// It is 0 if endpoints report their load, because a full zone then spills over to other zones.
     pub(crate) fn group_copy_cost(&self, request: &Request) -> f64 {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -46,7 +46,7 @@
 
 /// Timer of the periodic work.
 const TICK_TOKEN: TimerToken = TimerToken(0);
-/// Timer after which the balancer watches the endpoint list.
+/// Timer after which the balancer starts to watch the endpoint list.
 pub(crate) const DISCOVERY_TOKEN: TimerToken = TimerToken(1);
 /// Timer tokens from this number on belong to pending requests.
 pub(crate) const FIRST_REQUEST_TOKEN: u64 = 2;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -3,9 +3,10 @@
 //! The load balancer: selects an endpoint for each request and decides on retries, rejections and
 //! connection migration.
 //!
-//! [`Balancer`] takes events together with the current time and returns actions ([`Event`], [`Action`]). It
-//! does no I/O, reads no clock and draws every random number from a seeded generator. The same seed and
-//! events therefore give the same actions, whether a relay, a simulator or a test drives it.
+//! [`Balancer`] takes events together with the current time and returns actions ([`Event`], [`Action`]). No
+//! module of this crate does I/O or reads a clock, and every random number comes from a seeded generator. The
+//! same seed and events therefore give the same actions, whether a relay, a simulator or a test drives the
+//! balancer.
 //!
 //! - Input and output types: [`event`], [`action`], [`ids`], [`settings`].
 //! - State and event dispatch: [`balancer`].
--- a/crates/balancer/src/request_state.rs
+++ b/crates/balancer/src/request_state.rs
@@ -101,7 +101,8 @@
         let session_key = state.request.session_key.clone();
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.connections.insert(id);
-            // The endpoint left while the connection was being established, so it migrates with the others.
+            // The endpoint began to drain or was removed while the connection was being established, so the
+            // connection migrates with the others.
             if record.leaving_since.is_some() {
                 let end = now + SHED_DURATION;
                 let new_plan = || MigrationPlan { connections: Vec::new(), end };
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -5,7 +5,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The request may run any number of times.
+    /// The request may run any number of times, so it may always be retried or rejected.
     Idempotent,
     /// Endpoints recognise repeats by an idempotency key and drop them, for a limited time.
     IdempotencyKey {
--- a/crates/lease-consensus/src/error.rs
+++ b/crates/lease-consensus/src/error.rs
@@ -46,7 +46,7 @@
     #[error(transparent)]
     InvalidState(#[from] StateError),
     /// The consensus engine failed.
-    #[error("consensus engine: {0}")]
+    #[error("the consensus engine failed: {0}")]
     Engine(#[from] raft::Error),
 }
 
--- a/crates/lease/src/lease_client/task.rs
+++ b/crates/lease/src/lease_client/task.rs
@@ -26,7 +26,8 @@
 pub(super) struct Task {
     options: TaskOptions,
     holder: LeaseHolder,
-    /// Nonce of the acquire requests until the next lease has ended.
+    /// Nonce of the acquire requests. It is incremented when a lease has ended, so that the next acquire is a
+    /// new request.
     nonce: u64,
     /// When the next command about the task is due.
     pub(super) due_at: Micros,
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -16,7 +16,8 @@
     pub receive_limits: BTreeMap<String, f64>,
     /// Maximum share of a relay's new connections that may leave its home zone.
     pub leave_limit: f64,
-    /// Share of the spill limit that is reserved for relays whose home zone is up but overloaded.
+    /// Share of the spill limit that is divided equally among the relays of all other zones, so that relays
+    /// whose home zone is up but overloaded may spill as well.
     pub overflow_share: f64,
     /// Number of relays in each zone, by zone name. A zone without an entry is assumed to have an equal share
     /// of the fleet.
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -26,7 +26,7 @@
 pub struct LeaseConfig {
     /// Name of the fleet. Lease servers reject connections from other fleets.
     pub fleet: String,
-    /// Address of each lease server by its number. Numbers are from 1, without a gap.
+    /// Address of each lease server by its number. Numbers start at 1 and have no gap.
     pub servers: BTreeMap<ReplicaId, SocketAddr>,
     /// Parameters of all leases.
     pub parameters: LeaseParameters,
@@ -136,8 +136,10 @@
     if let Some(directive) = directives.first()
         && (!ALLOWED_SERVER_COUNTS.contains(&directives.len()) || has_gap)
     {
-        let problem =
-            format!("expected 1, 3, 5 or 7 `keeper` directives, numbered from 1; found {}", directives.len());
+        let problem = format!(
+            "expected 1, 3, 5 or 7 `keeper` directives, numbered from 1 without a gap; found {}",
+            directives.len()
+        );
         section.error(&directive.name, problem);
     }
     if directives.is_empty() {
--- a/src/lease_client/greeting.rs
+++ b/src/lease_client/greeting.rs
@@ -58,7 +58,7 @@
 /// Why a lease server rejects a greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GreetingMismatch {
-    /// They belong to different fleets.
+    /// The two sides belong to different fleets.
     #[error("the greeting is of fleet `{theirs}`; this lease server is of fleet `{ours}`")]
     Fleet {
         /// The other side's fleet.
@@ -66,7 +66,7 @@
         /// The local fleet.
         ours: String,
     },
-    /// They are configured with different numbers of lease servers.
+    /// The two sides are configured with different numbers of lease servers.
     #[error("the greeting is of a fleet of {theirs} lease servers; this lease server's fleet has {ours}")]
     ServerCount {
         /// The other side's number.
@@ -74,7 +74,7 @@
         /// The local number.
         ours: u64,
     },
-    /// They use different lease parameters.
+    /// The two sides use different lease parameters.
     #[error("the greeting has {theirs}; this lease server has {ours}")]
     Parameters {
         /// The other side's parameters.
--- a/src/lease_client/leader_request.rs
+++ b/src/lease_client/leader_request.rs
@@ -50,11 +50,11 @@
 /// Why a server did not answer as leader.
 #[derive(Debug)]
 pub enum FailureReason {
-    /// It redirects to this server.
+    /// The server redirects to the lease server with this number.
     Redirect(ReplicaId),
-    /// It knows no leader.
+    /// The server knows no leader.
     NoLeader,
-    /// It is overloaded.
+    /// The server is overloaded.
     Overloaded,
     /// The connection to this address failed.
     Connection(SocketAddr, io::Error),
--- a/src/lease_client/request_loop.rs
+++ b/src/lease_client/request_loop.rs
@@ -23,8 +23,8 @@
 const QUEUE_CAPACITY: usize = 16;
 /// Maximum time between two polls of the lease client, in microseconds.
 const MAX_SLEEP: Micros = 3_600_000_000;
-/// Added to each sleep, because the clocks of leases and of timers may differ slightly in rate, in
-/// microseconds.
+/// Time added to each sleep, in microseconds, because the clocks of leases and of timers may differ slightly
+/// in rate.
 const SLEEP_MARGIN: Micros = 500;
 
 /// A connection's queue and the request that was sent over it last.
--- a/src/lease_server/event_loop.rs
+++ b/src/lease_server/event_loop.rs
@@ -58,7 +58,8 @@
     ) -> Result<(), LeaseServerError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(LeaseServerError::Runtime)?;
         let mut ticks = interval(tick_interval);
-        // A process that was stopped has not been without a leader for that time.
+        // Missed ticks are skipped: the time for which a process was stopped must not count as time without
+        // a leader.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         loop {
             tokio::select! {
--- a/src/lease_server/storage/error.rs
+++ b/src/lease_server/storage/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// A file operation failed.
-    #[error("{path}: {source}")]
+    #[error("cannot access {path}: {source}")]
     Io {
         /// The file.
         path: String,
@@ -66,7 +66,7 @@
     #[error("cannot draw a random database id: {0}")]
     Random(#[source] <rand::rngs::OsRng as rand::TryRngCore>::Error),
     /// The database cannot be read or written.
-    #[error("{path}: {source}")]
+    #[error("cannot read or write the database {path}: {source}")]
     Access {
         /// The file.
         path: String,
