--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Configurations of four kinds of deployment, each broken in one place after another: the start ends with one line that names the
-//! place, or the decisions serve with what it says, and nothing panics.
+//! Configurations of four kinds of deployment, each with one value after another removed or replaced. Either
+//! reading the configuration fails with an error of one line, or the balancer answers every request with it.
+//! Nothing panics.
 
 #[path = "support/loopback.rs"]
 mod loopback;
@@ -14,20 +15,24 @@
 use loopback::config_value;
 use serde_json::{Value, json};
 
-/// Load reports by probes, one class.
-fn reported() -> Value {
-    config_value(&[("s-1", at(1), "active"), ("s-2", at(2), "leaving")], 256, at(9))
+/// A configuration with one request class and load reports from health checks.
+fn base_config() -> Value {
+    config_value(
+        &[("s-1", loopback_address(1), "active"), ("s-2", loopback_address(2), "leaving")],
+        256,
+        loopback_address(9),
+    )
 }
 
-fn at(port: u16) -> std::net::SocketAddr {
+fn loopback_address(port: u16) -> std::net::SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-/// The same with other settings, given by their paths.
-fn with(changes: &[(&str, Value)]) -> Value {
-    let mut config = reported();
+/// Returns the base configuration with some settings changed, each given by its path below `/settings`.
+fn base_config_with(changes: &[(&str, Value)]) -> Value {
+    let mut config = base_config();
     for (path, value) in changes {
-        set(&mut config, &format!("/settings/{path}"), Some(value.clone()));
+        set_value(&mut config, &format!("/settings/{path}"), Some(value.clone()));
     }
     config
 }
@@ -36,14 +41,17 @@
     let class = |name: &str, effect: &str, more: Value| {
         let mut class = json!({"name": name, "effect": effect, "aimUs": 300_000, "hardLimitUs": 1_800_000,
             "worth": 2.0, "stream": true});
-        class.as_object_mut().expect("an object").extend(more.as_object().expect("an object").clone());
+        class
+            .as_object_mut()
+            .expect("the class is an object")
+            .extend(more.as_object().expect("the additions are an object").clone());
         class
     };
     [
-        ("reported", reported()),
+        ("load reports from health checks", base_config()),
         (
-            "told nothing, two classes, zones",
-            with(&[
+            "no load reports, two classes, zones",
+            base_config_with(&[
                 ("telemetry", json!({"source": "silent"})),
                 ("permissions/probing", json!(false)),
                 ("permissions/retryAfter", json!(false)),
@@ -60,8 +68,8 @@
             ]),
         ),
         (
-            "pushed, tenants with shares",
-            with(&[
+            "pushed discovery, tenants with quotas",
+            base_config_with(&[
                 ("discovery", json!("pushed")),
                 ("tenants", json!([{"name": "t1", "quotaPerS": 8.0, "fraction": 0.7}, {"name": "t2"}])),
                 ("familyInfo/tenantQuotaConnections", json!([100.0, 20.0])),
@@ -70,8 +78,8 @@
             ]),
         ),
         (
-            "reports with answers, repeats within a window",
-            with(&[
+            "load reports with answers, idempotency keys with a time window",
+            base_config_with(&[
                 ("telemetry", json!({"source": "piggyback"})),
                 (
                     "services",
@@ -84,84 +92,90 @@
     ]
 }
 
-/// Puts a value at a place, or takes away what is there.
-fn set(whole: &mut Value, path: &str, value: Option<Value>) {
-    let (parent, name) = path.rsplit_once('/').expect("a path");
-    match (whole.pointer_mut(parent).expect("a parent"), value) {
+/// Sets the value at a path, or removes it if `value` is `None`.
+fn set_value(config: &mut Value, path: &str, value: Option<Value>) {
+    let (parent, name) = path.rsplit_once('/').expect("the path has a parent");
+    match (config.pointer_mut(parent).expect("the parent exists"), value) {
         (Value::Object(fields), Some(value)) => drop(fields.insert(name.into(), value)),
         (Value::Object(fields), None) => drop(fields.remove(name)),
         (Value::Array(items), value) => {
-            let place = name.parse::<usize>().expect("a place");
+            let index = name.parse::<usize>().expect("the array index is a number");
             match value {
-                Some(value) => items[place] = value,
-                None => drop(items.remove(place)),
+                Some(value) => items[index] = value,
+                None => drop(items.remove(index)),
             }
         }
-        (other, _) => panic!("{path}: {other} holds nothing"),
+        (other, _) => panic!("{path}: {other} has no children"),
     }
 }
 
-/// All places of a configuration, outermost first.
-fn places(value: &Value, path: String, all: &mut Vec<String>) {
-    let inner: Vec<(String, &Value)> = match value {
-        Value::Object(fields) => fields.iter().map(|(name, inner)| (name.clone(), inner)).collect(),
-        Value::Array(items) => items.iter().enumerate().map(|(i, inner)| (i.to_string(), inner)).collect(),
+/// Collects the paths of all values in a configuration, outer ones before inner ones.
+fn collect_paths(value: &Value, path: String, paths: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
+        Value::Object(fields) => fields.iter().map(|(name, child)| (name.clone(), child)).collect(),
+        Value::Array(items) => items.iter().enumerate().map(|(i, child)| (i.to_string(), child)).collect(),
         _ => Vec::new(),
     };
-    for (name, inner) in inner {
+    for (name, child) in children {
         let path = format!("{path}/{name}");
-        all.push(path.clone());
-        places(inner, path, all);
+        paths.push(path.clone());
+        collect_paths(child, path, paths);
     }
 }
 
-/// A virtual clock, timers and card servers that answer in turn in each of the ways there are.
-struct Day {
+/// A balancer with a simulated clock, timers and endpoints. Successive attempts end in a reset, a timeout, a
+/// rejection, a failed connect and an established connection, in turn.
+struct Simulation {
     balancer: Balancer,
     now: Micros,
     timers: BTreeMap<(Micros, u64), TimerToken>,
-    serial: u64,
-    outcomes: usize,
+    next_timer_id: u64,
+    attempts: usize,
     answered: usize,
 }
 
-impl Day {
-    fn feed(&mut self, event: Event) {
-        let (mut out, mut next) = (Vec::new(), vec![event]);
-        while let Some(event) = next.pop() {
-            self.balancer.handle(self.now, event, &mut out);
-            for action in out.drain(..) {
+impl Simulation {
+    /// Handles an event, and the events that follow from the balancer's actions.
+    fn handle(&mut self, event: Event) {
+        let (mut actions, mut events) = (Vec::new(), vec![event]);
+        while let Some(event) = events.pop() {
+            self.balancer.handle(self.now, event, &mut actions);
+            for action in actions.drain(..) {
                 match action {
                     Action::SetTimer { delay, token } => {
-                        self.serial += 1;
-                        self.timers.insert((self.now.saturating_add(delay.max(1)), self.serial), token);
+                        self.next_timer_id += 1;
+                        self.timers
+                            .insert((self.now.saturating_add(delay.max(1)), self.next_timer_id), token);
                     }
-                    Action::CheckHealth(server) => next.push(Event::HealthCheckEnded {
-                        endpoint: server,
+                    Action::CheckHealth(endpoint_id) => events.push(Event::HealthCheckEnded {
+                        endpoint: endpoint_id,
                         outcome: Outcome::Ok,
                         elapsed: 900,
                         report: Some(LoadReport { load: Some(0.4), ..LoadReport::default() }),
                     }),
-                    Action::Forward { id, endpoint: server, .. } => {
-                        self.outcomes += 1;
+                    Action::Forward { id, endpoint: endpoint_id, .. } => {
+                        self.attempts += 1;
                         let attempt = AttemptId(0);
-                        let ends =
+                        let outcomes =
                             [Outcome::Reset, Outcome::Timeout, Outcome::Rejected, Outcome::ConnectFailed];
-                        next.push(match self.outcomes % 5 {
-                            4 => {
-                                Event::ConnectionEstablished { id, attempt, endpoint: server, elapsed: 5_000 }
-                            }
-                            way => Event::AttemptEnded {
+                        events.push(match self.attempts % 5 {
+                            4 => Event::ConnectionEstablished {
+                                id,
+                                attempt,
+                                endpoint: endpoint_id,
+                                elapsed: 5_000,
+                            },
+                            index => Event::AttemptEnded {
                                 id,
                                 attempt,
-                                outcome: ends[way],
+                                outcome: outcomes[index],
                                 closed: false,
-                                endpoint: server,
+                                endpoint: endpoint_id,
                                 elapsed: 5_000,
                                 report: None,
                             },
                         });
-                        self.answered += usize::from(self.outcomes % 5 == 4);
+                        self.answered += usize::from(self.attempts % 5 == 4);
                     }
                     Action::Reject { .. } | Action::Fail(_) => self.answered += 1,
                     _ => {}
@@ -170,41 +184,44 @@
         }
     }
 
-    fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
-        while let Some((&(at, serial), &token)) =
-            self.timers.first_key_value().filter(|((at, _), _)| *at <= end)
+    /// Advances the clock and fires the timers that are due by then.
+    fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some((&(due, id), &token)) =
+            self.timers.first_key_value().filter(|((due, _), _)| *due <= end)
         {
-            self.timers.remove(&(at, serial));
-            self.now = at;
-            self.feed(Event::TimerFired(token));
+            self.timers.remove(&(due, id));
+            self.now = due;
+            self.handle(Event::TimerFired(token));
         }
         self.now = end;
     }
 }
 
-/// Plays some seconds: card servers that start, drain and go, requests of all classes, and a client in mid flow. How many requests
-/// there were, and how many got an answer.
-fn play(config: &Config) -> Result<(usize, usize), String> {
+/// Simulates some seconds in which endpoints start, drain and are removed, with requests of all classes, some
+/// of them in mid flow. Returns the number of requests and the number of those that were answered.
+fn simulate(config: &Config) -> Result<(usize, usize), String> {
     let now = 1_000_000_000;
     let balancer = Balancer::new(config.settings.clone(), 7, now).map_err(|e| e.to_string())?;
-    let mut day = Day { balancer, now, timers: BTreeMap::new(), serial: 0, outcomes: 0, answered: 0 };
-    let entry = |i: u64, started, state| Endpoint {
+    let mut simulation =
+        Simulation { balancer, now, timers: BTreeMap::new(), next_timer_id: 0, attempts: 0, answered: 0 };
+    let endpoint = |i: u64, start_time, state| Endpoint {
         id: EndpointId(Arc::from(format!("s-{i}"))),
         machine_type: None,
         weight: 1.0 + i as f64,
-        started_at: started,
+        started_at: start_time,
         zone: config.settings.zone.map(|_| ZoneId(i as usize % 2)),
         cell: CellId(i),
         state,
     };
-    let list = |entries: Vec<Endpoint>| Event::EndpointsUpdated {
+    let endpoint_list = |endpoints: Vec<Endpoint>| Event::EndpointsUpdated {
         version: 1,
-        update: EndpointUpdate::Full(Arc::new(entries)),
+        update: EndpointUpdate::Full(Arc::new(endpoints)),
     };
     let ready = EndpointState::Ready;
-    day.feed(list((0..4).map(|i| entry(i, if i == 3 { now } else { 0 }, ready)).collect()));
-    let mut asked = 0;
+    simulation
+        .handle(endpoint_list((0..4).map(|i| endpoint(i, if i == 3 { now } else { 0 }, ready)).collect()));
+    let mut requests = 0;
     for id in 0..24 {
         for class in 0..config.settings.classes.len() {
             let request = Request {
@@ -223,29 +240,31 @@
                 mid_flow: id % 11 == 10,
                 allowed_zones: ZoneSet::ALL,
             };
-            asked += 1;
-            day.feed(Event::Request(request));
+            requests += 1;
+            simulation.handle(Event::Request(request));
         }
         if id == 12 {
-            day.feed(list(
-                (1..4).map(|i| entry(i, 0, if i == 1 { EndpointState::Draining } else { ready })).collect(),
+            simulation.handle(endpoint_list(
+                (1..4)
+                    .map(|i| endpoint(i, 0, if i == 1 { EndpointState::Draining } else { ready }))
+                    .collect(),
             ));
-            day.feed(Event::EndpointsUpdated { version: 2, update: EndpointUpdate::Failed });
+            simulation.handle(Event::EndpointsUpdated { version: 2, update: EndpointUpdate::Failed });
         }
-        day.pass(100_000);
+        simulation.advance(100_000);
     }
-    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    day.pass((longest + 1_000_000).min(60_000_000));
-    // Who may wait for longer may be waiting still.
-    if longest > 50_000_000 && day.answered < asked {
-        day.answered = asked;
+    let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    simulation.advance((longest_deadline + 1_000_000).min(60_000_000));
+    // Requests whose deadline is longer than the simulated time may still be waiting.
+    if longest_deadline > 50_000_000 && simulation.answered < requests {
+        simulation.answered = requests;
     }
-    Ok((asked, day.answered))
+    Ok((requests, simulation.answered))
 }
 
 #[test]
-fn a_configuration_that_is_broken_in_one_place_is_told_or_served_with() {
-    let breaks = [
+fn a_configuration_with_one_changed_value_is_rejected_with_an_error_or_serves_every_request() {
+    let replacements = [
         None,
         Some(Value::Null),
         Some(json!("")),
@@ -260,36 +279,36 @@
         Some(json!({})),
         Some(json!([{}])),
     ];
-    let (mut told, mut served) = (0, 0);
-    for (kind, sound) in deployments() {
-        let config = Config::read(sound.to_string().as_bytes(), |_| None).expect(kind);
-        let (asked, answered) = play(&config).expect(kind);
-        assert_eq!(asked, answered, "{kind}: one answer each");
-        let mut all = Vec::new();
-        places(&sound, String::new(), &mut all);
-        for place in all {
-            for value in &breaks {
-                let mut broken = sound.clone();
-                set(&mut broken, &place, value.clone());
-                let what = format!("{kind}: {place} is {value:?}");
+    let (mut rejected, mut accepted) = (0, 0);
+    for (deployment, valid) in deployments() {
+        let config = Config::read(valid.to_string().as_bytes(), |_| None).expect(deployment);
+        let (requests, answered) = simulate(&config).expect(deployment);
+        assert_eq!(requests, answered, "{deployment}: every request gets one answer");
+        let mut paths = Vec::new();
+        collect_paths(&valid, String::new(), &mut paths);
+        for path in paths {
+            for value in &replacements {
+                let mut broken = valid.clone();
+                set_value(&mut broken, &path, value.clone());
+                let change = format!("{deployment}: {path} is {value:?}");
                 let run = || {
                     let config = Config::read(broken.to_string().as_bytes(), |_| None);
                     let config = config.map_err(|error| error.to_string())?;
-                    play(&config)
+                    simulate(&config)
                 };
                 let run = catch_unwind(AssertUnwindSafe(run));
-                match run.unwrap_or_else(|_| panic!("{what}: a panic")) {
-                    Ok((asked, answered)) => {
-                        assert_eq!(asked, answered, "{what}: one answer each");
-                        served += 1;
+                match run.unwrap_or_else(|_| panic!("{change}: the balancer or the configuration panics")) {
+                    Ok((requests, answered)) => {
+                        assert_eq!(requests, answered, "{change}: every request gets one answer");
+                        accepted += 1;
                     }
-                    Err(why) => {
-                        assert!(!why.is_empty() && !why.contains('\n'), "{what}: {why}");
-                        told += 1;
+                    Err(error) => {
+                        assert!(!error.is_empty() && !error.contains('\n'), "{change}: {error}");
+                        rejected += 1;
                     }
                 }
             }
         }
     }
-    assert!(told > 200 && served > 200, "{told} told, {served} served with");
+    assert!(rejected > 200 && accepted > 200, "{rejected} rejected, {accepted} accepted");
 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! The adapter: messages there and back, and what malformed input gets.
+//! The simulator adapter: messages in both directions, and errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -11,24 +11,27 @@
 "permissions":{"probing":true,"maxAttempts":3},
 "rules":{"startCapacity":0.2,"coldUs":1000000,"overloadFactor":3.0,"fallUs":1000000,"stopSendingWithinUs":500000}}"#;
 
-fn run(input: &str) -> (Option<i32>, Vec<Value>, String) {
+/// Runs the adapter on an input. Returns its exit status, its replies and standard error.
+fn run_adapter(input: &str) -> (Option<i32>, Vec<Value>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_honeyknot-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("its input");
-    // An adapter that has ended does not read the rest.
+    let mut stdin = child.stdin.take().expect("standard input is piped");
+    // An adapter that has ended with an error does not read the rest of the input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    let output = child.wait_with_output().expect("its output");
-    let lines = String::from_utf8(output.stdout).expect("UTF-8");
-    let replies = lines.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
+    let output = child.wait_with_output().expect("the adapter ends");
+    let lines = String::from_utf8(output.stdout).expect("the output is UTF-8");
+    let replies =
+        lines.lines().map(|line| serde_json::from_str(line).expect("each line is valid JSON")).collect();
     (output.status.code(), replies, String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-fn start() -> String {
+/// Returns a batch that configures an instance and gives it a list with one endpoint.
+fn startup_batch() -> String {
     let settings = SETTINGS.replace('\n', "");
     format!(
         r#"["round",5000000,1]
@@ -40,13 +43,13 @@
     )
 }
 
-fn named<'a>(replies: &'a [Value], name: &str) -> Vec<&'a Value> {
-    replies.iter().filter(|r| r[0] == name).collect()
+fn messages_named<'a>(replies: &'a [Value], name: &str) -> Vec<&'a Value> {
+    replies.iter().filter(|message| message[0] == name).collect()
 }
 
 #[test]
-fn a_connection_is_probed_placed_and_ends() {
-    let input = start()
+fn a_request_triggers_a_health_check_and_is_assigned_once_it_succeeds() {
+    let input = startup_batch()
         + r#"["round",6000000,2]
 ["jobIn","balancer_0",12,null,1000000,"feed",false,false,null,false,null,"s-1"]
 ["go"]
@@ -62,17 +65,20 @@
 ["dropped","balancer_0",12]
 ["go"]
 "#;
-    let (code, replies, errors) = run(&input);
+    let (code, replies, errors) = run_adapter(&input);
     assert_eq!((code, errors.as_str()), (Some(0), ""));
-    assert_eq!(named(&replies, "probe"), [&json!(["probe", "balancer_0", "10.0.0.1:80"])]);
-    assert_eq!(named(&replies, "handOff"), [&json!(["handOff", "balancer_0", 12, "10.0.0.1:80", 300_000])]);
-    let ends: Vec<&Value> = named(&replies, "finished").iter().map(|r| &r[1]).collect();
-    assert_eq!(ends, [1, 2, 3, 4, 5]);
+    assert_eq!(messages_named(&replies, "probe"), [&json!(["probe", "balancer_0", "10.0.0.1:80"])]);
+    assert_eq!(
+        messages_named(&replies, "handOff"),
+        [&json!(["handOff", "balancer_0", 12, "10.0.0.1:80", 300_000])]
+    );
+    let finished_batches: Vec<&Value> = messages_named(&replies, "finished").iter().map(|r| &r[1]).collect();
+    assert_eq!(finished_batches, [1, 2, 3, 4, 5]);
 }
 
 #[test]
-fn a_list_number_used_again_means_the_newer_list() {
-    let input = start()
+fn a_reused_list_number_refers_to_the_newest_list() {
+    let input = startup_batch()
         + r#"["round",6000000,2]
 ["page",3,[["big",1.0,"10.0.0.1:80",null,"x",0,"Gone"]]]
 ["targets","balancer_0",2,3,"changes"]
@@ -84,14 +90,14 @@
 ["healthResult","balancer_0","10.0.0.2:80",200,1500,{"x0":0.2}]
 ["go"]
 "#;
-    let (code, replies, _) = run(&input);
+    let (code, replies, _) = run_adapter(&input);
     assert_eq!(code, Some(0));
-    assert_eq!(named(&replies, "handOff")[0][3], "10.0.0.2:80");
+    assert_eq!(messages_named(&replies, "handOff")[0][3], "10.0.0.2:80");
 }
 
 #[test]
-fn a_handed_over_connection_moves_when_its_server_drains() {
-    let mut input = start()
+fn a_handed_over_connection_is_migrated_when_its_endpoint_drains() {
+    let mut input = startup_batch()
         + r#"["round",6000000,2]
 ["handover","balancer_0",9,"s-9",false,"10.0.0.1:80",false,null,"feed",null,null,1000000,false]
 ["page",4,[["big",1.0,"10.0.0.1:80",null,"x",0,"Terminating"]]]
@@ -102,23 +108,23 @@
         let at = 6_200_000 + i * 200_000;
         input += &format!("[\"round\",{at},{}]\n[\"reminder\",\"balancer_0\",0]\n[\"go\"]\n", i + 3);
     }
-    let (code, replies, _) = run(&input);
+    let (code, replies, _) = run_adapter(&input);
     assert_eq!(code, Some(0));
-    assert_eq!(named(&replies, "goAway"), [&json!(["goAway", "balancer_0", 9])]);
-    assert!(named(&replies, "handOff").is_empty());
+    assert_eq!(messages_named(&replies, "goAway"), [&json!(["goAway", "balancer_0", 9])]);
+    assert!(messages_named(&replies, "handOff").is_empty());
 }
 
 #[test]
-fn a_killed_instance_is_known_no_more() {
-    let input = start()
+fn an_event_for_a_killed_instance_is_an_error() {
+    let input = startup_batch()
         + "[\"round\",6000000,2]\n[\"kill\",\"balancer_0\"]\n[\"dropped\",\"balancer_0\",1]\n[\"go\"]\n";
-    let (code, _, errors) = run(&input);
+    let (code, _, errors) = run_adapter(&input);
     assert_eq!(code, Some(2));
     assert!(errors.contains("batch 2, line 3"), "{errors}");
 }
 
 #[test]
-fn malformed_input_ends_with_a_plain_line_and_nothing_half_written() {
+fn malformed_input_ends_the_adapter_with_a_one_line_error_and_only_whole_batches_of_output() {
     let cases = [
         ("this is no JSON", "the line is not valid JSON"),
         ("{\"a\":1}", "a message must be a JSON array"),
@@ -140,26 +146,27 @@
         ("[\"configure\",\"balancer_1\",1,{\"rules\":{\"startCapacity\":3}}]", "`rules.startCapacity`"),
         ("[\"round\",1,1]", "inside another"),
     ];
-    for (line, fault) in cases {
-        let (code, replies, errors) = run(&format!("{}[\"round\",6000000,2]\n{line}\n", start()));
+    for (line, expected) in cases {
+        let (code, replies, errors) =
+            run_adapter(&format!("{}[\"round\",6000000,2]\n{line}\n", startup_batch()));
         assert_eq!(code, Some(2), "{line}");
         assert_eq!(errors.lines().count(), 1, "{line}: {errors}");
-        assert!(errors.contains("batch 2, line 2") && errors.contains(fault), "{line}: {errors}");
+        assert!(errors.contains("batch 2, line 2") && errors.contains(expected), "{line}: {errors}");
         assert_eq!(replies.last(), Some(&json!(["finished", 1])), "{line}");
     }
 }
 
 #[test]
-fn an_event_outside_a_batch_and_a_batch_without_an_end_are_faults() {
-    assert_eq!(run("[\"go\"]\n").0, Some(2));
-    assert_eq!(run("[\"round\",1,1]\n").0, Some(2));
-    assert_eq!(run("").0, Some(0));
+fn an_event_outside_a_batch_and_an_unfinished_batch_are_errors() {
+    assert_eq!(run_adapter("[\"go\"]\n").0, Some(2));
+    assert_eq!(run_adapter("[\"round\",1,1]\n").0, Some(2));
+    assert_eq!(run_adapter("").0, Some(0));
 }
 
 #[test]
-fn instances_share_nothing_and_answer_alike() {
+fn an_instance_acts_the_same_alone_and_beside_others() {
     let settings = SETTINGS.replace('\n', "");
-    let one = |ids: &[&str]| {
+    let replies_of_a = |ids: &[&str]| {
         let mut input = "[\"round\",5000000,1]\n".to_owned();
         for id in ids {
             input += &format!("[\"configure\",\"{id}\",7,{settings}]\n");
@@ -170,11 +177,11 @@
             input += &format!("[\"jobIn\",\"{id}\",1,null,1000000,\"feed\"]\n");
         }
         input += "[\"go\"]\n";
-        let of_a = |r: &&Value| r[1] == "balancer_a";
-        let (_, replies, _) = run(&input);
-        replies.iter().filter(of_a).cloned().collect::<Vec<Value>>()
+        let is_for_a = |reply: &&Value| reply[1] == "balancer_a";
+        let (_, replies, _) = run_adapter(&input);
+        replies.iter().filter(is_for_a).cloned().collect::<Vec<Value>>()
     };
-    let alone = one(&["balancer_a"]);
+    let alone = replies_of_a(&["balancer_a"]);
     assert!(!alone.is_empty());
-    assert_eq!(alone, one(&["balancer_b", "balancer_a", "balancer_c"]));
+    assert_eq!(alone, replies_of_a(&["balancer_b", "balancer_a", "balancer_c"]));
 }
