--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -170,7 +170,7 @@
             // A second relay with the same state directory serves without persistent counters.
             let other_config = folder.write("other.json", &process::config(unused_address()));
             let second = Relay::start(&folder, &other_config, "log-second", &["--metrics", &metrics_file]);
-            second.wait_for_log("another relay uses this folder");
+            second.wait_for_log("another process uses this directory");
         }
         for _ in 0..2 {
             assert!(first_answer_line(listen, REQUEST).starts_with("BUSY"));
@@ -259,7 +259,7 @@
     let sink = TcpListener::bind(address).expect("the sink's address is bound");
     let received_lines = start_graphite(sink);
     let relay = Relay::start(&folder, &config, "log-2", &["--metrics", &metrics_file]);
-    relay.wait_for_log("spooled snapshots pending");
+    relay.wait_for_log("spool has unsent frames");
     let (mut values_by_time, mut highest) = (BTreeMap::new(), 0.0f64);
     let deadline = Instant::now() + Duration::from_secs(30);
     while values_by_time.len() < 6 || highest < requests - 1.0 {
