--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,9 +1,9 @@
-//! Frozen forms: bytes that the program wrote before its modules were renamed are read and written again
+//! Compatibility tests: data that an earlier version of the program wrote is read, and written again
 //! unchanged.
 //!
-//! The fixtures under `tests/compatibility/fixtures` were written by the version that stood before the
-//! renames. They never change: a test here that fails means that stored data, a wire or an operator's file
-//! has changed its form.
+//! The fixtures under `tests/compatibility/fixtures` were written by the last version before the modules of
+//! the program were renamed. They never change: a failure here means that the format of stored data, of a
+//! wire protocol or of an operators' file has changed.
 
 #[path = "compatibility/leases_and_gossip.rs"]
 mod leases_and_gossip;
--- a/tests/compatibility/leases_and_gossip.rs
+++ b/tests/compatibility/leases_and_gossip.rs
@@ -1,6 +1,6 @@
-//! The lease server's database, lease and consensus frames, gossip datagrams.
+//! The lease server's database, lease and consensus frames, and gossip datagrams.
 //!
-//! Each module names the types of one form in one place: constructors at its top, tests below them.
+//! Each module constructs the values of one format at its top; its tests follow below.
 
 #[path = "leases_and_gossip/fixture.rs"]
 mod fixture;
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -3,16 +3,16 @@
 use honeyknot_lease::{Command, CommandOutcome, FencingToken, LeaseParameters, LeaseTable};
 use honeyknot_lease_consensus::{Entry, HardState, PersistedState, Snapshot};
 
-use super::fixture::{all, assert_labels, decode, encode, one};
+use super::fixture::{assert_labels, decode, encode, read_all, read_one};
 
 const COMMANDS: &str = "lease_commands.txt";
 const TABLE: &str = "lease_table.txt";
 /// Fencing tokens of the recorded table are greater than this.
 pub const TOKENS_FROM: u64 = 70_000;
-const LEASE_MICROS: u64 = 10_000_000;
+const LEASE_DURATION_MICROS: u64 = 10_000_000;
 
 pub fn lease_parameters() -> LeaseParameters {
-    LeaseParameters::new(LEASE_MICROS)
+    LeaseParameters::new(LEASE_DURATION_MICROS)
 }
 
 pub fn fencing_token(number: u64) -> FencingToken {
@@ -59,7 +59,7 @@
     PersistedState { hard_state, snapshot, entries }
 }
 
-/// Each variant, with a different value in each field.
+/// Returns a command of each variant, with a different value in each field.
 pub fn command_variants() -> [(&'static str, Command); 5] {
     [
         ("acquire", acquire("sweep", 2, "relay-a", 901, 3)),
@@ -70,7 +70,7 @@
     ]
 }
 
-/// The commands that lead to the recorded table.
+/// Returns the commands that produce the recorded table.
 pub fn recorded_commands() -> Vec<Command> {
     vec![
         acquire("sweep", 2, "relay-a", 901, 0),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Each lease as task, holder, nonce, token, renewals, and whether it is revoked.
+/// Returns the task, holder, nonce, token and number of renewals of each lease, and whether it is revoked.
 fn leases(table: &LeaseTable) -> Vec<(&str, &str, u64, u64, u64, bool)> {
     let rows = table.leases().map(|(task, lease)| {
         (task, lease.holder.as_str(), lease.nonce, lease.token.0, lease.renewals, lease.revoked)
@@ -107,7 +107,7 @@
 fn a_lease_command_from_the_previous_version_is_read_and_written_unchanged() {
     assert_labels(COMMANDS, command_variants().iter().map(|(label, _)| *label));
     for (label, command) in command_variants() {
-        let bytes = one(COMMANDS, label);
+        let bytes = read_one(COMMANDS, label);
         assert_eq!(decode::<Command>(&bytes), command, "{label} is read");
         assert_eq!(encode(&command), bytes, "{label} is written");
     }
@@ -115,29 +115,29 @@
 
 #[test]
 fn a_log_entry_from_the_previous_version_is_read_and_written_unchanged() {
-    let bytes = one(TABLE, "entry");
+    let bytes = read_one(TABLE, "entry");
     let entry: Entry = decode(&bytes);
     assert_eq!((entry.index, entry.term), (41, 7));
     assert_eq!(decode::<Vec<Command>>(&entry.data), recorded_commands());
     assert_eq!(encode(&log_entry(41, 7, &recorded_commands())), bytes);
 
-    let bytes = one(TABLE, "entry_without_commands");
+    let bytes = read_one(TABLE, "entry_without_commands");
     assert_eq!(decode::<Entry>(&bytes), log_entry(42, 8, &[]));
     assert_eq!(encode(&log_entry(42, 8, &[])), bytes);
 }
 
 #[test]
 fn a_hard_state_from_the_previous_version_is_read_and_written_unchanged() {
-    let bytes = one(TABLE, "hard_state");
+    let bytes = read_one(TABLE, "hard_state");
     assert_eq!(decode::<HardState>(&bytes), hard_state(8, 3, 300));
     assert_eq!(encode(&hard_state(8, 3, 300)), bytes);
 }
 
 #[test]
 fn a_lease_table_snapshot_from_the_previous_version_is_read_and_written_unchanged() {
-    let bytes = one(TABLE, "snapshot");
+    let bytes = read_one(TABLE, "snapshot");
     let snapshot: Snapshot = decode(&bytes);
-    let table_bytes = one(TABLE, "table");
+    let table_bytes = read_one(TABLE, "table");
     assert_eq!(snapshot, replica_snapshot(40, 6, table_bytes.clone()));
     assert_eq!(encode(&snapshot), bytes);
 
@@ -148,16 +148,16 @@
 }
 
 #[test]
-fn the_recorded_commands_lead_to_the_recorded_lease_table() {
-    let entry: Entry = decode(&one(TABLE, "entry"));
+fn the_recorded_commands_produce_the_recorded_lease_table() {
+    let entry: Entry = decode(&read_one(TABLE, "entry"));
     let mut table = empty_table();
     apply_all(&mut table, &decode::<Vec<Command>>(&entry.data));
-    assert_eq!(encode(&table), one(TABLE, "table"));
+    assert_eq!(encode(&table), read_one(TABLE, "table"));
 }
 
 #[test]
 fn a_recorded_lease_table_gives_the_next_fencing_token_of_each_task() {
-    let mut table: LeaseTable = decode(&one(TABLE, "table"));
+    let mut table: LeaseTable = decode(&read_one(TABLE, "table"));
     for (task, next) in [("audit", 70_002), ("rebuild", 70_002), ("sweep", 70_003), ("new", 70_001)] {
         let outcome = table.apply(&lease_parameters(), &acquire(task, 3, "relay-d", 905, 0));
         assert_eq!(outcome, CommandOutcome::Held(fencing_token(next)), "{task}");
@@ -167,5 +167,5 @@
 #[test]
 fn all_recorded_table_fixtures_are_covered() {
     assert_labels(TABLE, ["table", "snapshot", "entry", "entry_without_commands", "hard_state"]);
-    assert!(all(TABLE).iter().all(|(_, bytes)| !bytes.is_empty()));
+    assert!(read_all(TABLE).iter().all(|(_, bytes)| !bytes.is_empty()));
 }
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -1,4 +1,4 @@
-//! Frames between lease servers: each kind of consensus message, and a run of three replicas that exchange them.
+//! Frames between lease servers: each kind of consensus message, and a run of three replicas.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 use honeyknot_relay::lease_client::frame::Frame;
 use serde::{Deserialize, Serialize};
 
-use super::fixture::{all, assert_labels, decode, encode, one};
+use super::fixture::{assert_labels, decode, encode, read_all, read_one};
 use super::lease_frames::{read_frame, write_frame};
 use super::lease_table::{
     TOKENS_FROM, hard_state, lease_parameters, log_entry, persisted_state, recorded_commands, renew,
@@ -18,7 +18,7 @@
 
 const KINDS: &str = "replica_message_kinds.txt";
 const RUN: &str = "replica_run.txt";
-const REPLICAS: u64 = 3;
+const REPLICA_COUNT: u64 = 3;
 const TICK_MICROS: u64 = 50_000;
 const TICKS: u64 = 60;
 const REQUEST_TICK: u64 = 40;
@@ -29,14 +29,14 @@
 const SNAPSHOT_TERM: u64 = 6;
 const LAGGING_INDEX: u64 = 4;
 const LAGGING_TERM: u64 = 5;
-const LENGTH_PREFIX: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 pub fn peer_frame(clock: u64, message: PeerMessage) -> Frame {
     Frame::PeerMessage(clock, message)
 }
 
 fn peer_message(frame: Frame) -> (u64, PeerMessage) {
-    let Frame::PeerMessage(clock, message) = frame else { panic!("a frame between lease servers") };
+    let Frame::PeerMessage(clock, message) = frame else { panic!("not a frame between lease servers") };
     (clock, message)
 }
 
@@ -44,7 +44,7 @@
     ReplicaSettings {
         parameters: lease_parameters(),
         id,
-        replica_count: REPLICAS,
+        replica_count: REPLICA_COUNT,
         tick_interval: TICK_MICROS,
         election_timeout: 1_000_000,
         compact_after: 4_096,
@@ -63,7 +63,7 @@
     })
 }
 
-/// The recorded layout of a frame between lease servers, apart from the program's own types.
+/// The recorded layout of a frame between lease servers, declared without the types of the program.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecordedFrame {
     pub frame_variant: u8,
@@ -85,17 +85,17 @@
     pub priority: i64,
 }
 
-/// A frame of the first replica to another, but for what its kind adds.
+/// Returns a frame from the first replica to another; the caller sets the fields of its kind.
 fn from_leader(clock: u64, kind: u8, to: u64) -> RecordedFrame {
     RecordedFrame { clock, kind, from: 1, to, term: 7, ..RecordedFrame::default() }
 }
 
-/// A frame of another replica to the first.
+/// Returns a frame from another replica to the first.
 fn to_leader(clock: u64, kind: u8, from: u64) -> RecordedFrame {
     RecordedFrame { clock, kind, from, to: 1, term: 7, ..RecordedFrame::default() }
 }
 
-/// A request for a vote, or for the promise of one.
+/// Returns a vote request or a pre-vote request.
 fn vote_request(kind: u8) -> RecordedFrame {
     RecordedFrame {
         log_term: SNAPSHOT_TERM,
@@ -128,11 +128,11 @@
 }
 
 fn snapshot_message() -> RecordedFrame {
-    let snapshot = replica_snapshot(SNAPSHOT_INDEX, SNAPSHOT_TERM, one("lease_table.txt", "table"));
+    let snapshot = replica_snapshot(SNAPSHOT_INDEX, SNAPSHOT_TERM, read_one("lease_table.txt", "table"));
     RecordedFrame { snapshot: Some(snapshot), ..from_leader(ELECTED_MICROS, 7, 3) }
 }
 
-/// No replica sends such a message: it shows the place and the type of each field.
+/// Returns a message that no replica sends; it fixes the position and the type of each field.
 pub fn message_with_every_field() -> RecordedFrame {
     RecordedFrame {
         frame_variant: 0,
@@ -155,7 +155,7 @@
     }
 }
 
-/// Each kind of message, as the replicas of the recorded run send it.
+/// Returns each kind of message as the replicas of the recorded run send it, and one with every field set.
 fn kinds() -> Vec<(&'static str, RecordedFrame)> {
     vec![
         ("append", append()),
@@ -172,7 +172,7 @@
     ]
 }
 
-/// Three replicas, the third of which lags behind the others' snapshot.
+/// Three replicas, of which the third lags behind the snapshot of the others.
 struct Cluster {
     replicas: Vec<Replica>,
     now: u64,
@@ -180,15 +180,15 @@
 
 impl Cluster {
     fn new(lease_table: &[u8]) -> Cluster {
-        let replicas = (1..=REPLICAS).map(|id| {
+        let replicas = (1..=REPLICA_COUNT).map(|id| {
             let snapshot = replica_snapshot(SNAPSHOT_INDEX, SNAPSHOT_TERM, lease_table.to_vec());
-            let state = if id == REPLICAS {
+            let state = if id == REPLICA_COUNT {
                 let entries = (1..=LAGGING_INDEX).map(|index| log_entry(index, LAGGING_TERM, &[]));
                 persisted_state(hard_state(LAGGING_TERM, 2, LAGGING_INDEX), None, entries.collect())
             } else {
                 persisted_state(hard_state(SNAPSHOT_TERM, 1, SNAPSHOT_INDEX), Some(snapshot), Vec::new())
             };
-            Replica::new(replica_settings(id), state).expect("the state is sound")
+            Replica::new(replica_settings(id), state).expect("the state is valid")
         });
         Cluster { replicas: replicas.collect(), now: 0 }
     }
@@ -197,41 +197,42 @@
         &mut self.replicas[id as usize - 1]
     }
 
-    /// What the replicas send now.
+    /// Processes pending work of all replicas and returns the messages that they send.
     fn outgoing(&mut self) -> Vec<PeerMessage> {
         let mut messages = Vec::new();
         for replica in &mut self.replicas {
             while let Some(write) = replica.ready(self.now) {
-                let actions = replica.advance(self.now, write).expect("the replica goes on");
+                let actions = replica.advance(self.now, write).expect("the replica continues");
                 messages.extend(sent_messages(actions));
             }
         }
         messages
     }
 
-    /// Delivers messages in order until no replica has more to do. Each passes `carry` on its way.
-    fn settle(&mut self, carry: &mut impl FnMut(u64, PeerMessage) -> PeerMessage) {
+    /// Delivers messages in order until no replica sends another. `intercept` receives each message with its
+    /// time, and returns the message that is delivered.
+    fn settle(&mut self, intercept: &mut impl FnMut(u64, PeerMessage) -> PeerMessage) {
         let mut queue = VecDeque::new();
         loop {
             queue.extend(self.outgoing());
             let Some(message) = queue.pop_front() else { return };
-            let message = carry(self.now, message);
+            let message = intercept(self.now, message);
             if message.has_snapshot() {
                 self.replica(message.from).report_snapshot_sent(message.to);
             }
-            self.replica(message.to).step(message).expect("the replica goes on");
+            self.replica(message.to).step(message).expect("the replica continues");
         }
     }
 }
 
-/// An election, a snapshot for the third replica, two requests, and the leader's request that another leads, which is not
-/// delivered.
-pub fn run_cluster(lease_table: &[u8], mut carry: impl FnMut(u64, PeerMessage) -> PeerMessage) {
+/// Runs an election, a snapshot transfer to the third replica, two requests, and a leadership transfer whose
+/// message is not delivered.
+pub fn run_cluster(lease_table: &[u8], mut intercept: impl FnMut(u64, PeerMessage) -> PeerMessage) {
     let mut cluster = Cluster::new(lease_table);
     for tick in 1..=TICKS {
         cluster.now = tick * TICK_MICROS;
         let now = cluster.now;
-        for id in 1..=REPLICAS {
+        for id in 1..=REPLICA_COUNT {
             cluster.replica(id).tick(now);
         }
         match tick {
@@ -241,21 +242,21 @@
             }
             _ => {}
         }
-        cluster.settle(&mut carry);
+        cluster.settle(&mut intercept);
     }
     cluster.replica(1).transfer_leadership();
     let last_messages = cluster.outgoing();
     for message in last_messages {
-        carry(cluster.now, message);
+        intercept(cluster.now, message);
     }
 }
 
 #[tokio::test]
 async fn a_peer_message_from_the_previous_version_is_read_and_written_unchanged() {
-    for (label, bytes) in all(KINDS).into_iter().chain(all(RUN)) {
+    for (label, bytes) in read_all(KINDS).into_iter().chain(read_all(RUN)) {
         let frame = read_frame(&bytes).await;
         assert_eq!(write_frame(&frame).await, bytes, "{label} is written");
-        let recorded: RecordedFrame = decode(&bytes[LENGTH_PREFIX..]);
+        let recorded: RecordedFrame = decode(&bytes[LENGTH_PREFIX_BYTES..]);
         let (clock, message) = peer_message(frame);
         let read = (clock, message.from, message.to, message.has_snapshot());
         let expected = (recorded.clock, recorded.from, recorded.to, recorded.snapshot.is_some());
@@ -265,9 +266,10 @@
 
 #[test]
 fn replicas_that_receive_the_recorded_peer_messages_send_the_recorded_ones() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let mut recorded = all(RUN).into_iter();
-    run_cluster(&one("lease_table.txt", "table"), |clock, message| {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
+    let mut recorded = read_all(RUN).into_iter();
+    run_cluster(&read_one("lease_table.txt", "table"), |clock, message| {
         let (label, bytes) = recorded.next().expect("the run sends no more messages than the recorded one");
         let sent = runtime.block_on(write_frame(&peer_frame(clock, message)));
         assert_eq!(sent, bytes, "{label} is sent");
@@ -281,19 +283,19 @@
     let kinds = kinds();
     assert_labels(KINDS, kinds.iter().map(|(label, _)| *label));
     for (label, expected) in kinds {
-        let bytes = one(KINDS, label);
-        let (prefix, payload) = bytes.split_at(LENGTH_PREFIX);
-        assert_eq!(prefix, (payload.len() as u32).to_be_bytes(), "{label} has its length before it");
-        assert_eq!(decode::<RecordedFrame>(payload), expected, "{label} has its fields");
-        assert_eq!(encode(&expected), payload, "{label} is laid out as recorded");
+        let bytes = read_one(KINDS, label);
+        let (prefix, payload) = bytes.split_at(LENGTH_PREFIX_BYTES);
+        assert_eq!(prefix, (payload.len() as u32).to_be_bytes(), "{label} starts with its length");
+        assert_eq!(decode::<RecordedFrame>(payload), expected, "{label} has the recorded fields");
+        assert_eq!(encode(&expected), payload, "{label} has the recorded layout");
     }
 }
 
 #[test]
 fn the_recorded_run_sends_each_kind_of_peer_message() {
-    let run = all(RUN);
+    let run = read_all(RUN);
     for (label, frame) in kinds().into_iter().filter(|(label, _)| *label != "every_field") {
-        let bytes = one(KINDS, label);
-        assert!(run.iter().any(|(_, sent)| *sent == bytes), "{label}, kind {}, is sent", frame.kind);
+        let bytes = read_one(KINDS, label);
+        assert!(run.iter().any(|(_, sent)| *sent == bytes), "{label}, kind {}, is not sent", frame.kind);
     }
 }
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -1,4 +1,4 @@
-//! What the relay stores, says to the process that replaces it, counts, and reads from operators' files.
+//! The relay's command line, admin commands, hot restart messages, metrics and operators' files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -28,33 +28,34 @@
 #[path = "../support/process.rs"]
 mod process;
 
-/// The folder of the files that the program wrote before the renames.
+/// Directory of the files that the previous version wrote.
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/compatibility/fixtures/relay");
 
-/// The bytes of a fixture.
+/// Returns the bytes of a fixture.
 fn fixture(name: &str) -> Vec<u8> {
     let path = Path::new(FIXTURES).join(name);
     fs::read(&path).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// A fixture that is text.
+/// Returns a fixture as text.
 fn fixture_text(name: &str) -> String {
-    String::from_utf8(fixture(name)).expect("a fixture in UTF-8")
+    String::from_utf8(fixture(name)).expect("the fixture is UTF-8")
 }
 
-/// An address of the loopback interface.
+/// Parses a socket address.
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("a valid address")
 }
 
-/// Starts a relay in this process, which meets others of its kind in the given folder.
+/// Starts a relay in this process. If a state directory is given, other processes of the relay can connect to
+/// it there.
 async fn start_relay(config: Config, folder: Option<HotRestartFolder>) -> loopback::Relay {
     let (clients, at) = loopback::listen().await;
     let (operators, admin) = loopback::listen().await;
-    let (stop, stopped) = oneshot::channel();
+    let (stop, stop_signal) = oneshot::channel();
     let (reloads, reloaded) = unbounded_channel();
-    let stopped = async move {
-        let _ = stopped.await;
+    let stop_signal = async move {
+        let _ = stop_signal.await;
     };
     let listeners = Listeners {
         clients,
@@ -62,6 +63,6 @@
         state_directory: folder.map(Rc::new),
         predecessor: None,
     };
-    let serve_task = spawn_local(serve_with_listeners(listeners, config, stopped, reloaded));
+    let serve_task = spawn_local(serve_with_listeners(listeners, config, stop_signal, reloaded));
     loopback::Relay { address: at, admin, reloads, stop, serve_task }
 }
--- a/tests/compatibility/relay/command_line.rs
+++ b/tests/compatibility/relay/command_line.rs
@@ -1,4 +1,4 @@
-//! Sub-commands, flags and exit statuses of the relay's program.
+//! Sub-commands, flags and exit statuses of the program.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
@@ -9,35 +9,35 @@
 use super::process::{ScratchDirectory, config, relay_command as program, unused_address};
 use super::{FIXTURES, address, fixture_text};
 
-/// The program's name in what it prints.
+/// Name of the program in its output.
 const PROGRAM_NAME: &str = "honeyknot";
 
-/// The exit status, standard output and standard error.
+/// Returns the exit status, standard output and standard error.
 fn result(output: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
-/// Runs the program with a configuration and variables of the environment.
-fn run_with(config: &Path, variables: &[(&str, &str)], words: &[&str]) -> (Option<i32>, String, String) {
-    let mut command = program(config, words);
+/// Runs the program with a configuration file and environment variables.
+fn run_with(config: &Path, variables: &[(&str, &str)], arguments: &[&str]) -> (Option<i32>, String, String) {
+    let mut command = program(config, arguments);
     for name in ["HONEYKNOT_METRICS", "HONEYKNOT_LOG_FORM", "EDGE_ADMIN_ADDR"] {
         command.env_remove(name);
     }
-    result(&command.envs(variables.iter().copied()).output().expect("a run"))
+    result(&command.envs(variables.iter().copied()).output().expect("the program runs"))
 }
 
-fn run(words: &[&str]) -> (Option<i32>, String, String) {
-    run_with(Path::new(""), &[], words)
+fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
+    run_with(Path::new(""), &[], arguments)
 }
 
-/// A sound configuration of the platform, in a folder of its own.
-fn sound_configuration(scratch: &ScratchDirectory) -> PathBuf {
+/// Writes a valid configuration into the directory and returns its path.
+fn write_config(scratch: &ScratchDirectory) -> PathBuf {
     scratch.write("config.json", &config(address("127.0.0.1:1")))
 }
 
-/// The path of a fixture.
-fn path(name: &str) -> String {
+/// Returns the path of a fixture.
+fn fixture_path(name: &str) -> String {
     Path::new(FIXTURES).join(name).display().to_string()
 }
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_sub_command_of_the_previous_version_is_there() {
+fn every_sub_command_of_the_previous_version_has_help_and_an_unknown_one_is_an_error() {
     let sub_commands: [&[&str]; 13] = [
         &["serve"],
         &["check-config"],
@@ -65,9 +65,9 @@
         &["lease", "watch"],
         &["version"],
     ];
-    for words in sub_commands {
-        let (status, _, errors) = run(&[words, &["--help"]].concat());
-        assert_eq!((status, errors.as_str()), (Some(0), ""), "{words:?}");
+    for arguments in sub_commands {
+        let (status, _, errors) = run(&[arguments, &["--help"]].concat());
+        assert_eq!((status, errors.as_str()), (Some(0), ""), "{arguments:?}");
     }
     let (status, _, errors) = run(&["no-such-command"]);
     assert_eq!(status, Some(2));
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn every_flag_of_the_previous_version_is_taken_and_a_missing_configuration_is_named() {
+fn every_flag_of_the_previous_version_is_accepted_and_a_missing_configuration_is_named() {
     let files = ["--sites", "s", "--metrics", "m", "--neighbors", "n"];
     let flags_of_serve = [&["serve", "--log", "warn", "--log-form", "json"][..], &files].concat();
     let flags_of_check = [&["check-config"][..], &files].concat();
     let missing = format!("{PROGRAM_NAME}: none.json: No such file or directory (os error 2)\n");
-    for words in [flags_of_serve, flags_of_check] {
-        let (status, _, errors) = run_with(Path::new("none.json"), &[], &words);
-        assert_eq!((status, errors), (Some(2), missing.clone()), "{words:?}");
+    for arguments in [flags_of_serve, flags_of_check] {
+        let (status, _, errors) = run_with(Path::new("none.json"), &[], &arguments);
+        assert_eq!((status, errors), (Some(2), missing.clone()), "{arguments:?}");
     }
     let (status, _, errors) = run(&["check-config"]);
     assert_eq!(
@@ -92,19 +92,19 @@
 }
 
 #[test]
-fn the_flags_of_a_lease_server_and_its_clients_are_taken_and_a_missing_file_is_named() {
+fn every_flag_of_a_lease_server_and_its_clients_is_accepted_and_a_missing_file_is_named() {
     let lease_server = ["keeper", "--leases", "none.conf", "--number", "1", "--folder", "none"];
-    let more = ["--found", "1", "--log", "warn", "--log-form", "text"];
+    let optional_flags = ["--found", "1", "--log", "warn", "--log-form", "text"];
     let list = ["lease", "--leases", "none.conf", "list"];
     let missing = format!("{PROGRAM_NAME}: none.conf: No such file or directory (os error 2)\n");
-    for words in [[&lease_server[..], &more].concat(), list.to_vec()] {
-        let (status, _, errors) = run(&words);
-        assert_eq!((status, errors), (Some(2), missing.clone()), "{words:?}");
+    for arguments in [[&lease_server[..], &optional_flags].concat(), list.to_vec()] {
+        let (status, _, errors) = run(&arguments);
+        assert_eq!((status, errors), (Some(2), missing.clone()), "{arguments:?}");
     }
 }
 
 #[test]
-fn a_wrong_flag_is_named_with_status_2() {
+fn an_unknown_flag_or_flag_value_is_named_with_exit_status_2() {
     for sub_command in ["serve", "check-config", "keeper", "lease", "call", "version"] {
         let (status, _, errors) = run(&[sub_command, "--sitez"]);
         assert_eq!(status, Some(2), "{sub_command}");
@@ -118,7 +118,7 @@
     );
 }
 
-/// The flag, the variable that stands for it, and its wrong file.
+/// Each flag, the environment variable with the same meaning, and the name of an invalid file.
 const OPERATOR_FILES: [(&str, &str, &str); 3] = [
     ("--sites", "HONEYKNOT_SITES", "sites-wrong"),
     ("--neighbors", "HONEYKNOT_NEIGHBORS", "neighbors-wrong"),
@@ -126,20 +126,27 @@
 ];
 
 #[test]
-fn a_wrong_operator_file_is_told_with_status_2_whether_a_flag_or_a_variable_names_it() {
+fn an_invalid_operator_file_named_by_flag_or_variable_is_an_error_with_exit_status_2() {
     let scratch = ScratchDirectory::new("frozen-wrong-file");
-    let config = sound_configuration(&scratch);
+    let config = write_config(&scratch);
     for (flag, variable, name) in OPERATOR_FILES {
-        let file = path(&format!("{name}.conf"));
-        // These faults do not depend on the sites of the configuration.
-        let line = fixture_text(&format!("{name}.txt")).lines().next().map(str::to_owned).expect("a line");
-        let place = line.split_once(':').map(|(_, place)| place.to_owned()).expect("a place");
-        let wanted = format!("{PROGRAM_NAME}: {file}:{place}\n");
+        let file = fixture_path(&format!("{name}.conf"));
+        // These errors do not depend on the zones of the configuration.
+        let line = fixture_text(&format!("{name}.txt"))
+            .lines()
+            .next()
+            .map(str::to_owned)
+            .expect("the fixture has a line");
+        let place = line
+            .split_once(':')
+            .map(|(_, place)| place.to_owned())
+            .expect("the line starts with the file name");
+        let expected = format!("{PROGRAM_NAME}: {file}:{place}\n");
         let by_flag = run_with(&config, &[], &["check-config", flag, &file]);
         let by_variable = run_with(&config, &[(variable, &file)], &["check-config"]);
         for (status, _, errors) in [by_flag, by_variable] {
             assert_eq!(status, Some(2), "{flag}");
-            assert!(errors.starts_with(&wanted), "{errors} does not begin with {wanted}");
+            assert!(errors.starts_with(&expected), "{errors} does not begin with {expected}");
         }
         let (status, _, errors) = run_with(&config, &[], &["check-config", flag, "none.conf"]);
         let missing = format!("{PROGRAM_NAME}: none.conf: No such file or directory (os error 2)\n");
@@ -150,31 +157,31 @@
 #[test]
 fn operator_files_of_the_previous_version_are_accepted() {
     let scratch = ScratchDirectory::new("frozen-right-files");
-    let config = sound_configuration(&scratch);
+    let config = write_config(&scratch);
     let sites = scratch.write("sites.conf", "prefer tema {\n    tier kasoa\n}\n").display().to_string();
-    let (neighbors, metrics) = (path("neighbors.conf"), path("metrics.conf"));
-    let words = ["check-config", "--sites", &sites, "--neighbors", &neighbors, "--metrics", &metrics];
-    let (status, printed, errors) = run_with(&config, &[], &words);
+    let (neighbors, metrics) = (fixture_path("neighbors.conf"), fixture_path("metrics.conf"));
+    let arguments = ["check-config", "--sites", &sites, "--neighbors", &neighbors, "--metrics", &metrics];
+    let (status, printed, errors) = run_with(&config, &[], &arguments);
     assert_eq!((status, errors.as_str()), (Some(0), ""));
     assert!(printed.starts_with("relay n0 listens on 127.0.0.1:1, discovery at 127.0.0.1:1\n"), "{printed}");
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_told_with_status_2() {
+fn an_invalid_configuration_is_an_error_with_exit_status_2() {
     let scratch = ScratchDirectory::new("frozen-wrong-config");
     let config = scratch.write("config.json", "{\"name\": \"n0\"}");
     let (status, _, errors) = run_with(&config, &[], &["check-config"]);
-    let wanted = format!(
+    let expected = format!(
         "{PROGRAM_NAME}: {}: neither `listen` nor the environment variable EDGE_LISTEN is set\n",
         config.display()
     );
-    assert_eq!((status, errors), (Some(2), wanted));
+    assert_eq!((status, errors), (Some(2), expected));
 }
 
 #[test]
-fn variables_of_the_environment_go_before_the_configuration() {
+fn environment_variables_override_the_configuration() {
     let scratch = ScratchDirectory::new("frozen-variables");
-    let config = sound_configuration(&scratch);
+    let config = write_config(&scratch);
     let variables = [
         ("EDGE_NAME", "n7"),
         ("EDGE_LISTEN", "127.0.0.1:7"),
@@ -187,13 +194,13 @@
     assert!(printed.ends_with(" 127.0.0.1:9\n"), "{printed}");
 }
 
-/// Answers one admin command; the command's line comes back.
+/// Answers one admin command on the listener. The thread returns the line that was received.
 fn answer_once(listener: TcpListener, answer: &'static str) -> JoinHandle<String> {
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("the connection is accepted");
         let mut line = String::new();
-        BufReader::new(&stream).read_line(&mut line).expect("a line");
-        stream.write_all(answer.as_bytes()).expect("a write");
+        BufReader::new(&stream).read_line(&mut line).expect("the command is read");
+        stream.write_all(answer.as_bytes()).expect("the answer is sent");
         line
     })
 }
@@ -201,27 +208,28 @@
 #[test]
 fn an_admin_command_is_sent_as_one_line_and_its_answer_is_the_exit_status() {
     for (answer, status) in [("YES\n", 0), ("{}\nEND\n", 0), ("NO such endpoint\n", 1)] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let admin = listener.local_addr().expect("the listener has an address").to_string();
         let sent = answer_once(listener, answer);
-        let done = run(&["call", &at, "maint-on", "s-1"]);
-        assert_eq!(done, (Some(status), answer.to_owned(), String::new()));
-        assert_eq!(sent.join().expect("a line"), "maint-on s-1\n");
+        let outcome = run(&["call", &admin, "maint-on", "s-1"]);
+        assert_eq!(outcome, (Some(status), answer.to_owned(), String::new()));
+        assert_eq!(sent.join().expect("the admin thread does not panic"), "maint-on s-1\n");
     }
-    let at = unused_address().to_string();
-    let (status, printed, errors) = run(&["call", &at, "status"]);
+    let admin = unused_address().to_string();
+    let (status, printed, errors) = run(&["call", &admin, "status"]);
     assert_eq!((status, printed.as_str()), (Some(2), ""));
-    assert!(errors.starts_with(&format!("{PROGRAM_NAME}: {at}: ")), "{errors}");
+    assert!(errors.starts_with(&format!("{PROGRAM_NAME}: {admin}: ")), "{errors}");
 }
 
 #[test]
-fn the_names_of_metrics_and_a_stored_snapshot_are_printed_as_before() {
+fn metric_names_and_a_stored_snapshot_are_printed_as_by_the_previous_version() {
     let (status, printed, _) = run(&["metrics", "names"]);
     assert_eq!(status, Some(0));
     let without_help = |line: &str| line.rsplit_once('\t').map(|(columns, _)| format!("{columns}\n"));
-    let columns: String = printed.lines().map(|line| without_help(line).expect("a help text")).collect();
+    let columns: String =
+        printed.lines().map(|line| without_help(line).expect("the line has a help text")).collect();
     assert_eq!(columns, fixture_text(super::metrics::METRIC_NAMES));
-    let (status, printed, _) = run(&["metrics", "decode", &path("state-0000000000000007.snap")]);
+    let (status, printed, _) = run(&["metrics", "decode", &fixture_path("state-0000000000000007.snap")]);
     assert_eq!(status, Some(0));
     assert!(
         printed.starts_with("relay n0 at 1700000000.250, incarnation 3\nrequests 9007199254740993\n"),
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Messages between the old and the new process of a relay, and the file of endpoints in maintenance.
+//! Messages between a process of a relay and its successor, and the maintenance file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,13 +20,13 @@
 
 const MESSAGES: &str = "hot-restart-messages.jsonl";
 const MAINTENANCE_FILE: &str = "by-hand";
-/// The folder in which processes of the relay at 127.0.0.1:1 meet, below `$TMPDIR`.
-const MEETING_FOLDER: &str = "honeyknot-127.0.0.1-1";
-/// The socket in that folder, which the serving process offers.
+/// State directory of the relay at 127.0.0.1:1, below `$TMPDIR`.
+const STATE_DIRECTORY: &str = "honeyknot-127.0.0.1-1";
+/// Socket in that directory on which the serving process accepts successors.
 const SOCKET: &str = "serving";
 
-/// What the fixtures say of endpoints in maintenance.
-fn maintenance_record() -> MaintenanceState {
+/// Returns the maintenance state in the fixtures.
+fn recorded_maintenance() -> MaintenanceState {
     let ongoing = |id: &str, since| OngoingMaintenance { id: id.into(), since };
     MaintenanceState {
         ongoing: vec![ongoing("s-1", 1_700_000_000_000_001), ongoing("s-2", 1_700_000_000_000_002)],
@@ -43,10 +43,10 @@
 }
 
 fn encode(message: &HotRestartMessage) -> String {
-    serde_json::to_string(message).expect("a message has a form")
+    serde_json::to_string(message).expect("the message can be encoded")
 }
 
-/// The word by which a message is told from others; a message that is added needs a fixture of its own.
+/// Returns the value of `say` that identifies a message. A new message needs a fixture, too.
 fn tag(message: &HotRestartMessage) -> &'static str {
     match message {
         HotRestartMessage::Hello => "hello",
@@ -61,9 +61,9 @@
     }
 }
 
-/// The messages of the fixture that carry no connection, in its order.
+/// Returns the messages of the fixture that transfer no connection, in its order.
 fn plain_messages() -> Vec<HotRestartMessage> {
-    let maintenance = maintenance_record();
+    let maintenance = recorded_maintenance();
     vec![
         HotRestartMessage::Hello,
         HotRestartMessage::State { maintenance: maintenance.clone(), draining: vec!["s-4".into()] },
@@ -80,11 +80,11 @@
     ]
 }
 
-/// The fixture's line of a message.
-fn line_of(wanted: &str) -> String {
+/// Returns the line of the fixture whose message has this tag.
+fn recorded_line(expected_tag: &str) -> String {
     let text = fixture_text(MESSAGES);
-    let line = text.lines().find(|line| tag(&decode(line)) == wanted).map(str::to_owned);
-    line.unwrap_or_else(|| panic!("no fixture of `{wanted}`"))
+    let line = text.lines().find(|line| tag(&decode(line)) == expected_tag).map(str::to_owned);
+    line.unwrap_or_else(|| panic!("no fixture of `{expected_tag}`"))
 }
 
 #[test]
@@ -97,13 +97,13 @@
     let plain: Vec<HotRestartMessage> = messages.iter().filter(is_plain).cloned().collect();
     assert_eq!(plain, plain_messages());
     for (line, message) in text.lines().zip(&messages) {
-        let value: Value = serde_json::from_str(line).expect("JSON");
+        let value: Value = serde_json::from_str(line).expect("valid JSON");
         assert_eq!(value["say"], tag(message));
     }
 }
 
-/// The form of a connection that is passed on: what differs between the fixture's lines.
-struct PassedConnection {
+/// The fields of a transferred connection that differ between the lines of the fixture.
+struct TransferredConnection {
     to_client: &'static [u8],
     to_server: &'static [u8],
     inside_line: bool,
@@ -112,7 +112,7 @@
     load: Option<f64>,
 }
 
-impl PassedConnection {
+impl TransferredConnection {
     fn value(&self) -> Value {
         json!({
             "say": "session",
@@ -128,9 +128,9 @@
     }
 }
 
-/// The connections of the fixture, in its order.
-fn passed_connections() -> [PassedConnection; 4] {
-    let idle = |last, unanswered, load| PassedConnection {
+/// Returns the transferred connections of the fixture, in its order.
+fn transferred_connections() -> [TransferredConnection; 4] {
+    let connection = |last, unanswered, load| TransferredConnection {
         to_client: b"",
         to_server: b"",
         inside_line: false,
@@ -139,33 +139,33 @@
         load,
     };
     [
-        PassedConnection {
+        TransferredConnection {
             to_client: b"OK par",
             to_server: b"PING 1\r\n",
             inside_line: true,
-            ..idle("Bye", Some(1_700_000_000_000_005), Some(0.25))
+            ..connection("Bye", Some(1_700_000_000_000_005), Some(0.25))
         },
-        idle("Move", None, Some(1.0)),
-        PassedConnection { to_server: b"\xff\x00", ..idle("Err", Some(0), None) },
-        idle("Other", None, None),
+        connection("Move", None, Some(1.0)),
+        TransferredConnection { to_server: b"\xff\x00", ..connection("Err", Some(0), None) },
+        connection("Other", None, None),
     ]
 }
 
 #[test]
-fn a_connection_passed_on_by_the_previous_version_is_read_and_written_unchanged() {
+fn a_connection_transferred_by_the_previous_version_is_read_and_written_unchanged() {
     let text = fixture_text(MESSAGES);
-    let passed: Vec<&str> = text.lines().filter(|line| tag(&decode(line)) == "session").collect();
-    let meant = passed_connections().map(|connection| connection.value());
-    assert_eq!(passed.len(), meant.len());
-    for (line, meant) in passed.into_iter().zip(meant) {
+    let lines: Vec<&str> = text.lines().filter(|line| tag(&decode(line)) == "session").collect();
+    let expected = transferred_connections().map(|connection| connection.value());
+    assert_eq!(lines.len(), expected.len());
+    for (line, expected) in lines.into_iter().zip(expected) {
         let message = decode(line);
-        assert_eq!(serde_json::to_value(&message).expect("a message has a form"), meant);
+        assert_eq!(serde_json::to_value(&message).expect("the message can be encoded"), expected);
         assert_eq!(encode(&message), line);
     }
 }
 
-/// A configuration that knows the endpoints in the fixtures; `s-4` is draining.
-fn known_endpoints() -> Config {
+/// Returns a configuration with the endpoints of the fixtures; `s-4` is draining.
+fn config_with_endpoints() -> Config {
     let endpoint = |id, state| (id, address("127.0.0.1:1"), state);
     let known = [
         endpoint("s-1", "active"),
@@ -173,68 +173,72 @@
         endpoint("s-3", "active"),
         endpoint("s-4", "leaving"),
     ];
-    config(&known, 256, address("127.0.0.1:1")).expect("a sound configuration")
+    config(&known, 256, address("127.0.0.1:1")).expect("a valid configuration")
 }
 
-/// A relay that found the fixture's file of endpoints in maintenance at its start, and the folder of that file.
+/// Starts a relay in a state directory with the fixture's maintenance file. Returns the relay and the path of
+/// that directory.
 async fn restarted_relay(scratch: &ScratchDirectory) -> (Relay, PathBuf) {
-    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
-    let path = scratch.0.join(MEETING_FOLDER);
-    fs::write(path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("a file");
-    assert_eq!(folder.load_maintenance(), maintenance_record());
-    let relay = start_relay(known_endpoints(), Some(folder)).await;
-    while !path.join(SOCKET).exists() {
+    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
+    let folder_path = scratch.0.join(STATE_DIRECTORY);
+    fs::write(folder_path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("the file is written");
+    assert_eq!(folder.load_maintenance(), recorded_maintenance());
+    let relay = start_relay(config_with_endpoints(), Some(folder)).await;
+    while !folder_path.join(SOCKET).exists() {
         sleep(Duration::from_millis(5)).await;
     }
-    (relay, path)
+    (relay, folder_path)
 }
 
 #[test]
-fn the_file_of_endpoints_in_maintenance_of_the_previous_version_is_read_and_written_unchanged() {
+fn a_maintenance_file_of_the_previous_version_is_read_and_written_unchanged() {
     run_case(async {
         let scratch = ScratchDirectory::new("frozen-maintenance");
         let (relay, path) = restarted_relay(&scratch).await;
         let file = path.join(MAINTENANCE_FILE);
-        fs::remove_file(&file).expect("it was there");
-        // It is in maintenance already, so that the record stays as it is and is written again.
+        fs::remove_file(&file).expect("the file is removed");
+        // The endpoint is in maintenance already, so the state is written again unchanged.
         assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
-        assert_eq!(fs::read(&file).expect("a file"), fixture(MAINTENANCE_FILE));
+        assert_eq!(fs::read(&file).expect("the file is readable"), fixture(MAINTENANCE_FILE));
     });
 }
 
 #[test]
-fn a_file_of_endpoints_in_maintenance_with_any_byte_changed_is_not_taken() {
+fn a_maintenance_file_with_any_byte_changed_is_ignored() {
     let scratch = ScratchDirectory::new("frozen-maintenance-torn");
-    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("a folder");
-    let file = scratch.0.join(MEETING_FOLDER).join(MAINTENANCE_FILE);
-    let whole = fixture(MAINTENANCE_FILE);
-    for place in 0..whole.len() {
-        let mut changed = whole.clone();
-        changed[place] ^= 1;
-        fs::write(&file, changed).expect("a file");
-        assert_eq!(folder.load_maintenance(), MaintenanceState::default(), "byte {place}");
+    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
+    let file = scratch.0.join(STATE_DIRECTORY).join(MAINTENANCE_FILE);
+    let valid = fixture(MAINTENANCE_FILE);
+    for index in 0..valid.len() {
+        let mut changed = valid.clone();
+        changed[index] ^= 1;
+        fs::write(&file, changed).expect("the file is written");
+        assert_eq!(folder.load_maintenance(), MaintenanceState::default(), "byte {index}");
     }
 }
 
-/// The end of a process of the previous version, which speaks the fixture's lines.
+/// A process of the previous version, played by the test with the lines of the fixture.
 struct PreviousVersion(BufReader<UnixStream>);
 
 impl PreviousVersion {
     async fn connect(folder: &Path) -> PreviousVersion {
-        let stream = UnixStream::connect(folder.join(SOCKET)).await.expect("a process that serves");
+        let stream = UnixStream::connect(folder.join(SOCKET))
+            .await
+            .expect("the serving process accepts the connection");
         PreviousVersion(BufReader::new(stream))
     }
 
-    async fn say(&mut self, line: &str) {
-        self.0.write_all(format!("{line}\n").as_bytes()).await.expect("a write");
+    async fn send_line(&mut self, line: &str) {
+        self.0.write_all(format!("{line}\n").as_bytes()).await.expect("the message is sent");
     }
 
-    /// The next line, but for those that tell how many descriptors are held, which come at any time.
-    async fn next(&mut self) -> String {
+    /// Receives the next line, except those with the number of descriptors in use, which may arrive at any
+    /// time.
+    async fn next_line(&mut self) -> String {
         loop {
             let mut line = String::new();
-            self.0.read_line(&mut line).await.expect("a line");
-            let line = line.strip_suffix('\n').expect("a whole line").to_owned();
+            self.0.read_line(&mut line).await.expect("the message is read");
+            let line = line.strip_suffix('\n').expect("the line is complete").to_owned();
             if !line.starts_with("{\"say\":\"holding\",\"descriptors\":") {
                 return line;
             }
@@ -243,19 +247,19 @@
 }
 
 #[test]
-fn a_new_process_of_the_previous_version_takes_over_by_the_frozen_lines() {
+fn a_successor_of_the_previous_version_takes_over_with_the_recorded_messages() {
     run_case(async {
         let scratch = ScratchDirectory::new("frozen-takeover");
-        let (_relay, path) = restarted_relay(&scratch).await;
-        let mut newer = PreviousVersion::connect(&path).await;
-        newer.say(&line_of("hello")).await;
-        assert_eq!(newer.next().await, line_of("state"));
-        let mut third = PreviousVersion::connect(&path).await;
-        third.say(&line_of("hello")).await;
-        assert_eq!(third.next().await, line_of("busy"));
-        newer.say(&line_of("take")).await;
-        assert_eq!(newer.next().await, line_of("yours"));
-        newer.say(&line_of("hand")).await;
-        assert_eq!(newer.next().await, line_of("done"));
+        let (_relay, folder) = restarted_relay(&scratch).await;
+        let mut successor = PreviousVersion::connect(&folder).await;
+        successor.send_line(&recorded_line("hello")).await;
+        assert_eq!(successor.next_line().await, recorded_line("state"));
+        let mut third = PreviousVersion::connect(&folder).await;
+        third.send_line(&recorded_line("hello")).await;
+        assert_eq!(third.next_line().await, recorded_line("busy"));
+        successor.send_line(&recorded_line("take")).await;
+        assert_eq!(successor.next_line().await, recorded_line("yours"));
+        successor.send_line(&recorded_line("hand")).await;
+        assert_eq!(successor.next_line().await, recorded_line("done"));
     });
 }
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -1,4 +1,4 @@
-//! Names of metrics, what sinks are sent, counters that outlast the process, and frames that wait on disk.
+//! Metric names, exporter protocols, persistent counters and the spool.
 
 use std::fs;
 
@@ -15,23 +15,24 @@
 use super::process::ScratchDirectory;
 use super::{address, fixture, fixture_text, start_relay};
 
-/// Name, kind, unit, tag and the tag's values, separated by tabs.
+/// Each line: name, kind, unit, tag and values of the tag of a metric family, separated by tabs.
 pub const METRIC_NAMES: &str = "metric-names.tsv";
-/// The file is named as in the folder that lasts.
+/// Fixture of persistent counters, named as in the state directory.
 const SNAPSHOT: &str = "state-0000000000000007.snap";
-/// The file is named as in the folder of a spool.
+/// Fixture of a spool segment, named as in the directory of a spool.
 const SEGMENT: &str = "wait-0000000000000001.spool";
-/// When the samples of the fixtures were taken, in Unix microseconds.
-const TAKEN_AT: u64 = 1_700_000_000_250_000;
-/// The interval of the sink, in microseconds.
-const INTERVAL: u64 = 10_000_000;
-/// The random bytes of the encrypted fixture.
+/// Time of the snapshot in the fixtures, in microseconds since the Unix epoch.
+const TAKEN_AT_MICROS: u64 = 1_700_000_000_250_000;
+/// Interval between two snapshots, in microseconds.
+const INTERVAL_MICROS: u64 = 10_000_000;
+/// Initialization vector of the encrypted fixture.
 const INITIALIZATION_VECTOR: [u8; 16] = *b"0123456789abcdef";
-/// Values of an open tag in the fixed registry.
+/// Maximum number of values of a dynamic tag in the recorded registry.
 const SERIES_CAP: usize = 2;
 
-/// The registry that the fixtures were written from: families of every kind, and a tag beyond its cap.
-fn registry() -> MetricsRegistry {
+/// Returns the registry that the fixtures were written from: families of every kind, and a dynamic tag with
+/// more values than [`SERIES_CAP`].
+fn recorded_registry() -> MetricsRegistry {
     let mut registry = MetricsRegistry::new(SERIES_CAP);
     registry.add(MetricFamily::Requests, 0, 9_007_199_254_740_993);
     registry.increment(MetricFamily::RequestsRejected, "closing");
@@ -47,11 +48,11 @@
     registry
 }
 
-fn sample() -> MetricsSnapshot {
-    registry().snapshot(TAKEN_AT)
+fn recorded_snapshot() -> MetricsSnapshot {
+    recorded_registry().snapshot(TAKEN_AT_MICROS)
 }
 
-fn kind_word(kind: MetricKind) -> &'static str {
+fn kind_name(kind: MetricKind) -> &'static str {
     match kind {
         MetricKind::Counter => "total",
         MetricKind::Gauge => "gauge",
@@ -62,57 +63,60 @@
 #[test]
 fn metrics_have_the_names_kinds_units_and_tags_of_the_previous_version() {
     let lines = METRIC_FAMILIES.iter().map(|family| {
-        let (kind, values) = (kind_word(family.kind), family.values.join(","));
+        let (kind, values) = (kind_name(family.kind), family.values.join(","));
         format!("{}\t{kind}\t{}\t{}\t{values}\n", family.name, family.unit, family.tag)
     });
     assert_eq!(lines.collect::<String>(), fixture_text(METRIC_NAMES));
 }
 
 #[test]
-fn a_sample_is_told_to_graphite_as_plaintext_as_by_the_previous_version() {
+fn a_snapshot_is_sent_to_graphite_as_plaintext_as_by_the_previous_version() {
     let text = fixture_text("graphite-nodes.txt");
     assert!(text.contains("honeyknot.n0.refused.reason.closing 1 1700000000\n"));
     assert!(text.contains("honeyknot.n0.placed.site.others 7 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Nodes), text);
+    assert_eq!(graphite::lines("honeyknot.n0", &recorded_snapshot(), PathStyle::Nodes), text);
     let tagged = fixture_text("graphite-tags.txt");
     assert!(tagged.contains("honeyknot.n0.refused;reason=closing 1 1700000000\n"));
-    assert_eq!(graphite::lines("honeyknot.n0", &sample(), PathStyle::Tags), tagged);
+    assert_eq!(graphite::lines("honeyknot.n0", &recorded_snapshot(), PathStyle::Tags), tagged);
 }
 
 #[test]
-fn a_sample_is_told_to_graphite_as_a_pickle_as_by_the_previous_version() {
+fn a_snapshot_is_sent_to_graphite_as_a_pickle_as_by_the_previous_version() {
     let frame = fixture("graphite.pickle");
-    let points = graphite::read_pickle(&frame).expect("a pickle");
+    let points = graphite::read_pickle(&frame).expect("a valid pickle");
     let point = |path: &str, value| (path.to_owned(), (1_700_000_000, value));
     assert!(points.contains(&point("honeyknot.n0.placed.site.tema", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.setup.count", 4.0)));
     assert!(points.contains(&point("honeyknot.n0.roll_age", 1.5)));
-    let written = graphite::pickles("honeyknot.n0", &sample(), PathStyle::Nodes).expect("a pickle");
+    let written =
+        graphite::pickles("honeyknot.n0", &recorded_snapshot(), PathStyle::Nodes).expect("a valid pickle");
     assert_eq!(written, [frame]);
 }
 
-/// Packets of a fixture, written as one line of hexadecimal digits each.
+/// Returns the packets of a fixture with one packet per line, in hexadecimal digits.
 fn packets(name: &str) -> Vec<Vec<u8>> {
     let byte = |digits: &[u8]| {
-        let digits = std::str::from_utf8(digits).expect("digits");
-        u8::from_str_radix(digits, 16).expect("two digits")
+        let digits = std::str::from_utf8(digits).expect("the digits are UTF-8");
+        u8::from_str_radix(digits, 16).expect("two hexadecimal digits")
     };
     let packet = |line: &str| line.as_bytes().chunks(2).map(byte).collect();
     fixture_text(name).lines().map(packet).collect()
 }
 
 fn write_packets(security: &Security) -> Vec<Vec<u8>> {
-    collectd::packets("n0", "relay", &sample(), INTERVAL, security, || INITIALIZATION_VECTOR)
+    collectd::packets("n0", "relay", &recorded_snapshot(), INTERVAL_MICROS, security, || {
+        INITIALIZATION_VECTOR
+    })
 }
 
-/// The first point of the registry, as collectd receives it.
+/// The first value of the recorded registry, as collectd receives it.
 fn first_received() -> Received {
     Received {
         host: "n0".into(),
         instance: "relay".into(),
         kind: "derive".into(),
         name: "requests".into(),
-        timestamp: TAKEN_AT,
+        timestamp: TAKEN_AT_MICROS,
         value: MetricValue::Counter(9_007_199_254_740_993),
     }
 }
@@ -120,19 +124,19 @@
 fn assert_packets(name: &str, security: &Security, passwords: Option<collectd::Passwords>) {
     let frozen = packets(name);
     let received: Vec<Received> =
-        frozen.iter().flat_map(|packet| collectd::read(packet, passwords).expect("a packet")).collect();
+        frozen.iter().flat_map(|packet| collectd::read(packet, passwords).expect("a valid packet")).collect();
     assert_eq!(received.first(), Some(&first_received()));
-    assert_eq!(received.len(), sample().samples.len());
+    assert_eq!(received.len(), recorded_snapshot().samples.len());
     assert_eq!(write_packets(security), frozen);
 }
 
 #[test]
-fn a_sample_is_told_to_collectd_as_by_the_previous_version() {
+fn a_snapshot_is_sent_to_collectd_as_by_the_previous_version() {
     assert_packets("collectd-plain.hex", &Security::None, None);
 }
 
 #[test]
-fn a_signed_or_encrypted_sample_is_told_to_collectd_as_by_the_previous_version() {
+fn a_signed_or_encrypted_snapshot_is_sent_to_collectd_as_by_the_previous_version() {
     let (user, password) = ("edge".to_owned(), "secret".to_owned());
     let passwords = |name: &str| (name == "edge").then(|| "secret".to_owned());
     let sign = Security::Sign { user: user.clone(), password: password.clone() };
@@ -141,8 +145,8 @@
 }
 
 #[test]
-fn a_sample_is_told_to_collectd_as_text_as_by_the_previous_version() {
-    let text = collectd::putvals("n0", "relay", &sample(), INTERVAL);
+fn a_snapshot_is_written_as_collectd_putval_lines_as_by_the_previous_version() {
+    let text = collectd::putvals("n0", "relay", &recorded_snapshot(), INTERVAL_MICROS);
     assert_eq!(text, fixture_text("collectd-putval.txt"));
 }
 
@@ -154,11 +158,11 @@
     HistogramState { name: name.into(), counts: counts.to_vec() }
 }
 
-/// What the snapshot of the fixtures says.
+/// Returns the persistent counters in the fixture.
 fn persistent_counters() -> StoredMetrics {
     StoredMetrics {
         relay: "n0".into(),
-        timestamp: TAKEN_AT,
+        timestamp: TAKEN_AT_MICROS,
         incarnation: 3,
         counters: vec![
             counter("requests", "", 9_007_199_254_740_993),
@@ -181,21 +185,21 @@
 #[test]
 fn persistent_counters_of_the_previous_version_are_read_and_written_unchanged() {
     let bytes = fixture(SNAPSHOT);
-    let counters = StoredMetrics::decode(&bytes).expect("a sound snapshot");
+    let counters = StoredMetrics::decode(&bytes).expect("a valid snapshot");
     assert_eq!(counters, persistent_counters());
-    assert_eq!(counters.encode().expect("a snapshot"), bytes);
+    assert_eq!(counters.encode().expect("the snapshot is encoded"), bytes);
 }
 
 #[test]
 fn a_registry_is_restored_from_persistent_counters_of_the_previous_version_and_saved_unchanged() {
     let bytes = fixture(SNAPSHOT);
-    let counters = StoredMetrics::decode(&bytes).expect("a sound snapshot");
+    let counters = StoredMetrics::decode(&bytes).expect("a valid snapshot");
     let mut registry = MetricsRegistry::new(SERIES_CAP);
     assert_eq!(registry.restore(&counters), 0);
-    assert_eq!(registry.stored("n0", TAKEN_AT, 3).encode().expect("a snapshot"), bytes);
+    assert_eq!(registry.stored("n0", TAKEN_AT_MICROS, 3).encode().expect("the snapshot is encoded"), bytes);
 }
 
-/// The frames of the fixture's segment and the points that each holds.
+/// Returns the frames of the fixture's segment and the number of samples in each.
 fn spooled_frames() -> [(&'static [u8], u32); 2] {
     [
         (b"honeyknot.n0.requests 5 1699999980\nhoneyknot.n0.served 4 1699999980\n", 2),
@@ -210,63 +214,65 @@
         spool_record::valid_prefix(&bytes),
         ValidPrefix { bytes: bytes.len(), records: 2, samples: 3 }
     );
-    let (mut at, mut written) = (0, Vec::new());
-    for (frame, points) in spooled_frames() {
-        let record = spool_record::decode_first(&bytes[at..]).expect("a sound record");
-        assert_eq!((&record.frame[..], record.samples), (frame, points));
-        written.extend(spool_record::encode(&record.frame, record.samples).expect("a record"));
-        at += record.size_bytes;
+    let (mut offset, mut written) = (0, Vec::new());
+    for (frame, samples) in spooled_frames() {
+        let record = spool_record::decode_first(&bytes[offset..]).expect("a valid record");
+        assert_eq!((&record.frame[..], record.samples), (frame, samples));
+        written.extend(spool_record::encode(&record.frame, record.samples).expect("the record is encoded"));
+        offset += record.size_bytes;
     }
     assert_eq!(written, bytes);
 }
 
-/// Lines that a Graphite gets, up to and with the one that begins so.
-async fn lines_up_to(sink: &TcpListener, beginning: &str) -> Vec<String> {
-    let (stream, _) = sink.accept().await.expect("a connection");
-    let mut got = BufReader::new(stream).lines();
+/// Returns the lines that a Graphite sink receives, up to and including the first that starts with `prefix`.
+async fn lines_up_to(sink: &TcpListener, prefix: &str) -> Vec<String> {
+    let (stream, _) = sink.accept().await.expect("the connection is accepted");
+    let mut received = BufReader::new(stream).lines();
     let mut lines = Vec::new();
-    while let Some(line) = got.next_line().await.expect("a line") {
-        let last = line.starts_with(beginning);
+    while let Some(line) = received.next_line().await.expect("the line is read") {
+        let last = line.starts_with(prefix);
         lines.push(line);
         if last {
             return lines;
         }
     }
-    panic!("no `{beginning}` in {lines:?}");
+    panic!("no `{prefix}` in {lines:?}");
 }
 
 #[test]
-fn a_relay_takes_up_the_folder_of_the_previous_version_and_sends_what_waited_there_first() {
+fn a_relay_restores_the_state_directory_of_the_previous_version_and_sends_its_spooled_frames_first() {
     run_case(async {
         let scratch = ScratchDirectory::new("frozen-metrics");
         let spool = scratch.0.join("spool-main_sink");
-        fs::create_dir(&spool).expect("a folder");
-        fs::write(scratch.0.join(SNAPSHOT), fixture(SNAPSHOT)).expect("a file");
-        fs::write(spool.join(SEGMENT), fixture(SEGMENT)).expect("a file");
-        let sink = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = sink.local_addr().expect("an address");
+        fs::create_dir(&spool).expect("the directory is created");
+        fs::write(scratch.0.join(SNAPSHOT), fixture(SNAPSHOT)).expect("the file is written");
+        fs::write(spool.join(SEGMENT), fixture(SEGMENT)).expect("the file is written");
+        let sink = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let sink_address = sink.local_addr().expect("the sink has an address");
         let text = format!(
-            "state {}\nsink main.sink {{\n  graphite {at}\n  interval 1s\n  spool 4MiB\n}}\n",
+            "state {}\nsink main.sink {{\n  graphite {sink_address}\n  interval 1s\n  spool 4MiB\n}}\n",
             scratch.0.display()
         );
-        let plan = MetricsConfig::read("metrics.conf", &text, |_| Err("no key file".into()));
-        let mut config = config(&[], 256, address("127.0.0.1:1")).expect("a sound configuration");
-        config.metrics = Some(plan.expect("a sound file"));
+        let metrics_config = MetricsConfig::read("metrics.conf", &text, |_| Err("no key file".into()));
+        let mut config = config(&[], 256, address("127.0.0.1:1")).expect("a valid configuration");
+        config.metrics = Some(metrics_config.expect("a valid metrics file"));
         let _relay = start_relay(config, None).await;
         let lines = lines_up_to(&sink, "honeyknot.n0.placed.site.tema ").await;
-        let waited: Vec<u8> = spooled_frames().iter().flat_map(|(frame, _)| frame.to_vec()).collect();
-        let waited = String::from_utf8(waited).expect("text");
-        assert_eq!(lines[..3], waited.lines().collect::<Vec<_>>());
-        let total = |path: &str| {
-            let line = lines[3..].iter().find_map(|line| line.strip_prefix(path)).expect("a series");
-            line.trim_start().split(' ').next().map(str::to_owned).expect("a value")
+        let spooled: Vec<u8> = spooled_frames().iter().flat_map(|(frame, _)| frame.to_vec()).collect();
+        let spooled = String::from_utf8(spooled).expect("the frames are UTF-8");
+        assert_eq!(lines[..3], spooled.lines().collect::<Vec<_>>());
+        let last_value = |path: &str| {
+            let line =
+                lines[3..].iter().find_map(|line| line.strip_prefix(path)).expect("the series is sent");
+            line.trim_start().split(' ').next().map(str::to_owned).expect("the line has a value")
         };
-        assert_eq!(total("honeyknot.n0.requests "), "9007199254740993");
-        assert_eq!(total("honeyknot.n0.refused.reason.closing "), "1");
-        assert_eq!(total("honeyknot.n0.placed.site.tema "), "4");
+        assert_eq!(last_value("honeyknot.n0.requests "), "9007199254740993");
+        assert_eq!(last_value("honeyknot.n0.refused.reason.closing "), "1");
+        assert_eq!(last_value("honeyknot.n0.placed.site.tema "), "4");
         assert!(scratch.0.join("state-0000000000000008.snap").exists());
-        let next = fs::read(scratch.0.join("state-0000000000000008.snap")).expect("a snapshot");
-        let next = StoredMetrics::decode(&next).expect("a sound snapshot");
-        assert_eq!((next.relay.as_str(), next.incarnation), ("n0", 4));
+        let snapshot =
+            fs::read(scratch.0.join("state-0000000000000008.snap")).expect("the snapshot is readable");
+        let snapshot = StoredMetrics::decode(&snapshot).expect("a valid snapshot");
+        assert_eq!((snapshot.relay.as_str(), snapshot.incarnation), ("n0", 4));
     });
 }
--- a/tests/compatibility/relay/operator_files.rs
+++ b/tests/compatibility/relay/operator_files.rs
@@ -1,4 +1,5 @@
-//! Operators' files as they stood in `deploy/` before the renames: what each line means, and how a fault is told.
+//! Operators' files as they were in `deploy/` in the previous version: the configuration that each gives, and
+//! the texts of errors.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,41 +13,41 @@
 
 use super::{address, fixture_text};
 
-/// The sites that the deployment has.
-const SITES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
+/// Zones of the deployment.
+const ZONES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
 
-/// Reads a sites file; all faults as text.
+/// Reads a sites file. Errors are returned as text.
 pub fn read_sites(file: &str) -> Result<ZoneFailoverConfig, String> {
-    let sites = SITES.map(str::to_owned);
-    ZoneFailoverConfig::read(file, &fixture_text(file), &sites).map_err(|faults| faults.to_string())
+    let zones = ZONES.map(str::to_owned);
+    ZoneFailoverConfig::read(file, &fixture_text(file), &zones).map_err(|errors| errors.to_string())
 }
 
 fn read_neighbors(file: &str) -> Result<GossipConfig, String> {
-    GossipConfig::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+    GossipConfig::read(file, &fixture_text(file)).map_err(|errors| errors.to_string())
 }
 
 fn read_metrics(file: &str) -> Result<MetricsConfig, String> {
-    let no_key = |_: &str| Err("no key file".to_owned());
-    MetricsConfig::read(file, &fixture_text(file), no_key).map_err(|faults| faults.to_string())
+    let no_key_file = |_: &str| Err("no key file".to_owned());
+    MetricsConfig::read(file, &fixture_text(file), no_key_file).map_err(|errors| errors.to_string())
 }
 
 fn read_leases(file: &str) -> Result<LeaseConfig, String> {
-    LeaseConfig::read(file, &fixture_text(file)).map_err(|faults| faults.to_string())
+    LeaseConfig::read(file, &fixture_text(file)).map_err(|errors| errors.to_string())
 }
 
-fn names(words: &[&str]) -> Vec<String> {
-    words.iter().map(|word| (*word).to_owned()).collect()
+fn names(texts: &[&str]) -> Vec<String> {
+    texts.iter().map(|text| (*text).to_owned()).collect()
 }
 
 #[test]
-fn a_sites_file_of_the_previous_version_means_what_it_meant() {
+fn a_sites_file_of_the_previous_version_gives_the_same_configuration() {
     let tiers = [
         ("accra-north", vec![names(&["accra-east", "tema"]), names(&["kasoa"])]),
         ("accra-east", vec![names(&["accra-north", "kasoa"]), names(&["tema"])]),
         ("tema", vec![names(&["accra-east", "accra-north"]), names(&["kasoa"])]),
         ("kasoa", vec![names(&["accra-east"]), names(&["accra-north", "tema"])]),
     ];
-    let meant = ZoneFailoverConfig {
+    let expected = ZoneFailoverConfig {
         tiers: tiers.into_iter().map(|(home, tiers)| (home.to_owned(), tiers)).collect(),
         spill_limit: 0.25,
         receive_limits: BTreeMap::new(),
@@ -76,12 +77,12 @@
         usual_capacity_half_life: 600_000_000,
         retry_after: RetryAfterRange { min: 150_000, max: 600_000 },
     };
-    assert_eq!(read_sites("sites.conf"), Ok(meant));
+    assert_eq!(read_sites("sites.conf"), Ok(expected));
 }
 
 #[test]
-fn a_sites_file_with_every_directive_changed_means_what_it_meant() {
-    let meant = ZoneFailoverConfig {
+fn a_sites_file_with_every_directive_changed_gives_the_same_configuration() {
+    let expected = ZoneFailoverConfig {
         tiers: BTreeMap::from([("tema".to_owned(), vec![names(&["kasoa"])])]),
         spill_limit: 0.31,
         receive_limits: BTreeMap::from([("kasoa".to_owned(), 0.15)]),
@@ -111,26 +112,26 @@
         usual_capacity_half_life: 720_000_000,
         retry_after: RetryAfterRange { min: 160_000, max: 700_000 },
     };
-    assert_eq!(read_sites("sites-all.conf"), Ok(meant));
+    assert_eq!(read_sites("sites-all.conf"), Ok(expected));
 }
 
 #[test]
-fn a_neighbors_file_of_the_previous_version_means_what_it_meant() {
-    let meant = GossipConfig {
+fn a_neighbors_file_of_the_previous_version_gives_the_same_configuration() {
+    let expected = GossipConfig {
         fleet: "example".into(),
         port: 7500,
         seeds: vec![address("127.0.0.1:7500"), address("127.0.0.2:7500")],
         probers_per_endpoint: 3,
         plain_network: false,
     };
-    assert_eq!(read_neighbors("neighbors.conf"), Ok(meant));
+    assert_eq!(read_neighbors("neighbors.conf"), Ok(expected));
 }
 
-fn sink(name: &str, protocol: Protocol, at: &str) -> ExporterConfig {
+fn sink(name: &str, protocol: Protocol, socket_address: &str) -> ExporterConfig {
     ExporterConfig {
         name: name.into(),
         protocol,
-        address: address(at),
+        address: address(socket_address),
         interval: Duration::from_secs(10),
         prefix: "honeyknot".into(),
         buffer: 1 << 20,
@@ -140,24 +141,24 @@
 }
 
 #[test]
-fn a_metrics_file_of_the_previous_version_means_what_it_meant() {
-    let plan = read_metrics("metrics.conf").expect("a sound file");
-    let meant = [
+fn a_metrics_file_of_the_previous_version_gives_the_same_configuration() {
+    let config = read_metrics("metrics.conf").expect("a valid file");
+    let expected = [
         sink("graphite", Protocol::GraphiteLines(PathStyle::Nodes), "127.0.0.1:2003"),
         sink("collectd", Protocol::Collectd(Security::None), "127.0.0.1:25826"),
     ];
-    assert_eq!(plan.exporters, meant);
-    assert_eq!((plan.series_cap, plan.state_directory), (64, None));
+    assert_eq!(config.exporters, expected);
+    assert_eq!((config.series_cap, config.state_directory), (64, None));
 }
 
 #[test]
-fn a_metrics_file_with_every_directive_changed_means_what_it_meant() {
+fn a_metrics_file_with_every_directive_changed_gives_the_same_configuration() {
     let text = fixture_text("metrics-all.conf");
     let key = |file: &str| Ok((format!("user of {file}"), "secret".to_owned()));
-    let plan = MetricsConfig::read("metrics-all.conf", &text, key).expect("a sound file");
+    let config = MetricsConfig::read("metrics-all.conf", &text, key).expect("a valid file");
     let security = |file: &str| (format!("user of {file}"), "secret".to_owned());
     let (signer, encrypter) = (security("sign.key"), security("encrypt.key"));
-    let meant = [
+    let expected = [
         ExporterConfig {
             interval: Duration::from_secs(2),
             prefix: "edge".into(),
@@ -177,16 +178,16 @@
             "127.0.0.1:25827",
         ),
     ];
-    assert_eq!(plan.exporters, meant);
-    assert_eq!((plan.series_cap, plan.state_directory), (9, Some("counts".into())));
+    assert_eq!(config.exporters, expected);
+    assert_eq!((config.series_cap, config.state_directory), (9, Some("counts".into())));
 }
 
 #[test]
-fn a_leases_file_of_the_previous_version_means_what_it_meant() {
-    let config = read_leases("leases.conf").expect("a sound file");
+fn a_leases_file_of_the_previous_version_gives_the_same_configuration() {
+    let config = read_leases("leases.conf").expect("a valid file");
     assert_eq!(config.fleet, "example");
     let servers = [(1, "127.0.0.1:7401"), (2, "127.0.0.1:7402"), (3, "127.0.0.1:7403")];
-    assert_eq!(config.servers, servers.map(|(number, at)| (number, address(at))).into());
+    assert_eq!(config.servers, servers.map(|(number, text)| (number, address(text))).into());
     let parameters = config.parameters;
     assert_eq!(
         (parameters.lease_duration, parameters.drift_ppm, parameters.margin),
@@ -196,34 +197,34 @@
 }
 
 #[test]
-fn a_plain_network_is_allowed_by_the_same_word_as_before() {
-    let neighbors = read_neighbors("neighbors-plain.conf").expect("a sound file");
+fn addresses_beyond_the_loopback_are_allowed_with_the_same_directive_as_before() {
+    let neighbors = read_neighbors("neighbors-plain.conf").expect("a valid file");
     assert!(neighbors.plain_network);
     assert_eq!(neighbors.seeds, [address("192.0.2.1:7500")]);
-    let leases = read_leases("leases-plain.conf").expect("a sound file");
+    let leases = read_leases("leases-plain.conf").expect("a valid file");
     assert_eq!(leases.servers, BTreeMap::from([(1, address("192.0.2.1:7401"))]));
 }
 
 #[test]
-fn a_wrong_directive_in_a_sites_file_is_told_by_the_same_text_as_before() {
-    let told = read_sites("sites-wrong.conf").expect_err("a fault");
-    assert_eq!(told + "\n", fixture_text("sites-wrong.txt"));
+fn a_sites_file_with_errors_gives_the_same_error_text() {
+    let errors = read_sites("sites-wrong.conf").expect_err("the file is invalid");
+    assert_eq!(errors + "\n", fixture_text("sites-wrong.txt"));
 }
 
 #[test]
-fn a_wrong_directive_in_a_neighbors_file_is_told_by_the_same_text_as_before() {
-    let told = read_neighbors("neighbors-wrong.conf").expect_err("a fault");
-    assert_eq!(told + "\n", fixture_text("neighbors-wrong.txt"));
+fn a_neighbors_file_with_errors_gives_the_same_error_text() {
+    let errors = read_neighbors("neighbors-wrong.conf").expect_err("the file is invalid");
+    assert_eq!(errors + "\n", fixture_text("neighbors-wrong.txt"));
 }
 
 #[test]
-fn a_wrong_directive_in_a_metrics_file_is_told_by_the_same_text_as_before() {
-    let told = read_metrics("metrics-wrong.conf").expect_err("a fault");
-    assert_eq!(told + "\n", fixture_text("metrics-wrong.txt"));
+fn a_metrics_file_with_errors_gives_the_same_error_text() {
+    let errors = read_metrics("metrics-wrong.conf").expect_err("the file is invalid");
+    assert_eq!(errors + "\n", fixture_text("metrics-wrong.txt"));
 }
 
 #[test]
-fn a_wrong_directive_in_a_leases_file_is_told_by_the_same_text_as_before() {
-    let told = read_leases("leases-wrong.conf").expect_err("a fault");
-    assert_eq!(told + "\n", fixture_text("leases-wrong.txt"));
+fn a_leases_file_with_errors_gives_the_same_error_text() {
+    let errors = read_leases("leases-wrong.conf").expect_err("the file is invalid");
+    assert_eq!(errors + "\n", fixture_text("leases-wrong.txt"));
 }
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire, recorded days of events, and the configuration of each site at hand.
+//! The simulator's wire protocol, recorded runs, and the settings of each deployment under `deploy/sites`.
 //!
-//! `fixtures/simulator/days` holds, for each recorded day, the lines that the program was given and the lines that it
-//! wrote, compressed. As every random draw comes from the seed in the input, equal output means that the same draws
-//! were made in the same order. `fixtures/simulator/settings` holds configurations, each beside the values read from it.
+//! `fixtures/simulator/days` holds the input and the output of each recorded run, compressed. As every random
+//! draw comes from the seed in the input, equal output means that the same draws were made in the same order.
+//! `fixtures/simulator/settings` holds configurations, each with the values that were read from it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -24,26 +24,26 @@
 use honeyknot_relay::settings::{self, NameTable};
 use honeyknot_relay::simulator;
 
-/// The program that speaks the simulator's wire on standard input and output.
+/// The program that serves the simulator's wire protocol on standard input and output.
 const ADAPTER: &str = env!("CARGO_BIN_EXE_honeyknot-simulator-adapter");
-/// The day that is also played through that program.
-const ADAPTER_DAY: &str = "fleet-of-300-silent";
+/// The recorded run that is also sent through that program.
+const ADAPTER_RUN: &str = "fleet-of-300-silent";
 
-/// The fewest recorded days, and the fewest actions over all of them.
-const MIN_DAYS: usize = 10;
+/// Minimum number of recorded runs, and of actions in all of them.
+const MIN_RUNS: usize = 10;
 const MIN_ACTIONS: usize = 20_000;
 
-/// Actions that the decisions take. The wire has four more, `withdraw`, `getList`, `letGo` and `publish`, which the
-/// decisions took nowhere when the days were recorded, and `broken`, which reports a panic.
-const ACTIONS_TAKEN: [&str; 8] =
+/// Actions in the recorded runs. The wire protocol has four more that the balancer took in none of them
+/// (`withdraw`, `getList`, `letGo` and `publish`), and `broken`, which reports a panic.
+const RECORDED_ACTIONS: [&str; 8] =
     ["goAway", "handOff", "journalLine", "probe", "reject", "respondError", "track", "wakeMe"];
 const LIST_MODES: [&str; 4] = ["all", "changes", "refused", "remembered"];
 const OUTCOME_STATUSES: [u64; 8] = [200, 410, 499, 500, 502, 503, 504, 598];
 const PROBE_STATUSES: [u64; 5] = [200, 500, 502, 503, 504];
 
-// ---- Recorded days -------------------------------------------------------------------------------------------
+// ---- Recorded runs -------------------------------------------------------------------------------------------
 
-struct Day {
+struct RecordedRun {
     name: String,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -53,36 +53,38 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility/fixtures/simulator")
 }
 
-fn compressed(path: &Path) -> Vec<u8> {
+fn read_compressed(path: &Path) -> Vec<u8> {
     let bytes = fs::read(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     zstd::decode_all(&bytes[..]).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn recorded_day(name: &str) -> Day {
+fn recorded_run(name: &str) -> RecordedRun {
     let folder = fixtures().join("days");
-    Day {
+    RecordedRun {
         name: name.to_owned(),
-        input: compressed(&folder.join(format!("{name}.input.zst"))),
-        output: compressed(&folder.join(format!("{name}.output.zst"))),
+        input: read_compressed(&folder.join(format!("{name}.input.zst"))),
+        output: read_compressed(&folder.join(format!("{name}.output.zst"))),
     }
 }
 
-fn recorded_days() -> Vec<Day> {
-    let files = fs::read_dir(fixtures().join("days")).expect("the folder of recorded days");
-    let names = files.map(|file| file.expect("a file").file_name().into_string().expect("UTF-8"));
+fn recorded_runs() -> Vec<RecordedRun> {
+    let files = fs::read_dir(fixtures().join("days")).expect("the directory of recorded runs is readable");
+    let names = files.map(|file| {
+        file.expect("the entry is readable").file_name().into_string().expect("the file name is UTF-8")
+    });
     let names: BTreeSet<String> =
         names.filter_map(|name| name.strip_suffix(".input.zst").map(str::to_owned)).collect();
-    names.iter().map(|name| recorded_day(name)).collect()
+    names.iter().map(|name| recorded_run(name)).collect()
 }
 
-/// Runs the wire over the input within this process; the answer is all that it wrote, or why it stopped.
-fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
+/// Runs the adapter on the input within this process. Returns its output, or the error that stopped it.
+fn run_simulator(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
-    simulator::run(input, &mut output).map_err(|fault| fault.to_string())?;
+    simulator::run(input, &mut output).map_err(|error| error.to_string())?;
     Ok(output)
 }
 
-/// Where two texts first differ, by line from 1.
+/// Describes the first line, counted from 1, in which two texts differ. Returns `None` if they are equal.
 fn first_difference(expected: &[u8], found: &[u8]) -> Option<String> {
     if expected == found {
         return None;
@@ -91,138 +93,141 @@
         bytes.split(|b| *b == b'\n').map(|line| String::from_utf8_lossy(line).into_owned()).collect()
     };
     let (expected, found) = (lines(expected), lines(found));
-    let same = expected.iter().zip(&found).take_while(|(a, b)| a == b).count();
-    let line = |lines: &[String]| lines.get(same).cloned().unwrap_or_else(|| "nothing".into());
-    Some(format!("line {}: expected {}, found {}", same + 1, line(&expected), line(&found)))
+    let common_lines = expected.iter().zip(&found).take_while(|(a, b)| a == b).count();
+    let line_at = |lines: &[String]| lines.get(common_lines).cloned().unwrap_or_else(|| "nothing".into());
+    Some(format!("line {}: expected {}, found {}", common_lines + 1, line_at(&expected), line_at(&found)))
 }
 
-fn difference_of_day(day: &Day) -> Option<String> {
-    let difference = match answer(&day.input) {
-        Ok(output) => first_difference(&day.output, &output)?,
-        Err(fault) => fault,
+fn run_difference(run: &RecordedRun) -> Option<String> {
+    let difference = match run_simulator(&run.input) {
+        Ok(output) => first_difference(&run.output, &output)?,
+        Err(error) => error,
     };
-    Some(format!("{}: {difference}", day.name))
+    Some(format!("{}: {difference}", run.name))
 }
 
-/// The messages of a text of lines.
+/// Parses a text with one message per line.
 fn messages(text: &[u8]) -> Vec<Vec<Value>> {
-    let text = std::str::from_utf8(text).expect("UTF-8");
-    text.lines().map(|line| serde_json::from_str(line).expect("an array of JSON")).collect()
+    let text = std::str::from_utf8(text).expect("the messages are UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("each line is a JSON array")).collect()
 }
 
-fn name_of(message: &[Value]) -> &str {
-    message[0].as_str().expect("a message's name")
+fn message_name(message: &[Value]) -> &str {
+    message[0].as_str().expect("the message starts with its name")
 }
 
 #[test]
-fn recorded_days_give_the_same_actions_line_by_line() {
-    let days = recorded_days();
-    assert!(days.len() >= MIN_DAYS, "{} days", days.len());
+fn recorded_runs_give_the_recorded_actions_line_by_line() {
+    let runs = recorded_runs();
+    assert!(runs.len() >= MIN_RUNS, "{} recorded runs", runs.len());
     let differences: Vec<String> = thread::scope(|scope| {
-        let runs: Vec<_> = days.iter().map(|day| scope.spawn(|| difference_of_day(day))).collect();
-        runs.into_iter().filter_map(|run| run.join().expect("a day is played")).collect()
+        let threads: Vec<_> = runs.iter().map(|run| scope.spawn(|| run_difference(run))).collect();
+        threads.into_iter().filter_map(|thread| thread.join().expect("the run does not panic")).collect()
     });
     assert!(
         differences.is_empty(),
-        "{} of {} days differ:\n{}",
+        "{} of {} runs differ:\n{}",
         differences.len(),
-        days.len(),
+        runs.len(),
         differences.join("\n")
     );
 }
 
 #[test]
-fn recorded_day_through_the_adapter_program_gives_the_same_bytes() {
-    let day = recorded_day(ADAPTER_DAY);
+fn a_recorded_run_through_the_adapter_program_gives_the_recorded_bytes() {
+    let run = recorded_run(ADAPTER_RUN);
     let mut adapter = Command::new(ADAPTER)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = adapter.stdin.take().expect("its input");
-    let input = day.input.clone();
+    let mut stdin = adapter.stdin.take().expect("standard input is piped");
+    let input = run.input.clone();
     let writer = thread::spawn(move || stdin.write_all(&input));
-    let output = adapter.wait_with_output().expect("its output");
-    writer.join().expect("a writer").expect("the adapter reads all its input");
+    let output = adapter.wait_with_output().expect("the adapter ends");
+    writer.join().expect("the writer does not panic").expect("the adapter reads all its input");
     assert!(output.status.success(), "{:?}", output.status);
-    assert_eq!(first_difference(&day.output, &output.stdout), None, "{}", day.name);
+    assert_eq!(first_difference(&run.output, &output.stdout), None, "{}", run.name);
 }
 
 #[test]
-fn recorded_days_hold_every_event_of_the_wire_and_every_action_that_is_taken() {
+fn recorded_runs_contain_every_event_of_the_wire_and_every_action_of_the_balancer() {
     let (mut events, mut actions) = (BTreeMap::new(), BTreeMap::new());
-    let (mut modes, mut outcomes, mut probes) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
-    for day in recorded_days() {
-        for message in messages(&day.input) {
-            *events.entry(name_of(&message).to_owned()).or_insert(0usize) += 1;
-            match name_of(&message) {
-                "targets" => drop(modes.insert(message[4].as_str().expect("a mode").to_owned())),
-                "verdict" => drop(outcomes.insert(message[3].as_u64().expect("a status"))),
-                "healthResult" => drop(probes.insert(message[3].as_u64().expect("a status"))),
+    let (mut modes, mut outcomes, mut health_checks) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    for run in recorded_runs() {
+        for message in messages(&run.input) {
+            *events.entry(message_name(&message).to_owned()).or_insert(0usize) += 1;
+            match message_name(&message) {
+                "targets" => drop(modes.insert(message[4].as_str().expect("a list mode").to_owned())),
+                "verdict" => drop(outcomes.insert(message[3].as_u64().expect("a numeric status"))),
+                "healthResult" => drop(health_checks.insert(message[3].as_u64().expect("a numeric status"))),
                 _ => {}
             }
         }
-        for message in messages(&day.output) {
-            *actions.entry(name_of(&message).to_owned()).or_insert(0usize) += 1;
+        for message in messages(&run.output) {
+            *actions.entry(message_name(&message).to_owned()).or_insert(0usize) += 1;
         }
     }
-    let told: BTreeSet<&str> = events.keys().map(String::as_str).collect();
-    let wire = site_wire("harbour-desk");
+    let event_names: BTreeSet<&str> = events.keys().map(String::as_str).collect();
+    let wire = wire_description("harbour-desk");
     let kinds = |direction: &str| -> Vec<&Value> {
-        wire[direction].as_object().expect("messages by kind").values().collect()
+        wire[direction].as_object().expect("the messages are an object").values().collect()
     };
     for event in kinds("events") {
-        assert!(told.contains(event["name"].as_str().expect("a name")), "{event} is in no recorded day");
+        assert!(
+            event_names.contains(event["name"].as_str().expect("the event has a name")),
+            "{event} is in no recorded run"
+        );
     }
-    let batches = actions.remove("finished").expect("batches");
+    let batches = actions.remove("finished").expect("the runs have finished batches");
     assert_eq!(Some(&batches), events.get("go"));
-    assert_eq!(actions.keys().map(String::as_str).collect::<Vec<_>>(), ACTIONS_TAKEN);
+    assert_eq!(actions.keys().map(String::as_str).collect::<Vec<_>>(), RECORDED_ACTIONS);
     assert!(actions.values().sum::<usize>() >= MIN_ACTIONS, "{actions:?}");
     assert_eq!(modes.iter().map(String::as_str).collect::<Vec<_>>(), LIST_MODES);
     assert_eq!(outcomes.into_iter().collect::<Vec<_>>(), OUTCOME_STATUSES);
-    assert_eq!(probes.into_iter().collect::<Vec<_>>(), PROBE_STATUSES);
+    assert_eq!(health_checks.into_iter().collect::<Vec<_>>(), PROBE_STATUSES);
 }
 
 // ---- The wire ------------------------------------------------------------------------------------------------
 
-/// The description of the wire that lies with a site.
-fn site_wire(site: &str) -> Value {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("deploy/sites/{site}/wire.json"));
+/// Returns the description of the wire protocol of a deployment.
+fn wire_description(deployment: &str) -> Value {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("deploy/sites/{deployment}/wire.json"));
     let text = fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    serde_json::from_slice(&text).expect("JSON")
+    serde_json::from_slice(&text).expect("the wire description is valid JSON")
 }
 
-/// How many values each message has, by its name.
+/// Returns the number of values of each message, by the name of the message.
 fn arities(wire: &Value, direction: &str) -> BTreeMap<String, usize> {
-    let kinds = wire[direction].as_object().expect("messages by kind").values();
+    let kinds = wire[direction].as_object().expect("the messages are an object").values();
     let arity = |kind: &Value| {
-        let fields = kind["fields"].as_array().expect("fields").len();
-        (kind["name"].as_str().expect("a name").to_owned(), fields)
+        let fields = kind["fields"].as_array().expect("the fields are an array").len();
+        (kind["name"].as_str().expect("the message has a name").to_owned(), fields)
     };
     kinds.map(arity).collect()
 }
 
 #[test]
-fn messages_of_recorded_days_have_the_values_that_each_sites_wire_lists() {
-    for site in SITES {
-        let wire = site_wire(site);
+fn messages_of_a_recorded_run_have_the_number_of_values_in_each_wire_description() {
+    for deployment in DEPLOYMENTS {
+        let wire = wire_description(deployment);
         let (events, actions) = (arities(&wire, "events"), arities(&wire, "actions"));
-        let day = recorded_day(ADAPTER_DAY);
-        let check = |text: &[u8], arities: &BTreeMap<String, usize>, frame: &[&str]| {
+        let run = recorded_run(ADAPTER_RUN);
+        let check = |text: &[u8], arities: &BTreeMap<String, usize>, unlisted: &[&str]| {
             for message in messages(text) {
-                let name = name_of(&message);
-                if !frame.contains(&name) {
-                    assert_eq!(Some(&(message.len() - 1)), arities.get(name), "{site}: {name}");
+                let name = message_name(&message);
+                if !unlisted.contains(&name) {
+                    assert_eq!(Some(&(message.len() - 1)), arities.get(name), "{deployment}: {name}");
                 }
             }
         };
-        check(&day.input, &events, &["round", "go"]);
-        check(&day.output, &actions, &["finished"]);
+        check(&run.input, &events, &["round", "go"]);
+        check(&run.output, &actions, &["finished"]);
     }
 }
 
-/// A batch that starts an instance with one server, `10.0.0.1:80`.
-fn start(settings: &Value) -> String {
+/// Returns a batch that configures an instance with one endpoint, `10.0.0.1:80`.
+fn startup_batch(settings: &Value) -> String {
     let page = json!(["page", 3, [["big", 1.0, "10.0.0.1:80", null, "x", 0, "Ready"]]]);
     let lines = [
         json!(["round", 5_000_000, 1]),
@@ -241,7 +246,7 @@
 }
 
 #[test]
-fn one_of_each_event_is_taken_and_answered_with_the_same_bytes() {
+fn one_of_each_event_is_answered_with_the_recorded_bytes() {
     let events = r#"["round",6000000,2]
 ["jobIn","balancer_0",12,1500,1000000,"feed",false,true,null,false,"p:1","s-1"]
 ["fromPeer","balancer_0",2,"68692037"]
@@ -261,12 +266,13 @@
 ["kill","balancer_0"]
 ["go"]
 "#;
-    let expected = ONE_OF_EACH;
-    let output = answer((start(&small_settings()) + events).as_bytes()).expect("a sound input");
+    let expected = ONE_OF_EACH_OUTPUT;
+    let output =
+        run_simulator((startup_batch(&small_settings()) + events).as_bytes()).expect("the input is valid");
     assert_eq!(first_difference(expected.as_bytes(), &output), None);
 }
 
-const ONE_OF_EACH: &str = r#"["wakeMe","balancer_0",200000,0]
+const ONE_OF_EACH_OUTPUT: &str = r#"["wakeMe","balancer_0",200000,0]
 ["wakeMe","balancer_0",0,1]
 ["finished",1]
 ["probe","balancer_0","10.0.0.1:80"]
@@ -280,14 +286,15 @@
 "#;
 
 #[test]
-fn broken_lines_and_settings_stop_the_wire_with_the_same_words() {
+fn invalid_lines_and_settings_are_rejected_with_the_expected_error_texts() {
     let with = |path: &str, value: Value| {
         let mut settings = small_settings();
-        let (parent, name) = path.rsplit_once('/').expect("a path");
-        settings.pointer_mut(parent).expect("a parent")[name] = value;
-        start(&settings)
+        let (parent, name) = path.rsplit_once('/').expect("the path has a parent");
+        settings.pointer_mut(parent).expect("the parent exists")[name] = value;
+        startup_batch(&settings)
     };
-    let after_start = |line: &str| format!("{}[\"round\",6000000,2]\n{line}\n", start(&small_settings()));
+    let after_start =
+        |line: &str| format!("{}[\"round\",6000000,2]\n{line}\n", startup_batch(&small_settings()));
     for (input, expected) in [
         (
             with("/rules/startCapacity", json!(1.5)),
@@ -343,23 +350,23 @@
             after_start(r#"["dropped","balancer_0",1,2]"#),
             "batch 2, line 2: `dropped` has 3 values; at most 2 are allowed",
         ),
-        (start(&json!([])), "batch 1, line 2: the settings are not a JSON object"),
+        (startup_batch(&json!([])), "batch 1, line 2: the settings are not a JSON object"),
     ] {
-        assert_eq!(answer(input.as_bytes()).expect_err("a fault"), expected);
+        assert_eq!(run_simulator(input.as_bytes()).expect_err("the input is invalid"), expected);
     }
 }
 
 // ---- Settings ------------------------------------------------------------------------------------------------
 
-/// The sites at hand.
-const SITES: [&str; 2] = ["harbour-desk", "ridge-library"];
+/// Deployments under `deploy/sites`.
+const DEPLOYMENTS: [&str; 2] = ["harbour-desk", "ridge-library"];
 
 fn settings_file(name: &str) -> Vec<u8> {
     let path = fixtures().join("settings").join(name);
     fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Values under the names that the wire gives them, one a line.
+/// Values with the names that the wire protocol and the settings give them, one per line.
 #[derive(Default)]
 struct Fields(String);
 
@@ -372,7 +379,7 @@
         let Settings { permissions, rules, objective_weights: goal, prices, .. } = settings;
         self.add("fleetSize", settings.fleet_size);
         self.add("me", settings.fleet_index);
-        self.add("zone", place(settings.zone.map(|zone| zone.0)));
+        self.add("zone", index_text(settings.zone.map(|zone| zone.0)));
         for (number, class) in settings.classes.iter().enumerate() {
             self.add_class(&format!("services.{number}"), class);
         }
@@ -382,10 +389,10 @@
         self.add("overShareWorth", settings.over_quota_weight);
         self.add("worthBy work", settings.weight_by_work);
         self.add("clientHabits.marksRetry", settings.clients_mark_retries);
-        self.add("discovery", discovery(settings.discovery));
-        self.add("telemetry.source", report_source(settings.load_reports));
-        self.add("weights", weights(settings.weights));
-        self.add("familyInfo.mode", forward_mode(settings.forward_mode));
+        self.add("discovery", discovery_mode_name(settings.discovery));
+        self.add("telemetry.source", load_report_source_name(settings.load_reports));
+        self.add("weights", weight_semantics_name(settings.weights));
+        self.add("familyInfo.mode", forward_mode_name(settings.forward_mode));
         self.add("familyInfo.parkUs", settings.endpoint_idle_timeout);
         self.add("familyInfo.groups", settings.affinity_groups);
         self.add("familyInfo.tellsLoad", settings.reports_connection_load);
@@ -433,7 +440,7 @@
         self.add(format!("{path}.aimUs"), class.latency_objective);
         self.add(format!("{path}.aimStretch"), class.latency_objective_stretch);
         self.add(format!("{path}.hardLimitUs"), class.deadline);
-        self.add(format!("{path}.effect"), effect(class.idempotency));
+        self.add(format!("{path}.effect"), idempotency_name(class.idempotency));
         self.add(format!("{path}.lateShare"), class.late_value_fraction);
         self.add(format!("{path}.stream"), class.stream);
         self.add(format!("{path}.worth"), class.priority_weight);
@@ -446,36 +453,36 @@
         self.add(format!("{path}.fraction"), tenant.fraction);
     }
 
-    /// The places of names; only those of the file at hand are asked for.
+    /// Adds the index of each name in the settings, and of an unknown name.
     fn add_names(&mut self, names: &NameTable, settings: &Value) {
         self.add("names of classes", names.classes().join(" "));
         self.add("names of zones", names.zones().join(" "));
-        for name in listed(&settings["services"]) {
-            self.add(format!("class {name}"), place(names.class(&name).map(|id| id.0)));
+        for name in listed_names(&settings["services"]) {
+            self.add(format!("class {name}"), index_text(names.class(&name).map(|id| id.0)));
         }
-        for name in listed(&settings["tenants"]) {
-            self.add(format!("tenant {name}"), place(names.tenant(&name).map(|id| id.0)));
+        for name in listed_names(&settings["tenants"]) {
+            self.add(format!("tenant {name}"), index_text(names.tenant(&name).map(|id| id.0)));
         }
-        for name in listed(&settings["zones"]) {
-            self.add(format!("zone {name}"), place(names.zone(&name).map(|id| id.0)));
+        for name in listed_names(&settings["zones"]) {
+            self.add(format!("zone {name}"), index_text(names.zone(&name).map(|id| id.0)));
         }
-        for name in listed(&settings["shapes"]) {
-            self.add(format!("shape {name}"), place(names.kind(&name).map(|id| id.0)));
+        for name in listed_names(&settings["shapes"]) {
+            self.add(format!("shape {name}"), index_text(names.kind(&name).map(|id| id.0)));
         }
-        self.add("class nobody", place(names.class("nobody").map(|id| id.0)));
+        self.add("class nobody", index_text(names.class("nobody").map(|id| id.0)));
         let report = names.load_report(|name| {
             let fields =
                 ["x0", "x1", "busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"];
-            fields.iter().position(|field| *field == name).map(|place| place as f64 + 0.5)
+            fields.iter().position(|field| *field == name).map(|index| index as f64 + 0.5)
         });
-        self.add("report x0", number(report.load));
-        self.add("report x1", number(report.backlog_s));
-        self.add("report busy_reqs", number(report.inflight));
-        self.add("report pending", number(report.queue));
-        self.add("report cpu_share", number(report.utilization));
-        self.add("report svc_ms", number(report.latency_ms));
-        self.add("report served_ps", number(report.served_per_s));
-        self.add("report failed_ps", number(report.errors_per_s));
+        self.add("report x0", number_text(report.load));
+        self.add("report x1", number_text(report.backlog_s));
+        self.add("report busy_reqs", number_text(report.inflight));
+        self.add("report pending", number_text(report.queue));
+        self.add("report cpu_share", number_text(report.utilization));
+        self.add("report svc_ms", number_text(report.latency_ms));
+        self.add("report served_ps", number_text(report.served_per_s));
+        self.add("report failed_ps", number_text(report.errors_per_s));
     }
 
     fn add_config(&mut self, config: &Config) {
@@ -506,40 +513,40 @@
 
     fn add_entry(&mut self, path: &str, entry: &Endpoint) {
         self.add(format!("{path}.id"), &entry.id.0);
-        self.add(format!("{path}.kind"), place(entry.machine_type.map(|kind| kind.0)));
+        self.add(format!("{path}.kind"), index_text(entry.machine_type.map(|kind| kind.0)));
         self.add(format!("{path}.weight"), entry.weight);
         self.add(format!("{path}.started in us"), entry.started_at);
-        self.add(format!("{path}.zone"), place(entry.zone.map(|zone| zone.0)));
+        self.add(format!("{path}.zone"), index_text(entry.zone.map(|zone| zone.0)));
         self.add(format!("{path}.cell"), entry.cell.0);
-        self.add(format!("{path}.state"), server_state(entry.state));
+        self.add(format!("{path}.state"), endpoint_state_name(entry.state));
     }
 }
 
-fn place(place: Option<usize>) -> String {
-    place.map_or("none".into(), |place| place.to_string())
+fn index_text(index: Option<usize>) -> String {
+    index.map_or("none".into(), |index| index.to_string())
 }
 
-fn number(number: Option<f64>) -> String {
+fn number_text(number: Option<f64>) -> String {
     number.map_or("none".into(), |number| number.to_string())
 }
 
-/// The names in a list of names or of objects with names.
-fn listed(list: &Value) -> Vec<String> {
+/// Returns the names in a list of names or of objects with a `name`.
+fn listed_names(list: &Value) -> Vec<String> {
     let items = list.as_array().into_iter().flatten();
     items.filter_map(|item| item.as_str().or(item["name"].as_str()).map(str::to_owned)).collect()
 }
 
-fn effect(effect: Idempotency) -> String {
-    match effect {
+fn idempotency_name(idempotency: Idempotency) -> String {
+    match idempotency {
         Idempotency::Idempotent => "idempotent".into(),
         Idempotency::AtMostOnce => "at_most_once".into(),
         Idempotency::IdempotencyKey { scope, window } => {
-            format!("deduplicated in {} for {window}", self::scope(scope))
+            format!("deduplicated in {} for {window}", self::scope_name(scope))
         }
     }
 }
 
-fn scope(scope: DeduplicationScope) -> &'static str {
+fn scope_name(scope: DeduplicationScope) -> &'static str {
     match scope {
         DeduplicationScope::All => "all",
         DeduplicationScope::Zone => "zone",
@@ -547,14 +554,14 @@
     }
 }
 
-fn discovery(discovery: DiscoveryMode) -> &'static str {
+fn discovery_mode_name(discovery: DiscoveryMode) -> &'static str {
     match discovery {
         DiscoveryMode::Pushed => "pushed",
         DiscoveryMode::OnRequest => "on_request",
     }
 }
 
-fn report_source(source: LoadReportSource) -> &'static str {
+fn load_report_source_name(source: LoadReportSource) -> &'static str {
     match source {
         LoadReportSource::Responses => "piggyback",
         LoadReportSource::HealthChecks => "pull",
@@ -562,7 +569,7 @@
     }
 }
 
-fn weights(weights: WeightSemantics) -> &'static str {
+fn weight_semantics_name(weights: WeightSemantics) -> &'static str {
     match weights {
         WeightSemantics::Unspecified => "silent",
         WeightSemantics::Nominal => "nominal",
@@ -571,14 +578,14 @@
     }
 }
 
-fn forward_mode(mode: ForwardMode) -> &'static str {
+fn forward_mode_name(mode: ForwardMode) -> &'static str {
     match mode {
         ForwardMode::Proxy => "proxy",
         ForwardMode::PassThrough => "pass",
     }
 }
 
-fn server_state(state: EndpointState) -> &'static str {
+fn endpoint_state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Ready => "active",
         EndpointState::Draining => "leaving",
@@ -587,39 +594,43 @@
 }
 
 #[test]
-fn settings_of_each_site_give_the_same_typed_values() {
-    for site in SITES {
-        let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
-        let (settings, names) = settings::parse_settings(&value).expect("sound settings");
+fn the_settings_of_each_deployment_give_the_recorded_values() {
+    for deployment in DEPLOYMENTS {
+        let value: Value = serde_json::from_slice(&settings_file(&format!("{deployment}.json")))
+            .expect("the settings are valid JSON");
+        let (settings, names) = settings::parse_settings(&value).expect("valid settings");
         let mut fields = Fields::default();
         fields.add_settings(&settings);
         fields.add_names(&names, &value);
-        let expected = settings_file(&format!("{site}.fields.txt"));
-        assert_eq!(first_difference(&expected, fields.0.as_bytes()), None, "{site}");
+        let expected = settings_file(&format!("{deployment}.fields.txt"));
+        assert_eq!(first_difference(&expected, fields.0.as_bytes()), None, "{deployment}");
     }
 }
 
 #[test]
-fn settings_of_each_site_use_the_names_of_its_own_file() {
-    for site in SITES {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("deploy/sites/{site}/{site}.toml"));
+fn the_settings_of_each_deployment_use_the_names_in_its_own_file() {
+    for deployment in DEPLOYMENTS {
+        let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join(format!("deploy/sites/{deployment}/{deployment}.toml"));
         let text = fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-        let value: Value = serde_json::from_slice(&settings_file(&format!("{site}.json"))).expect("JSON");
+        let value: Value = serde_json::from_slice(&settings_file(&format!("{deployment}.json")))
+            .expect("the settings are valid JSON");
         for list in ["services", "tenants", "shapes", "tiers"] {
-            for name in listed(&value[list]) {
-                assert!(text.contains(&format!("name = \"{name}\"\n")), "{site}: {name}");
+            for name in listed_names(&value[list]) {
+                assert!(text.contains(&format!("name = \"{name}\"\n")), "{deployment}: {name}");
             }
         }
-        let zones: Vec<String> = listed(&value["zones"]).iter().map(|zone| format!("{zone:?}")).collect();
-        assert!(text.contains(&format!("zones = [{}]", zones.join(", "))), "{site}");
+        let zones: Vec<String> =
+            listed_names(&value["zones"]).iter().map(|zone| format!("{zone:?}")).collect();
+        assert!(text.contains(&format!("zones = [{}]", zones.join(", "))), "{deployment}");
     }
 }
 
 #[test]
-fn configuration_of_serve_gives_the_same_typed_values() {
+fn the_configuration_of_serve_gives_the_recorded_values() {
     let text = settings_file("serve.json");
-    let config = Config::read(&text, |_| None).expect("a sound configuration");
-    let value: Value = serde_json::from_slice(&text).expect("JSON");
+    let config = Config::read(&text, |_| None).expect("a valid configuration");
+    let value: Value = serde_json::from_slice(&text).expect("the configuration is valid JSON");
     let mut fields = Fields::default();
     fields.add_config(&config);
     fields.add_settings(&config.settings);
@@ -628,7 +639,7 @@
 }
 
 #[test]
-fn environment_goes_before_the_configuration_of_serve() {
+fn environment_variables_override_the_configuration_of_serve() {
     let variable = |name: &str| match name {
         "EDGE_NAME" => Some("n8".to_owned()),
         "EDGE_LISTEN" => Some("10.0.0.9:5001".to_owned()),
@@ -636,7 +647,7 @@
         "EDGE_ADMIN_ADDR" => Some("127.0.0.1:9002".to_owned()),
         _ => None,
     };
-    let config = Config::read(&settings_file("serve.json"), variable).expect("a sound configuration");
+    let config = Config::read(&settings_file("serve.json"), variable).expect("a valid configuration");
     assert_eq!(config.name, "n8");
     assert_eq!(config.listen.to_string(), "10.0.0.9:5001");
     assert_eq!(config.discovery.to_string(), "10.2.0.2:8501");
@@ -644,8 +655,9 @@
 }
 
 #[test]
-fn broken_configurations_of_serve_give_the_same_words() {
-    let whole: Value = serde_json::from_slice(&settings_file("serve.json")).expect("JSON");
+fn invalid_configurations_of_serve_are_rejected_with_the_expected_error_texts() {
+    let valid: Value =
+        serde_json::from_slice(&settings_file("serve.json")).expect("the configuration is valid JSON");
     for (path, value, expected) in [
         (
             "/listen",
@@ -681,10 +693,10 @@
             "`admin_addr` and `listen` are both 10.0.0.4:5000; clients and operators need different addresses",
         ),
     ] {
-        let mut broken = whole.clone();
-        *broken.pointer_mut(path).expect("a place") = value;
-        let text = broken.to_string();
-        let error = Config::read(text.as_bytes(), |_| None).expect_err("an error");
+        let mut changed = valid.clone();
+        *changed.pointer_mut(path).expect("the path exists") = value;
+        let text = changed.to_string();
+        let error = Config::read(text.as_bytes(), |_| None).expect_err("the configuration is invalid");
         assert_eq!(error.to_string(), expected, "{path}");
     }
 }
