--- a/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
+++ b/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
@@ -96,8 +96,8 @@
     assert_eq!(aggregate, Some(aggregated(HealthCheckOutcome::Healthy, Some(0.73), Some(412.0))));
 }
 
-/// Runs two members, of which the first has published observations. `intercept` receives each datagram with its
-/// time and its sender, and returns the bytes that are delivered.
+/// Runs two members, of which the first has published observations. `intercept` receives each datagram with
+/// its time and its sender, and returns the bytes that are delivered.
 pub fn run_members(mut intercept: impl FnMut(u64, MemberId, Vec<u8>) -> Vec<u8>) {
     let (mut first_member, mut second_member) =
         (member(first_id(), second_id()), member(second_id(), first_id()));
@@ -159,13 +159,13 @@
 }
 
 #[test]
-fn a_datagram_of_the_previous_version_gives_a_fresh_member_the_expected_view() {
+fn a_datagram_of_the_previous_version_gives_a_new_member_the_expected_view() {
     let (view, _) = next_datagrams(&read_one(DATAGRAM, "observations"));
     assert_expected_view(&view);
 }
 
 #[test]
-fn a_fresh_member_sends_the_recorded_datagrams_after_one_of_the_previous_version() {
+fn a_new_member_sends_the_recorded_datagrams_after_one_of_the_previous_version() {
     let (_, sent) = next_datagrams(&read_one(DATAGRAM, "observations"));
     let labeled = (1..).map(|number| format!("next_{number}")).zip(sent);
     let recorded = read_all(DATAGRAM).into_iter().skip(1);
--- a/tests/compatibility/relay.rs
+++ b/tests/compatibility/relay.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use honeyknot_relay::relay::lifecycle::config::Config;
-use honeyknot_relay::relay::lifecycle::hot_restart::StateDirectory as HotRestartFolder;
+use honeyknot_relay::relay::lifecycle::hot_restart::StateDirectory as HotRestartDirectory;
 use honeyknot_relay::relay::{Listeners, serve_with_listeners};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
@@ -49,8 +49,8 @@
 
 /// Starts a relay in this process. If a state directory is given, other processes of the relay can connect to
 /// it there.
-async fn start_relay(config: Config, folder: Option<HotRestartFolder>) -> loopback::Relay {
-    let (clients, at) = loopback::listen().await;
+async fn start_relay(config: Config, directory: Option<HotRestartDirectory>) -> loopback::Relay {
+    let (clients, client_address) = loopback::listen().await;
     let (operators, admin) = loopback::listen().await;
     let (stop, stop_signal) = oneshot::channel();
     let (reloads, reloaded) = unbounded_channel();
@@ -60,9 +60,9 @@
     let listeners = Listeners {
         clients,
         admin: Some(operators),
-        state_directory: folder.map(Rc::new),
+        state_directory: directory.map(Rc::new),
         predecessor: None,
     };
     let serve_task = spawn_local(serve_with_listeners(listeners, config, stop_signal, reloaded));
-    loopback::Relay { address: at, admin, reloads, stop, serve_task }
+    loopback::Relay { address: client_address, admin, reloads, stop, serve_task }
 }
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -7,7 +7,7 @@
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::relay::lifecycle::hot_restart::{
     EndedMaintenance, HotRestartMessage, MaintenanceState, OngoingMaintenance,
-    StateDirectory as HotRestartFolder,
+    StateDirectory as HotRestartDirectory,
 };
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -179,7 +179,8 @@
 /// Starts a relay in a state directory with the fixture's maintenance file. Returns the relay and the path of
 /// that directory.
 async fn restarted_relay(scratch: &ScratchDirectory) -> (Relay, PathBuf) {
-    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
+    let folder =
+        HotRestartDirectory::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
     let folder_path = scratch.0.join(STATE_DIRECTORY);
     fs::write(folder_path.join(MAINTENANCE_FILE), fixture(MAINTENANCE_FILE)).expect("the file is written");
     assert_eq!(folder.load_maintenance(), recorded_maintenance());
@@ -206,7 +207,8 @@
 #[test]
 fn a_maintenance_file_with_any_byte_changed_is_ignored() {
     let scratch = ScratchDirectory::new("frozen-maintenance-torn");
-    let folder = HotRestartFolder::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
+    let folder =
+        HotRestartDirectory::open(&scratch.0, address("127.0.0.1:1")).expect("the directory is opened");
     let file = scratch.0.join(STATE_DIRECTORY).join(MAINTENANCE_FILE);
     let valid = fixture(MAINTENANCE_FILE);
     for index in 0..valid.len() {
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -41,7 +41,7 @@
 const OUTCOME_STATUSES: [u64; 8] = [200, 410, 499, 500, 502, 503, 504, 598];
 const PROBE_STATUSES: [u64; 5] = [200, 500, 502, 503, 504];
 
-// ---- Recorded runs -------------------------------------------------------------------------------------------
+// ---- Recorded runs ----------------------------------------------------------------------------------------
 
 struct RecordedRun {
     name: String,
@@ -188,7 +188,7 @@
     assert_eq!(health_checks.into_iter().collect::<Vec<_>>(), PROBE_STATUSES);
 }
 
-// ---- The wire ------------------------------------------------------------------------------------------------
+// ---- The wire ---------------------------------------------------------------------------------------------
 
 /// Returns the description of the wire protocol of a deployment.
 fn wire_description(deployment: &str) -> Value {
@@ -356,7 +356,7 @@
     }
 }
 
-// ---- Settings ------------------------------------------------------------------------------------------------
+// ---- Settings ---------------------------------------------------------------------------------------------
 
 /// Deployments under `deploy/sites`.
 const DEPLOYMENTS: [&str; 2] = ["harbour-desk", "ridge-library"];
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -100,7 +100,7 @@
 /// The upstream connects at the moment at which the client disconnects. Tests a new and a reconnecting
 /// client.
 #[test]
-fn a_request_whose_client_left_while_connecting_is_not_forwarded() {
+fn a_request_is_not_forwarded_if_its_client_disconnects_while_the_upstream_connects() {
     for request in [OPEN, RECONNECT_REQUEST] {
         run_case(async {
             let (relay, mut late) = start_relay_with_late_endpoint().await;
@@ -147,7 +147,7 @@
 
 /// The second attempt connects after the endpoints have forgotten the idempotency key of the first.
 #[test]
-fn a_retry_connected_after_the_idempotency_key_expires_is_not_sent() {
+fn a_retry_that_connects_after_the_idempotency_key_expired_is_not_sent() {
     run_case(async {
         let ((first, first_address), (discovery, discovery_address)) = (listen().await, listen().await);
         let mut late = LateListener::new();
@@ -277,7 +277,7 @@
 /// Discovery, endpoints, health checks and admin commands still get descriptors while idle clients use as
 /// many as they can.
 #[test]
-fn idle_connections_leave_descriptors_for_everything_else() {
+fn idle_connections_leave_descriptors_for_requests_discovery_and_admin_commands() {
     run_case(async {
         let ((endpoint, address), (discovery, discovery_address)) = (listen().await, listen().await);
         let relay = Relay::with_discovery(&[("s-1", address, "active")], 96, discovery_address).await;
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_reconnecting_client_is_forwarded_to_its_endpoint_while_that_drains() {
+fn a_reconnecting_client_is_forwarded_to_its_draining_endpoint() {
     run_case(async {
         let ((endpoint, address), (_other, other_address)) = (listen().await, listen().await);
         let relay = Relay::start(&[("s-1", address, "leaving"), ("s-2", other_address, "active")], 256).await;
