--- a/crates/balancer/src/endpoint_record.rs
+++ b/crates/balancer/src/endpoint_record.rs
@@ -39,7 +39,7 @@
     pub(crate) endpoint: Endpoint,
     /// Hash of the endpoint's id, for rendezvous hashing.
     pub(crate) id_hash: u64,
-    /// Load from the last report, possibly raised after a failure; `None` before the first one.
+    /// Load from the last report, possibly raised after a failure; `None` before the first report or failure.
     pub(crate) reported_load: Option<ReportedLoad>,
     /// Number of requests or connections in flight in the last report; `None` if not reported.
     pub(crate) reported_inflight: Option<f64>,
@@ -52,7 +52,7 @@
     pub(crate) health_check_sent_at: Option<Micros>,
     /// When this balancer learned that the endpoint is draining or removed; `None` while it is neither.
     pub(crate) leaving_since: Option<Micros>,
-    /// When slow messages were last reported; `None` if they are fast.
+    /// When slow messages were last reported; `None` if none were, or if messages have been fast since.
     pub(crate) slow_messages_at: Option<Micros>,
     /// The endpoint sheds no load before this time.
     pub(crate) next_shed_at: Micros,
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -8,7 +8,8 @@
 use crate::unreported_load::is_unreported;
 use crate::{Action, EndpointId, Micros, RequestId};
 
-/// Least timeout of an attempt. A request with less time left gets no further attempt.
+/// Least timeout of an attempt, unless the deadline comes first. A request gets no further attempt once its
+/// remaining time is below both this and half of its initial time.
 pub(crate) const MIN_ATTEMPT_TIME: Micros = 30_000;
 
 impl Balancer {
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -15,7 +15,7 @@
 use crate::endpoint_record::EndpointRecord;
 use crate::{Micros, Rules};
 
-/// Fraction of the connections that an endpoint withstands that all balancers together may send. The rest is
+/// All balancers together may send this fraction of the connections that an endpoint withstands. The rest is
 /// a margin for what they cannot know: the load of a connection and the real rate of warming up.
 pub const BUDGET_FRACTION: f64 = 2.0 / 3.0;
 /// Lower limit of the warm-up fraction, because the settings allow an initial capacity of 0.
--- a/crates/lease/src/command.rs
+++ b/crates/lease/src/command.rs
@@ -88,7 +88,7 @@
     /// All slots of the task are held, or an earlier lease of this holder has not ended yet.
     #[error("all slots of the task are held")]
     SlotsTaken,
-    /// There is no lease with this token.
+    /// There is no lease with this token, or it is revoked and cannot be renewed.
     #[error("the task has no lease with this token; it was released or has expired")]
     LeaseEnded,
     /// The lease was renewed after the expiry was proposed.
--- a/crates/lease/tests/lease_client.rs
+++ b/crates/lease/tests/lease_client.rs
@@ -33,7 +33,7 @@
         if step == 0 {
             holder.add_task(now, TASK, ONE_SLOT);
         }
-        // The server receives all requests of the holder, which receives only the first responses.
+        // The server receives all requests of the holder, but the holder receives only the first responses.
         if let Some(request) = holder.next_request(now) {
             let results = server.handle(now, &request);
             if now < 2 * LEASE {
@@ -52,7 +52,7 @@
     let latest = 2 * LEASE + (MAX_UNANSWERED_REQUESTS as Micros + 4) * LEASE;
     assert!(
         acquired_at.is_some_and(|at| at < latest),
-        "acquired at {acquired_at:?}, at the latest at {latest}"
+        "acquired at {acquired_at:?} us, expected before {latest} us"
     );
 }
 
