--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -5,8 +5,8 @@
 //! permitted, they find out when the endpoint responds again. If not, the endpoint gets a *trial* after some
 //! time: it receives new connections at a small fraction of its weight until an attempt succeeds or fails.
 //!
-//! A success is a successful health check, an established connection, or an attempt that the endpoint answers,
-//! even with an error. A rejection is neither a success nor a failure.
+//! A success is a successful health check, an established connection, or an attempt that the endpoint
+//! answers, even with an error. A rejection is neither a success nor a failure.
 
 use crate::balancer::Balancer;
 use crate::{Action, EndpointId, Micros, Settings};
