--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -13,8 +13,8 @@
 use simulated_service::{S, endpoint_list};
 
 const MS: Micros = 1_000;
-/// Time for which requests may still be sent to an endpoint after the notification of its drain, including 50
-/// ms for delays of the sockets; in microseconds.
+/// Shortest time for which requests may still be sent to an endpoint after the notification of its drain,
+/// including 50 ms for delays of the sockets; in microseconds.
 const GRACE: Micros = 300 * MS + 50 * MS;
 /// Length of a scenario, in microseconds.
 const LENGTH: Micros = 60 * S;
