--- a/crates/testbed/src/fleet/analysis.rs
+++ b/crates/testbed/src/fleet/analysis.rs
@@ -7,23 +7,25 @@
 use super::report::{Expectations, Report, check_expectations};
 use super::{CURRENT_LIST_VERSION, InitialList, Plan, discovery};
 
-/// Time after a relay learns that an endpoint drains within which an attempt may still arrive there, in microseconds: the rule's
-/// 0.5 s and the delay of sockets.
+/// Time after a relay learns that an endpoint drains within which an attempt may still arrive there, in
+/// microseconds: the 0.5 s that relays are allowed, and the delay of sockets.
 const DRAIN_GRACE_US: u64 = 550_000;
-/// Maximum delay with which an endpoint sees the end of an attempt, in microseconds; attempts that overlap for longer count.
+/// Maximum delay with which an endpoint sees the end of an attempt, in microseconds; attempts that overlap
+/// for longer count.
 const MAX_ATTEMPT_END_DELAY_US: u64 = 150_000;
 /// Scheduling lag above which the machine was overloaded and the run is invalid, in microseconds.
 const MAX_LAG_US: u64 = 500_000;
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
-/// Computes the report of a run that began at `began`, in Unix microseconds.
+/// Computes the report of a run that started at `run_started_at`, in Unix microseconds.
 pub fn analyze(
-    plan: &Plan, scenario: &str, began: u64, records: &[Record], expectations: Expectations,
+    plan: &Plan, scenario: &str, run_started_at: u64, records: &[Record], expectations: Expectations,
 ) -> Report {
-    let mut analysis = Analysis::new(plan, scenario, began, expectations);
+    let mut analysis = Analysis::new(plan, scenario, run_started_at, expectations);
     analysis.collect_process_actions(records);
-    let mut records: Vec<&Record> = records.iter().filter(|record| record.time_us >= began).collect();
+    let mut records: Vec<&Record> =
+        records.iter().filter(|record| record.time_us >= run_started_at).collect();
     records.sort_by_key(|record| record.time_us);
     for record in records {
         analysis.add(record);
@@ -41,14 +43,14 @@
 struct Analysis<'a> {
     plan: &'a Plan,
     report: Report,
-    began: u64,
+    run_started_at: u64,
     /// Version of the list that relays must get.
     target_version: u64,
     histories: BTreeMap<usize, RelayHistory>,
     exited: BTreeSet<usize>,
     /// Time from its last start until a relay had the target version.
     time_to_list: BTreeMap<usize, u64>,
-    /// Time from the run's begin until a relay first served a client.
+    /// Time from the start of the run until a relay first served a client.
     time_to_serve: BTreeMap<usize, u64>,
     accepted_at: BTreeMap<usize, Vec<u64>>,
     health_checked_at: BTreeMap<usize, Vec<u64>>,
@@ -64,7 +66,7 @@
 }
 
 impl<'a> Analysis<'a> {
-    fn new(plan: &'a Plan, scenario: &str, began: u64, expectations: Expectations) -> Self {
+    fn new(plan: &'a Plan, scenario: &str, run_started_at: u64, expectations: Expectations) -> Self {
         let full_list_s = plan.full_list_ms as f64 / 1e3;
         let report = Report {
             scenario: scenario.to_owned(),
@@ -76,7 +78,7 @@
         Analysis {
             plan,
             report,
-            began,
+            run_started_at,
             target_version: if expectations.refills_list {
                 plan.endpoints as u64 + 1
             } else {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Collects actions on processes and exits of relays, also those before the run's begin.
+    /// Collects actions on processes and exits of relays, including those before the start of the run.
     fn collect_process_actions(&mut self, records: &[Record]) {
         for record in records {
             match &record.event {
@@ -110,7 +112,7 @@
                 }
                 Event::RelayExited { relay, reason } => {
                     self.exited.insert(*relay);
-                    self.report.violations.push(format!("relay n{relay} ended by itself: {reason}"));
+                    self.report.violations.push(format!("relay n{relay} exited unexpectedly: {reason}"));
                 }
                 _ => {}
             }
@@ -148,7 +150,7 @@
                 self.report.unexpected_disconnects += u64::from(!self.is_excused(*relay, now, now));
             }
             Event::ProcessAction { action, relay: None } if action == "list fresh" => {
-                // Relays must get the list anew from a discovery that has lost it.
+                // Discovery has lost the list, so all relays must get it again.
                 self.list_emptied_at = now;
                 self.time_to_list.clear();
             }
@@ -192,7 +194,7 @@
 
     fn add_received_version(&mut self, now: u64, relay: usize, version: u64) {
         let last_start = self.histories.get(&relay).and_then(RelayHistory::last_start);
-        let start = last_start.unwrap_or(self.began).max(self.list_emptied_at);
+        let start = last_start.unwrap_or(self.run_started_at).max(self.list_emptied_at);
         if version >= self.target_version && now >= start {
             self.time_to_list.entry(relay).or_insert(now - start);
         }
@@ -233,7 +235,7 @@
         match answer {
             Answer::Established => {
                 self.report.served += 1;
-                self.time_to_serve.entry(relay).or_insert(now - self.began);
+                self.time_to_serve.entry(relay).or_insert(now - self.run_started_at);
             }
             Answer::Rejected => self.report.rejected += 1,
             Answer::Failed => self.report.failed += 1,
@@ -271,7 +273,7 @@
         self.discovery_requested_at.sort_unstable();
         let by_second = &mut self.report.discovery_requests_by_second;
         for requested_at in &self.discovery_requested_at {
-            let second = (requested_at.saturating_sub(self.began) / SECOND_US) as usize;
+            let second = (requested_at.saturating_sub(self.run_started_at) / SECOND_US) as usize;
             if by_second.len() <= second {
                 by_second.resize(second + 1, 0);
             }
@@ -285,8 +287,8 @@
         let mut times: Vec<u64> =
             expected.iter().filter_map(|relay| self.time_to_list.get(relay).copied()).collect();
         times.sort_unstable();
-        let quantile_s = |part: f64| {
-            let index = (times.len() as f64 * part) as usize;
+        let quantile_s = |fraction: f64| {
+            let index = (times.len() as f64 * fraction) as usize;
             times.get(index).or(times.last()).copied().unwrap_or(0) as f64 / 1e6
         };
         self.report.time_to_list_p50_s = quantile_s(0.5);
@@ -299,7 +301,8 @@
     }
 }
 
-/// Returns the work of the cheapest request that brings a relay the current list, as a part of a full list's.
+/// Returns the cost of the cheapest request that brings a relay the current list, as a fraction of a full
+/// list's cost.
 fn cheapest_request(plan: &Plan) -> f64 {
     if plan.initial_list == InitialList::Absent || plan.cold_endpoints {
         return 1.0;
@@ -326,7 +329,7 @@
     max
 }
 
-/// Returns the relay that is part of a client's connection id.
+/// Returns the relay whose number ends a client's connection id.
 fn relay_of(id: &str) -> Option<usize> {
     id.rsplit('-').next()?.parse().ok()
 }
--- a/crates/testbed/src/fleet/clients.rs
+++ b/crates/testbed/src/fleet/clients.rs
@@ -1,4 +1,5 @@
-//! Clients as a process: each sends requests to its relay until it is served, retries when it is rejected, and records every answer.
+//! Clients as a process: each sends requests to its relay until one is served, retries after a rejection, and
+//! records every answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,7 +15,7 @@
 use super::Plan;
 use super::event_log::{Answer, Event, EventLog};
 
-/// Time that a client gives its relay to connect and to answer.
+/// Time within which a relay must accept a client's connection, and time within which it must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time beyond [`ANSWER_TIMEOUT`] after which a request counts as unanswered.
 const ANSWER_GRACE: Duration = Duration::from_millis(200);
@@ -22,7 +23,7 @@
 const DUPLICATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time within which all clients send their first request, in seconds.
 const FIRST_REQUEST_WITHIN_S: f64 = 0.3;
-/// Range of the backoff before the next request where the relay named none, in milliseconds.
+/// Range of the backoff before the next request if the relay named none, in milliseconds.
 const BACKOFF_MS: std::ops::Range<u64> = 52..520;
 /// Mean duration of an established connection, in seconds.
 const MEAN_CONNECTION_S: f64 = 25.0;
@@ -33,7 +34,7 @@
 /// Number of clients that share an affinity group.
 const CLIENTS_PER_GROUP: usize = 40;
 
-/// Starts the clients. The command `close` makes them send no further request.
+/// Starts the clients. After the command `close` they send no further request.
 ///
 /// # Errors
 ///
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Makes one request and stays connected while it is served; returns the relay's `Retry-After` in milliseconds, if any.
+    /// Makes one request and stays connected while it is served; returns the relay's `Retry-After` in
+    /// milliseconds, if any.
     async fn connect(&mut self) -> Option<u64> {
         let relay = self.relay;
         let connecting = TcpStream::connect(self.plan.relay_address_for_clients(relay));
--- a/crates/testbed/src/fleet/discovery.rs
+++ b/crates/testbed/src/fleet/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery as a process: one worker that handles queued requests in turn, watches, and rejection of requests queued too long.
+//! Discovery as a process: one worker handles queued requests in turn and rejects those that were queued too
+//! long; a watch is queued when it begins and again when it ends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -20,20 +21,22 @@
 const MAX_QUEUED_US: u64 = 2_000_000;
 /// Work of rejecting a request, in microseconds.
 const REJECTION_WORK_US: u64 = 200;
-/// Cost of a watch at its beginning, and again at its end without changes, as a part of a full list's.
+/// Cost of a watch when it begins, and again when it ends without changes, as a fraction of a full list's
+/// cost.
 const WATCH_COST: f64 = 0.05;
 
-/// Returns the cost of sending `new` changed endpoints of `endpoints`, as a part of a full list's.
+/// Returns the cost of sending `new` changed endpoints of `endpoints`, as a fraction of a full list's cost.
 pub fn changes_cost(new: usize, endpoints: usize) -> f64 {
     (2.0 * WATCH_COST + new as f64 / endpoints.max(1) as f64).min(1.0)
 }
 
-/// An endpoint in the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
-struct Entry {
+struct ListEntry {
     state: &'static str,
     /// Version of the list in which the entry last changed.
     changed: u64,
+    /// Time at which the endpoint started, in Unix milliseconds.
     started_ms: u64,
 }
 
@@ -41,12 +44,12 @@
 struct QueuedRequest {
     relay: usize,
     kind: RequestKind,
-    /// Version of the list that the relay has.
+    /// Version of the list that the relay has; 0 in a request for the full list.
     since: u64,
     received_at_us: u64,
     queue_length: usize,
     is_first_pass: bool,
-    /// Set when the relay has closed the connection.
+    /// Set once the relay has closed the connection.
     is_abandoned: Rc<Cell<bool>>,
     answer: oneshot::Sender<Option<String>>,
 }
@@ -54,10 +57,10 @@
 struct Service {
     plan: Plan,
     event_log: EventLog,
-    entries: BTreeMap<usize, Entry>,
+    entries: BTreeMap<usize, ListEntry>,
     version: watch::Sender<u64>,
     queue: VecDeque<QueuedRequest>,
-    /// Work of a full list, in microseconds.
+    /// Time that a request for the full list takes, in microseconds.
     full_list_us: u64,
     /// Whether answers are held back.
     is_mute: bool,
@@ -67,7 +70,7 @@
 
 type Shared = Rc<RefCell<Service>>;
 
-/// Returns whether a relay's initial list lacks an endpoint.
+/// Returns whether the list that relays start with lacks an endpoint.
 pub fn is_missing(initial_list: InitialList, endpoint: usize) -> bool {
     match initial_list {
         InitialList::Old => endpoint % 4 == 3,
@@ -76,31 +79,31 @@
     }
 }
 
-/// Encodes a list entry as one relay receives it.
-fn entry_json(plan: &Plan, relay: usize, s: usize, entry: &Entry) -> serde_json::Value {
-    json!({"id": format!("s-{s}"), "addr": plan.endpoint_address_for(relay, s).to_string(), "zone": "z", "kind": "m", "cell": 0,
-        "state": entry.state, "weight": 1.0, "started_ms": entry.started_ms})
+/// Encodes a list entry with the address at which a relay reaches the endpoint.
+fn entry_json(plan: &Plan, relay: usize, endpoint: usize, entry: &ListEntry) -> serde_json::Value {
+    json!({"id": format!("s-{endpoint}"), "addr": plan.endpoint_address_for(relay, endpoint).to_string(),
+        "zone": "z", "kind": "m", "cell": 0, "state": entry.state, "weight": 1.0, "started_ms": entry.started_ms})
 }
 
-/// Returns the list that a relay's configuration holds at its start.
+/// Returns the endpoint list in a relay's configuration, or JSON null if relays start without a list.
 pub fn initial_list(plan: &Plan, relay: usize) -> serde_json::Value {
     if plan.initial_list == InitialList::Absent {
         return serde_json::Value::Null;
     }
-    let old = Entry { state: "active", changed: 0, started_ms: 0 };
+    let old_entry = ListEntry { state: "active", changed: 0, started_ms: 0 };
     let mut servers: Vec<_> = (0..plan.endpoints)
-        .filter(|s| !is_missing(plan.initial_list, *s))
-        .map(|s| entry_json(plan, relay, s, &old))
+        .filter(|endpoint| !is_missing(plan.initial_list, *endpoint))
+        .map(|endpoint| entry_json(plan, relay, endpoint, &old_entry))
         .collect();
     if plan.initial_list == InitialList::Stale {
-        for s in (0..plan.endpoints).filter(|s| is_missing(plan.initial_list, *s)) {
-            // An endpoint that was removed long ago: nobody listens at its address.
-            let mut dead = entry_json(plan, relay, s, &old);
-            dead["id"] = json!(format!("dead-{s}"));
-            let mut address = plan.endpoint_address(s);
+        for endpoint in (0..plan.endpoints).filter(|endpoint| is_missing(plan.initial_list, *endpoint)) {
+            // An endpoint that no longer exists: nothing listens on port 6001.
+            let mut removed = entry_json(plan, relay, endpoint, &old_entry);
+            removed["id"] = json!(format!("dead-{endpoint}"));
+            let mut address = plan.endpoint_address(endpoint);
             address.set_port(6001);
-            dead["addr"] = json!(address.to_string());
-            servers.push(dead);
+            removed["addr"] = json!(address.to_string());
+            servers.push(removed);
         }
     }
     json!({"version": super::INITIAL_LIST_VERSION, "full": true, "servers": servers})
@@ -117,13 +120,13 @@
     let started_ms = if plan.cold_endpoints { super::now() / 1_000 } else { 0 };
     let mut entries = BTreeMap::new();
     if plan.fill_ms.is_none() {
-        for s in 0..plan.endpoints {
-            let changed = if is_missing(plan.initial_list, s) || plan.cold_endpoints {
+        for endpoint in 0..plan.endpoints {
+            let changed = if is_missing(plan.initial_list, endpoint) || plan.cold_endpoints {
                 CURRENT_LIST_VERSION - 5
             } else {
                 1
             };
-            entries.insert(s, Entry { state: "active", changed, started_ms });
+            entries.insert(endpoint, ListEntry { state: "active", changed, started_ms });
         }
     }
     let version = watch::Sender::new(if plan.fill_ms.is_some() { 1 } else { CURRENT_LIST_VERSION });
@@ -141,8 +144,10 @@
     let service = Rc::new(RefCell::new(service));
     let wake = Rc::new(Notify::new());
     for relay in 0..plan.relays {
-        let at = plan.discovery_address(relay);
-        let listener = TcpListener::bind(at).await.map_err(|e| format!("list service at {at}: {e}"))?;
+        let address = plan.discovery_address(relay);
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|e| format!("discovery: cannot listen at {address}: {e}"))?;
         let (service, wake) = (service.clone(), wake.clone());
         spawn_local(async move {
             loop {
@@ -153,20 +158,20 @@
         });
     }
     spawn_local(run_worker(service.clone(), wake.clone()));
-    if let Some(fill) = plan.fill_ms {
+    if let Some(fill_ms) = plan.fill_ms {
         let service = service.clone();
         spawn_local(async move {
-            let step = Duration::from_millis(fill) / plan.endpoints.max(1) as u32;
-            for s in 0..plan.endpoints {
-                sleep(step).await;
-                change_endpoint(&service, s, "active", started_ms);
+            let interval = Duration::from_millis(fill_ms) / plan.endpoints.max(1) as u32;
+            for endpoint in 0..plan.endpoints {
+                sleep(interval).await;
+                change_endpoint(&service, endpoint, "active", started_ms);
             }
         });
     }
     Ok(move |line: &str| match line.split(' ').collect::<Vec<_>>()[..] {
         ["cost", ms] => service.borrow_mut().full_list_us = ms.parse::<u64>().unwrap_or(20) * 1_000,
-        ["patient", how] => service.borrow_mut().is_patient = how == "on",
-        ["mute", how] => service.borrow_mut().is_mute = how == "on",
+        ["patient", switch] => service.borrow_mut().is_patient = switch == "on",
+        ["mute", switch] => service.borrow_mut().is_mute = switch == "on",
         ["state", endpoint, state] => {
             let state = match state {
                 "leaving" => "leaving",
@@ -178,7 +183,7 @@
             }
         }
         ["end"] => {}
-        _ => eprintln!("list service: unknown: {line}"),
+        _ => eprintln!("discovery: unknown command: {line}"),
     })
 }
 
@@ -190,14 +195,14 @@
         Some(entry) if state != "active" => entry.started_ms,
         _ => started_ms,
     };
-    service.entries.insert(endpoint, Entry { state, changed: version, started_ms });
+    service.entries.insert(endpoint, ListEntry { state, changed: version, started_ms });
     service.event_log.record(Event::ListVersion { version, endpoint, state: state.to_owned() });
     service.version.send_replace(version);
 }
 
-/// Handles queued requests one after the other.
+/// Handles queued requests one after another.
 async fn run_worker(service: Shared, wake: Rc<Notify>) {
-    let mut idle_at = Instant::now();
+    let mut worker_free_at = Instant::now();
     loop {
         let next = service.borrow_mut().queue.pop_front();
         let Some(request) = next else {
@@ -208,29 +213,32 @@
             && super::now().saturating_sub(request.received_at_us) > MAX_QUEUED_US;
         let (work_us, is_full) = {
             let service = service.borrow();
-            let new = service.entries.values().filter(|e| e.changed > request.since).count();
-            let part = match request.kind {
+            let new = service.entries.values().filter(|entry| entry.changed > request.since).count();
+            let cost_fraction = match request.kind {
                 RequestKind::FullList => 1.0,
                 RequestKind::Changes => changes_cost(new, service.plan.endpoints),
                 RequestKind::NoChanges => WATCH_COST,
             };
-            let work_us =
-                if is_rejected { REJECTION_WORK_US } else { (service.full_list_us as f64 * part) as u64 };
+            let work_us = if is_rejected {
+                REJECTION_WORK_US
+            } else {
+                (service.full_list_us as f64 * cost_fraction) as u64
+            };
             (work_us, request.kind == RequestKind::FullList)
         };
-        idle_at = idle_at.max(Instant::now()) + Duration::from_micros(work_us);
-        if idle_at > Instant::now() + Duration::from_millis(1) {
-            sleep_until(idle_at).await;
+        worker_free_at = worker_free_at.max(Instant::now()) + Duration::from_micros(work_us);
+        if worker_free_at > Instant::now() + Duration::from_millis(1) {
+            sleep_until(worker_free_at).await;
         }
         let service = service.borrow();
         let version = *service.version.borrow();
         let answer = (!is_rejected).then(|| {
-            let shown = service
-                .entries
-                .iter()
-                .filter(|(_, e)| is_full && e.state != "left" || !is_full && e.changed > request.since);
-            let servers: Vec<_> =
-                shown.map(|(s, e)| entry_json(&service.plan, request.relay, *s, e)).collect();
+            let sent_entries = service.entries.iter().filter(|(_, entry)| {
+                is_full && entry.state != "left" || !is_full && entry.changed > request.since
+            });
+            let servers: Vec<_> = sent_entries
+                .map(|(endpoint, entry)| entry_json(&service.plan, request.relay, *endpoint, entry))
+                .collect();
             json!({"version": version, "full": is_full, "servers": servers}).to_string()
         });
         let outcome = match (is_rejected, request.is_abandoned.get()) {
@@ -258,9 +266,10 @@
     let mut stream = BufReader::new(stream);
     while let Some(DiscoveryRequest { since, wait }) = read_request(&mut stream).await {
         let is_abandoned = Rc::new(Cell::new(false));
-        let ask = async {
+        let handled_request = async {
             let mut version = service.borrow().version.subscribe();
-            // A version that it never had comes from before its last start, so it sends the full list.
+            // A version newer than the present one is from before discovery was restarted, so the full list
+            // is sent.
             let Some(since) = since.filter(|since| *since <= *version.borrow()) else {
                 return queue_request(
                     &service,
@@ -274,21 +283,21 @@
             };
             let is_watch = *version.borrow() == since;
             if is_watch {
-                // Registering the watch is work as well.
+                // Registering the watch costs work, too.
                 queue_request(&service, &wake, relay, (RequestKind::NoChanges, true), since, &is_abandoned)
                     .await?;
                 let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > since)).await;
             }
-            let news = *service.borrow().version.borrow() > since;
-            let kind = if news { RequestKind::Changes } else { RequestKind::NoChanges };
+            let has_changes = *service.borrow().version.borrow() > since;
+            let kind = if has_changes { RequestKind::Changes } else { RequestKind::NoChanges };
             queue_request(&service, &wake, relay, (kind, !is_watch), since, &is_abandoned).await
         };
-        let mut more = [0u8; 1];
+        let mut unread = [0u8; 1];
         let body = tokio::select! {
             biased;
-            body = ask => body,
-            // The relay closed the connection: a queued request is handled all the same.
-            _ = stream.read(&mut more) => {
+            body = handled_request => body,
+            // The relay closed the connection; its queued request is still handled.
+            _ = stream.read(&mut unread) => {
                 is_abandoned.set(true);
                 None
             }
@@ -303,17 +312,17 @@
             Some(body) => ("200 OK", body),
             None => ("503 Service Unavailable", String::new()),
         };
-        let text = format!(
+        let response = format!(
             "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        if stream.write_all(text.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Queues a request and is_watch for its answer; returns `None` if it was rejected.
+/// Queues a request and waits for its answer; returns `None` if it was rejected.
 async fn queue_request(
     service: &Shared, wake: &Notify, relay: usize, (kind, is_first_pass): (RequestKind, bool), since: u64,
     is_abandoned: &Rc<Cell<bool>>,
--- a/crates/testbed/src/fleet/endpoints.rs
+++ b/crates/testbed/src/fleet/endpoints.rs
@@ -15,11 +15,12 @@
 use crate::emulators::endpoint_model::{Admission, ConnectionLoad, EndpointModel, EndpointParameters};
 use crate::emulators::protocol::{affinity_group, read_opening_line};
 
-/// Minimum capacity of an endpoint in connections of usual load; more where there are many clients.
+/// Minimum capacity of an endpoint, in connections of usual load; a fleet with many clients has endpoints of
+/// more.
 const MIN_CAPACITY: f64 = 30.0;
-/// Utilization of the whole fleet with all clients served, without the cost of affinity groups.
+/// Utilization of the whole fleet when all clients are served, without the cost of affinity groups.
 const FLEET_UTILIZATION: f64 = 0.4;
-/// Part of its capacity that an endpoint starts with.
+/// Fraction of its capacity with which an endpoint starts.
 const INITIAL_CAPACITY: f64 = 0.32;
 /// Time after which an endpoint has its full capacity, in microseconds.
 const SLOW_START_US: u64 = 9_000_000;
@@ -37,46 +38,47 @@
     model: EndpointModel,
     open_connections: usize,
     event_log: EventLog,
-    /// Number of connections that were to be established so far.
+    /// Number of requests that have reached the admission check.
     attempts: u64,
     is_draining: bool,
 }
 
 type SharedEndpoint = Rc<RefCell<Endpoint>>;
 
-/// Starts the endpoints of this part. Commands: `drain ENDPOINT`, `undrain ENDPOINT`.
+/// Starts the endpoints of this process. Commands: `drain ENDPOINT`, `undrain ENDPOINT`.
 ///
 /// # Errors
 ///
 /// A message if the event log cannot be opened or an address is in use.
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
-    let (part, parts) = plan.process_parameters;
-    let event_log = EventLog::open(&plan.folder, &format!("cards{part}"))?;
+    let (process_index, process_count) = plan.process_parameters;
+    let event_log = EventLog::open(&plan.folder, &format!("cards{process_index}"))?;
     event_log.record_scheduling_lag();
     let mut endpoints = BTreeMap::new();
-    for number in (0..plan.endpoints).filter(|number| number % parts == part) {
+    for number in (0..plan.endpoints).filter(|number| number % process_count == process_index) {
         let endpoint = Rc::new(RefCell::new(new_endpoint(&plan, number, event_log.clone())));
         let address = plan.endpoint_address(number);
-        let listener =
-            TcpListener::bind(address).await.map_err(|e| format!("card server at {address}: {e}"))?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|e| format!("endpoint: cannot listen at {address}: {e}"))?;
         spawn_local(accept(endpoint.clone(), listener));
         endpoints.insert(number, endpoint);
     }
     spawn_local(record_states(endpoints.values().cloned().collect()));
     Ok(move |line: &str| match line.split(' ').collect::<Vec<_>>()[..] {
-        [verb @ ("drain" | "undrain"), number] => {
+        [action @ ("drain" | "undrain"), number] => {
             if let Some(endpoint) = number.parse().ok().and_then(|number: usize| endpoints.get(&number)) {
-                endpoint.borrow_mut().is_draining = verb == "drain";
+                endpoint.borrow_mut().is_draining = action == "drain";
             }
         }
         ["end"] => {}
-        _ => eprintln!("card servers: unknown: {line}"),
+        _ => eprintln!("endpoints: unknown command: {line}"),
     })
 }
 
 fn new_endpoint(plan: &Plan, number: usize, event_log: EventLog) -> Endpoint {
     let clients = (plan.relays * plan.clients) as f64;
-    let make = EndpointParameters {
+    let parameters = EndpointParameters {
         weight: 1.0,
         capacity: (clients / plan.endpoints as f64 / FLEET_UTILIZATION).max(MIN_CAPACITY),
         cold_capacity_fraction: INITIAL_CAPACITY,
@@ -86,7 +88,7 @@
         report_delay: 0,
     };
     let started_at = if plan.cold_endpoints { super::now() } else { super::now() - 2 * SLOW_START_US };
-    let model = EndpointModel::new(make, started_at);
+    let model = EndpointModel::new(parameters, started_at);
     Endpoint { number, model, open_connections: 0, event_log, attempts: 0, is_draining: false }
 }
 
@@ -117,9 +119,9 @@
 /// A connection to an endpoint, which it releases when dropped.
 struct Connection {
     endpoint: SharedEndpoint,
-    /// Number under which the model holds the connection once it is established.
+    /// Id of the connection in the endpoint's model; `None` unless it was admitted.
     model_id: Option<u64>,
-    /// Id of the attempt that has not ended.
+    /// Connection id of the attempt; `None` before it starts and once it has ended.
     attempt: Option<String>,
 }
 
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Reserves capacity for the connection; returns false where the endpoint rejects it.
+    /// Reserves capacity for the connection; returns whether the endpoint admits it.
     fn admit(&mut self, affinity_group: u64) -> bool {
         let mut endpoint = self.endpoint.borrow_mut();
         endpoint.attempts += 1;
@@ -198,7 +200,7 @@
     }
 }
 
-/// Answers lines of an established connection until it ends or is migrated because the endpoint drains.
+/// Answers the lines of an established connection until it ends or, because the endpoint drains, is migrated.
 async fn answer_lines(endpoint: &SharedEndpoint, stream: &mut BufReader<TcpStream>) {
     let mut line = String::new();
     loop {
--- a/crates/testbed/src/fleet/event_log.rs
+++ b/crates/testbed/src/fleet/event_log.rs
@@ -1,4 +1,5 @@
-//! Event logs: each process of the testbed appends what it observes to a file of its own, one JSON object a line, on one time base.
+//! Event logs: each process of the testbed appends what it observes to its own file, one JSON object per
+//! line. All processes use the same clock.
 
 use std::cell::RefCell;
 use std::fs::{File, OpenOptions};
@@ -12,7 +13,7 @@
 
 /// Suffix of event log files.
 const FILE_EXTENSION: &str = "book";
-/// Interval at which a part measures how late its timers fire.
+/// Interval at which a process measures how late its timers fire.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Scheduling lag above which an event is recorded, in microseconds.
 const MIN_RECORDED_LAG_US: u64 = 100_000;
@@ -28,7 +29,7 @@
     pub event: Event,
 }
 
-/// An event that a part of the testbed observes.
+/// An event that a process of the testbed observes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "k", rename_all = "kebab-case")]
 pub enum Event {
@@ -40,7 +41,7 @@
         relay: usize,
         /// What was requested.
         kind: RequestKind,
-        /// Time at which the request arrived, in Unix microseconds.
+        /// Time at which the request was queued, in Unix microseconds.
         #[serde(rename = "came")]
         received_at_us: u64,
         /// Work spent on the request, in microseconds.
@@ -175,7 +176,7 @@
         /// The action, such as `start` or `kill`.
         #[serde(rename = "verb")]
         action: String,
-        /// The relay acted on; none for another part.
+        /// The relay acted on; `None` for a process that is not a relay.
         #[serde(rename = "r")]
         relay: Option<usize>,
     },
@@ -203,7 +204,7 @@
         #[serde(rename = "taken")]
         is_accepted: bool,
     },
-    /// A part was scheduled late, which means that the machine is overloaded.
+    /// A process was scheduled late, which means that the machine is overloaded.
     #[serde(rename = "lag")]
     SchedulingLag {
         /// Lag in microseconds.
@@ -258,18 +259,18 @@
     TimedOut,
 }
 
-/// The event log that a part writes.
+/// The event log that a process writes.
 #[derive(Clone)]
 pub struct EventLog(Rc<RefCell<File>>);
 
 impl EventLog {
-    /// Opens a part's event log for appending.
+    /// Opens the event log of a process for appending.
     ///
     /// # Errors
     ///
     /// A message with the path if the file cannot be opened.
-    pub fn open(folder: &Path, part: &str) -> Result<EventLog, String> {
-        let path = folder.join(format!("{part}.{FILE_EXTENSION}"));
+    pub fn open(folder: &Path, name: &str) -> Result<EventLog, String> {
+        let path = folder.join(format!("{name}.{FILE_EXTENSION}"));
         let file = OpenOptions::new().create(true).append(true).open(&path);
         let file = file.map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(EventLog(Rc::new(RefCell::new(file))))
@@ -280,12 +281,12 @@
         let record = Record { time_us: super::now(), event };
         if let Ok(mut text) = serde_json::to_string(&record) {
             text.push('\n');
-            // A run whose log cannot be written is not valid; the error is not reported here.
+            // A run whose event log cannot be written is invalid; a write error is not reported here.
             let _ = self.0.borrow_mut().write_all(text.as_bytes());
         }
     }
 
-    /// Starts a task that records each scheduling lag of this part above 100 ms.
+    /// Starts a task that records each scheduling lag of this process above 100 ms.
     pub fn record_scheduling_lag(&self) {
         let event_log = self.clone();
         tokio::task::spawn_local(async move {
@@ -317,7 +318,7 @@
         let text = BufReader::new(File::open(&path).map_err(read_error)?);
         for line in text.lines() {
             let line = line.map_err(read_error)?;
-            // A part that was killed while it wrote leaves an incomplete line, which is skipped.
+            // A process that was killed during a write leaves an incomplete line, which is skipped.
             records.extend(serde_json::from_str::<Record>(&line).ok());
         }
     }
--- a/crates/testbed/src/fleet/fault_proxy.rs
+++ b/crates/testbed/src/fleet/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy as a process: links between any two parts, whose faults are changed while they run.
+//! The fault proxy as a process: links between any two processes, whose faults can be changed while they run.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,54 +18,58 @@
 /// The faults of a link; the default has none.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Range of a uniformly distributed delay of each read, in milliseconds.
+    /// Minimum and maximum of a uniformly distributed delay of each read, in milliseconds; `None` for no
+    /// delay.
     pub delay: Option<(u64, u64)>,
-    /// Probability of a loss and the time until TCP has sent the data again, in milliseconds.
+    /// Probability that a read is lost, and the time until TCP has sent its data again, in milliseconds;
+    /// `None` for no loss.
     pub loss: Option<(f64, u64)>,
-    /// Connections stay open and carry nothing both ways.
+    /// Whether connections stay open and carry nothing in either direction.
     pub blackhole: bool,
-    /// Nothing is carried from the connecting side.
+    /// Whether nothing is carried from the connecting side.
     pub cut_to_upstream: bool,
-    /// Nothing is carried to the connecting side.
+    /// Whether nothing is carried to the connecting side.
     pub cut_to_downstream: bool,
-    /// New connections are refused.
+    /// Whether new connections are refused.
     pub refuse: bool,
-    /// Number of bytes after which a connection is reset.
+    /// Number of bytes after which a connection is reset; `None` if it is not.
     pub reset_after_bytes: Option<u64>,
-    /// Upstream connections are closed, downstream ones stay open and silent.
+    /// Whether upstream connections are closed while downstream ones stay open and silent.
     pub upstream_closed: bool,
-    /// Rate limit in bytes per second.
+    /// Rate limit in bytes per second; `None` for no limit.
     pub bytes_per_second: Option<u64>,
-    /// Maximum number of bytes carried at once.
+    /// Maximum number of bytes carried at once; `None` for no limit below the buffer's size.
     pub max_read_bytes: Option<usize>,
 }
 
 impl LinkFaults {
-    /// Adds the fault that a script names, or clears all.
+    /// Adds the fault that the words of a script name; `clear` removes all faults.
     ///
     /// # Errors
     ///
     /// A message if the words name no fault or a value is out of range.
     pub fn apply(&mut self, words: &[&str]) -> Result<(), String> {
         let number = |text: &str, unit: &str| -> Result<u64, String> {
-            let digits = text.strip_suffix(unit).ok_or_else(|| format!("{text}: a number with `{unit}`"))?;
-            digits.parse().map_err(|_| format!("{text}: a whole number with `{unit}`"))
+            let digits = text
+                .strip_suffix(unit)
+                .ok_or_else(|| format!("{text}: expected a number with the unit `{unit}`"))?;
+            digits.parse().map_err(|_| format!("{text}: expected a whole number with the unit `{unit}`"))
         };
         match words {
             ["clear"] => *self = LinkFaults::default(),
             ["delay", from, to] => {
                 let (from, to) = (number(from, "ms")?, number(to, "ms")?);
                 if from > to {
-                    return Err(format!("delay {from}ms {to}ms: the lesser comes first"));
+                    return Err(format!("delay {from}ms {to}ms: the first delay must not exceed the second"));
                 }
                 self.delay = Some((from, to));
             }
-            ["loss", part, stall] => {
-                let part = number(part, "%")?;
-                if part > 100 {
-                    return Err(format!("loss {part}%: at most 100%"));
+            ["loss", percentage, stall_ms] => {
+                let percentage = number(percentage, "%")?;
+                if percentage > 100 {
+                    return Err(format!("loss {percentage}%: must be at most 100%"));
                 }
-                self.loss = Some((part as f64 / 100.0, number(stall, "ms")?));
+                self.loss = Some((percentage as f64 / 100.0, number(stall_ms, "ms")?));
             }
             ["hole"] => self.blackhole = true,
             ["cut", "there"] => self.cut_to_upstream = true,
@@ -77,8 +81,8 @@
             ["drip", bytes] => self.max_read_bytes = Some(number(bytes, "B")?.max(1) as usize),
             _ => {
                 return Err(format!(
-                    "{}: known are clear, delay FROMms TOms, loss N% Nms, hole, cut there|back, refuse, reset NB, half, \
-                     rate NB/s, drip NB",
+                    "{}: unknown fault; valid are clear, delay FROMms TOms, loss N% Nms, hole, cut there|back, \
+                     refuse, reset NB, half, rate NB/s, drip NB",
                     words.join(" ")
                 ));
             }
@@ -100,8 +104,10 @@
     let mut links: BTreeMap<Link, FaultSender> = BTreeMap::new();
     for link in plan.all_links() {
         let faults = watch::Sender::new(LinkFaults::default());
-        let (at, _) = plan.link_addresses(link);
-        let listener = TcpListener::bind(at).await.map_err(|e| format!("a link at {at}: {e}"))?;
+        let (listen_address, _) = plan.link_addresses(link);
+        let listener = TcpListener::bind(listen_address)
+            .await
+            .map_err(|e| format!("fault proxy: cannot listen at {listen_address}: {e}"))?;
         spawn_local(listen(plan.clone(), link, listener, faults.subscribe()));
         links.insert(link, faults);
     }
@@ -111,9 +117,9 @@
             return;
         };
         for (_, faults) in links.iter().filter(|(link, _)| link.matches(pattern)) {
-            faults.send_modify(|now| {
-                if let Err(why) = now.apply(fault) {
-                    eprintln!("links: {why}");
+            faults.send_modify(|link_faults| {
+                if let Err(message) = link_faults.apply(fault) {
+                    eprintln!("fault proxy: {message}");
                 }
             });
         }
@@ -121,9 +127,9 @@
 }
 
 async fn listen(plan: Plan, link: Link, listener: TcpListener, mut faults: watch::Receiver<LinkFaults>) {
-    let (at, to) = plan.link_addresses(link);
+    let (listen_address, upstream_address) = plan.link_addresses(link);
     let mut listener = Some(listener);
-    let mut serial = 0u64;
+    let mut connection_count = 0u64;
     loop {
         if faults.borrow_and_update().refuse {
             listener = None;
@@ -132,10 +138,10 @@
             }
             continue;
         }
-        let accepting = match listener.take() {
-            Some(bound) => bound,
-            None => match TcpListener::bind(at).await {
-                Ok(bound) => bound,
+        let bound_listener = match listener.take() {
+            Some(listener) => listener,
+            None => match TcpListener::bind(listen_address).await {
+                Ok(listener) => listener,
                 Err(_) => {
                     sleep(Duration::from_millis(20)).await;
                     continue;
@@ -143,35 +149,39 @@
             },
         };
         tokio::select! {
-            accepted = accepting.accept() => if let Ok((downstream, _)) = accepted {
-                serial += 1;
-                let salt = (at.port() as u64) << 48 ^ serial << 32 ^ u64::from(u32::from_be_bytes(octets(at)));
-                spawn_local(proxy_connection(plan.clone(), salt, downstream, to, faults.clone()));
+            accepted = bound_listener.accept() => if let Ok((downstream, _)) = accepted {
+                connection_count += 1;
+                let salt = (listen_address.port() as u64) << 48
+                    ^ connection_count << 32
+                    ^ u64::from(u32::from_be_bytes(octets(listen_address)));
+                spawn_local(proxy_connection(
+                    plan.clone(), salt, downstream, upstream_address, faults.clone(),
+                ));
             },
             _ = faults.changed() => {}
         }
-        listener = Some(accepting);
+        listener = Some(bound_listener);
     }
 }
 
-fn octets(at: std::net::SocketAddr) -> [u8; 4] {
-    match at.ip() {
+fn octets(address: std::net::SocketAddr) -> [u8; 4] {
+    match address.ip() {
         std::net::IpAddr::V4(ip) => ip.octets(),
         std::net::IpAddr::V6(_) => [0; 4],
     }
 }
 
-/// Carries one connection until it ends.
+/// Proxies one connection until it ends.
 async fn proxy_connection(
-    plan: Plan, salt: u64, downstream: TcpStream, to: std::net::SocketAddr,
+    plan: Plan, salt: u64, downstream: TcpStream, upstream_address: std::net::SocketAddr,
     mut faults: watch::Receiver<LinkFaults>,
 ) {
     let _ = downstream.set_nodelay(true);
-    // With this fault the connection is kept open and no upstream connection is made.
+    // With this fault the connection stays open and no upstream connection is made.
     if faults.wait_for(|f| !f.blackhole).await.is_err() {
         return;
     }
-    let Ok(upstream) = TcpStream::connect(to).await else {
+    let Ok(upstream) = TcpStream::connect(upstream_address).await else {
         let _ = downstream.set_zero_linger();
         return;
     };
@@ -179,26 +189,27 @@
     let carried_bytes = Rc::new(RefCell::new(0u64));
     let (downstream_read, downstream_write) = downstream.into_split();
     let (upstream_read, upstream_write) = upstream.into_split();
-    let there = Direction {
-        there: true,
+    let upstream_direction = Direction {
+        is_upstream: true,
         faults: faults.clone(),
         carried_bytes: carried_bytes.clone(),
         rng: plan.rng(salt),
     };
-    let back = Direction { there: false, faults: faults.clone(), carried_bytes, rng: plan.rng(salt ^ 1) };
+    let downstream_direction =
+        Direction { is_upstream: false, faults: faults.clone(), carried_bytes, rng: plan.rng(salt ^ 1) };
     let (mut downstream_read, mut downstream_write, mut upstream_read, mut upstream_write) =
         (downstream_read, downstream_write, upstream_read, upstream_write);
-    let both = async {
+    let carry_both = async {
         tokio::try_join!(
-            there.carry(&mut downstream_read, &mut upstream_write),
-            back.carry(&mut upstream_read, &mut downstream_write)
+            upstream_direction.carry(&mut downstream_read, &mut upstream_write),
+            downstream_direction.carry(&mut upstream_read, &mut downstream_write)
         )
     };
-    let done = tokio::select! {
-        done = both => Some(done),
+    let result = tokio::select! {
+        result = carry_both => Some(result),
         _ = faults.wait_for(|f| f.upstream_closed) => None,
     };
-    match done {
+    match result {
         Some(Ok(_)) => {}
         Some(Err(_)) => {
             for out in [downstream_write, upstream_write] {
@@ -217,7 +228,7 @@
 
 /// One direction of a connection.
 struct Direction {
-    there: bool,
+    is_upstream: bool,
     faults: watch::Receiver<LinkFaults>,
     carried_bytes: Rc<RefCell<u64>>,
     rng: rand_pcg::Pcg64Mcg,
@@ -235,18 +246,19 @@
             if n == 0 {
                 return to.shutdown().await;
             }
-            let there = self.there;
-            let open =
-                |f: &LinkFaults| !f.blackhole && !if there { f.cut_to_upstream } else { f.cut_to_downstream };
-            let fault = match self.faults.wait_for(open).await {
+            let is_upstream = self.is_upstream;
+            let is_open = |f: &LinkFaults| {
+                !f.blackhole && !if is_upstream { f.cut_to_upstream } else { f.cut_to_downstream }
+            };
+            let fault = match self.faults.wait_for(is_open).await {
                 Ok(fault) => fault.clone(),
                 Err(_) => return Ok(()),
             };
             let mut wait = fault.delay.map_or(0, |(from, to)| self.rng.random_range(from..=to));
-            if let Some((part, stall)) = fault.loss
-                && self.rng.random_bool(part)
+            if let Some((probability, stall_ms)) = fault.loss
+                && self.rng.random_bool(probability)
             {
-                wait += stall;
+                wait += stall_ms;
             }
             let wait = Duration::from_millis(wait)
                 + fault
--- a/crates/testbed/src/fleet/generated_script.rs
+++ b/crates/testbed/src/fleet/generated_script.rs
@@ -1,4 +1,4 @@
-//! Fault scripts generated from a seed.
+//! Generates fault scripts from a seed.
 
 use std::fmt::Write;
 
@@ -8,12 +8,13 @@
 
 /// Second of the run at which the first fault may begin.
 const FIRST_FAULT_S: u64 = 6;
-/// Seconds without faults at the end of a run: the longest backoff of a relay and a watch.
+/// Seconds without faults at the end of a run, as long as a relay's longest backoff and a watch take
+/// together.
 const RECOVERY_S: u64 = 45;
 /// Seconds within which all faults begin and end.
 const FAULTS_S: u64 = 20;
 
-/// Generates the script of a seed for a number of relays and the work of a full list in milliseconds.
+/// Generates the script of a seed for a number of relays and the work for a full list in milliseconds.
 pub fn generate(seed: u64, relays: usize, full_list_ms: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xd4a7);
     let mut text =
@@ -26,38 +27,38 @@
         let end = begin + rng.random_range(500..FAULTS_S * 500);
         let from = rng.random_range(0..relays);
         let to = rng.random_range(from..relays);
-        let part = rng.random_range(10..=70);
-        let mut line = |at: u64, what: String| {
-            let _ = writeln!(text, "at {at}ms {what}");
+        let percentage = rng.random_range(10..=70);
+        let mut add_step = |time_ms: u64, step: String| {
+            let _ = writeln!(text, "at {time_ms}ms {step}");
         };
         match kinds.choose(&mut rng).copied().unwrap_or("down") {
-            // At most one such fault a run: the end of one would end the other.
+            // At most one such fault per run, because the end of one would end the other.
             "down" if !list_is_down => {
                 list_is_down = true;
-                line(begin, "list down".into());
-                line(end, "list up".into());
+                add_step(begin, "list down".into());
+                add_step(end, "list up".into());
             }
             "cost" => {
-                line(begin, format!("list cost {}ms", rng.random_range(100..600)));
-                line(end, format!("list cost {full_list_ms}ms"));
+                add_step(begin, format!("list cost {}ms", rng.random_range(100..600)));
+                add_step(end, format!("list cost {full_list_ms}ms"));
             }
             "mute" => {
-                line(begin, "list mute on".into());
-                line(end, "list mute off".into());
+                add_step(begin, "list mute on".into());
+                add_step(end, "list mute off".into());
             }
             "kill" => {
-                line(begin, format!("kill relays {part}%"));
-                line(end, "start relays dead within 400ms".into());
+                add_step(begin, format!("kill relays {percentage}%"));
+                add_step(end, "start relays dead within 400ms".into());
             }
             "stop" if !stopped => {
                 stopped = true;
-                line(begin, format!("stop relays {from}-{to}"));
-                line(end, format!("cont relays {from}-{to}"));
+                add_step(begin, format!("stop relays {from}-{to}"));
+                add_step(end, format!("cont relays {from}-{to}"));
             }
-            "loop" => line(begin, format!("loop relays {from} 1s {}ms", end - begin)),
+            "loop" => add_step(begin, format!("loop relays {from} 1s {}ms", end - begin)),
             "slow-cards" => {
-                line(begin, format!("link cards/*/* delay 1ms {}ms", rng.random_range(5..60)));
-                line(end, "link cards/*/* clear".into());
+                add_step(begin, format!("link cards/*/* delay 1ms {}ms", rng.random_range(5..60)));
+                add_step(end, "link cards/*/* clear".into());
             }
             kind => {
                 let fault = match kind {
@@ -66,12 +67,12 @@
                     "reset" => format!("reset {}B", rng.random_range(1..2_000)),
                     _ => format!("delay 1ms {}ms", rng.random_range(50..1_500)),
                 };
-                line(begin, format!("link list/{from}-{to} {fault}"));
-                line(end, format!("link list/{from}-{to} clear"));
+                add_step(begin, format!("link list/{from}-{to} {fault}"));
+                add_step(end, format!("link list/{from}-{to} clear"));
             }
         }
     }
-    // Faults that overlap may leave a relay killed or a link faulty; both end here.
+    // Overlapping faults may leave a relay killed or a link faulty, so both are repaired here.
     let _ = write!(text, "at {0}s link list/* clear\nat {0}s start relays dead\n", FIRST_FAULT_S + FAULTS_S);
     text
 }
--- a/crates/testbed/src/fleet/lease_options.rs
+++ b/crates/testbed/src/fleet/lease_options.rs
@@ -1,4 +1,4 @@
-//! Lease servers, tasks and lease parameters of a fleet that has leases.
+//! Parameters of the lease servers, tasks and leases of a fleet.
 
 use std::rc::Rc;
 
@@ -17,9 +17,10 @@
     pub tasks: usize,
     /// Configured bound on clock drift, in parts per million.
     pub clock_drift_ppm: u64,
-    /// Part of a lease that its holder leaves unused at the end, in milliseconds.
+    /// Time before the end of a lease from which on its holder no longer acts, in milliseconds.
     pub margin_ms: u64,
-    /// Error of each process's clock rate in parts per million: lease servers first, then holders; missing entries are zero.
+    /// Error of each process's clock rate in parts per million: lease servers first, then holders; missing
+    /// entries are zero.
     pub clock_error_ppm: Vec<i64>,
     /// Fault injected into all lease servers and holders.
     pub injected_fault: Option<InjectedFault>,
@@ -31,7 +32,7 @@
         if n % 2 == 1 { format!("checked-{n}") } else { format!("plain-{n}") }
     }
 
-    /// Returns the clock of a process, by its index among lease servers first and holders after them.
+    /// Returns the clock of a process; the index counts lease servers first, then holders.
     pub fn clock(&self, process: usize) -> Clock {
         let drift_ppm = self.clock_error_ppm.get(process).copied().unwrap_or(0);
         Rc::new(move || SimulatedClock { offset: 0, drift_ppm }.at(boot_clock()))
--- a/crates/testbed/src/fleet/link.rs
+++ b/crates/testbed/src/fleet/link.rs
@@ -2,18 +2,18 @@
 
 use std::ops::RangeInclusive;
 
-/// A link between two processes.
+/// A link between two processes, which the fault proxy can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
-    /// From a relay to discovery.
+    /// From a relay (its index) to discovery.
     Discovery(usize),
-    /// From clients to a relay.
+    /// From clients to a relay (its index).
     Client(usize),
-    /// From a group of relays to an endpoint.
+    /// From a link group of relays to an endpoint (their indices).
     Endpoint(usize, usize),
-    /// From a lease server to another.
+    /// From a lease server to another one (their numbers).
     LeasePeer(usize, usize),
-    /// From a lease holder to a lease server.
+    /// From a lease holder (its index) to a lease server (its number).
     LeaseClient(usize, usize),
 }
 
@@ -23,8 +23,8 @@
         let words: Vec<&str> = pattern.split('/').collect();
         match (self, &words[..]) {
             (Link::Discovery(n), ["list", p]) | (Link::Client(n), ["front", p]) => matches_number(p, n),
-            (Link::Endpoint(g, s), ["cards", group, card]) => {
-                matches_number(group, g) && matches_number(card, s)
+            (Link::Endpoint(group, endpoint), ["cards", p, q]) => {
+                matches_number(p, group) && matches_number(q, endpoint)
             }
             (Link::LeasePeer(from, to), ["peer", p, q]) | (Link::LeaseClient(from, to), ["ask", p, q]) => {
                 matches_number(p, from) && matches_number(q, to)
@@ -34,13 +34,13 @@
     }
 }
 
-/// Returns the kind of links that a pattern selects, or `None` if the pattern is not valid.
+/// Returns the kind of links that a pattern of a fault script selects, or `None` if the pattern is not valid.
 pub fn link_kind(pattern: &str) -> Option<&str> {
     let is_valid = |text: &str| text == "*" || number_range(text).is_some();
     let words: Vec<&str> = pattern.split('/').collect();
     match &words[..] {
         [kind @ ("list" | "front"), p] if is_valid(p) => Some(kind),
-        [kind @ "cards", group, card] if is_valid(group) && is_valid(card) => Some(kind),
+        [kind @ "cards", group, endpoint] if is_valid(group) && is_valid(endpoint) => Some(kind),
         _ => None,
     }
 }
@@ -48,8 +48,8 @@
 /// Parses a number or an inclusive range, such as `7` or `0-99`.
 pub(super) fn number_range(text: &str) -> Option<RangeInclusive<usize>> {
     let (from, to) = text.split_once('-').unwrap_or((text, text));
-    let both = from.parse().ok().zip(to.parse().ok()).filter(|(from, to)| from <= to);
-    both.map(|(from, to)| from..=to)
+    let range = from.parse().ok().zip(to.parse().ok()).filter(|(from, to)| from <= to);
+    range.map(|(from, to)| from..=to)
 }
 
 /// Returns whether a pattern, which is `*` or a range of numbers, matches a number.
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,13 +1,15 @@
-//! A fleet of real processes: relays, discovery, endpoints, clients and the fault proxy, each of which can be killed, stopped and
-//! started alone.
+//! A fleet of real processes: relays, discovery, endpoints, clients and the fault proxy, each of which can be
+//! killed, stopped and started on its own.
 //!
-//! [`run`] executes a fault [`script`]: it starts the parts, applies the steps, and reads all event logs when the run is over. A part
-//! is this program again (`honeyknot-testbed part KIND`): the first line of its standard input is its [`Plan`], further lines are
-//! commands, and it ends with all its children when standard input ends, however the harness ends.
+//! [`run`] executes a fault [`script`]: it starts the processes, applies the steps, and reads all event logs
+//! when the run is over. Each process runs this program (`honeyknot-testbed part KIND`): the first line of
+//! its standard input is its [`Plan`], further lines are commands, and it ends with all its children when
+//! standard input ends, however the harness ends.
 //!
-//! Every part appends what it observes to an event log of its own, one JSON object a line, written at once, so a part that is killed
-//! loses nothing. Times are microseconds of the machine's clock, which all processes read. Real processes are not
-//! deterministic: a seed replays the script and what is generated from it, not the run.
+//! Every process appends what it observes to its own event log, one JSON object per line, without buffering,
+//! so a process that is killed loses no event. Times are microseconds of the machine's clock, which all
+//! processes read. Real processes are not deterministic: a seed replays the script and what is generated from
+//! it, not the run.
 
 pub mod analysis;
 pub mod clients;
--- a/crates/testbed/src/fleet/plan.rs
+++ b/crates/testbed/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! The plan that every process of a fleet starts from, and the loopback addresses that follow from it.
+//! The plan with which every process of a fleet starts, and the loopback addresses that follow from it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -14,138 +14,147 @@
 pub const MAX_RELAYS: usize = 1_600;
 /// Maximum number of endpoints; the address layout has room for no more.
 pub const MAX_ENDPOINTS: usize = 200;
-/// Maximum number of groups of relays that share their links to the endpoints.
+/// Maximum number of link groups; the relays of a group share their links to the endpoints.
 pub const MAX_LINK_GROUPS: usize = 60;
 
-/// What every part of a fleet is told at its start. The default is a fleet of nothing.
+/// The parameters that every process of a fleet reads at its start. The default has no relays and no
+/// endpoints.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Plan {
     /// Second byte of all addresses of this fleet.
     #[serde(rename = "net")]
     pub network: u8,
-    /// Seeds all that is drawn.
+    /// Seed of all random choices of the harness and its processes.
     pub seed: u64,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// The number of relays that each relay is told.
+    /// Fleet size in the configuration of each relay, which may differ from `relays`.
     #[serde(rename = "told")]
     pub configured_fleet_size: usize,
-    /// Card servers.
+    /// Number of endpoints.
     #[serde(rename = "cards")]
     pub endpoints: usize,
-    /// What a whole list costs the list service, in milliseconds.
+    /// Time that discovery works on a request for the full endpoint list, in milliseconds.
     #[serde(rename = "call_ms")]
     pub full_list_ms: u64,
-    /// Clients of each relay.
+    /// Number of clients of each relay.
     pub clients: usize,
-    /// What relays hold when they start.
+    /// Endpoint list in the configuration that relays start with.
     #[serde(rename = "held")]
     pub initial_list: InitialList,
-    /// Card servers started with the day; else they are warm.
+    /// Whether endpoints start with the run, in slow start; otherwise they have their full capacity from its
+    /// beginning.
     #[serde(rename = "cold_cards")]
     pub cold_endpoints: bool,
-    /// Kinds of links that run through the fault proxy: `list`, `cards`, `front`.
+    /// Kinds of links that run through the fault proxy: `list`, `cards`, `front`, `peer`, `ask`.
     pub links: Vec<String>,
-    /// The folder of books, logs and configurations.
+    /// Folder of event logs, relay logs and configurations.
     pub folder: PathBuf,
-    /// The relays' program.
+    /// Path of the program `honeyknot-relay`.
     pub program: PathBuf,
-    /// Which card servers this part runs, of how many such parts.
+    /// Parameters of the process that reads the plan. Endpoints: index of the process and number of such
+    /// processes. Lease server: its number, and 1 if it bootstraps. Lease holder: its index and the number of
+    /// holders.
     #[serde(rename = "part")]
     pub process_parameters: (usize, usize),
-    /// The list service starts with an empty list and fills it over this many milliseconds.
+    /// Time over which discovery fills its list from an empty one, in milliseconds; `None` if it starts with
+    /// the full list.
     pub fill_ms: Option<u64>,
-    /// Relays know of each other.
+    /// Whether relays form a gossip cluster.
     pub neighbors: bool,
     /// Lease servers and lease parameters, for fleets that have any.
     pub leases: LeaseOptions,
 }
 
-/// What relays hold when they start.
+/// Endpoint list that relays start with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InitialList {
-    /// A list some versions old.
+    /// A list some versions old, which lacks a quarter of the endpoints.
     #[default]
     Old,
-    /// None.
+    /// No list.
     #[serde(rename = "nothing")]
     Absent,
-    /// An old list in which half of the card servers are dead and half of the living are missing.
+    /// An old list that lacks half of the endpoints and names as many that no longer exist.
     Stale,
 }
 
-/// Where relays hear each other.
+/// Port on which relays receive gossip.
 const GOSSIP_PORT: u16 = 7500;
 
-/// Version of the list that relays hold at the start, and of the present one.
+/// Version of the endpoint list that relays start with.
 pub const INITIAL_LIST_VERSION: u64 = 30;
-/// See [`INITIAL_LIST_VERSION`].
+/// Version of the endpoint list that discovery starts with, unless it fills its list from an empty one.
 pub const CURRENT_LIST_VERSION: u64 = 41;
 
 impl Plan {
+    /// Returns the address of the `n`th process of a kind; the kind is the third byte for the first 200.
     pub(crate) fn address(&self, kind: u8, n: usize, port: u16) -> SocketAddr {
         let (high, low) = ((n / 200) as u8, (n % 200) as u8);
         SocketAddr::from((Ipv4Addr::new(127, self.network, kind + high, low + 1), port))
     }
 
-    /// Where a relay listens.
-    pub fn relay_address(&self, n: usize) -> SocketAddr {
-        self.address(0, n, 5000)
+    /// Returns the address on which a relay listens.
+    pub fn relay_address(&self, relay: usize) -> SocketAddr {
+        self.address(0, relay, 5000)
     }
 
-    /// The operators' file for relays that know of each other; the first five are called at a start.
+    /// Returns the text of the relays' `neighbors.conf`; the first five relays are the seeds.
     pub fn neighbors_config_text(&self) -> String {
         let seeds =
             (0..self.relays.min(5)).map(|n| format!("seed {}:{GOSSIP_PORT}\n", self.relay_address(n).ip()));
         format!("fleet lab-{}\nport {GOSSIP_PORT}\n{}", self.network, seeds.collect::<String>())
     }
 
-    /// Where the list service answers a relay.
-    pub fn discovery_address(&self, n: usize) -> SocketAddr {
-        self.address(10, n, 8500)
+    /// Returns the address on which discovery listens for a relay.
+    pub fn discovery_address(&self, relay: usize) -> SocketAddr {
+        self.address(10, relay, 8500)
     }
 
-    /// Where a card server listens.
-    pub fn endpoint_address(&self, s: usize) -> SocketAddr {
-        self.address(20, s, 6000)
+    /// Returns the address on which an endpoint listens.
+    pub fn endpoint_address(&self, endpoint: usize) -> SocketAddr {
+        self.address(20, endpoint, 6000)
     }
 
-    /// The group whose links to card servers a relay shares.
+    /// Returns the link group of a relay.
     pub fn link_group(&self, relay: usize) -> usize {
         relay % self.link_group_count()
     }
 
-    /// Such groups.
+    /// Returns the number of link groups.
     pub fn link_group_count(&self) -> usize {
         self.relays.min(MAX_LINK_GROUPS)
     }
 
-    /// Where a link listens, and where it leads.
+    /// Returns the address on which a link listens, and the one that it connects to.
     pub fn link_addresses(&self, link: Link) -> (SocketAddr, SocketAddr) {
         match link {
-            Link::Discovery(n) => (self.address(30, n, 8500), self.discovery_address(n)),
-            Link::Client(n) => (self.address(40, n, 5000), self.relay_address(n)),
-            Link::Endpoint(group, s) => (self.address(100 + group as u8, s, 6000), self.endpoint_address(s)),
+            Link::Discovery(relay) => (self.address(30, relay, 8500), self.discovery_address(relay)),
+            Link::Client(relay) => (self.address(40, relay, 5000), self.relay_address(relay)),
+            Link::Endpoint(group, endpoint) => {
+                (self.address(100 + group as u8, endpoint, 6000), self.endpoint_address(endpoint))
+            }
             Link::LeasePeer(from, to) => {
                 (self.address(170, from * 10 + to, 7400), self.lease_server_address(to))
             }
-            Link::LeaseClient(n, to) => {
-                (self.address(171 + 4 * to as u8, n, 7400), self.lease_server_address(to))
+            Link::LeaseClient(holder, to) => {
+                (self.address(171 + 4 * to as u8, holder, 7400), self.lease_server_address(to))
             }
         }
     }
 
-    /// Where a keeper listens, from 1.
+    /// Returns the address on which a lease server listens; `number` counts from 1.
     pub fn lease_server_address(&self, number: usize) -> SocketAddr {
         self.address(169, number, 7400)
     }
 
+    /// Returns whether links of a kind run through the fault proxy.
     pub(crate) fn has_links(&self, kind: &str) -> bool {
-        self.links.iter().any(|k| k == kind)
+        self.links.iter().any(|linked_kind| linked_kind == kind)
     }
 
-    /// Where a relay reaches the list service.
+    /// Returns the address at which a relay reaches discovery: a link's, or discovery's own.
     pub fn discovery_address_for(&self, relay: usize) -> SocketAddr {
         if self.has_links("list") {
             self.link_addresses(Link::Discovery(relay)).0
@@ -154,26 +163,30 @@
         }
     }
 
-    /// Where a relay reaches a card server.
-    pub fn endpoint_address_for(&self, relay: usize, s: usize) -> SocketAddr {
+    /// Returns the address at which a relay reaches an endpoint: a link's, or the endpoint's own.
+    pub fn endpoint_address_for(&self, relay: usize, endpoint: usize) -> SocketAddr {
         if self.has_links("cards") {
-            self.link_addresses(Link::Endpoint(self.link_group(relay), s)).0
+            self.link_addresses(Link::Endpoint(self.link_group(relay), endpoint)).0
         } else {
-            self.endpoint_address(s)
+            self.endpoint_address(endpoint)
         }
     }
 
-    /// Where clients reach a relay.
-    pub fn relay_address_for_clients(&self, n: usize) -> SocketAddr {
-        if self.has_links("front") { self.link_addresses(Link::Client(n)).0 } else { self.relay_address(n) }
+    /// Returns the address at which clients reach a relay: a link's, or the relay's own.
+    pub fn relay_address_for_clients(&self, relay: usize) -> SocketAddr {
+        if self.has_links("front") {
+            self.link_addresses(Link::Client(relay)).0
+        } else {
+            self.relay_address(relay)
+        }
     }
 
-    /// Random numbers of one purpose.
+    /// Returns a random number generator; `salt` separates the uses of one seed.
     pub fn rng(&self, salt: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ salt)
     }
 
-    /// All links that the fault proxy runs.
+    /// Returns all links that the fault proxy runs.
     pub fn all_links(&self) -> Vec<Link> {
         let mut all = Vec::new();
         if self.has_links("list") {
@@ -184,19 +197,22 @@
         }
         if self.has_links("cards") {
             all.extend(
-                (0..self.link_group_count())
-                    .flat_map(|g| (0..self.endpoints).map(move |s| Link::Endpoint(g, s))),
+                (0..self.link_group_count()).flat_map(|group| {
+                    (0..self.endpoints).map(move |endpoint| Link::Endpoint(group, endpoint))
+                }),
             );
         }
-        let keepers = 1..=self.leases.servers;
+        let lease_servers = 1..=self.leases.servers;
         if self.has_links("peer") {
-            let others =
-                |from| keepers.clone().filter(move |to| *to != from).map(move |to| Link::LeasePeer(from, to));
-            all.extend(keepers.clone().flat_map(others));
+            let links_from = |from| {
+                lease_servers.clone().filter(move |to| *to != from).map(move |to| Link::LeasePeer(from, to))
+            };
+            all.extend(lease_servers.clone().flat_map(links_from));
         }
         if self.has_links("ask") {
             all.extend(
-                (0..self.relays).flat_map(|n| keepers.clone().map(move |to| Link::LeaseClient(n, to))),
+                (0..self.relays)
+                    .flat_map(|holder| lease_servers.clone().map(move |to| Link::LeaseClient(holder, to))),
             );
         }
         all
--- a/crates/testbed/src/fleet/relay_history.rs
+++ b/crates/testbed/src/fleet/relay_history.rs
@@ -1,6 +1,6 @@
-//! What the harness did to the process of one relay.
+//! The harness's actions on the process of one relay.
 
-/// A client's request this close to an action on its relay may go unanswered, in microseconds.
+/// Time around an action on a relay within which its clients' requests may go unanswered, in microseconds.
 const EXCUSED_AROUND_ACTION_US: u64 = 1_600_000;
 
 /// An action on a relay's process and its time.
@@ -21,7 +21,8 @@
         self.actions.push(Action { time_us, name: name.to_owned() });
     }
 
-    /// Returns whether actions on the relay excuse a failure of a client that was connected from `since` to `until`.
+    /// Returns whether actions on the relay excuse a failure of a client that was connected from `since` to
+    /// `until`.
     pub(super) fn excuses_failure(&self, since: u64, until: u64) -> bool {
         let mut is_stopped = false;
         for Action { time_us, name } in &self.actions {
@@ -44,12 +45,12 @@
         is_stopped
     }
 
-    /// Returns the time of the last start.
+    /// Returns the time of the last start in Unix microseconds, or `None` if the relay was never started.
     pub(super) fn last_start(&self) -> Option<u64> {
         self.actions.iter().rev().find(|action| action.name == "start").map(|action| action.time_us)
     }
 
-    /// Returns whether the relay should run at the end.
+    /// Returns whether the relay should run at the end: its last start, kill or termination is a start.
     pub(super) fn should_run(&self) -> bool {
         let is_decisive = |action: &&Action| matches!(action.name.as_str(), "start" | "kill" | "term");
         self.actions.iter().rev().find(is_decisive).is_some_and(|action| action.name == "start")
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -1,4 +1,4 @@
-//! The relays' processes, and the one process that starts, stops and kills them.
+//! The supervisor: one process that starts, signals and kills the relays' processes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
 
 /// Interval at which the supervisor checks for relays that have exited by themselves.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Duration that stands in for one that a `loop` command does not give, in milliseconds.
+/// Duration used if a `loop` command names none that is valid, in milliseconds.
 const DEFAULT_LOOP_MS: u64 = 1_000;
-/// Environment variables that would change a relay's configuration.
+/// Environment variables that would override a relay's configuration.
 const CLEARED_VARIABLES: [&str; 6] = [
     "EDGE_NAME",
     "EDGE_LISTEN",
@@ -38,20 +38,21 @@
     plan: Plan,
     event_log: EventLog,
     running: BTreeMap<usize, RunningRelay>,
-    /// Number of starts of each relay, which seeds its random draws.
+    /// Number of starts of each relay, which is part of its random seed.
     starts: BTreeMap<usize, u64>,
 }
 
 struct RunningRelay {
     child: Child,
-    /// Whether it was sent SIGTERM.
+    /// Whether it was sent SIGTERM, after which its exit is expected.
     is_terminating: bool,
 }
 
 type SharedSupervisor = Rc<RefCell<Supervisor>>;
 
-/// Starts the supervisor. Commands: `ACTION N,N,...` with start, kill, stop, cont and term; `loop INTERVAL_MS DURATION_MS N,N,...`,
-/// which kills and starts again; `end`, which kills all relays.
+/// Starts the supervisor. Commands: `ACTION N,N,...` with start, kill, stop, cont and term;
+/// `loop INTERVAL_MS DURATION_MS N,N,...`, which kills and starts relays repeatedly; `end`, which kills all
+/// relays.
 ///
 /// # Errors
 ///
@@ -78,7 +79,7 @@
         ["end"] => supervisor.borrow_mut().kill_all(),
         [action @ ("start" | "kill" | "stop" | "cont" | "term"), set] => {
             for relay in relays(set) {
-                supervisor.borrow_mut().act(action, relay);
+                supervisor.borrow_mut().apply_action(action, relay);
             }
         }
         ["loop", interval, length, set] => {
@@ -87,24 +88,24 @@
                 spawn_local(crash_loop(supervisor.clone(), relay, duration(interval), until));
             }
         }
-        _ => eprintln!("relays: unknown: {line}"),
+        _ => eprintln!("relays: unknown command: {line}"),
     }
 }
 
 async fn crash_loop(supervisor: SharedSupervisor, relay: usize, interval: Duration, until: Instant) {
     while Instant::now() < until {
-        // The address is free only once the process has ended.
+        // The relay's address is in use until its process has ended.
         let killed = supervisor.borrow_mut().kill(relay);
         if let Some(mut child) = killed {
             let _ = child.wait().await;
         }
-        supervisor.borrow_mut().act("start", relay);
+        supervisor.borrow_mut().apply_action("start", relay);
         sleep(interval).await;
     }
 }
 
 impl Supervisor {
-    fn act(&mut self, action: &str, relay: usize) {
+    fn apply_action(&mut self, action: &str, relay: usize) {
         if relay >= self.plan.relays {
             return;
         }
@@ -170,10 +171,10 @@
             command.arg("--neighbors").arg(file);
         }
         command.stdout(log.try_clone().map_err(|e| format!("{}: {e}", config.display()))?).stderr(log);
-        command.spawn().map_err(|e| format!("{}: {e}", plan.program.display()))
+        command.spawn().map_err(|e| format!("cannot start {}: {e}", plan.program.display()))
     }
 
-    /// Writes the configuration for a relay's start of this number and returns its path.
+    /// Writes the configuration for the `start`th start of a relay and returns its path.
     fn write_config(&self, relay: usize, start: u64) -> Result<PathBuf, String> {
         let plan = &self.plan;
         let config = json!({
@@ -196,7 +197,7 @@
         log.map_err(|e| format!("{}: {e}", path.with_extension("json").display()))
     }
 
-    /// Forgets relays that have exited and records those that were not sent SIGTERM.
+    /// Removes relays that have exited and records those that were not sent SIGTERM.
     fn record_exits(&mut self) {
         let event_log = &self.event_log;
         self.running.retain(|relay, running| {
@@ -210,7 +211,7 @@
 
     fn kill_all(&mut self) {
         for relay in self.running.keys().copied().collect::<Vec<_>>() {
-            self.act("kill", relay);
+            self.apply_action("kill", relay);
         }
     }
 }
--- a/crates/testbed/src/leases/mod.rs
+++ b/crates/testbed/src/leases/mod.rs
@@ -1,9 +1,10 @@
-//! Lease scenarios with real processes: lease servers, lease holders and a recording server that holders act on, with faults between
-//! any two.
+//! Lease scenarios with real processes: lease servers, lease holders and a recording server that receives the
+//! effects of the holders' operations, with faults between any two of them.
 //!
-//! The verdict rests on the recording server: it records each effect of an operation by its own clock, and for half of the tasks it checks
-//! fencing tokens. A holder is a process of the testbed that runs the relay's lease client. A lease server is the relay's program, or
-//! its code in a part of the testbed where a clock error or a fault is injected.
+//! The verdict rests on the recording server: it records each effect of an operation by its own clock, and
+//! for half of the tasks it checks fencing tokens. A holder is a process of the testbed that runs the relay's
+//! lease client. A lease server is the program `honeyknot-relay`, or its code in a process of the testbed if
+//! a clock error or a fault is injected into it.
 
 pub mod holder;
 pub mod lease_server;
@@ -24,11 +25,12 @@
 ///
 /// A message that lists all names.
 pub fn parse_fault(name: &str) -> Result<InjectedFault, String> {
-    serde_json::from_value(name.into()).map_err(|why| why.to_string())
+    serde_json::from_value(name.into()).map_err(|error| error.to_string())
 }
 
 impl Plan {
-    /// Returns the lease configuration of one process, which reaches each lease server at the address that `address_of` returns.
+    /// Returns the lease configuration of one process, which reaches each lease server at the address that
+    /// `address_of` returns.
     pub fn lease_config_text(&self, address_of: impl Fn(usize) -> std::net::SocketAddr) -> String {
         let options = &self.leases;
         let mut text = format!(
@@ -44,11 +46,11 @@
         text
     }
 
-    /// Returns the lease configuration of a lease server.
+    /// Returns the lease configuration of the lease server with the number `me`.
     pub fn lease_server_config(&self, me: usize) -> String {
-        let links = self.has_links("peer");
+        let has_peer_links = self.has_links("peer");
         self.lease_config_text(|to| {
-            if links && to != me {
+            if has_peer_links && to != me {
                 self.link_addresses(Link::LeasePeer(me, to)).0
             } else {
                 self.lease_server_address(to)
@@ -56,12 +58,12 @@
         })
     }
 
-    /// Returns the lease configuration of a holder.
-    pub fn lease_holder_config(&self, n: usize) -> String {
-        let links = self.has_links("ask");
+    /// Returns the lease configuration of the holder with this index.
+    pub fn lease_holder_config(&self, holder: usize) -> String {
+        let has_client_links = self.has_links("ask");
         self.lease_config_text(|to| {
-            if links {
-                self.link_addresses(Link::LeaseClient(n, to)).0
+            if has_client_links {
+                self.link_addresses(Link::LeaseClient(holder, to)).0
             } else {
                 self.lease_server_address(to)
             }
@@ -73,14 +75,15 @@
         self.address(168, 0, 7500)
     }
 
-    /// Parses a lease configuration and adds the injected fault.
+    /// Parses a lease configuration and adds the plan's injected fault.
     ///
     /// # Errors
     ///
-    /// The faults of the configuration.
+    /// The errors of the configuration.
     pub fn parse_lease_config(&self, text: &str) -> Result<config::LeaseConfig, String> {
-        let mut read = config::LeaseConfig::read("leases.conf", text).map_err(|faults| faults.to_string())?;
-        read.parameters.injected_fault = self.leases.injected_fault;
-        Ok(read)
+        let mut config =
+            config::LeaseConfig::read("leases.conf", text).map_err(|errors| errors.to_string())?;
+        config.parameters.injected_fault = self.leases.injected_fault;
+        Ok(config)
     }
 }
--- a/crates/testbed/src/leases/recording_server.rs
+++ b/crates/testbed/src/leases/recording_server.rs
@@ -1,5 +1,6 @@
-//! The recording server: the target of all tasks. It records each effect by its own clock, and for some tasks it rejects an effect
-//! whose fencing token is older than one it has received.
+//! The recording server: the target of all tasks. It records each effect by its own clock; for tasks whose
+//! names begin with `checked` it rejects an effect whose fencing token is older than one that it has
+//! received.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,7 +15,8 @@
 
 type Tokens = Rc<RefCell<BTreeMap<String, u64>>>;
 
-/// Starts the server. A line `TASK TOKEN OPERATION` is an effect; the answer is `taken` or `older`.
+/// Starts the server. A line `TASK TOKEN OPERATION` is an effect; the answer is `taken` if it is accepted,
+/// `older` if it is rejected.
 ///
 /// # Errors
 ///
@@ -22,8 +24,10 @@
 pub async fn start(plan: Plan) -> Result<impl FnMut(&str), String> {
     let event_log = EventLog::open(&plan.folder, "far")?;
     event_log.record_scheduling_lag();
-    let at = plan.recording_server_address();
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("the far side at {at}: {e}"))?;
+    let address = plan.recording_server_address();
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(|e| format!("recording server: cannot listen at {address}: {e}"))?;
     let tokens = Tokens::default();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -35,8 +39,8 @@
 
 async fn serve(stream: TcpStream, event_log: EventLog, tokens: Tokens) {
     let _ = stream.set_nodelay(true);
-    let (from, mut to) = stream.into_split();
-    let mut lines = BufReader::new(from).lines();
+    let (reader, mut writer) = stream.into_split();
+    let mut lines = BufReader::new(reader).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let words: Vec<&str> = line.split(' ').collect();
         let [task, token, operation] = words[..] else { return };
@@ -55,7 +59,7 @@
             is_accepted,
         });
         let answer: &[u8] = if is_accepted { b"taken\n" } else { b"older\n" };
-        if to.write_all(answer).await.is_err() {
+        if writer.write_all(answer).await.is_err() {
             return;
         }
     }
--- a/crates/testbed/src/leases/report.rs
+++ b/crates/testbed/src/leases/report.rs
@@ -1,4 +1,4 @@
-//! What a day of leases came to, by the far side's book alone.
+//! The report of a lease scenario: figures and checks computed from the records of the recording server.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,128 +6,135 @@
 
 use crate::fleet::event_log::{Event, Record};
 
-/// The figures of a day.
+/// Figures of a run of a lease scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// What was played.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Keepers.
+    /// Number of lease servers.
     #[serde(rename = "keepers")]
     pub lease_servers: usize,
-    /// Holders.
+    /// Number of lease holders.
     #[serde(rename = "relays")]
     pub holders: usize,
-    /// Of everything that is drawn.
+    /// Seed of the run.
     pub seed: u64,
-    /// Acts that had an effect.
+    /// Number of operations that had at least one effect, accepted or rejected.
     #[serde(rename = "acts")]
     pub operations: usize,
-    /// Effects that the far side took.
+    /// Number of effects that the recording server accepted.
     #[serde(rename = "effects")]
     pub accepted_effects: usize,
-    /// Times that a task came to another token.
+    /// Number of times that a task's effects came with a newer token than before.
     pub holder_changes: usize,
-    /// Acts with an effect after one of a later token's act, where the far side does not check.
+    /// Number of operations on unchecked tasks with an effect after one with a newer token.
     #[serde(rename = "overlapping_acts")]
     pub overlapping_operations: usize,
-    /// Effects with an older token that a far side which checks took.
+    /// Number of effects on checked tasks that were accepted though a newer token had been received.
     pub stale_writes_accepted: usize,
-    /// Those that it turned down.
+    /// Number of effects on checked tasks that were rejected because a newer token had been received.
     #[serde(rename = "stale_writes_turned_down")]
     pub stale_writes_rejected: usize,
-    /// New tokens that were lower than one seen before.
+    /// Number of tokens that were received for the first time after a newer one.
     #[serde(rename = "token_went_back")]
     pub token_regressions: usize,
-    /// The longest that nobody acted on a task, after its first act.
+    /// Longest time between two successive effects on a task, in seconds.
     pub longest_without_holder_s: f64,
-    /// The lease.
+    /// Lease duration in seconds.
     pub lease_s: f64,
-    /// Processor time of all keepers over the day's length, in cores.
+    /// Processor time of all lease servers divided by the length of the run, in cores.
     #[serde(rename = "keeper_cpu")]
     pub lease_server_cpu_cores: f64,
-    /// The largest keeper's memory.
+    /// Highest resident memory of a lease server, measured before its process ended, in MiB.
     #[serde(rename = "keeper_rss_mb")]
     pub lease_server_rss_mb: f64,
-    /// Faults that were injected.
+    /// Number of faults that were injected.
     #[serde(rename = "faults")]
     pub injected_faults: usize,
-    /// The far side or the links ran late by this much at the most.
+    /// Longest scheduling lag of the recording server or the fault proxy, in milliseconds.
     pub lag_ms: u64,
-    /// The machine was the limit: the day does not count.
+    /// Whether the machine was overloaded, which makes the run invalid.
     #[serde(rename = "starved")]
     pub machine_overloaded: bool,
-    /// Promises that were broken.
+    /// One message for each check that failed.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
 impl Report {
-    /// Counts a book's lines up to the day's end.
-    pub fn add_records(&mut self, records: &[Record], ended: u64) {
-        let mut tasks: BTreeMap<&str, Task> = BTreeMap::new();
+    /// Adds the records of a run that ended at `ended_at`, in Unix microseconds, and the checks of their
+    /// totals.
+    pub fn add_records(&mut self, records: &[Record], ended_at: u64) {
+        let mut tasks: BTreeMap<&str, TaskState> = BTreeMap::new();
         for record in records {
             match &record.event {
-                Event::TaskEffect { task, token, operation: act, is_accepted: taken } => {
+                Event::TaskEffect { task, token, operation: operation_id, is_accepted: accepted } => {
                     let checked = task.starts_with("checked");
-                    let seen = tasks.entry(task).or_default();
-                    self.accepted_effects += usize::from(*taken);
-                    if seen.tokens.insert(*token) && *token < seen.newest {
+                    let state = tasks.entry(task).or_default();
+                    self.accepted_effects += usize::from(*accepted);
+                    if state.tokens.insert(*token) && *token < state.newest_token {
                         self.token_regressions += 1;
                     }
-                    if *token < seen.newest {
-                        match (checked, taken) {
+                    if *token < state.newest_token {
+                        match (checked, accepted) {
                             (true, true) => self.stale_writes_accepted += 1,
                             (true, false) => self.stale_writes_rejected += 1,
-                            (false, _) => drop(seen.late.insert(act)),
+                            (false, _) => drop(state.overlapping_operations.insert(operation_id)),
                         }
                     }
-                    if seen.acts.insert(act) {
+                    if state.operations.insert(operation_id) {
                         self.operations += 1;
                     }
-                    if *token > seen.newest {
-                        self.holder_changes += usize::from(seen.newest > 0);
-                        seen.newest = *token;
+                    if *token > state.newest_token {
+                        self.holder_changes += usize::from(state.newest_token > 0);
+                        state.newest_token = *token;
                     }
-                    if seen.last > 0 {
-                        let gap = record.time_us.saturating_sub(seen.last) as f64 / 1e6;
-                        self.longest_without_holder_s = self.longest_without_holder_s.max(gap);
+                    if state.last_effect_us > 0 {
+                        let gap_s = record.time_us.saturating_sub(state.last_effect_us) as f64 / 1e6;
+                        self.longest_without_holder_s = self.longest_without_holder_s.max(gap_s);
                     }
-                    seen.last = record.time_us;
+                    state.last_effect_us = record.time_us;
                 }
                 Event::SchedulingLag { lag_us } => self.lag_ms = self.lag_ms.max(lag_us / 1_000),
                 _ => {}
             }
         }
-        self.overlapping_operations = tasks.values().map(|task| task.late.len()).sum();
+        self.overlapping_operations = tasks.values().map(|state| state.overlapping_operations.len()).sum();
         self.machine_overloaded = self.lag_ms > 500;
         if self.overlapping_operations > 0 {
-            self.violations
-                .push(format!("{} acts overlapped one of a later token", self.overlapping_operations));
+            self.violations.push(format!(
+                "{} operations overlapped one with a newer token",
+                self.overlapping_operations
+            ));
         }
         if self.stale_writes_accepted > 0 {
             self.violations
-                .push(format!("{} writes of an older token were accepted", self.stale_writes_accepted));
+                .push(format!("{} effects with an older token were accepted", self.stale_writes_accepted));
         }
         if self.token_regressions > 0 {
-            self.violations.push(format!("{} new tokens were lower than one before", self.token_regressions));
+            self.violations
+                .push(format!("{} tokens first appeared after a newer token", self.token_regressions));
         }
         if self.operations == 0 {
-            self.violations.push("nobody ever acted".into());
+            self.violations.push("no operation had an effect".into());
         }
-        for (name, task) in tasks {
-            let still = (ended.saturating_sub(task.last)) as f64 / 1e6;
-            if still > 4.0 * self.lease_s {
-                self.violations.push(format!("nobody acted on {name} in the last {still:.1} s"));
+        for (name, state) in tasks {
+            let idle_s = (ended_at.saturating_sub(state.last_effect_us)) as f64 / 1e6;
+            if idle_s > 4.0 * self.lease_s {
+                self.violations
+                    .push(format!("no effect on task {name} in the last {idle_s:.1} s of the run"));
             }
         }
     }
 }
 
+/// The records of one task so far.
 #[derive(Default)]
-struct Task<'a> {
-    newest: u64,
-    last: u64,
+struct TaskState<'a> {
+    newest_token: u64,
+    last_effect_us: u64,
     tokens: BTreeSet<u64>,
-    acts: BTreeSet<&'a str>,
-    late: BTreeSet<&'a str>,
+    operations: BTreeSet<&'a str>,
+    /// Operations with an effect after one with a newer token.
+    overlapping_operations: BTreeSet<&'a str>,
 }
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -1,4 +1,5 @@
-//! Starts of twelve relays as processes, with faults between them and the list service. Verdicts are the far side's books.
+//! Cold starts of twelve relay processes with faults between them and discovery. The checks rest on the event
+//! logs of discovery, endpoints and clients.
 
 use std::path::PathBuf;
 
@@ -8,27 +9,28 @@
 use honeyknot_testbed::fleet::run::{LoopbackNetwork, run_script};
 use honeyknot_testbed::fleet::{InitialList, Plan, script};
 
-/// The relay's program, which is built beside the laboratory's.
-fn program() -> PathBuf {
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
-    let program = lab.with_file_name("honeyknot-relay");
+/// Returns the path of the relay's program, which is built beside the testbed's.
+fn relay_program() -> PathBuf {
+    let testbed = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
+    let program = testbed.with_file_name("honeyknot-relay");
     assert!(program.is_file(), "build the whole workspace first: cargo build --workspace");
     program
 }
 
-struct Day {
+struct ColdStartCase {
     seed: u64,
-    text: &'static str,
-    aims: Expectations,
+    script_text: &'static str,
+    expectations: Expectations,
 }
 
-/// Plays a day of twelve relays that are told to be `configured_fleet_size`; a whole list takes 20 ms.
-fn day(day: &Day, configured_fleet_size: usize) -> (Report, Vec<Record>) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let network = LoopbackNetwork::reserve(day.seed).expect("free addresses");
+/// Runs twelve relays that are configured with a fleet size; a full list takes 20 ms. Returns the report and
+/// the records from the start of the script.
+fn run_case(case: &ColdStartCase, configured_fleet_size: usize) -> (Report, Vec<Record>) {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let network = LoopbackNetwork::reserve(case.seed).expect("a loopback network is free");
     let plan = Plan {
         network: network.number,
-        seed: day.seed,
+        seed: case.seed,
         relays: 12,
         configured_fleet_size,
         endpoints: 8,
@@ -38,67 +40,73 @@
         cold_endpoints: false,
         links: Vec::new(),
         folder: folder.path().to_owned(),
-        program: program(),
+        program: relay_program(),
         process_parameters: (0, 1),
         ..Plan::default()
     };
-    let script = script::parse_script("day", day.text).expect("a sound script");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
+    let script = script::parse_script("test script", case.script_text).expect("the script is valid");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
+    let testbed = PathBuf::from(env!("CARGO_BIN_EXE_honeyknot-testbed"));
     let never = std::future::pending();
-    let played = tokio::task::LocalSet::new().block_on(&runtime, run_script(&plan, &script, lab, never));
-    let played = played.expect("a day");
-    let report = analyze(&plan, "test", played.started_at, &played.records, day.aims);
-    let lines = played.records.into_iter().filter(|line| line.time_us >= played.started_at).collect();
-    (report, lines)
+    let run = tokio::task::LocalSet::new().block_on(&runtime, run_script(&plan, &script, testbed, never));
+    let run = run.expect("the script runs to its end");
+    let report = analyze(&plan, "test", run.started_at, &run.records, case.expectations);
+    let records = run.records.into_iter().filter(|record| record.time_us >= run.started_at).collect();
+    (report, records)
 }
 
-/// How often clients were answered so, from this second of the day on.
-fn answered(lines: &[Record], from: u64, answer: Answer) -> usize {
-    let began = lines.first().map_or(0, |line| line.time_us);
-    let answers = lines.iter().filter(|line| line.time_us >= began + from * 1_000_000);
-    answers
-        .filter(|line| matches!(&line.event, Event::ClientAnswer { answer: seen, .. } if *seen == answer))
+/// Returns how many requests of clients got an answer, from a second of the run on.
+fn count_answers(records: &[Record], from_second: u64, answer: Answer) -> usize {
+    let started_at = records.first().map_or(0, |record| record.time_us);
+    let later_records =
+        records.iter().filter(|record| record.time_us >= started_at + from_second * 1_000_000);
+    later_records
+        .filter(
+            |record| matches!(&record.event, Event::ClientAnswer { answer: found, .. } if *found == answer),
+        )
         .count()
 }
 
-/// A list service that starts anew with nothing, and says so under an older version, takes no card server away.
+/// Guards against relays that drop their endpoints when discovery restarts with an empty list of a lower
+/// version.
 #[test]
 fn discovery_restarting_empty_causes_no_rejected_or_failed_request() {
-    let text = "length 22s\nat 0s start relays * within 400ms\nat 4s list fresh 5s\n";
-    let aims = Expectations { outage_s: 5.0, slack_s: None, refills_list: true };
-    let (report, lines) = day(&Day { seed: 31, text, aims }, 12);
+    let script_text = "length 22s\nat 0s start relays * within 400ms\nat 4s list fresh 5s\n";
+    let expectations = Expectations { outage_s: 5.0, slack_s: None, refills_list: true };
+    let (report, records) = run_case(&ColdStartCase { seed: 31, script_text, expectations }, 12);
     assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
-    assert!(report.time_to_list_max_s.is_some(), "all hold the filled list at last: {report:?}");
-    assert!(answered(&lines, 4, Answer::Established) > 10, "{report:?}");
+    assert!(report.time_to_list_max_s.is_some(), "every relay has the complete list in the end: {report:?}");
+    assert!(count_answers(&records, 4, Answer::Established) > 10, "{report:?}");
     assert_eq!(
-        (answered(&lines, 4, Answer::Rejected), answered(&lines, 4, Answer::Failed)),
+        (count_answers(&records, 4, Answer::Rejected), count_answers(&records, 4, Answer::Failed)),
         (0, 0),
         "{report:?}"
     );
 }
 
-/// Deaf, reset, cut one way: everybody has the list soon after, and nobody sends to a card server that drains.
+/// Discovery is silent to some relays, resets others, and its answers to the rest are lost. All relays have
+/// the list soon after that, and none sends a request to an endpoint that drains.
 #[test]
 fn relays_recover_from_unresponsive_discovery_and_respect_drains() {
-    let text = "length 24s\nat 0s start relays * within 400ms\nat 0s link list/0-3 hole\nat 0s link list/4-7 reset 60B\n\
-                at 0s link list/8-11 cut back\nat 4s link list/* clear\n\
+    let script_text = "length 24s\nat 0s start relays * within 400ms\nat 0s link list/0-3 hole\n\
+                at 0s link list/4-7 reset 60B\nat 0s link list/8-11 cut back\nat 4s link list/* clear\n\
                 at 15s list state 0 leaving\nat 15800ms card 0 drain\n";
-    // A watch that was deaf is given up after 9.25 s at the latest.
-    let aims = Expectations { outage_s: 8.0, slack_s: Some(2.0), refills_list: false };
-    let (report, _) = day(&Day { seed: 32, text, aims }, 12);
+    // A relay gives up a watch without an answer after at most 9.25 s.
+    let expectations = Expectations { outage_s: 8.0, slack_s: Some(2.0), refills_list: false };
+    let (report, _) = run_case(&ColdStartCase { seed: 32, script_text, expectations }, 12);
     assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
     assert!(report.served > 90, "{report:?}");
 }
 
-/// The service is down at first, then all relays are stopped together, and one dies and starts each second meanwhile. They are
-/// told to be 120: the waits are those of a fleet.
+/// Discovery is down at first, then all relays but one are stopped together while that one is killed and
+/// started each second. The configured fleet size is 120, so that their backoffs are those of a large fleet.
 #[test]
 fn relays_get_the_list_after_discovery_outage_and_stopped_processes() {
-    let text = "length 22s\nat 0s list down\nat 0s start relays * within 400ms\nat 4s list up\n\
+    let script_text = "length 22s\nat 0s list down\nat 0s start relays * within 400ms\nat 4s list up\n\
                 at 9s loop relays 11 1s 8s\nat 12s stop relays 0-10\nat 15s cont relays 0-10\n";
-    // A wait after a refused call is up to 4.3 s long.
-    let aims = Expectations { outage_s: 6.0, slack_s: Some(2.0), refills_list: false };
-    let (report, _) = day(&Day { seed: 33, text, aims }, 120);
+    // The backoff after a refused connection is up to 4.3 s long.
+    let expectations = Expectations { outage_s: 6.0, slack_s: Some(2.0), refills_list: false };
+    let (report, _) = run_case(&ColdStartCase { seed: 33, script_text, expectations }, 120);
     assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The fault harness: its verdicts see what is wrong, its links fail as told, and nothing outlives it.
+//! The fault harness: its analysis reports every violation, each fault of a link takes effect, and no process
+//! outlives it.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,7 +14,7 @@
 use honeyknot_testbed::fleet::run::LoopbackNetwork;
 use honeyknot_testbed::fleet::{InitialList, Link, Plan, script};
 
-const LAB: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_honeyknot-testbed");
 
 fn plan(folder: &Path, seed: u64, network: &LoopbackNetwork) -> Plan {
     Plan {
@@ -34,17 +35,19 @@
     }
 }
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-fn told(t: u64, r: usize, kind: RequestKind, end: RequestOutcome) -> Record {
+fn discovery_request(
+    observed_at: u64, relay_number: usize, kind: RequestKind, request_outcome: RequestOutcome,
+) -> Record {
     Record {
-        time_us: t,
+        time_us: observed_at,
         event: Event::DiscoveryRequest {
-            relay: r,
+            relay: relay_number,
             kind,
-            received_at_us: t,
+            received_at_us: observed_at,
             work_us: 20_000,
-            outcome: end,
+            outcome: request_outcome,
             version: 42,
             queue_length: 0,
             is_first_pass: true,
@@ -52,102 +55,148 @@
     }
 }
 
-fn act(t: u64, verb: &str, r: usize) -> Record {
-    Record { time_us: t, event: Event::ProcessAction { action: verb.into(), relay: Some(r) } }
+fn process_action(observed_at: u64, action_name: &str, relay_number: usize) -> Record {
+    Record {
+        time_us: observed_at,
+        event: Event::ProcessAction { action: action_name.into(), relay: Some(relay_number) },
+    }
 }
 
-fn word(t: u64, r: usize, id: &str, word: Answer) -> [Record; 2] {
+fn request_and_answer(observed_at: u64, relay_number: usize, id: &str, answer_kind: Answer) -> [Record; 2] {
     let id = id.to_owned();
     [
-        Record { time_us: t - 1_000, event: Event::ClientRequest { relay: r, id: id.clone() } },
-        Record { time_us: t, event: Event::ClientAnswer { relay: r, id, answer: word } },
+        Record {
+            time_us: observed_at - 1_000,
+            event: Event::ClientRequest { relay: relay_number, id: id.clone() },
+        },
+        Record {
+            time_us: observed_at,
+            event: Event::ClientAnswer { relay: relay_number, id, answer: answer_kind },
+        },
     ]
 }
 
-/// A day on which all goes well.
-fn good() -> Vec<Record> {
-    let mut lines = vec![act(S, "start", 0), act(S, "start", 1)];
-    lines.extend([0, 1].map(|r| told(2 * S, r, RequestKind::FullList, RequestOutcome::Answered)));
-    lines.extend([0, 1].into_iter().flat_map(|r| word(5 * S, r, &format!("{r}-1-{r}"), Answer::Established)));
-    lines
+/// The records of a run without violations.
+fn records_without_violations() -> Vec<Record> {
+    let mut records = vec![process_action(SECOND_US, "start", 0), process_action(SECOND_US, "start", 1)];
+    records.extend(
+        [0, 1].map(|r| discovery_request(2 * SECOND_US, r, RequestKind::FullList, RequestOutcome::Answered)),
+    );
+    records.extend(
+        [0, 1]
+            .into_iter()
+            .flat_map(|r| request_and_answer(5 * SECOND_US, r, &format!("{r}-1-{r}"), Answer::Established)),
+    );
+    records
 }
 
-fn judged(more: Vec<Record>) -> Report {
-    let folder = tempfile::tempdir().expect("a folder");
-    let network = LoopbackNetwork::reserve(1).expect("free addresses");
-    let mut lines = good();
-    lines.extend(more);
-    lines.sort_by_key(|line| line.time_us);
-    let aims = Expectations { outage_s: 0.0, slack_s: Some(2.0), refills_list: false };
-    analyze(&plan(folder.path(), 1, &network), "planted", S, &lines, aims)
+fn report_with(additional: Vec<Record>) -> Report {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let network = LoopbackNetwork::reserve(1).expect("a loopback network is free");
+    let mut records = records_without_violations();
+    records.extend(additional);
+    records.sort_by_key(|record| record.time_us);
+    let expectations = Expectations { outage_s: 0.0, slack_s: Some(2.0), refills_list: false };
+    analyze(&plan(folder.path(), 1, &network), "test", SECOND_US, &records, expectations)
 }
 
 #[test]
-fn analysis_reports_each_violation_and_no_lookalike() {
-    let well = judged(Vec::new());
-    assert_eq!((well.violations, well.alive, well.served), (Vec::<String>::new(), 2, 2));
-    let first =
-        |t, s, id: &str| Record { time_us: t, event: Event::AttemptStarted { endpoint: s, id: id.into() } };
-    let answer = |t, s, id: &str| Record {
-        time_us: t,
-        event: Event::AttemptEnded { endpoint: s, id: id.into(), is_established: false },
+fn analysis_reports_each_violation_and_accepts_similar_valid_records() {
+    let valid_run = report_with(Vec::new());
+    assert_eq!((valid_run.violations, valid_run.alive, valid_run.served), (Vec::<String>::new(), 2, 2));
+    let attempt_started = |observed_at, endpoint_number, id: &str| Record {
+        time_us: observed_at,
+        event: Event::AttemptStarted { endpoint: endpoint_number, id: id.into() },
     };
-    let leaves = Record {
-        time_us: S + 1,
+    let attempt_ended = |observed_at, endpoint_number, id: &str| Record {
+        time_us: observed_at,
+        event: Event::AttemptEnded { endpoint: endpoint_number, id: id.into(), is_established: false },
+    };
+    let endpoint_leaving = Record {
+        time_us: SECOND_US + 1,
         event: Event::ListVersion { version: 42, endpoint: 3, state: "leaving".into() },
     };
-    let card = |worst, fallen| Record {
-        time_us: 6 * S,
+    let endpoint_state = |overload, is_failed| Record {
+        time_us: 6 * SECOND_US,
         event: Event::EndpointState {
             endpoint: 1,
             open_connections: 1,
             utilization: 0.1,
-            max_overload: worst,
-            has_failed: fallen,
+            max_overload: overload,
+            has_failed: is_failed,
         },
     };
-    let planted: Vec<(Vec<Record>, &str)> = vec![
+    let violating: Vec<(Vec<Record>, &str)> = vec![
+        (
+            vec![Record {
+                time_us: 9 * SECOND_US,
+                event: Event::RelayExited { relay: 1, reason: "signal".into() },
+            }],
+            "exited unexpectedly",
+        ),
+        (request_and_answer(8 * SECOND_US, 1, "9-1-1", Answer::TimedOut).to_vec(), "without an answer"),
         (
-            vec![Record { time_us: 9 * S, event: Event::RelayExited { relay: 1, reason: "signal".into() } }],
-            "ended by itself",
+            vec![Record { time_us: 8 * SECOND_US, event: Event::DuplicateAnswer { id: "0-1-0".into() } }],
+            "duplicate answers",
         ),
-        (word(8 * S, 1, "9-1-1", Answer::TimedOut).to_vec(), "without an answer"),
         (
-            vec![Record { time_us: 8 * S, event: Event::DuplicateAnswer { id: "0-1-0".into() } }],
-            "second answers",
+            vec![Record {
+                time_us: 8 * SECOND_US,
+                event: Event::ConnectionEnded { relay: 0, is_expected: false },
+            }],
+            "ended without MOVE",
         ),
         (
-            vec![Record { time_us: 8 * S, event: Event::ConnectionEnded { relay: 0, is_expected: false } }],
-            "cut off",
+            vec![attempt_started(4 * SECOND_US, 0, "5-1-0"), attempt_started(4 * SECOND_US + 9, 1, "5-1-0")],
+            "overlapping",
         ),
-        (vec![first(4 * S, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0")], "overlapping"),
         (
-            vec![first(4 * S, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0"), answer(5 * S, 0, "5-1-0")],
+            vec![
+                attempt_started(4 * SECOND_US, 0, "5-1-0"),
+                attempt_started(4 * SECOND_US + 9, 1, "5-1-0"),
+                attempt_ended(5 * SECOND_US, 0, "5-1-0"),
+            ],
             "overlapping",
         ),
-        (vec![leaves.clone(), first(2 * S + 600_000, 3, "5-1-0")], "late sends"),
-        (vec![card(3.2, false)], "times a cold card server's capacity"),
-        (vec![card(1.0, true)], "fell over"),
-        (vec![act(3 * S, "start", 0)], "the last list"),
-        (vec![told(8 * S, 0, RequestKind::Changes, RequestOutcome::Abandoned)], "for nothing"),
-        (vec![told(8 * S, 0, RequestKind::FullList, RequestOutcome::Answered)], "whole lists"),
+        (
+            vec![endpoint_leaving.clone(), attempt_started(2 * SECOND_US + 600_000, 3, "5-1-0")],
+            "knew to drain",
+        ),
+        (vec![endpoint_state(3.2, false)], "in slow start was sent 3.20 times its capacity"),
+        (vec![endpoint_state(1.0, true)], "failed from overload"),
+        (vec![process_action(3 * SECOND_US, "start", 0)], "the last relay had the list after"),
+        (
+            vec![discovery_request(8 * SECOND_US, 0, RequestKind::Changes, RequestOutcome::Abandoned)],
+            "went to rejected or abandoned requests",
+        ),
+        (
+            vec![discovery_request(8 * SECOND_US, 0, RequestKind::FullList, RequestOutcome::Answered)],
+            "requests for the full list per start",
+        ),
     ];
-    for (lines, what) in planted {
-        let broken = judged(lines).violations;
-        assert!(broken.iter().any(|b| b.contains(what)), "`{what}` is not among {broken:?}");
+    for (records, message) in violating {
+        let violations = report_with(records).violations;
+        assert!(
+            violations.iter().any(|violation| violation.contains(message)),
+            "no violation contains `{message}`: {violations:?}"
+        );
     }
-    // What looks alike and is not wrong.
-    let fine: Vec<Vec<Record>> = vec![
-        vec![first(4 * S, 0, "5-1-0"), answer(4 * S + 5, 0, "5-1-0"), first(4 * S + 9, 1, "5-1-0")],
-        vec![leaves, first(2 * S + 400_000, 3, "5-1-0")],
+    // Similar records that are no violations.
+    let valid: Vec<Vec<Record>> = vec![
+        vec![
+            attempt_started(4 * SECOND_US, 0, "5-1-0"),
+            attempt_ended(4 * SECOND_US + 5, 0, "5-1-0"),
+            attempt_started(4 * SECOND_US + 9, 1, "5-1-0"),
+        ],
+        vec![endpoint_leaving, attempt_started(2 * SECOND_US + 400_000, 3, "5-1-0")],
         [
-            word(8 * S, 1, "9-1-1", Answer::TimedOut).to_vec(),
-            vec![act(7 * S, "stop", 1), act(12 * S, "cont", 1)],
+            request_and_answer(8 * SECOND_US, 1, "9-1-1", Answer::TimedOut).to_vec(),
+            vec![process_action(7 * SECOND_US, "stop", 1), process_action(12 * SECOND_US, "cont", 1)],
         ]
         .concat(),
     ];
-    for lines in fine {
-        assert_eq!(judged(lines).violations, Vec::<String>::new());
+    for records in valid {
+        assert_eq!(report_with(records).violations, Vec::<String>::new());
     }
 }
 
@@ -156,55 +205,69 @@
     use clap::ValueEnum;
     for scenario in ColdStart::value_variants() {
         for relays in [1, 12, 300] {
-            let script = scenario.script(relays, 20, 5).expect("a sound script");
+            let script = scenario.script(relays, 20, 5).expect("the script is valid");
             assert!(script.steps.iter().all(|(at, _)| *at < script.length), "{scenario:?}");
         }
     }
     for seed in 0..500 {
-        let script = ColdStart::Generated.script(12, 20, seed).expect("a sound script");
-        assert_eq!(Ok(script), ColdStart::Generated.script(12, 20, seed), "a seed replays its script");
+        let script = ColdStart::Generated.script(12, 20, seed).expect("the script is valid");
+        assert_eq!(
+            Ok(script),
+            ColdStart::Generated.script(12, 20, seed),
+            "a seed generates the same script each time"
+        );
     }
-    let text = "at 0s start relays 7-3\nat 1 kill relays *\nat 1s link list/x hole\nat 1s link list/* delay 9ms 3ms\nfoo\n";
-    let told = script::parse_script("day", text).expect_err("faults");
-    for what in
-        ["day:1: 7-3", "day:2:", "day:3: list/x", "day:4: delay", "day:5: `foo`", "`length` is missing"]
-    {
-        assert!(told.contains(what), "`{what}` is not in {told}");
+    let text = "at 0s start relays 7-3\nat 1 kill relays *\nat 1s link list/x hole\n\
+                at 1s link list/* delay 9ms 3ms\nfoo\n";
+    let errors = script::parse_script("script", text).expect_err("the script has errors");
+    for message in [
+        "script:1: 7-3",
+        "script:2:",
+        "script:3: list/x",
+        "script:4: delay",
+        "script:5: `foo`",
+        "`length` is missing",
+    ] {
+        assert!(errors.contains(message), "`{message}` is not in {errors}");
     }
 }
 
-/// A part of a fleet, steered by this test.
-struct Part(std::process::Child);
+/// A process of a fleet that this test controls.
+struct Process(std::process::Child);
 
-impl Part {
-    fn start(kind: &str, plan: &Plan) -> Part {
-        let mut child = Command::new(LAB)
+impl Process {
+    fn start(kind: &str, plan: &Plan) -> Process {
+        let mut child = Command::new(TESTBED)
             .args(["part", kind])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("a part");
-        let plan = serde_json::to_string(plan).expect("a plan");
-        writeln!(child.stdin.as_mut().expect("its input"), "{plan}").expect("a write");
+            .expect("the process starts");
+        let plan = serde_json::to_string(plan).expect("the plan can be serialized");
+        writeln!(child.stdin.as_mut().expect("standard input is a pipe"), "{plan}")
+            .expect("the process reads its input");
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("its output")).read_line(&mut line).expect("a line");
+        BufReader::new(child.stdout.take().expect("standard output is a pipe"))
+            .read_line(&mut line)
+            .expect("the process writes a line");
         assert_eq!(line, "ready\n");
-        Part(child)
+        Process(child)
     }
 
-    fn tell(&mut self, line: &str) {
-        writeln!(self.0.stdin.as_mut().expect("its input"), "{line}").expect("a write");
+    fn send_command(&mut self, line: &str) {
+        writeln!(self.0.stdin.as_mut().expect("standard input is a pipe"), "{line}")
+            .expect("the process reads its input");
     }
 }
 
-impl Drop for Part {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = (self.0.kill(), self.0.wait());
     }
 }
 
-fn ask(stream: &mut TcpStream, wait_ms: u64) -> Result<String, std::io::ErrorKind> {
-    stream.set_read_timeout(Some(Duration::from_millis(wait_ms))).expect("a time");
+fn ping(stream: &mut TcpStream, wait_ms: u64) -> Result<String, std::io::ErrorKind> {
+    stream.set_read_timeout(Some(Duration::from_millis(wait_ms))).expect("the timeout is valid");
     stream.write_all(b"PING\r\n").map_err(|e| e.kind())?;
     let mut line = String::new();
     match BufReader::new(stream).read_line(&mut line) {
@@ -216,60 +279,66 @@
 
 #[test]
 fn each_link_fault_takes_effect_and_clears() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let network = LoopbackNetwork::reserve(7).expect("free addresses");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let network = LoopbackNetwork::reserve(7).expect("a loopback network is free");
     let plan = plan(folder.path(), 7, &network);
-    let mut links = Part::start("links", &plan);
-    let _cards = Part::start("cards", &plan);
-    let (at, _) = plan.link_addresses(Link::Endpoint(0, 1));
-    let dial = || TcpStream::connect(at);
-    // What was told has arrived once a link shows it; all waits are bounded.
-    let shows = |fault: &str, what: &dyn Fn() -> bool| {
-        let until = Instant::now() + Duration::from_secs(10);
-        while !what() {
-            assert!(Instant::now() < until, "`{fault}` does not show");
+    let mut links = Process::start("links", &plan);
+    let _endpoints = Process::start("cards", &plan);
+    let (link_address, _) = plan.link_addresses(Link::Endpoint(0, 1));
+    let connect = || TcpStream::connect(link_address);
+    // A command has arrived once the link behaves accordingly; all waits are bounded.
+    let wait_until = |fault: &str, condition: &dyn Fn() -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while !condition() {
+            assert!(Instant::now() < deadline, "`{fault}` has not taken effect within 10 s");
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    let pong = || dial().is_ok_and(|mut s| ask(&mut s, 2_000).is_ok_and(|line| line == "PONG\r\n"));
-    shows("clear", &pong);
-    let silent = |wait| {
-        dial().is_ok_and(|mut s| {
-            matches!(ask(&mut s, wait), Err(std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut))
+    let answers_ping =
+        || connect().is_ok_and(|mut s| ping(&mut s, 2_000).is_ok_and(|line| line == "PONG\r\n"));
+    wait_until("clear", &answers_ping);
+    let is_silent = |wait| {
+        connect().is_ok_and(|mut s| {
+            matches!(ping(&mut s, wait), Err(std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut))
         })
     };
     for fault in ["hole", "cut there", "cut back", "loss 100% 5000ms", "delay 5000ms 5000ms", "rate 1B/s"] {
-        links.tell(&format!("cards/0/1 {fault}"));
-        shows(fault, &|| silent(250));
-        // Others go on.
-        let (other, _) = plan.link_addresses(Link::Endpoint(0, 2));
-        assert!(ask(&mut TcpStream::connect(other).expect("a link"), 2_000).is_ok(), "{fault}");
-        links.tell("cards/*/* clear");
-        shows("clear", &pong);
+        links.send_command(&format!("cards/0/1 {fault}"));
+        wait_until(fault, &|| is_silent(250));
+        // Other links are not affected.
+        let (other_address, _) = plan.link_addresses(Link::Endpoint(0, 2));
+        assert!(
+            ping(&mut TcpStream::connect(other_address).expect("the link accepts a connection"), 2_000)
+                .is_ok(),
+            "{fault}"
+        );
+        links.send_command("cards/*/* clear");
+        wait_until("clear", &answers_ping);
     }
-    links.tell("cards/0/1 refuse");
-    shows("refuse", &|| dial().is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused));
-    links.tell("cards/0/1 clear");
-    shows("clear", &pong);
-    links.tell("cards/0/1 reset 3B");
-    shows("reset", &|| {
-        dial().is_ok_and(|mut s| ask(&mut s, 2_000).is_err_and(|e| e == std::io::ErrorKind::ConnectionReset))
+    links.send_command("cards/0/1 refuse");
+    wait_until("refuse", &|| connect().is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused));
+    links.send_command("cards/0/1 clear");
+    wait_until("clear", &answers_ping);
+    links.send_command("cards/0/1 reset 3B");
+    wait_until("reset", &|| {
+        connect()
+            .is_ok_and(|mut s| ping(&mut s, 2_000).is_err_and(|e| e == std::io::ErrorKind::ConnectionReset))
     });
-    links.tell("cards/0/1 clear");
-    let mut standing = dial().expect("a link");
-    shows("clear", &pong);
-    assert!(ask(&mut standing, 2_000).is_ok());
-    links.tell("cards/0/1 half");
-    shows("half", &|| silent(250));
-    links.tell("cards/0/1 clear");
-    links.tell("cards/0/1 drip 1B");
-    shows("clear", &pong);
+    links.send_command("cards/0/1 clear");
+    let mut open_connection = connect().expect("the link accepts a connection");
+    wait_until("clear", &answers_ping);
+    assert!(ping(&mut open_connection, 2_000).is_ok());
+    links.send_command("cards/0/1 half");
+    wait_until("half", &|| is_silent(250));
+    links.send_command("cards/0/1 clear");
+    links.send_command("cards/0/1 drip 1B");
+    wait_until("clear", &answers_ping);
 }
 
-/// The process ids below a process, its own left out.
-fn below(parent: u32) -> Vec<u32> {
+/// Returns the ids of all descendants of a process that are not zombies.
+fn descendants(parent: u32) -> Vec<u32> {
     let mut all = Vec::new();
-    for entry in std::fs::read_dir("/proc").expect("the process list").flatten() {
+    for entry in std::fs::read_dir("/proc").expect("/proc is readable").flatten() {
         let Some(id) = entry.file_name().to_str().and_then(|n| n.parse::<u32>().ok()) else { continue };
         let stat = std::fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
         let parents = stat.rsplit(')').next().unwrap_or_default();
@@ -277,13 +346,14 @@
         if state_and_parent.get(1).and_then(|p| p.parse().ok()) == Some(parent) && state_and_parent[0] != "Z"
         {
             all.push(id);
-            all.extend(below(id));
+            all.extend(descendants(id));
         }
     }
     all
 }
 
-fn gone(ids: &[u32]) -> bool {
+/// Returns whether all processes have ended; zombies count as ended.
+fn have_ended(ids: &[u32]) -> bool {
     ids.iter().all(|id| {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
         let rest = stat.rsplit(')').next().unwrap_or_default();
@@ -294,33 +364,37 @@
 #[test]
 fn harness_killed_by_any_signal_leaves_no_process() {
     for signal in ["KILL", "INT", "TERM"] {
-        let folder = tempfile::tempdir().expect("a folder");
-        let script = folder.path().join("day.conf");
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
+        let script = folder.path().join("faults.conf");
         std::fs::write(&script, "length 60s\nat 0s start relays *\nat 500ms stop relays 0\n")
-            .expect("a script");
-        let mut harness = Command::new(LAB)
+            .expect("the script can be written");
+        let mut harness = Command::new(TESTBED)
             .args(["cold-start", "--relays", "4", "--cards", "4", "--faults"])
             .arg(&script)
             .arg("--logs")
-            .arg(folder.path().join("books"))
+            .arg(folder.path().join("logs"))
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the harness");
-        // Six parts or more, and four relays.
-        let until = Instant::now() + Duration::from_secs(30);
-        while below(harness.id()).len() < 10 {
-            assert!(Instant::now() < until, "the fleet does not start");
+            .expect("the harness starts");
+        // At least six processes of the harness, and four relays.
+        let deadline = Instant::now() + Duration::from_secs(30);
+        while descendants(harness.id()).len() < 10 {
+            assert!(Instant::now() < deadline, "the fleet has not started within 30 s");
             std::thread::sleep(Duration::from_millis(50));
         }
         std::thread::sleep(Duration::from_millis(800));
-        let all = below(harness.id());
-        let sent = Command::new("kill").args([&format!("-{signal}"), &harness.id().to_string()]).status();
-        assert!(sent.expect("a signal").success());
+        let all = descendants(harness.id());
+        let kill_status =
+            Command::new("kill").args([&format!("-{signal}"), &harness.id().to_string()]).status();
+        assert!(kill_status.expect("the program `kill` starts").success());
         let _ = harness.wait();
-        let until = Instant::now() + Duration::from_secs(15);
-        while !gone(&all) {
-            assert!(Instant::now() < until, "SIG{signal} left processes: {all:?}");
+        let deadline = Instant::now() + Duration::from_secs(15);
+        while !have_ended(&all) {
+            assert!(
+                Instant::now() < deadline,
+                "processes still run 15 s after SIG{signal} to the harness: {all:?}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -328,8 +402,8 @@
 
 #[test]
 fn addresses_within_a_fleet_are_unique() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let network = LoopbackNetwork::reserve(3).expect("free addresses");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let network = LoopbackNetwork::reserve(3).expect("a loopback network is free");
     let big = Plan { relays: 400, endpoints: 40, ..plan(folder.path(), 3, &network) };
     let big = Plan { links: ["list", "cards", "front"].map(str::to_owned).to_vec(), ..big };
     let mut all: Vec<_> = big.all_links().into_iter().map(|link| big.link_addresses(link).0).collect();
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -1,4 +1,5 @@
-//! A short day with real relays, and runs on the virtual clock. Verdicts are the far side's observations.
+//! A short zone failover with real relays, and simulations on a virtual clock. The checks rest on what
+//! clients and endpoints observe.
 
 use std::time::Duration;
 
@@ -20,28 +21,29 @@
     }
 }
 
-fn run(scenario: Scenario, sites: bool) -> Report {
-    let folder = tempfile::tempdir().expect("a folder");
+fn run(scenario: Scenario, zone_failover: bool) -> Report {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let file = folder.path().join("sites.conf");
-    std::fs::write(&file, include_str!("../sites.conf")).expect("a file");
+    std::fs::write(&file, include_str!("../sites.conf")).expect("the file can be written");
     let run = ScenarioRun {
         size: size(),
         scenario,
         seed: 11,
-        sites_file: sites.then_some(file),
+        sites_file: zone_failover.then_some(file),
         spill_limit: 0.25,
         length: None,
         logs: None,
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     let never = std::future::pending::<()>();
     let result = tokio::task::LocalSet::new().block_on(&runtime, run_scenario(&run, |_| {}, never));
-    result.expect("a run")
+    result.expect("the scenario runs to its end")
 }
 
-/// A site is lost, its clients are served elsewhere within the limit, and it is regained.
+/// A zone fails, other zones serve its clients within the spill limit, and it recovers.
 #[test]
-fn lost_site_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
+fn lost_zone_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
     let report = run(Scenario::Short, true);
     assert!(report.broken.is_empty(), "{:?}", report.broken);
     assert!(
@@ -69,18 +71,18 @@
 
 #[test]
 fn simulated_scenarios_stay_within_limits_for_every_seed() {
-    let all = [Scenario::Lost, Scenario::Silent, Scenario::Together, Scenario::Flap, Scenario::Two];
-    for scenario in all {
+    let scenarios = [Scenario::Lost, Scenario::Silent, Scenario::Together, Scenario::Flap, Scenario::Two];
+    for scenario in scenarios {
         for seed in 0..4 {
-            let o = simulate(&simulation(scenario, seed)).expect("a run");
-            assert!(o.worst_spill <= 0.25 + honeyknot_testbed::report::site::SPILL_SLACK, "{o:?}");
-            assert_eq!(o.endpoints_collapsed, 0, "{o:?}");
-            assert!(o.max_migrations_per_second <= 12, "{o:?}");
+            let report = simulate(&simulation(scenario, seed)).expect("the simulation succeeds");
+            assert!(report.worst_spill <= 0.25 + honeyknot_testbed::report::site::SPILL_SLACK, "{report:?}");
+            assert_eq!(report.endpoints_collapsed, 0, "{report:?}");
+            assert!(report.max_migrations_per_second <= 12, "{report:?}");
         }
     }
 }
 
-/// Without a ramp the returning site's cold endpoints are sent more than they bear: the model notices.
+/// Checks that the simulation is able to detect excessive spill: without limits two failed zones exceed it.
 #[test]
 fn simulated_scenario_without_limits_exceeds_spill_limit() {
     let config = ZoneFailoverConfig {
@@ -91,20 +93,21 @@
         max_update_skew: 0,
         ..simulation(Scenario::Two, 0).config
     };
-    let spills = (0..4).filter(|seed| {
+    let excessive = (0..4).filter(|seed| {
         let run = Simulation { config: config.clone(), ..simulation(Scenario::Two, *seed) };
-        simulate(&run).expect("a run").worst_spill > 0.28
+        simulate(&run).expect("the simulation succeeds").worst_spill > 0.28
     });
-    assert!(spills.count() >= 3);
+    assert!(excessive.count() >= 3);
 }
 
 #[test]
 fn same_seed_gives_same_simulation_report() {
     let run = || {
-        let o = simulate(&simulation(Scenario::Flap, 5)).expect("a run");
-        // The clock's figures are of this machine, not of the run.
-        let o = SimulationReport { decision_p50_ns: 0, decision_p99_ns: 0, wall_s: 0.0, peak_mib: 0, ..o };
-        serde_json::to_string(&o).expect("a line")
+        let report = simulate(&simulation(Scenario::Flap, 5)).expect("the simulation succeeds");
+        // These figures are measured on the machine, so they differ between runs.
+        let report =
+            SimulationReport { decision_p50_ns: 0, decision_p99_ns: 0, wall_s: 0.0, peak_mib: 0, ..report };
+        serde_json::to_string(&report).expect("the report can be serialized")
     };
     assert_eq!(run(), run());
 }
