--- a/src/relay/connections/restore.rs
+++ b/src/relay/connections/restore.rs
@@ -29,8 +29,11 @@
     let (downstream, upstream) = (stream(downstream)?, stream(upstream)?);
     let timers = relay.borrow().timers.clone();
     let request = OpenRequest::parse(Bytes::copy_from_slice(&snapshot.request));
-    let (first, second) = (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
-    let (Ok(request), Some(first), Some(second)) = (request, first, second) else {
+    let (downstream_permit, upstream_permit) =
+        (relay.borrow().acquire_descriptor(), relay.borrow().acquire_descriptor());
+    let (Ok(request), Some(downstream_permit), Some(upstream_permit)) =
+        (request, downstream_permit, upstream_permit)
+    else {
         ConnectionTransfer { snapshot, downstream, upstream }.migrate(&timers);
         return Err(io::Error::other("no free descriptors, or its request is not valid"));
     };
@@ -50,7 +53,7 @@
         guard: ConnectionGuard::new(relay.clone(), id),
         line_relay: LineRelay::new(relay.clone(), id, request, streams).with_snapshot(snapshot),
         commands,
-        _reservations: Reservations::new(first, second, connection_id),
+        _reservations: Reservations::new(downstream_permit, upstream_permit, connection_id),
     };
     tokio::task::spawn_local(ConnectionState::Established(Box::new(established)).run());
     Ok(())
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -99,7 +99,7 @@
     };
     Ok(Endpoint {
         id: EndpointId(id.into()),
-        machine_type: text("kind").and_then(|kind| names.kind(kind)),
+        machine_type: text("kind").and_then(|name| names.machine_type(name)),
         weight: number("weight", 1.0)?,
         started_at: (number("started_ms", 0.0)? * 1e3) as Micros,
         zone: text("zone").and_then(|zone| names.zone(zone)),
--- a/src/settings/name_table.rs
+++ b/src/settings/name_table.rs
@@ -10,7 +10,7 @@
     pub(super) classes: Vec<String>,
     pub(super) tenants: Vec<String>,
     pub(super) zones: Vec<String>,
-    pub(super) kinds: Vec<String>,
+    pub(super) machine_types: Vec<String>,
     /// Whether load reports are about connections; only then `x0` and `x1` are a load and a backlog.
     pub(super) reports_connections: bool,
 }
@@ -31,8 +31,8 @@
     }
 
     /// Returns the machine type with this name; `None` if there is none.
-    pub fn kind(&self, name: &str) -> Option<MachineTypeId> {
-        position(&self.kinds, name).map(MachineTypeId)
+    pub fn machine_type(&self, name: &str) -> Option<MachineTypeId> {
+        position(&self.machine_types, name).map(MachineTypeId)
     }
 
     /// Returns the zone with this name; `None` if there is none.
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -83,7 +83,7 @@
         classes: classes.iter().map(name).collect(),
         tenants: tenants.iter().map(name).collect(),
         zones: reader.names("zones")?,
-        kinds: reader.names("shapes")?,
+        machine_types: reader.names("shapes")?,
         reports_connections: reader.str("family")? == "conn",
     })
 }
--- a/src/simulator/endpoint_list.rs
+++ b/src/simulator/endpoint_list.rs
@@ -15,12 +15,12 @@
 #[derive(Debug)]
 pub(super) struct UnresolvedEndpoint {
     endpoint: Endpoint,
-    kind: String,
+    machine_type: String,
     zone: String,
 }
 
 impl UnresolvedEndpoint {
-    /// Decodes one entry of a list: kind, weight, id, start time, zone, cell and state.
+    /// Decodes one entry of a list: machine type, weight, id, start time, zone, cell and state.
     pub(super) fn decode(value: &Value) -> Result<UnresolvedEndpoint, MessageError> {
         let values = value.as_array().ok_or(MessageError::ListEntryNotAnArray)?;
         let entry = Message { name: "page entry", values };
@@ -42,12 +42,12 @@
         };
         let name =
             |index| entry.optional_text(index).map(|text| text.as_deref().unwrap_or_default().to_owned());
-        Ok(UnresolvedEndpoint { endpoint, kind: name(0)?, zone: name(4)? })
+        Ok(UnresolvedEndpoint { endpoint, machine_type: name(0)?, zone: name(4)? })
     }
 
     fn resolve(&self, names: &NameTable) -> Endpoint {
         Endpoint {
-            machine_type: names.kind(&self.kind),
+            machine_type: names.machine_type(&self.machine_type),
             zone: names.zone(&self.zone),
             ..self.endpoint.clone()
         }
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -460,7 +460,7 @@
             self.add(format!("zone {name}"), place(names.zone(&name).map(|id| id.0)));
         }
         for name in listed(&settings["shapes"]) {
-            self.add(format!("shape {name}"), place(names.kind(&name).map(|id| id.0)));
+            self.add(format!("shape {name}"), place(names.machine_type(&name).map(|id| id.0)));
         }
         self.add("class nobody", place(names.class("nobody").map(|id| id.0)));
         let report = names.load_report(|name| {
