--- a/src/logger.rs
+++ b/src/logger.rs
@@ -57,7 +57,8 @@
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        // Reporting a failed write to standard error would panic if standard error itself is broken.
+        // A failed write of the log must not stop the relay. Reporting it on standard error would panic if
+        // standard error itself is broken.
         .log_internal_errors(false);
     // If logging was already started, the earlier configuration stays.
     let _ = match format {
--- a/src/relay/connection_table.rs
+++ b/src/relay/connection_table.rs
@@ -73,17 +73,18 @@
         self.entries.remove(&id);
     }
 
-    /// Returns a connection.
+    /// Returns a connection, or `None` if it is not registered.
     pub(in crate::relay) fn get(&self, id: RequestId) -> Option<&ConnectionEntry> {
         self.entries.get(&id)
     }
 
-    /// Returns a connection for modification.
+    /// Returns a connection for modification, or `None` if it is not registered.
     pub(in crate::relay) fn get_mut(&mut self, id: RequestId) -> Option<&mut ConnectionEntry> {
         self.entries.get_mut(&id)
     }
 
-    /// Returns the attempt in progress on a connection, or the one that established it.
+    /// Returns the attempt in progress on a connection, or the one that established it; `None` if there is
+    /// neither.
     pub(in crate::relay) fn current_attempt(&self, id: RequestId) -> Option<&CurrentAttempt> {
         self.get(id)?.current_attempt.as_ref()
     }
--- a/src/relay/connections/idle.rs
+++ b/src/relay/connections/idle.rs
@@ -56,7 +56,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     progress: Progress,
-    /// Order of the ranks with the same progress; the lowest is evicted first.
+    /// Taken from a counter, so that it is unique among the idle connections; of those with the same
+    /// progress, the one with the lowest number is evicted first.
     sequence: u64,
 }
 
--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -61,9 +61,10 @@
         self.max_descriptors.saturating_sub(self.listener_ownership.predecessor_descriptors()).max(min_share)
     }
 
-    /// Returns a permit for one descriptor, or `None` if too few are free.
+    /// Returns a permit for one descriptor.
     ///
-    /// If only the reserve is left, an idle connection is evicted for each permit.
+    /// If only the reserve of `RESERVED_DESCRIPTORS` is left, an idle connection is evicted for each permit.
+    /// Returns `None` if no connection is idle then, or if no more than `MIN_FREE_DESCRIPTORS` are free.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         let in_use = self.descriptors_in_use.get();
         let descriptor_limit = self.descriptor_limit();
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -59,8 +59,8 @@
 /// Parses an endpoint list.
 ///
 /// # Errors
-/// If a required field is missing or a value is invalid. An unknown kind or zone is not an error: the
-/// endpoint then has none.
+/// If a required field is missing or a value is invalid. An unknown `kind` or `zone` is not an error:
+/// the endpoint then has no machine type or zone.
 pub fn parse_endpoint_list(
     value: &Value, names: &NameTable,
 ) -> Result<EndpointListUpdate, EndpointListError> {
--- a/src/relay/endpoints/discovery_client/task.rs
+++ b/src/relay/endpoints/discovery_client/task.rs
@@ -64,9 +64,10 @@
 
 /// Makes the requests that the poller schedules, one at a time, until the relay stops.
 ///
-/// The endpoint list is also polled where the settings say that it is pushed: it is then pushed to a local
-/// agent, and a change counts as notified once the agent has it. A change of address abandons the request in
-/// flight and requests the full list at the new address; the current list stays in use meanwhile.
+/// The endpoint list is polled from the start, even if the settings say that it is pushed: it is then
+/// pushed to a local agent, which the relay polls, and the relay counts as notified of a change once the
+/// agent has it. A change of address abandons the request in flight and requests the full list at the new
+/// address; the current list stays in use meanwhile.
 pub async fn run(
     relay: SharedRelay, address: SocketAddr, poller: DiscoveryPoller,
     commands: UnboundedReceiver<DiscoveryCommand>,
--- a/src/relay/endpoints/endpoint_list.rs
+++ b/src/relay/endpoints/endpoint_list.rs
@@ -30,7 +30,8 @@
         self.apply_endpoint_update(update);
     }
 
-    /// Applies an endpoint list received from discovery. Nothing is sent to an endpoint in between.
+    /// Applies an endpoint list received from discovery completely before this returns, so that nothing
+    /// more is sent by the old list.
     pub fn apply_endpoint_list(&mut self, list: EndpointListUpdate) {
         if std::mem::take(&mut self.discovery_failing) {
             info!(target: "discovery", version = list.version, "discovery responds again");
@@ -171,8 +172,8 @@
 
     /// Returns whether a request may still be written to an endpoint.
     ///
-    /// An attempt that started before its endpoint began to drain may connect only afterwards, when new
-    /// requests are no longer allowed.
+    /// An attempt that started before its endpoint began to drain may connect only afterwards. By then the
+    /// relay counts as notified of the drain and must not send new requests to the endpoint.
     pub fn may_send_to(&self, endpoint: &EndpointId) -> bool {
         !self.endpoints.is_draining(endpoint)
     }
--- a/src/relay/endpoints/health_check.rs
+++ b/src/relay/endpoints/health_check.rs
@@ -97,8 +97,8 @@
 /// Connects to an endpoint.
 ///
 /// # Errors
-/// [`Outcome::ConnectFailed`] if the endpoint cannot be connected to in time, and [`Outcome::Cancelled`] if
-/// no descriptor is available, which says nothing about the endpoint.
+/// [`Outcome::ConnectFailed`] if the endpoint's address is unknown or it cannot be connected to in time, and
+/// [`Outcome::Cancelled`] if no descriptor is available, which says nothing about the endpoint.
 async fn connect(relay: &SharedRelay, endpoint: &EndpointId) -> Result<HealthCheckConnection, Outcome> {
     let (address, permit) = {
         let relay = relay.borrow();
--- a/src/relay/endpoints/shared_health_check.rs
+++ b/src/relay/endpoints/shared_health_check.rs
@@ -17,8 +17,9 @@
 const LOG_INTERVAL: Micros = 10_000_000;
 
 impl Relay {
-    /// Carries out a health check that the balancer requested, or answers it with a recent result of another
-    /// relay.
+    /// Carries out a health check that the balancer requested, or answers it with a recent result of this
+    /// relay or of others. If no result is known and this relay is not chosen to make the check, the answer
+    /// is [`Outcome::Cancelled`].
     pub(in crate::relay) fn request_health_check(&mut self, endpoint: EndpointId) {
         let now = self.timers.clock.now();
         match self.gossip.as_mut().map(|gossip| gossip.request_health_check(now, &endpoint)) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Queues the result of another relay's health check as an event, which is handled after the current
+    /// Queues the answer to a health check that was not made as an event, which is handled after the current
     /// ones.
     fn apply_shared_health_check(
         &mut self, now: Micros, endpoint: EndpointId, outcome: Outcome, report: Option<LoadReport>,
--- a/src/relay/lifecycle/graceful_shutdown.rs
+++ b/src/relay/lifecycle/graceful_shutdown.rs
@@ -11,8 +11,8 @@
 use super::signals::{self, SignalError};
 use crate::relay::{ConnectionCommand, SharedRelay};
 
-/// Time for which the front proxy still sends new clients here, in microseconds. A client that migrated
-/// earlier could reconnect to this process.
+/// Time after the start of the shutdown for which the front proxy still sends new clients here, in
+/// microseconds. A client that migrated earlier could reconnect to this process.
 const FRONT_PROXY_DELAY: Micros = 400_000;
 /// The longest request deadline that the shutdown waits for, in microseconds.
 const MAX_DEADLINE_WAIT: Micros = 3_000_000;
@@ -50,7 +50,7 @@
     established.div_ceil(intervals_left)
 }
 
-/// Drains the relay. Returns before the time at which the process is killed.
+/// Drains the relay. Returns at least `EXIT_BEFORE_KILL` before the process is killed.
 pub async fn drain(relay: SharedRelay) {
     relay.borrow_mut().shutting_down = true;
     let timers = relay.borrow().timers.clone();
--- a/src/relay/lifecycle/hot_restart/maintenance.rs
+++ b/src/relay/lifecycle/hot_restart/maintenance.rs
@@ -47,7 +47,8 @@
     let confirmed = relay.borrow_mut().send_maintenance_change(id, change);
     let directory = relay.borrow().listener_ownership.directory.clone();
     if let Some(directory) = directory {
-        // The change is already in effect; it is saved so that it also outlasts the process.
+        // The change is already in effect. It is saved so that a later process does not restore an older
+        // state from the file.
         directory.save_maintenance(relay).await.map_err(SetMaintenanceError::NotSaved)?;
     }
     match confirmed {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Applies a maintenance change that an operator has made in another process. `at` is the time of the
-    /// change.
+    /// Applies a maintenance change from another process or from the maintenance file. `at` is recorded as
+    /// the time of the change, in Unix microseconds.
     pub(super) fn apply_maintenance_command(
         &mut self, at: Micros, id: &EndpointId, change: MaintenanceChange,
     ) {
--- a/src/relay/lifecycle/reload.rs
+++ b/src/relay/lifecycle/reload.rs
@@ -30,8 +30,8 @@
     Ok(reloads)
 }
 
-/// Applies reloaded configurations while the relay runs. A failed reload, as of a file that is still being
-/// written, is logged and changes nothing.
+/// Applies reloaded configurations while the relay runs. A reload that fails, for example because a file is
+/// only half written, is logged and changes nothing.
 pub async fn apply_reloads(relay: SharedRelay, mut reloads: Reloads) {
     while let Some(reload) = reloads.recv().await {
         match reload {
--- a/src/relay/metrics/frame_queue.rs
+++ b/src/relay/metrics/frame_queue.rs
@@ -53,8 +53,8 @@
         self.first().map(|bytes| &bytes[self.written_bytes..])
     }
 
-    /// Adds a frame. Returns the frames that were evicted to make room, oldest first; the new frame itself if
-    /// it does not fit.
+    /// Adds a frame. Returns the frames that were evicted to make room, oldest first, followed by the new
+    /// frame itself if it still does not fit.
     ///
     /// A partly written frame is never evicted, because the stream would be cut within it.
     pub(super) fn push(&mut self, frame: Frame) -> Vec<Frame> {
--- a/src/relay/metrics/labels.rs
+++ b/src/relay/metrics/labels.rs
@@ -58,13 +58,13 @@
 /// How an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::relay) enum ConnectionEndReason {
-    /// The endpoint closed it after its last line was complete.
+    /// The endpoint closed or reset it after its last line had reported the connection as completed (`BYE`).
     Completed,
     /// The client closed or reset it.
     Client,
-    /// The endpoint closed it while a line was outstanding.
+    /// The endpoint closed it without a reset, and its last line was not `BYE`.
     Endpoint,
-    /// The endpoint reset it.
+    /// The endpoint reset it, and its last line was not `BYE`.
     EndpointReset,
     /// The client was asked to migrate.
     Migrated,
--- a/src/relay/metrics/recorder.rs
+++ b/src/relay/metrics/recorder.rs
@@ -34,7 +34,7 @@
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::relay) enum RequestResult {
-    /// The endpoint's `UP` was forwarded.
+    /// It was answered with the endpoint's `UP`.
     Established,
     /// It was answered with `BUSY`.
     Rejected,
@@ -58,7 +58,7 @@
         self.record_class(class, family);
     }
 
-    /// Records the answer to a request that was rejected before it was registered with the balancer.
+    /// Records the answer to a request that was never registered at the relay.
     pub(in crate::relay) fn record_unregistered_result(
         &mut self, request: &OpenRequest, result: RequestResult,
     ) {
--- a/src/relay/metrics/spool_queue.rs
+++ b/src/relay/metrics/spool_queue.rs
@@ -81,7 +81,7 @@
             Some(error) if !std::mem::replace(&mut self.write_failing, true) => {
                 warn!(
                     target: "metrics", exporter = config.name, %error,
-                    "writing to the spool failed; its frames are dropped"
+                    "writing to the spool failed; frames that cannot be written are dropped"
                 );
             }
             None => self.write_failing = false,
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -109,8 +109,8 @@
 }
 
 fn start_metrics(relay: &SharedRelay, config: &MetricsConfig, relay_name: &str) {
-    if let Some(folder) = &config.state_directory {
-        relay.borrow_mut().restore_counters(folder, relay_name);
+    if let Some(directory) = &config.state_directory {
+        relay.borrow_mut().restore_counters(directory, relay_name);
     }
     exporter::apply_config(relay, config, relay_name);
 }
