--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns how many descriptors the process's limit leaves without those for operators' connections; the
-/// reserve of `RESERVED_DESCRIPTORS` is still included.
+/// Returns the process's limit on descriptors less those for operators' connections. The reserve of
+/// `RESERVED_DESCRIPTORS` is not subtracted.
 pub(in crate::relay) fn connection_descriptor_limit(process_limit: usize, admin_enabled: bool) -> usize {
     process_limit.saturating_sub(if admin_enabled { admin::server::MAX_DESCRIPTORS } else { 0 })
 }
--- a/src/relay/endpoints/zone_failover.rs
+++ b/src/relay/endpoints/zone_failover.rs
@@ -57,7 +57,8 @@
     Ok(Some(zone_failover))
 }
 
-/// Returns whether an outcome shows that its endpoint is alive or silent; `None` if it shows neither.
+/// Returns whether an outcome shows that its endpoint responds or does not respond; `None` if it shows
+/// neither.
 fn endpoint_signal(outcome: Outcome) -> Option<EndpointSignal> {
     match outcome {
         Outcome::Ok | Outcome::Error | Outcome::Rejected => Some(EndpointSignal::Responsive),
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -5,14 +5,15 @@
 use super::connections::protocol::OpenRequest;
 use super::{ConnectionIdGuard, NotReady, Relay};
 
-/// Timeout for connecting to an endpoint if the settings contain none.
+/// Timeout for connecting to an endpoint if the settings contain none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
-/// Minimum time after which an idle connection to an endpoint is closed.
+/// Minimum time after which an idle health check connection to an endpoint is closed, in microseconds.
 const MIN_IDLE_TIMEOUT: Micros = 1_000_000;
-/// Time after the relay's start within which connections that were established earlier can be adopted.
+/// Time after the relay's start within which connections that were established earlier can be adopted, in
+/// microseconds.
 const ADOPTION_PERIOD: Micros = 40_000_000;
-/// Maximum time for which a connection waits for its endpoint to be listed if it asks for adoption later than
-/// that.
+/// Time for which a connection waits for its endpoint to be listed if it asks for adoption at the end of
+/// `ADOPTION_PERIOD` or later, in microseconds.
 const LATE_ADOPTION_TIMEOUT: Micros = 2_000_000;
 
 impl Relay {
--- a/src/relay/metrics/persistent_counters.rs
+++ b/src/relay/metrics/persistent_counters.rs
@@ -34,7 +34,7 @@
     relay_name: String,
     /// How many processes have used the directory so far, including this one.
     incarnation: u64,
-    /// Everything counted up to this time is saved.
+    /// Everything counted up to this time, in Unix microseconds, is saved.
     saved_at: Micros,
     save_failing: bool,
 }
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -30,7 +30,7 @@
     ("cell", DeduplicationScope::Cell),
 ];
 
-/// Interval between events, in microseconds, where the settings give none.
+/// Least time between two events, in microseconds, if the settings contain none.
 const DEFAULT_EVENT_INTERVAL: Micros = 1_000;
 
 /// Parses the settings object of a simulator's instance or of the relay's configuration. Returns the settings
