--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -467,7 +467,7 @@
             self.add(format!("zone {name}"), index_text(names.zone(&name).map(|id| id.0)));
         }
         for name in listed_names(&settings["shapes"]) {
-            self.add(format!("shape {name}"), index_text(names.kind(&name).map(|id| id.0)));
+            self.add(format!("shape {name}"), index_text(names.machine_type(&name).map(|id| id.0)));
         }
         self.add("class nobody", index_text(names.class("nobody").map(|id| id.0)));
         let report = names.load_report(|name| {
