--- a/crates/testbed/src/fleet/analysis.rs
+++ b/crates/testbed/src/fleet/analysis.rs
@@ -39,7 +39,8 @@
     started_at: u64,
 }
 
-/// State of an analysis; the keys of maps are relays or endpoints, times are Unix microseconds.
+/// State of an analysis. The keys of maps are relays or endpoints unless noted; `_at` marks a time in Unix
+/// microseconds.
 struct Analysis<'a> {
     plan: &'a Plan,
     report: Report,
@@ -48,9 +49,10 @@
     target_version: u64,
     histories: BTreeMap<usize, RelayHistory>,
     exited: BTreeSet<usize>,
-    /// Time from its last start until a relay had the target version.
+    /// Time from a relay's last start, or from a later start of discovery with an empty list, until the relay
+    /// had the target version, in microseconds.
     time_to_list: BTreeMap<usize, u64>,
-    /// Time from the start of the run until a relay first served a client.
+    /// Time from the start of the run until a relay first served a client, in microseconds.
     time_to_serve: BTreeMap<usize, u64>,
     accepted_at: BTreeMap<usize, Vec<u64>>,
     health_checked_at: BTreeMap<usize, Vec<u64>>,
@@ -61,7 +63,7 @@
     /// Time at which a relay learned that an endpoint drains, by relay and endpoint.
     drain_known_at: BTreeMap<(usize, usize), u64>,
     discovery_requested_at: Vec<u64>,
-    /// Time of discovery's last start with an empty list.
+    /// Time of discovery's last start with an empty list; 0 if there was none.
     list_emptied_at: u64,
 }
 
--- a/crates/testbed/src/fleet/fault_proxy.rs
+++ b/crates/testbed/src/fleet/fault_proxy.rs
@@ -214,7 +214,7 @@
         Some(Err(_)) => {
             for out in [downstream_write, upstream_write] {
                 let _ = out.as_ref().set_zero_linger();
-                // A plain drop would shut the stream down in order before the reset.
+                // Dropping the write half would shut the stream down gracefully before the reset.
                 out.forget();
             }
         }
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -10,8 +10,8 @@
 //! at 0s list down                     # the process of discovery: down, up, stop, cont
 //! at 0s list fresh 10s                # restart discovery with an empty list, which it fills over 10 s
 //! at 0s list cost 400ms               # work for a request for the full list
-//! at 0s list mute on                  # off; while on, discovery sends no answers
-//! at 0s list patient on               # off; while on, discovery rejects no request queued too long
+//! at 0s list mute on                  # off; while on, discovery holds back all answers
+//! at 0s list patient on               # off; while on, no request is rejected, however long it was queued
 //! at 3s list state 4 leaving          # active, left: the state of an endpoint in the list
 //! at 3s card 4 drain                  # undrain: the endpoint itself
 //! at 3s cards 1 down                  # a process of endpoints: down, up, stop, cont
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -76,7 +76,7 @@
     let expectations = Expectations { outage_s: 5.0, slack_s: None, refills_list: true };
     let (report, records) = run_case(&ColdStartCase { seed: 31, script_text, expectations }, 12);
     assert_eq!(report.violations, Vec::<String>::new(), "{report:?}");
-    assert!(report.time_to_list_max_s.is_some(), "every relay has the complete list in the end: {report:?}");
+    assert!(report.time_to_list_max_s.is_some(), "a relay never got the complete list: {report:?}");
     assert!(count_answers(&records, 4, Answer::Established) > 10, "{report:?}");
     assert_eq!(
         (count_answers(&records, 4, Answer::Rejected), count_answers(&records, 4, Answer::Failed)),
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -214,7 +214,7 @@
         assert_eq!(
             Ok(script),
             ColdStart::Generated.script(12, 20, seed),
-            "a seed generates the same script each time"
+            "seed {seed} does not generate the same script again"
         );
     }
     let text = "at 0s start relays 7-3\nat 1 kill relays *\nat 1s link list/x hole\n\
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Checks that the simulation is able to detect excessive spill: without limits two failed zones exceed it.
+/// Checks that the simulation can detect excessive spill: without limits, at least three of four seeds exceed
+/// a spill of 28% while two zones have failed.
 #[test]
 fn simulated_scenario_without_limits_exceeds_spill_limit() {
     let config = ZoneFailoverConfig {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -100,7 +100,8 @@
         assert_eq!(receive_line(&mut client).await, "UP r-1\r\n");
         assert!(relay.admin_command("maint-on nobody\r\n").await.starts_with("NO"));
         assert!(relay.admin_command("maint-off nobody\r\n").await.starts_with("NO"));
-        // Maintenance that was started twice is ended by one command.
+        // A repeated command is accepted: the endpoint counts once in maintenance, and once ended it stays
+        // ended.
         assert_eq!(relay.admin_command("maint-on s-1\r\n").await, "YES\r\n");
         assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
         let in_maintenance = wait_for_stats(&relay, |_| true).await;
--- a/tests/compatibility/leases_and_gossip/fixture.rs
+++ b/tests/compatibility/leases_and_gossip/fixture.rs
@@ -44,7 +44,7 @@
 
 /// Decodes hexadecimal digits.
 pub fn decode_hex(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "an even number of hexadecimal digits");
+    assert!(hex.len().is_multiple_of(2), "the number of hexadecimal digits is odd");
     let digits =
         |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).expect("two hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
@@ -54,5 +54,5 @@
 pub fn assert_labels<'a>(file: &str, expected: impl IntoIterator<Item = &'a str>) {
     let found: Vec<String> = read_all(file).into_iter().map(|(label, _)| label).collect();
     let expected: Vec<&str> = expected.into_iter().collect();
-    assert_eq!(found, expected, "the tests cover exactly the fixtures of {file}");
+    assert_eq!(found, expected, "the labels in {file} are not those that the tests cover");
 }
--- a/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
+++ b/tests/compatibility/leases_and_gossip/gossip_datagrams.rs
@@ -142,7 +142,7 @@
     }
     assert!(
         sent.iter().all(|datagram| datagram.to == address(first_id())),
-        "the member sends only to its seed"
+        "the member sent a datagram to an address other than its seed"
     );
     (view, sent.into_iter().map(|datagram| datagram.bytes).collect())
 }
@@ -152,10 +152,10 @@
     let mut recorded = read_all(RUN).into_iter();
     run_members(|_, _, sent| {
         let (label, bytes) = recorded.next().expect("the run sends no more datagrams than the recorded one");
-        assert_eq!(sent, bytes, "{label} is sent");
+        assert_eq!(sent, bytes, "{label}: other bytes are sent");
         bytes
     });
-    assert_eq!(recorded.next(), None, "the run sends no fewer datagrams than the recorded one");
+    assert_eq!(recorded.next(), None, "the run sends fewer datagrams than the recorded one");
 }
 
 #[test]
@@ -176,6 +176,6 @@
 fn the_recorded_datagrams_start_with_version_1_and_the_hash_of_the_fleet_name() {
     let envelope = [&[1][..], &xxhash_rust::xxh3::xxh3_64(b"alpha").to_le_bytes()].concat();
     for (label, bytes) in read_all(RUN).into_iter().chain(read_all(DATAGRAM)) {
-        assert!(bytes.starts_with(&envelope), "{label} starts with the envelope");
+        assert!(bytes.starts_with(&envelope), "{label} does not start with the envelope");
     }
 }
--- a/tests/compatibility/leases_and_gossip/lease_database.rs
+++ b/tests/compatibility/leases_and_gossip/lease_database.rs
@@ -81,7 +81,7 @@
     let mut bytes = vec![0; length.parse().expect("the length is a number")];
     for line in lines {
         let [offset, length, hex] = line.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("a row has three columns")
+            panic!("a row does not have three columns")
         };
         let (offset, length): (usize, usize) = (
             offset.parse().expect("the offset is a number"),
--- a/tests/compatibility/leases_and_gossip/lease_frames.rs
+++ b/tests/compatibility/leases_and_gossip/lease_frames.rs
@@ -110,8 +110,8 @@
     assert_labels(FRAMES, client_frames().iter().map(|(label, _)| *label));
     for (label, frame) in client_frames() {
         let bytes = read_one(FRAMES, label);
-        assert_eq!(read_frame(&bytes).await, frame, "{label} is read");
-        assert_eq!(write_frame(&frame).await, bytes, "{label} is written");
+        assert_eq!(read_frame(&bytes).await, frame, "{label}: another frame is read");
+        assert_eq!(write_frame(&frame).await, bytes, "{label}: other bytes are written");
     }
 }
 
@@ -127,9 +127,9 @@
                 result.clone()
             };
             let accepted = accept(&mut FrameReader::new(&bytes[..]), &mut answer, check).await;
-            assert_eq!(seen.as_ref(), Some(&expected), "{label} is read");
-            assert_eq!(accepted.is_ok(), result.is_ok(), "{label} is {result_label}");
-            assert_eq!(answer, read_one(GREETINGS, result_label), "{result_label} is written");
+            assert_eq!(seen.as_ref(), Some(&expected), "{label}: another greeting is read");
+            assert_eq!(accepted.is_ok(), result.is_ok(), "{label} is not {result_label}");
+            assert_eq!(answer, read_one(GREETINGS, result_label), "{result_label}: other bytes are written");
         }
     }
 }
@@ -149,13 +149,16 @@
                 (received, stream)
             };
             let (dialed, (received, _stream)) = tokio::join!(dial(address, &greeting, TIMEOUT), listen);
-            assert_eq!(received, expected, "{label} is written");
+            assert_eq!(received, expected, "{label}: other bytes are written");
             match result {
-                Ok(()) => assert!(dialed.is_ok(), "{result_label} is read"),
+                Ok(()) => assert!(dialed.is_ok(), "the result `{result_label}` is read as an error"),
                 Err(reason) => {
                     let error = dialed.expect_err("a rejection is an error");
                     assert_eq!(error.kind(), std::io::ErrorKind::PermissionDenied);
-                    assert!(error.to_string().contains(&reason), "{result_label} gives its reason");
+                    assert!(
+                        error.to_string().contains(&reason),
+                        "the error for `{result_label}` does not contain its reason"
+                    );
                 }
             }
         }
--- a/tests/compatibility/leases_and_gossip/lease_table.rs
+++ b/tests/compatibility/leases_and_gossip/lease_table.rs
@@ -108,8 +108,8 @@
     assert_labels(COMMANDS, command_variants().iter().map(|(label, _)| *label));
     for (label, command) in command_variants() {
         let bytes = read_one(COMMANDS, label);
-        assert_eq!(decode::<Command>(&bytes), command, "{label} is read");
-        assert_eq!(encode(&command), bytes, "{label} is written");
+        assert_eq!(decode::<Command>(&bytes), command, "{label}: another command is read");
+        assert_eq!(encode(&command), bytes, "{label}: other bytes are written");
     }
 }
 
--- a/tests/compatibility/leases_and_gossip/replica_messages.rs
+++ b/tests/compatibility/leases_and_gossip/replica_messages.rs
@@ -95,7 +95,7 @@
     RecordedFrame { clock, kind, from, to: 1, term: 7, ..RecordedFrame::default() }
 }
 
-/// Returns a vote request or a pre-vote request.
+/// Returns a vote request (kind 5) or a pre-vote request (kind 17).
 fn vote_request(kind: u8) -> RecordedFrame {
     RecordedFrame {
         log_term: SNAPSHOT_TERM,
@@ -255,12 +255,12 @@
 async fn a_peer_message_from_the_previous_version_is_read_and_written_unchanged() {
     for (label, bytes) in read_all(KINDS).into_iter().chain(read_all(RUN)) {
         let frame = read_frame(&bytes).await;
-        assert_eq!(write_frame(&frame).await, bytes, "{label} is written");
+        assert_eq!(write_frame(&frame).await, bytes, "{label}: other bytes are written");
         let recorded: RecordedFrame = decode(&bytes[LENGTH_PREFIX_BYTES..]);
         let (clock, message) = peer_message(frame);
         let read = (clock, message.from, message.to, message.has_snapshot());
         let expected = (recorded.clock, recorded.from, recorded.to, recorded.snapshot.is_some());
-        assert_eq!(read, expected, "{label} is read");
+        assert_eq!(read, expected, "{label}: other values are read");
     }
 }
 
@@ -272,10 +272,10 @@
     run_cluster(&read_one("lease_table.txt", "table"), |clock, message| {
         let (label, bytes) = recorded.next().expect("the run sends no more messages than the recorded one");
         let sent = runtime.block_on(write_frame(&peer_frame(clock, message)));
-        assert_eq!(sent, bytes, "{label} is sent");
+        assert_eq!(sent, bytes, "{label}: other bytes are sent");
         peer_message(runtime.block_on(read_frame(&bytes))).1
     });
-    assert_eq!(recorded.next(), None, "the run sends no fewer messages than the recorded one");
+    assert_eq!(recorded.next(), None, "the run sends fewer messages than the recorded one");
 }
 
 #[test]
@@ -285,9 +285,9 @@
     for (label, expected) in kinds {
         let bytes = read_one(KINDS, label);
         let (prefix, payload) = bytes.split_at(LENGTH_PREFIX_BYTES);
-        assert_eq!(prefix, (payload.len() as u32).to_be_bytes(), "{label} starts with its length");
-        assert_eq!(decode::<RecordedFrame>(payload), expected, "{label} has the recorded fields");
-        assert_eq!(encode(&expected), payload, "{label} has the recorded layout");
+        assert_eq!(prefix, (payload.len() as u32).to_be_bytes(), "{label} does not start with its length");
+        assert_eq!(decode::<RecordedFrame>(payload), expected, "{label} has other field values");
+        assert_eq!(encode(&expected), payload, "{label} has another layout");
     }
 }
 
--- a/tests/compatibility/relay/command_line.rs
+++ b/tests/compatibility/relay/command_line.rs
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn an_admin_command_is_sent_as_one_line_and_its_answer_is_the_exit_status() {
+fn an_admin_command_is_sent_as_one_line_and_its_answer_determines_the_exit_status() {
     for (answer, status) in [("YES\n", 0), ("{}\nEND\n", 0), ("NO such endpoint\n", 1)] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let admin = listener.local_addr().expect("the listener has an address").to_string();
--- a/tests/compatibility/relay/metrics.rs
+++ b/tests/compatibility/relay/metrics.rs
@@ -23,7 +23,7 @@
 const SEGMENT: &str = "wait-0000000000000001.spool";
 /// Time of the snapshot in the fixtures, in microseconds since the Unix epoch.
 const TAKEN_AT_MICROS: u64 = 1_700_000_000_250_000;
-/// Interval between two snapshots, in microseconds.
+/// Interval of the sink, which packets contain, in microseconds.
 const INTERVAL_MICROS: u64 = 10_000_000;
 /// Initialization vector of the encrypted fixture.
 const INITIALIZATION_VECTOR: [u8; 16] = *b"0123456789abcdef";
@@ -122,14 +122,14 @@
 }
 
 fn assert_packets(name: &str, security: &Security, passwords: Option<collectd::PasswordLookup>) {
-    let frozen = packets(name);
-    let received: Vec<ReceivedValue> = frozen
+    let recorded = packets(name);
+    let received: Vec<ReceivedValue> = recorded
         .iter()
         .flat_map(|packet| collectd::decode_packet(packet, passwords).expect("a valid packet"))
         .collect();
     assert_eq!(received.first(), Some(&first_received()));
     assert_eq!(received.len(), recorded_snapshot().samples.len());
-    assert_eq!(write_packets(security), frozen);
+    assert_eq!(write_packets(security), recorded);
 }
 
 #[test]
--- a/tests/compatibility/simulator.rs
+++ b/tests/compatibility/simulator.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn recorded_runs_contain_every_event_of_the_wire_and_every_action_of_the_balancer() {
+fn recorded_runs_contain_every_event_of_the_wire_and_exactly_the_listed_actions() {
     let (mut events, mut actions) = (BTreeMap::new(), BTreeMap::new());
     let (mut modes, mut outcomes, mut health_checks) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     for run in recorded_runs() {
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -231,7 +231,12 @@
         (predecessor, predecessor_admin) = (successor, successor_admin);
     }
     let (opened, failures) = load.stop_and_collect();
-    assert!(opened > 100 && failures.is_empty(), "{} of {opened}: {:?}", failures.len(), failures.first());
+    assert!(
+        opened > 100 && failures.is_empty(),
+        "{} of {opened} connections failed; the first: {:?}",
+        failures.len(),
+        failures.first()
+    );
 }
 
 #[test]
@@ -285,7 +290,7 @@
 }
 
 #[test]
-fn of_two_concurrent_successors_one_takes_over_and_a_rejected_one_reports_the_reason() {
+fn each_of_two_concurrent_successors_serves_or_exits_with_the_reason() {
     let setup = RelaySetup::new("two");
     let (_predecessor, _) = setup.start("old.log");
     let (_successor, _) = setup.start("new.log");
@@ -342,7 +347,7 @@
 }
 
 #[test]
-fn the_call_command_exits_with_a_status_for_the_answer() {
+fn call_exits_with_0_on_success_1_on_a_rejected_command_and_2_without_an_answer() {
     let setup = RelaySetup::new("call");
     let (_relay, admin) = setup.start("log");
     let run_call = |arguments: &[&str]| {
@@ -387,9 +392,15 @@
     let bytes = state.to_file_bytes();
     assert_eq!(MaintenanceState::from_file_bytes(&bytes).expect("the file is valid"), state);
     for cut in 0..bytes.len() {
-        assert!(MaintenanceState::from_file_bytes(&bytes[..cut]).is_err(), "cut at {cut}");
+        assert!(
+            MaintenanceState::from_file_bytes(&bytes[..cut]).is_err(),
+            "accepted when truncated to {cut} bytes"
+        );
         let mut flipped = bytes.clone();
         flipped[cut] ^= 1;
-        assert!(MaintenanceState::from_file_bytes(&flipped).is_err(), "flipped at {cut}");
+        assert!(
+            MaintenanceState::from_file_bytes(&flipped).is_err(),
+            "accepted with a bit of byte {cut} flipped"
+        );
     }
 }
--- a/tests/lease_servers/cluster.rs
+++ b/tests/lease_servers/cluster.rs
@@ -137,7 +137,7 @@
 
     pub fn acquire(&self, task: &str, holder: &str) -> CommandOutcome {
         let Response::Results(results) = self.request(vec![acquire_command(task, holder)]) else {
-            panic!("an acquire is answered with results");
+            panic!("the acquire is not answered with results");
         };
         results[0].outcome
     }
--- a/tests/lease_servers/disk_full.rs
+++ b/tests/lease_servers/disk_full.rs
@@ -42,7 +42,7 @@
         };
         let commands: Vec<LeaseCommand> = (0..COMMANDS_PER_REQUEST).map(acquire).collect();
         let Response::Results(results) = cluster.request(commands) else {
-            panic!("an acquire is answered with results")
+            panic!("the acquires are not answered with results")
         };
         assert_eq!(results.len(), COMMANDS_PER_REQUEST);
         if cluster.has_exited(SERVER) {
--- a/tests/lease_servers/recovery.rs
+++ b/tests/lease_servers/recovery.rs
@@ -25,7 +25,9 @@
     cluster.start(1, None);
     cluster.start(3, None);
     assert_eq!(cluster.acquire(TASK, "b"), TAKEN);
-    let Response::Leases(leases) = cluster.request(Vec::new()) else { panic!("all leases") };
+    let Response::Leases(leases) = cluster.request(Vec::new()) else {
+        panic!("an empty request is not answered with all leases")
+    };
     assert_eq!((leases.len(), &leases[0].holder[..], leases[0].token), (1, "a", FencingToken(501)));
     // A revoked lease is free once it has expired, and the next token is greater.
     let revoke = Command::Revoke { task: TASK.into(), token: FencingToken(501) };
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -232,8 +232,9 @@
     assert_eq!(store.sum(REJECTED_PATH), 4.0);
 }
 
-/// The sink is down for several samples, and the relay is killed meanwhile. Once both run again, no sample is
-/// missing.
+/// The sink is down for several samples, and the relay is killed meanwhile. Once both run again, the sink
+/// gets samples of at least six times, which cover all requests but the last, and totals never decrease from
+/// one time to the next.
 #[test]
 fn a_spool_sends_what_a_sink_missed_also_after_the_relay_was_killed() {
     let folder = ScratchDirectory::new("spool");
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -76,7 +76,7 @@
         let received = timeout(STEP_TIMEOUT, late.next_connection())
             .await
             .expect("the attempt connects or is cancelled");
-        assert_eq!(received, "", "a draining endpoint is sent nothing");
+        assert_eq!(received, "", "bytes were sent to a draining endpoint");
         assert!(receive_to_end(client).await.starts_with("BUSY"));
     });
 }
@@ -111,7 +111,7 @@
             drop(client.into_inner().into_std().expect("the socket is converted"));
             std::thread::sleep(Duration::from_millis(1_500));
             let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
-            assert_eq!(received, "", "the client has disconnected: {request}");
+            assert_eq!(received, "", "bytes were sent although the client had disconnected: {request}");
         });
     }
 }
@@ -141,7 +141,7 @@
         assert_eq!(relay.admin_command("maint-on s-1\n").await, "YES\n");
         late.accept_pending();
         let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
-        assert_eq!(received, "", "an endpoint in maintenance is sent nothing");
+        assert_eq!(received, "", "bytes were sent to an endpoint in maintenance");
     });
 }
 
@@ -169,7 +169,7 @@
         std::thread::sleep(Duration::from_millis(800));
         late.accept_pending();
         let received = timeout(STEP_TIMEOUT, late.next_connection()).await.expect("the attempt connects");
-        assert_eq!(received, "", "no retry is sent after the key has expired");
+        assert_eq!(received, "", "a retry was sent after its idempotency key had expired");
         let answer =
             timeout(STEP_TIMEOUT, receive_to_end(client)).await.expect("the client gets a final answer");
         assert!(answer.starts_with("BUSY"), "{answer}");
@@ -338,6 +338,10 @@
         timeout(STEP_TIMEOUT, accept_request(&discovery, "GET /registry/instances?index=1&"))
             .await
             .expect("the watch is reopened");
-        assert_eq!(receive_to_end(silent_watch).await, "", "the unanswered watch is closed");
+        assert_eq!(
+            receive_to_end(silent_watch).await,
+            "",
+            "bytes were sent on the unanswered watch before it was closed"
+        );
     });
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -191,7 +191,11 @@
             upstream = accept_connection(&second) => (upstream, &first),
         };
         send(&mut upstream, "BUSY\r\n").await;
-        assert_eq!(receive_to_end(upstream).await, "", "the relay closes the rejected attempt");
+        assert_eq!(
+            receive_to_end(upstream).await,
+            "",
+            "bytes were sent on the rejected attempt before it was closed"
+        );
         let (mut upstream, _) = accept_connection(other).await;
         send(&mut upstream, "UP r2\r\n").await;
         assert_eq!(receive_line(&mut client).await, "UP r2\r\n");
@@ -369,7 +373,7 @@
         for _ in 0..2 {
             relay.reloads.send(config(&[], 256, new_address)).expect("the relay runs");
         }
-        assert_eq!(receive_to_end(watch).await, "", "the watch at the old address is closed");
+        assert_eq!(receive_to_end(watch).await, "", "bytes were sent on the old watch before it was closed");
         // The endpoint list stays until the new discovery answers, after a retry, with its own.
         send(&mut client, "answer 1\r\n").await;
         assert_eq!(receive_line(&mut upstream).await, "answer 1\r\n");
@@ -421,7 +425,7 @@
         send_sighup(program.0.id());
         assert_eq!(receive_to_end(watch).await, "");
         let _request = accept_request(&new, FULL_LIST_REQUEST).await;
-        assert!(program.0.try_wait().expect("the status is known").is_none(), "the program still runs");
+        assert!(program.0.try_wait().expect("the status is known").is_none(), "the program has ended");
         std::fs::remove_file(&file).expect("the file is removed");
     });
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -283,7 +283,7 @@
     for (deployment, valid) in deployments() {
         let config = Config::read(valid.to_string().as_bytes(), |_| None).expect(deployment);
         let (requests, answered) = simulate(&config).expect(deployment);
-        assert_eq!(requests, answered, "{deployment}: every request gets one answer");
+        assert_eq!(requests, answered, "{deployment}: the numbers of requests and of answered ones differ");
         let mut paths = Vec::new();
         collect_paths(&valid, String::new(), &mut paths);
         for path in paths {
@@ -299,7 +299,10 @@
                 let run = catch_unwind(AssertUnwindSafe(run));
                 match run.unwrap_or_else(|_| panic!("{change}: the balancer or the configuration panics")) {
                     Ok((requests, answered)) => {
-                        assert_eq!(requests, answered, "{change}: every request gets one answer");
+                        assert_eq!(
+                            requests, answered,
+                            "{change}: the numbers of requests and of answered ones differ"
+                        );
                         accepted += 1;
                     }
                     Err(error) => {
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -43,8 +43,8 @@
 }
 
 /// Guards against a busy loop: a next tick that has already passed makes the event loop advance again at once
-/// although nothing is due. Tens of thousands of random timers are due at once, long ago or after many turns
-/// of the wheel, and the clock jumps at times, as for a process that was stopped.
+/// although nothing is due. Inserts tens of thousands of random entries, overdue, due at once or due after
+/// many turns of the wheel, and makes the clock jump at times, as for a process that was stopped.
 #[test]
 fn next_tick_is_in_the_future_and_never_after_the_first_due_entry() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
