--- a/crates/testbed/src/fleet/clients.rs
+++ b/crates/testbed/src/fleet/clients.rs
@@ -23,7 +23,7 @@
 const DUPLICATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time within which all clients send their first request, in seconds.
 const FIRST_REQUEST_WITHIN_S: f64 = 0.3;
-/// Range of the backoff before the next request if the relay named none, in milliseconds.
+/// Range of the backoff before the next request if the relay gave no retry time, in milliseconds.
 const BACKOFF_MS: std::ops::Range<u64> = 52..520;
 /// Mean duration of an established connection, in seconds.
 const MEAN_CONNECTION_S: f64 = 25.0;
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Makes one request and stays connected while it is served; returns the relay's `Retry-After` in
-    /// milliseconds, if any.
+    /// Makes one request and stays connected while it is served. Returns the retry time of the relay's
+    /// rejection in milliseconds, or `None` if there was no rejection or it had no time.
     async fn connect(&mut self) -> Option<u64> {
         let relay = self.relay;
         let connecting = TcpStream::connect(self.plan.relay_address_for_clients(relay));
--- a/crates/testbed/src/fleet/link.rs
+++ b/crates/testbed/src/fleet/link.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// Parses a number or an inclusive range, such as `7` or `0-99`.
+/// Parses a number or an inclusive range, such as `7` or `0-99`. Returns `None` if the text is neither or the
+/// range is descending.
 pub(super) fn number_range(text: &str) -> Option<RangeInclusive<usize>> {
     let (from, to) = text.split_once('-').unwrap_or((text, text));
     let range = from.parse().ok().zip(to.parse().ok()).filter(|(from, to)| from <= to);
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -53,7 +53,7 @@
         let reserve_if_free = |number: u8| {
             let bind = |c, d, port| std::net::TcpListener::bind((Ipv4Addr::new(127, number, c, d), port));
             let lock = bind(250, 1, 4999).ok()?;
-            // Processes of a harness that was killed may not have ended yet.
+            // Processes of a killed harness may not have ended yet and still use addresses of the network.
             let process_sockets = [bind(10, 1, 8500), bind(20, 1, 6000), bind(0, 1, 5000)];
             process_sockets.iter().all(Result::is_ok).then_some(LoopbackNetwork { number, _lock: lock })
         };
--- a/tests/rare_moments.rs
+++ b/tests/rare_moments.rs
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longer than any step of a test should take, shorter than the relay's own timeouts.
+/// Longer than any step of a test should take, shorter than the deadline of every request, at least 26 s.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Changes a configuration so that late connections succeed: no health checks, and a long connect timeout.
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -73,9 +73,9 @@
             assert_eq!(receive_to_end(relay.client(malformed).await).await, "ERR\r\n", "{malformed}");
         }
         assert_eq!(receive_to_end(relay.client(&"a".repeat(5_000)).await).await, "ERR\r\n");
-        let mut half = relay.client("OPEN 1 2 c=st").await;
-        half.shutdown().await.expect("the connection is half closed");
-        assert_eq!(receive_to_end(half).await, "ERR\r\n");
+        let mut half_closed = relay.client("OPEN 1 2 c=st").await;
+        half_closed.shutdown().await.expect("the connection is half closed");
+        assert_eq!(receive_to_end(half_closed).await, "ERR\r\n");
     });
 }
 
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -106,9 +106,12 @@
         assert!(prefix.bytes <= cut);
     }
     for bit in 0..bytes.len() * 8 {
-        let mut torn = bytes.clone();
-        torn[bit / 8] ^= 1 << (bit % 8);
-        assert!(spool_record::valid_prefix(&torn).records < 3, "bit {bit}");
+        let mut corrupted = bytes.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert!(
+            spool_record::valid_prefix(&corrupted).records < 3,
+            "all records valid with bit {bit} flipped"
+        );
     }
     let directory = ScratchDirectory::new("torn");
     fs::create_dir_all(&directory.0).expect("the directory is created");
