--- a/crates/zone-failover/src/config_file.rs
+++ b/crates/zone-failover/src/config_file.rs
@@ -164,7 +164,7 @@
         block.finish();
         let Some(home) = home else { return };
         if self.tiers.insert(home.clone(), tiers).is_some() {
-            top.error(&directive.name, format!("`prefer {home}` is given again"));
+            top.error(&directive.name, format!("`prefer {home}` is given more than once"));
         }
     }
 
@@ -213,7 +213,7 @@
     let zone_name = top.parse_word(&name.text, zone, |text| parse_zone_name(text, zone_names));
     let value = top.parse_word(&name.text, value, read);
     if zone_name.as_ref().is_some_and(|zone_name| earlier.contains_key(zone_name)) {
-        top.error(zone, format!("`{} {}` is given again", name.text, zone.text));
+        top.error(zone, format!("`{} {}` is given more than once", name.text, zone.text));
     }
     zone_name.zip(value)
 }
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -129,7 +129,7 @@
         if let (Some(number), Some(address)) = (number, address)
             && servers.insert(number, address).is_some()
         {
-            section.error(&directive.words[0], format!("`keeper {number}` is given again"));
+            section.error(&directive.words[0], format!("`keeper {number}` is given more than once"));
         }
     }
     let has_gap = (1..=servers.len() as u64).any(|number| !servers.contains_key(&number));
