--- a/src/relay/endpoints/discovery_client/connection.rs
+++ b/src/relay/endpoints/discovery_client/connection.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 use super::error::DiscoveryError;
-use super::http::{HttpResponse, take_response};
+use super::http::{HttpResponse, parse_response};
 use crate::relay::timer_wheel::Timers;
 
 /// Timeout of connecting to discovery, in microseconds. It allows for one lost SYN packet, which TCP
@@ -92,7 +92,7 @@
 async fn read_response(stream: &mut TcpStream) -> Result<HttpResponse, DiscoveryError> {
     let mut bytes = BytesMut::new();
     loop {
-        if let Some(response) = take_response(&mut bytes)? {
+        if let Some(response) = parse_response(&mut bytes)? {
             return Ok(response);
         }
         if stream.read_buf(&mut bytes).await? == 0 {
--- a/src/relay/endpoints/discovery_client/http.rs
+++ b/src/relay/endpoints/discovery_client/http.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// If the bytes are not a valid response, or the response is too large.
-pub fn take_response(bytes: &mut BytesMut) -> Result<Option<HttpResponse>, HttpError> {
+pub fn parse_response(bytes: &mut BytesMut) -> Result<Option<HttpResponse>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head_bytes) = head.parse(bytes)? else {
--- a/src/relay/endpoints/discovery_client/mod.rs
+++ b/src/relay/endpoints/discovery_client/mod.rs
@@ -9,6 +9,6 @@
 mod task;
 
 pub use error::DiscoveryError;
-pub use http::{HttpError, HttpResponse, take_response};
+pub use http::{HttpError, HttpResponse, parse_response};
 pub use list_codec::{EndpointListError, EndpointListUpdate, parse_endpoint_list};
 pub use task::{DiscoveryCommand, new_poller, run};
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 use honeyknot_relay::relay::connections::protocol::{
     EndpointLine, LineTracker, MAX_LINE_BYTES, OpenRequest, first_line_end, load_report_value,
 };
-use honeyknot_relay::relay::endpoints::discovery_client::{parse_endpoint_list, take_response};
+use honeyknot_relay::relay::endpoints::discovery_client::{parse_endpoint_list, parse_response};
 use honeyknot_relay::relay::lifecycle::config::Config;
 use honeyknot_relay::settings::NameTable;
 use proptest::prelude::*;
@@ -88,10 +88,10 @@
         line.extend(b"\r\n");
         let _ = OpenRequest::parse(line.into());
         let _ = (OpenRequest::parse(bytes.clone().into()), load_report_value(&tail, "util"));
-        let _ = take_response(&mut BytesMut::from(&bytes[..]));
+        let _ = parse_response(&mut BytesMut::from(&bytes[..]));
         let mut after_headers = BytesMut::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         after_headers.extend_from_slice(&bytes);
-        let _ = take_response(&mut after_headers);
+        let _ = parse_response(&mut after_headers);
         let _ = Config::read(&bytes, |_| None);
     }
 
@@ -115,9 +115,9 @@
         let response = &http_responses(ENDPOINT_LIST)[encoding];
         let cut = cut.min(response.len() - 1);
         let mut bytes = BytesMut::from(&response.as_bytes()[..cut]);
-        prop_assert_eq!(take_response(&mut bytes), Ok(None));
+        prop_assert_eq!(parse_response(&mut bytes), Ok(None));
         bytes.extend_from_slice(&response.as_bytes()[cut..]);
-        let received = take_response(&mut bytes).unwrap().unwrap();
+        let received = parse_response(&mut bytes).unwrap().unwrap();
         prop_assert_eq!((received.status, received.body.as_slice()), (200, ENDPOINT_LIST.as_bytes()));
         prop_assert!(bytes.is_empty());
     }
@@ -146,7 +146,7 @@
 fn retry_after_is_a_number_of_seconds_and_anything_else_is_ignored() {
     let retry_after = |header: &str| {
         let text = format!("HTTP/1.1 503 Busy\r\n{header}Content-Length: 0\r\n\r\n");
-        take_response(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
+        parse_response(&mut BytesMut::from(&*text)).unwrap().unwrap().retry_after
     };
     assert_eq!(retry_after("retry-after: 3\r\n"), Some(3_000_000));
     assert_eq!(retry_after(&format!("Retry-After: {}\r\n", u64::MAX)), Some(u64::MAX));
