--- a/crates/testbed/src/leases/run.rs
+++ b/crates/testbed/src/leases/run.rs
@@ -1,5 +1,4 @@
-//! Runs a lease scenario: starts lease servers, holders and the recording server, injects the scenario's
-//! faults and reads the event logs.
+//! Runs a lease scenario: starts its processes, injects its faults and reads the event logs.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -47,8 +46,7 @@
     /// slow. Holders are cut off from the lease servers but not from the recording server.
     #[value(name = "skew")]
     ClockSkew,
-    /// One lease server's clock is 20% fast, which is beyond the drift bound, so only fencing tokens protect
-    /// the tasks.
+    /// One lease server's clock is 20% fast, beyond the drift bound; only fencing tokens protect the tasks.
     #[value(name = "fast")]
     FastClock,
 }
@@ -88,8 +86,7 @@
     }
 }
 
-/// Runs a scenario for a duration. `testbed` is the path of this program; the run fails once `stop`
-/// completes.
+/// Runs a scenario for `length`, or fails once `stop` completes. `testbed` is the path of this program.
 ///
 /// # Errors
 ///
@@ -101,8 +98,7 @@
     (options.clock_drift_ppm, options.margin_ms) = (10_000, options.lease_ms / 20);
     match scenario {
         Scenario::ClockSkew => {
-            // The worst case within the drift bound: lease servers are as fast and holders as slow as it
-            // allows.
+            // The worst case: lease servers are as fast and holders as slow as the drift bound allows.
             (options.clock_drift_ppm, options.margin_ms) = (100_000, 0);
             let holders = vec![-100_000; plan.relays];
             options.clock_error_ppm = [vec![100_000; options.servers], holders].concat();
@@ -236,8 +232,7 @@
         Duration::from_secs_f64(self.plan.leases.lease_ms as f64 / 1_000.0 * count)
     }
 
-    /// Returns a random holder of a lease, or any holder if no lease is held or the lease servers do not
-    /// answer in time.
+    /// Returns a random holder of a lease, or any holder if no lease is held or no answer arrives in time.
     async fn choose_holder(&mut self) -> usize {
         let answer =
             timeout(self.lease_durations(1.0), leader_request::request(&self.direct_config, Vec::new()))
@@ -276,8 +271,7 @@
         }
     }
 
-    /// Injects faults until six lease durations before the end of the run; in the rest every task must get a
-    /// holder again.
+    /// Injects faults until six lease durations before `until`, so that every task can get a holder again.
     async fn inject_faults(&mut self, scenario: Scenario, until: Instant) -> Result<(), String> {
         let last_fault_at = until - self.lease_durations(6.0);
         for holder in 0..self.plan.relays {
@@ -381,8 +375,7 @@
         }
     }
 
-    /// Kills one lease server and truncates or removes its database; then restores the database and starts it
-    /// again.
+    /// Kills a lease server, truncates or removes its database, then restores the database and restarts it.
     async fn damage_database(&mut self) -> Result<(), String> {
         let number = self.rng.random_range(1..=self.plan.leases.servers);
         self.kill_lease_server(number).await;
@@ -478,8 +471,7 @@
         };
         report.add_records(&records, ended_at);
         if scenario == Scenario::FastClock {
-            // Beyond the drift bound only tasks whose tokens are checked are protected, so operations may
-            // overlap.
+            // Beyond the drift bound only checked fencing tokens protect tasks, so operations may overlap.
             report.violations.retain(|violation| !violation.contains("overlapped"));
             let logged_drift = |number: usize| {
                 let log = std::fs::read_to_string(self.plan.folder.join(format!("k{number}.log")));
@@ -487,8 +479,7 @@
                     |line: &str| line.contains("clock drift beyond the bound") && line.contains("replica=1");
                 log.is_ok_and(|log| log.lines().any(reports_drift_of_server_1))
             };
-            // The only check that does not rest on the recording server: the others must report the drift to
-            // operators.
+            // The only check without the recording server: the others must report the drift to operators.
             if !(2..=self.plan.leases.servers).all(logged_drift) {
                 report
                     .violations
