--- a/crates/testbed/src/commands/arguments.rs
+++ b/crates/testbed/src/commands/arguments.rs
@@ -9,10 +9,10 @@
 use honeyknot_testbed::scenarios::scenario::Scenario;
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
-/// The operator file for the default environment: 16 endpoints of 4 sites.
+/// The operator file for the default environment: 16 endpoints of 4 zones.
 const DEFAULT_SITES_FILE: &str = include_str!("../../sites.conf");
-/// The sites of the environment, as `sites.conf` names them.
-const SITES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
+/// The zones of the environment, as `sites.conf` names them.
+const ZONES: [&str; 4] = ["accra-north", "accra-east", "tema", "kasoa"];
 /// The most new clients a second.
 const MAX_CLIENTS_PER_SECOND: f64 = 10_000.0;
 /// How long a client wants its connection on average, in seconds.
@@ -27,9 +27,9 @@
     /// Seeds the environment, the clients and the relays.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Whether relays run with the part for losing and regaining sites.
-    #[arg(long, value_enum, default_value = "on")]
-    sites: Switch,
+    /// Whether relays run with the part for losing and regaining zones.
+    #[arg(long = "sites", value_name = "SITES", value_enum, default_value = "on")]
+    zone_failover: Switch,
     /// The operator file for that part; without it, one that fits the environment.
     #[arg(long = "plan", value_name = "FILE")]
     pub(crate) sites_file: Option<PathBuf>,
@@ -50,7 +50,7 @@
     Off,
 }
 
-/// An operator file for sites: its path and its text.
+/// An operator file for zones: its path and its text.
 struct SitesFile {
     path: PathBuf,
     text: String,
@@ -62,7 +62,7 @@
     /// # Errors
     /// A value is out of range, or the operator file cannot be read or has faults.
     pub(crate) fn scenario_run(&self, scenario: Scenario, folder: &Path) -> Result<ScenarioRun, String> {
-        let sites: Vec<String> = SITES.map(str::to_owned).to_vec();
+        let zones: Vec<String> = ZONES.map(str::to_owned).to_vec();
         let clients_per_second = self.clients_per_second;
         if !(clients_per_second > 0.0 && clients_per_second <= MAX_CLIENTS_PER_SECOND) {
             return Err(format!(
@@ -70,12 +70,12 @@
             ));
         }
         let file = self.read_sites_file(folder)?;
-        let config = ZoneFailoverConfig::read(&file.path.display().to_string(), &file.text, &sites)
+        let config = ZoneFailoverConfig::read(&file.path.display().to_string(), &file.text, &zones)
             .map_err(|errors| errors.to_string())?;
         let groups = (clients_per_second * MEAN_CONNECTION_S / CONNECTIONS_PER_AFFINITY_GROUP) as u64;
         Ok(ScenarioRun {
             size: EnvironmentSize {
-                sites,
+                zones,
                 endpoints: usize::from(self.endpoints),
                 relays: usize::from(self.relays),
                 clients_per_second,
@@ -84,10 +84,10 @@
             },
             scenario,
             seed: self.seed,
-            sites_file: (self.sites == Switch::On).then_some(file.path),
+            sites_file: (self.zone_failover == Switch::On).then_some(file.path),
             spill_limit: config.spill_limit,
-            length: None,
-            logs: None,
+            max_duration: None,
+            log_folder: None,
         })
     }
 
--- a/crates/testbed/src/commands/live_view.rs
+++ b/crates/testbed/src/commands/live_view.rs
@@ -51,21 +51,21 @@
 }
 
 fn elapsed_s(environment: &Environment) -> f64 {
-    (environment.now() - environment.began) as f64 / 1e6
+    (environment.now() - environment.started_at) as f64 / 1e6
 }
 
 fn print_line(environment: &Environment) {
-    let sites: Vec<String> = (0..environment.size.sites.len())
-        .map(|site| {
-            let state = environment.site_state(site);
-            format!("{} {}up/{}", environment.size.sites[site], state.serving, state.connections)
+    let zones: Vec<String> = (0..environment.size.zones.len())
+        .map(|zone| {
+            let state = environment.zone_state(zone);
+            format!("{} {}up/{}", environment.size.zones[zone], state.serving, state.connections)
         })
         .collect();
     let clients = &environment.client_observations;
     println!(
         "{:>5.1} s  {}  served {} refused {} failed {} moved {}",
         elapsed_s(environment),
-        sites.join("  "),
+        zones.join("  "),
         clients.served,
         clients.rejected,
         clients.failed,
@@ -77,7 +77,7 @@
     let mut lines = vec![format!(
         "{:>5.1} s   {:<13}{:>4}{:>8}{:>6}{:>10}{:>8}{:>9}",
         elapsed_s(environment),
-        "site",
+        "zone",
         "up",
         "silent",
         "dead",
@@ -85,11 +85,11 @@
         "load",
         "foreign"
     )];
-    lines.extend((0..environment.size.sites.len()).map(|site| site_row(environment, site)));
+    lines.extend((0..environment.size.zones.len()).map(|zone| zone_row(environment, zone)));
     let clients = &environment.client_observations;
     lines.push(format!(
         "          {} want a session; {} served, {} refused, {} failed, {} moved",
-        environment.wanting_clients.iter().sum::<u64>(),
+        environment.active_clients.iter().sum::<u64>(),
         clients.served,
         clients.rejected,
         clients.failed,
@@ -100,17 +100,17 @@
     lines
 }
 
-fn site_row(environment: &Environment, site: usize) -> String {
-    let state = environment.site_state(site);
+fn zone_row(environment: &Environment, zone: usize) -> String {
+    let state = environment.zone_state(zone);
     let percent = |load: f64| if state.capacity > 0.0 { load / state.capacity * 100.0 } else { 0.0 };
     format!(
         "          {:<13}{:>4}{:>8}{:>6}{:>10}{:>7.0}%{:>8.0}%",
-        environment.size.sites[site],
+        environment.size.zones[zone],
         state.serving,
         state.silent,
         state.dead,
         state.connections,
         percent(state.load),
-        percent(state.foreign)
+        percent(state.cross_zone_load)
     )
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -22,9 +22,9 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Run a whole environment and look at it while it loses and regains a site.
+    /// Run a whole environment and look at it while it loses and regains a zone.
     Try(TryArgs),
-    /// Run a scenario in which a site is lost, with real relays, and print figures counted by clients and endpoints.
+    /// Run a scenario in which a zone is lost, with real relays, and print figures counted by clients and endpoints.
     Site(SiteArgs),
     /// Start a whole fleet of processes at once, with faults between them, and print what the far side counted.
     ColdStart(ColdStartArgs),
--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -37,18 +37,18 @@
 fn simulation(args: &SiteArgs) -> Result<Simulation, String> {
     let environment = &args.environment;
     if let Some(path) = &environment.sites_file {
-        return Err(format!("--plan {}: a simulated world has sites of its own", path.display()));
+        return Err(format!("--plan {}: a simulated world has zones of its own", path.display()));
     }
     if !(args.load > 0.0 && args.load <= MAX_LOAD) {
         return Err(format!("--load {}: allowed is above 0 and up to {MAX_LOAD}", args.load));
     }
-    let sites = usize::from(args.sites_count);
+    let zones = usize::from(args.zone_count);
     let (endpoints, relays) = (usize::from(environment.endpoints), usize::from(environment.relays));
-    if endpoints < sites || relays < sites {
-        return Err(format!("{sites} sites need as many card servers and relays at least"));
+    if endpoints < zones || relays < zones {
+        return Err(format!("{zones} zones need as many card servers and relays at least"));
     }
     Ok(Simulation {
-        sites,
+        zones,
         endpoints,
         relays,
         load: args.load,
@@ -73,10 +73,10 @@
 
 fn print_figures(figures: &Figures, spill_limit: f64) {
     println!(
-        "{} sites, {} card servers, {} relays, {} sessions at most",
-        figures.sites, figures.endpoints, figures.relays, figures.max_connections
+        "{} zones, {} card servers, {} relays, {} sessions at most",
+        figures.zones, figures.endpoints, figures.relays, figures.max_connections
     );
-    println!("{} asked: {} served, {} refused", figures.clients_asked, figures.served, figures.rejected);
+    println!("{} asked: {} served, {} refused", figures.requests, figures.served, figures.rejected);
     println!(
         "worst spill {:.1}% (limit {:.0}%); {:.2} times a returning server's capacity, {} fell over",
         figures.worst_spill * 100.0,
--- a/crates/testbed/src/commands/site.rs
+++ b/crates/testbed/src/commands/site.rs
@@ -1,4 +1,4 @@
-//! `site`: a scenario in which a site is lost and regained, with real relays or on a virtual clock.
+//! `site`: a scenario in which a zone is lost and regained, with real relays or on a virtual clock.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -29,9 +29,9 @@
     /// Run the pure decisions on a virtual clock instead, without sockets and relays' processes.
     #[arg(long)]
     simulated: bool,
-    /// Sites of a simulated environment.
-    #[arg(long, requires = "simulated", default_value_t = 4, value_parser = clap::value_parser!(u16).range(4..=128))]
-    pub(crate) sites_count: u16,
+    /// Zones of a simulated environment.
+    #[arg(long = "sites-count", value_name = "SITES_COUNT", requires = "simulated", default_value_t = 4, value_parser = clap::value_parser!(u16).range(4..=128))]
+    pub(crate) zone_count: u16,
     /// Load of a simulated fleet while nothing is wrong, affinity groups left out.
     #[arg(long, requires = "simulated", default_value_t = 0.4)]
     pub(crate) load: f64,
@@ -48,7 +48,7 @@
         return simulated_site::run(&args);
     }
     let mut scenario_run = args.environment.scenario_run(args.scenario, folder)?;
-    (scenario_run.length, scenario_run.logs) = (args.length, args.logs);
+    (scenario_run.max_duration, scenario_run.log_folder) = (args.length, args.logs);
     let mut printed = 0;
     let print_events = |environment: &Environment| {
         for (at, text) in &environment.events[printed..] {
@@ -62,5 +62,5 @@
     } else {
         print_summary(&report);
     }
-    Ok(Outcome::from_held(report.broken.is_empty()))
+    Ok(Outcome::from_held(report.violations.is_empty()))
 }
--- a/crates/testbed/src/commands/site_report.rs
+++ b/crates/testbed/src/commands/site_report.rs
@@ -7,12 +7,12 @@
     let (clients, endpoints) = (&report.client_observations, &report.endpoint_observations);
     println!(
         "{} clients asked: {} served, {} refused, {} failed, {} unanswered, {} answered twice, {} lost with a relay",
-        clients.clients_asked,
+        clients.requests,
         clients.served,
         clients.rejected,
         clients.failed,
         clients.unanswered,
-        clients.double_answers,
+        clients.duplicate_answers,
         clients.relay_died
     );
     println!(
@@ -27,18 +27,18 @@
         clients.migrations,
         clients.max_migrations_per_second,
         endpoints.worst_spill * 100.0,
-        if endpoints.worst_spill_site.is_empty() { "none" } else { &endpoints.worst_spill_site },
+        if endpoints.worst_spill_zone.is_empty() { "none" } else { &endpoints.worst_spill_zone },
         report.spill_limit * 100.0,
         endpoints.worst_return_multiple
     );
     println!(
-        "{:.1}% of wanted seconds well served, {:.1}% for clients of other sites; capacity allowed {:.1}%",
+        "{:.1}% of wanted seconds well served, {:.1}% for clients of other zones; capacity allowed {:.1}%",
         report.well_served * 100.0,
         report.well_served_unaffected * 100.0,
-        report.ceiling * 100.0
+        report.attainable_share * 100.0
     );
-    match report.broken.is_empty() {
+    match report.violations.is_empty() {
         true => println!("all rules held"),
-        false => println!("BROKEN: {}", report.broken.join("; ")),
+        false => println!("BROKEN: {}", report.violations.join("; ")),
     }
 }
--- a/crates/testbed/src/commands/try_environment.rs
+++ b/crates/testbed/src/commands/try_environment.rs
@@ -1,4 +1,4 @@
-//! `try`: a whole environment to look at while it loses and regains a site.
+//! `try`: a whole environment to look at while it loses and regains a zone.
 
 use std::path::Path;
 use std::time::Duration;
@@ -28,9 +28,9 @@
 pub(crate) async fn run(args: TryArgs, folder: &Path) -> Result<Outcome, String> {
     let environment = &args.environment;
     let mut scenario_run = environment.scenario_run(Scenario::Show, folder)?;
-    scenario_run.length = args.length;
+    scenario_run.max_duration = args.length;
     println!(
-        "A world on loopback: 4 sites, {} card servers, {} relays.",
+        "A world on loopback: 4 zones, {} card servers, {} relays.",
         environment.endpoints, environment.relays
     );
     println!("tema is lost after 4 s and comes back after 10 s. Ctrl-C ends it.");
@@ -38,5 +38,5 @@
     let report = run_scenario(&scenario_run, |environment| view.show(environment), interrupted()).await?;
     println!();
     print_summary(&report);
-    Ok(Outcome::from_held(report.broken.is_empty()))
+    Ok(Outcome::from_held(report.violations.is_empty()))
 }
--- a/crates/testbed/src/emulators/client.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -25,13 +25,13 @@
 /// How popular affinity groups differ.
 const AFFINITY_GROUP_ZIPF_EXPONENT: f64 = 1.0;
 
-/// Sends clients of a site at its rate, until the environment closes.
-pub async fn generate_clients(environment: SharedEnvironment, site: usize) {
+/// Sends clients of a zone at its rate, until the environment closes.
+pub async fn generate_clients(environment: SharedEnvironment, zone: usize) {
     let (mut rng, clients_per_second, mean_connection_s, affinity_groups) = {
         let environment = environment.borrow();
-        let clients_per_second = environment.size.clients_per_second / environment.size.sites.len() as f64;
+        let clients_per_second = environment.size.clients_per_second / environment.size.zones.len() as f64;
         (
-            environment.rng(1_000 + site as u64),
+            environment.rng(1_000 + zone as u64),
             clients_per_second,
             environment.size.mean_connection_s,
             environment.size.affinity_groups,
@@ -43,20 +43,20 @@
     let (Ok(gap), Ok(stay), Ok(affinity_group), Ok(load)) = (gap, stay, affinity_group, load) else { return };
     let mut number = 0u64;
     loop {
-        let arrival_factor = environment.borrow().arrival_factor[site].max(1e-3);
+        let arrival_factor = environment.borrow().arrival_factor[zone].max(1e-3);
         sleep(Duration::from_secs_f64(gap.sample(&mut rng) / arrival_factor)).await;
         if environment.borrow().closing {
             return;
         }
         number += 1;
         let client = Client {
-            site,
-            key: (site as u64) << 48 | number,
+            zone,
+            key: (zone as u64) << 48 | number,
             affinity_group: affinity_group.sample(&mut rng) as u64,
             load: f64::min(load.sample(&mut rng), MAX_CONNECTION_LOAD),
             until: Instant::now()
                 + Duration::from_secs_f64(stay.sample(&mut rng).clamp(2.0, 4.0 * mean_connection_s)),
-            rng: environment.borrow().rng((site as u64) << 40 | number),
+            rng: environment.borrow().rng((zone as u64) << 40 | number),
             attempts: 0,
         };
         spawn_local(client.run(environment.clone()));
@@ -64,7 +64,7 @@
 }
 
 struct Client {
-    site: usize,
+    zone: usize,
     key: u64,
     affinity_group: u64,
     load: f64,
@@ -107,7 +107,7 @@
 
 impl Client {
     async fn run(mut self, environment: SharedEnvironment) {
-        environment.borrow_mut().wanting_clients[self.site] += 1;
+        environment.borrow_mut().active_clients[self.zone] += 1;
         let mut again = false;
         while Instant::now() < self.until && !environment.borrow().closing {
             match self.connect(&environment, again).await {
@@ -116,7 +116,7 @@
             }
             again = true;
         }
-        environment.borrow_mut().wanting_clients[self.site] -= 1;
+        environment.borrow_mut().active_clients[self.zone] -= 1;
     }
 
     fn reconnect_later(&mut self) -> End {
@@ -124,13 +124,13 @@
     }
 
     async fn connect(&mut self, environment: &SharedEnvironment, again: bool) -> End {
-        let relay = environment.borrow_mut().front_proxy.pick(self.site);
+        let relay = environment.borrow_mut().front_proxy.select_relay(self.zone);
         let Some(relay) = relay else { return self.reconnect_later() };
         let address = environment.borrow().relay_address(relay);
         let stream = match timeout(ANSWER_DEADLINE, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             _ => {
-                environment.borrow_mut().client_observations.front_sent_to_dead += 1;
+                environment.borrow_mut().client_observations.connects_to_dead_relays += 1;
                 return self.reconnect_later();
             }
         };
@@ -148,11 +148,11 @@
         );
         let mut stream = BufReader::new(stream);
         if stream.write_all(head.as_bytes()).await.is_err() {
-            environment.borrow_mut().client_observations.front_sent_to_dead += 1;
+            environment.borrow_mut().client_observations.connects_to_dead_relays += 1;
             return self.reconnect_later();
         }
         let asked = Instant::now();
-        environment.borrow_mut().client_observations.clients_asked += 1;
+        environment.borrow_mut().client_observations.requests += 1;
         let incarnation = environment.borrow().relay_incarnation(relay);
         let mut line = String::new();
         let read = timeout_at(asked + ANSWER_DEADLINE + ANSWER_GRACE, stream.read_line(&mut line)).await;
@@ -183,7 +183,7 @@
 
     /// Enters the answer to an opening line in the observations.
     fn record_answer(&self, environment: &mut Environment, answer: &Answer, took: Duration) {
-        let other = environment.unaffected_sites.contains(&self.site);
+        let other = environment.unaffected_zones.contains(&self.zone);
         let observations = &mut environment.client_observations;
         match answer {
             Answer::RelayDied => observations.relay_died += 1,
@@ -205,7 +205,7 @@
         let mut more = String::new();
         let read = timeout(Duration::from_millis(500), stream.read_line(&mut more)).await;
         if matches!(read, Ok(Ok(n)) if n > 0) {
-            environment.borrow_mut().client_observations.double_answers += 1;
+            environment.borrow_mut().client_observations.duplicate_answers += 1;
         }
     }
 
@@ -234,7 +234,7 @@
                             return End::Reconnect(Duration::from_millis(self.rng.random_range(20..200)));
                         }
                         Some("LOAD") => {}
-                        Some("UP") => environment.borrow_mut().client_observations.double_answers += 1,
+                        Some("UP") => environment.borrow_mut().client_observations.duplicate_answers += 1,
                         _ => waiting = None,
                     }
                     line.clear();
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -19,8 +19,8 @@
     pub index: usize,
     /// Its id.
     pub id: String,
-    /// Its site's name.
-    pub site: String,
+    /// Its zone's name.
+    pub zone: String,
     /// Its size.
     pub weight: f64,
     /// When it started, in Unix milliseconds; 0 is long ago.
@@ -50,7 +50,7 @@
 
 impl EmulatedDiscovery {
     /// Changes some entries, in one version.
-    pub fn change(&mut self, entries: Vec<EndpointEntry>) {
+    pub fn update_entries(&mut self, entries: Vec<EndpointEntry>) {
         let version = *self.version.borrow() + 1;
         for entry in entries {
             self.changed.insert(entry.index, version);
@@ -76,7 +76,7 @@
         let shown = shown.filter(|e| since.is_some() || e.state != "left");
         let servers: Vec<_> = shown
             .map(|e| {
-                json!({"id": e.id, "addr": address(e.index), "zone": e.site, "kind": "m", "cell": 0,
+                json!({"id": e.id, "addr": address(e.index), "zone": e.zone, "kind": "m", "cell": 0,
                     "state": e.state, "weight": e.weight, "started_ms": e.started_ms})
             })
             .collect();
--- a/crates/testbed/src/emulators/emulated_endpoint.rs
+++ b/crates/testbed/src/emulators/emulated_endpoint.rs
@@ -46,8 +46,8 @@
 pub struct EmulatedEndpoint {
     /// Its id in discovery.
     pub id: String,
-    /// Its site.
-    pub site: usize,
+    /// Its zone.
+    pub zone: usize,
     /// Its model.
     pub model: EndpointModel,
     /// What its process does; its tasks follow it.
@@ -55,16 +55,16 @@
     /// It drains.
     pub draining: watch::Sender<bool>,
     /// When its process last ended.
-    pub ended: Micros,
+    pub ended_at: Micros,
     /// It has come back at least once: the rule on cold endpoints is judged for it.
-    pub returned: bool,
+    pub has_restarted: bool,
 }
 
-/// Draws the endpoints of an environment, evenly over its sites.
-pub(super) fn generate_endpoints(count: usize, sites: usize, rng: &mut Pcg64Mcg) -> Vec<EmulatedEndpoint> {
+/// Draws the endpoints of an environment, evenly over its zones.
+pub(super) fn generate_endpoints(count: usize, zones: usize, rng: &mut Pcg64Mcg) -> Vec<EmulatedEndpoint> {
     (0..count)
         .map(|number| {
-            let kind = machine_kind(number, sites);
+            let kind = machine_kind(number, zones);
             let parameters = EndpointParameters {
                 weight: kind.weight,
                 capacity: kind.capacity * rng.random_range(0.92..1.08),
@@ -76,20 +76,20 @@
             };
             EmulatedEndpoint {
                 id: format!("s-{:08x}", rng.random::<u32>()),
-                site: number % sites,
+                zone: number % zones,
                 model: EndpointModel::new(parameters, 0),
                 process_state: watch::Sender::new(ProcessState::Serving),
                 draining: watch::Sender::new(false),
-                ended: 0,
-                returned: false,
+                ended_at: 0,
+                has_restarted: false,
             }
         })
         .collect()
 }
 
-/// Returns the kind of machine of an endpoint, so that every site has its share of each, whatever the seed.
-fn machine_kind(number: usize, sites: usize) -> &'static MachineKind {
-    let place = ((number / sites) as f64 * 0.37 + (number % sites) as f64 * 0.21).fract();
+/// Returns the kind of machine of an endpoint, so that every zone has its share of each, whatever the seed.
+fn machine_kind(number: usize, zones: usize) -> &'static MachineKind {
+    let place = ((number / zones) as f64 * 0.37 + (number % zones) as f64 * 0.21).fract();
     let mut sum = 0.0;
     let found = MACHINE_KINDS.iter().find(|kind| {
         sum += kind.share;
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -42,7 +42,7 @@
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
             Err(e) => {
-                environment.borrow_mut().event(format!("{address}: {e}"));
+                environment.borrow_mut().record_event(format!("{address}: {e}"));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -143,16 +143,18 @@
     let affinity_group = affinity_group(attributes);
     let (admission, number, mut draining) = {
         let mut environment = environment.borrow_mut();
-        let (now, number, relay_site) =
-            (environment.now(), environment.next_connection_number(), environment.front_proxy.site_of(relay));
+        let (now, number, relay_zone) =
+            (environment.now(), environment.next_connection_number(), environment.front_proxy.zone_of(relay));
         let endpoint = &mut environment.endpoints[index];
         let draining = endpoint.draining.subscribe();
-        let foreign = endpoint.site != relay_site;
+        let is_cross_zone = endpoint.zone != relay_zone;
         let admission = match *draining.borrow() {
             true => Admission::Rejected,
-            false => {
-                endpoint.model.open(now, number, ConnectionLoad { load, affinity_group, foreign, relay_site })
-            }
+            false => endpoint.model.open(
+                now,
+                number,
+                ConnectionLoad { load, affinity_group, is_cross_zone, relay_zone },
+            ),
         };
         (admission, number, draining)
     };
--- a/crates/testbed/src/emulators/endpoint_model.rs
+++ b/crates/testbed/src/emulators/endpoint_model.rs
@@ -9,7 +9,7 @@
 pub type Micros = u64;
 
 /// Multiple of its present rate of new connections above which a warming endpoint collapses.
-pub const COLLAPSE_MULTIPLE: f64 = 3.0;
+pub const COLLAPSE_OVERLOAD: f64 = 3.0;
 /// Window over which that rate is taken, in microseconds.
 pub const COLLAPSE_WINDOW: Micros = 2_000_000;
 /// Work within the window up to which no endpoint collapses, in usual connections.
@@ -47,10 +47,10 @@
     pub load: f64,
     /// Its affinity group.
     pub affinity_group: u64,
-    /// It came by a relay of another site.
-    pub foreign: bool,
-    /// The site of that relay.
-    pub relay_site: usize,
+    /// It came by a relay of another zone.
+    pub is_cross_zone: bool,
+    /// The zone of that relay.
+    pub relay_zone: usize,
 }
 
 /// The endpoint's answer to a new connection.
@@ -66,47 +66,47 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// The part of its cores in use.
-    pub util: f64,
+    pub cpu_utilization: f64,
     /// Milliseconds of work a message takes.
     pub latency_ms: f64,
     /// Load asked over what it can do.
-    pub x0: f64,
+    pub utilization: f64,
 }
 
 /// The connections of an affinity group at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct AffinityGroupUse {
     connections: u32,
-    /// Connections that came by relays of other sites.
-    foreign: u32,
+    /// Connections that came by relays of other zones.
+    cross_zone_connections: u32,
 }
 
 /// The model of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointModel {
     parameters: EndpointParameters,
-    started: Micros,
+    started_at: Micros,
     connections: BTreeMap<u64, ConnectionLoad>,
     affinity_groups: BTreeMap<u64, AffinityGroupUse>,
     load: f64,
     recent_work: VecDeque<(Micros, f64)>,
     collapsed: bool,
-    max_rate_multiple: f64,
+    max_overload: f64,
     reports: VecDeque<(Micros, LoadReport)>,
 }
 
 impl EndpointModel {
-    /// An endpoint that has just started, or long ago (`started` 0).
-    pub fn new(parameters: EndpointParameters, started: Micros) -> EndpointModel {
+    /// An endpoint that has just started, or long ago (`started_at` 0).
+    pub fn new(parameters: EndpointParameters, started_at: Micros) -> EndpointModel {
         EndpointModel {
             parameters,
-            started,
+            started_at,
             connections: BTreeMap::new(),
             affinity_groups: BTreeMap::new(),
             load: 0.0,
             recent_work: VecDeque::new(),
             collapsed: false,
-            max_rate_multiple: 0.0,
+            max_overload: 0.0,
             reports: VecDeque::new(),
         }
     }
@@ -117,14 +117,14 @@
     }
 
     /// Returns when it started, in Unix microseconds; 0 is long ago.
-    pub fn started(&self) -> Micros {
-        self.started
+    pub fn started_at(&self) -> Micros {
+        self.started_at
     }
 
     /// Returns the part of its capacity that it has now.
     pub fn warm_fraction(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= self.parameters.warm_up {
+        let age = now.saturating_sub(self.started_at);
+        if self.started_at == 0 || age >= self.parameters.warm_up {
             return 1.0;
         }
         self.parameters.cold_capacity_fraction
@@ -141,17 +141,20 @@
         self.load + self.affinity_groups.len() as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Returns what connections of other sites hold: their load, and the affinity groups that no other connection here has.
-    pub fn foreign_load(&self) -> f64 {
-        let load: f64 = self.connections.values().filter(|s| s.foreign).map(|s| s.load).sum();
-        let affinity_groups =
-            self.affinity_groups.values().filter(|group| group.connections == group.foreign).count();
+    /// Returns what connections of other zones hold: their load, and the affinity groups that no other connection here has.
+    pub fn cross_zone_load(&self) -> f64 {
+        let load: f64 = self.connections.values().filter(|s| s.is_cross_zone).map(|s| s.load).sum();
+        let affinity_groups = self
+            .affinity_groups
+            .values()
+            .filter(|group| group.connections == group.cross_zone_connections)
+            .count();
         load + affinity_groups as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Returns the number of connections of relays of a site.
-    pub fn connections_from(&self, site: usize) -> usize {
-        self.connections.values().filter(|s| s.relay_site == site).count()
+    /// Returns the number of connections of relays of a zone.
+    pub fn connections_from(&self, zone: usize) -> usize {
+        self.connections.values().filter(|s| s.relay_zone == zone).count()
     }
 
     /// Returns the number of connections.
@@ -160,7 +163,7 @@
     }
 
     /// Returns the load asked over what it can do.
-    pub fn x0(&self, now: Micros) -> f64 {
+    pub fn utilization(&self, now: Micros) -> f64 {
         self.total_load() / self.capacity(now).max(1e-9)
     }
 
@@ -169,7 +172,7 @@
         if self.collapsed {
             return 0.0;
         }
-        ((ALL_LATE_LOAD - self.x0(now)) / (ALL_LATE_LOAD - FIRST_LATE_LOAD)).clamp(0.0, 1.0)
+        ((ALL_LATE_LOAD - self.utilization(now)) / (ALL_LATE_LOAD - FIRST_LATE_LOAD)).clamp(0.0, 1.0)
     }
 
     /// Handles a new connection's opening line. Every one is work that was sent, whether it is accepted or not.
@@ -178,12 +181,12 @@
             return Admission::Rejected;
         }
         self.record_work(now, connection.load);
-        if self.collapsed || self.x0(now) >= REJECT_LOAD {
+        if self.collapsed || self.utilization(now) >= REJECT_LOAD {
             return Admission::Rejected;
         }
         let affinity_group = self.affinity_groups.entry(connection.affinity_group).or_default();
         affinity_group.connections += 1;
-        affinity_group.foreign += u32::from(connection.foreign);
+        affinity_group.cross_zone_connections += u32::from(connection.is_cross_zone);
         self.load += connection.load;
         self.connections.insert(id, connection);
         Admission::Accepted
@@ -203,13 +206,13 @@
         let pace =
             self.parameters.capacity / (self.parameters.warm_up as f64 / 1e6) * self.warm_fraction(now);
         let multiple = recent_work / (pace * COLLAPSE_WINDOW as f64 / 1e6);
-        self.max_rate_multiple = self.max_rate_multiple.max(multiple);
-        self.collapsed |= recent_work > MIN_COLLAPSE_WORK && multiple > COLLAPSE_MULTIPLE;
+        self.max_overload = self.max_overload.max(multiple);
+        self.collapsed |= recent_work > MIN_COLLAPSE_WORK && multiple > COLLAPSE_OVERLOAD;
     }
 
     /// Returns the largest multiple of its present rate that it was sent while it warmed up.
-    pub fn max_rate_multiple(&self) -> f64 {
-        self.max_rate_multiple
+    pub fn max_overload(&self) -> f64 {
+        self.max_overload
     }
 
     /// Returns whether it has collapsed; it stays down.
@@ -223,7 +226,7 @@
         self.load = if self.connections.is_empty() { 0.0 } else { self.load - connection.load };
         if let Some(affinity_group) = self.affinity_groups.get_mut(&connection.affinity_group) {
             affinity_group.connections -= 1;
-            affinity_group.foreign -= u32::from(connection.foreign);
+            affinity_group.cross_zone_connections -= u32::from(connection.is_cross_zone);
             if affinity_group.connections == 0 {
                 self.affinity_groups.remove(&connection.affinity_group);
             }
@@ -233,9 +236,12 @@
     /// Returns the load report that a health check gets: refreshed at intervals, and late.
     pub fn report(&mut self, now: Micros) -> LoadReport {
         if self.reports.back().is_none_or(|(at, _)| now >= at + self.parameters.report_interval) {
-            let x0 = self.x0(now).min(99.0);
-            let latency_ms = 4.0 / (1.05 - x0.min(1.0)) + (x0 - 1.0).max(0.0) * 400.0;
-            self.reports.push_back((now, LoadReport { util: x0.min(1.0), latency_ms, x0 }));
+            let utilization = self.utilization(now).min(99.0);
+            let latency_ms = 4.0 / (1.05 - utilization.min(1.0)) + (utilization - 1.0).max(0.0) * 400.0;
+            self.reports.push_back((
+                now,
+                LoadReport { cpu_utilization: utilization.min(1.0), latency_ms, utilization },
+            ));
         }
         let due = |at: Micros| at + self.parameters.report_delay <= now;
         while self.reports.len() > 1 && due(self.reports[1].0) {
@@ -261,21 +267,21 @@
         }
     }
 
-    fn connection(affinity_group: u64, foreign: bool) -> ConnectionLoad {
-        ConnectionLoad { load: 1.0, affinity_group, foreign, relay_site: 0 }
+    fn connection(affinity_group: u64, is_cross_zone: bool) -> ConnectionLoad {
+        ConnectionLoad { load: 1.0, affinity_group, is_cross_zone, relay_zone: 0 }
     }
 
     #[test]
-    fn affinity_group_cost_counts_once_and_foreign_load_is_separate() {
+    fn affinity_group_cost_counts_once_and_cross_zone_load_is_separate() {
         let mut server = EndpointModel::new(parameters(), 0);
-        for (id, affinity_group, foreign) in [(1, 7, true), (2, 7, false), (3, 8, true), (4, 8, true)] {
-            assert_eq!(server.open(1, id, connection(affinity_group, foreign)), Admission::Accepted);
+        for (id, affinity_group, is_cross_zone) in [(1, 7, true), (2, 7, false), (3, 8, true), (4, 8, true)] {
+            assert_eq!(server.open(1, id, connection(affinity_group, is_cross_zone)), Admission::Accepted);
         }
-        assert_eq!((server.total_load(), server.foreign_load()), (10.0, 6.0));
+        assert_eq!((server.total_load(), server.cross_zone_load()), (10.0, 6.0));
         server.close(2);
-        assert_eq!(server.foreign_load(), 9.0);
+        assert_eq!(server.cross_zone_load(), 9.0);
         (1..=4).for_each(|id| server.close(id));
-        assert_eq!((server.total_load(), server.foreign_load(), server.connections()), (0.0, 0.0, 0));
+        assert_eq!((server.total_load(), server.cross_zone_load(), server.connections()), (0.0, 0.0, 0));
     }
 
     #[test]
@@ -297,10 +303,10 @@
     #[test]
     fn load_report_is_delayed() {
         let mut server = EndpointModel::new(parameters(), 0);
-        assert_eq!(server.report(1_000_000).x0, 0.0);
+        assert_eq!(server.report(1_000_000).utilization, 0.0);
         assert!((0..9).all(|id| server.open(1_000_000, id, connection(1, false)) == Admission::Accepted));
-        assert_eq!(server.report(1_400_000).x0, 0.0);
-        assert_eq!(server.report(1_600_000).x0, 0.0);
-        assert!(server.report(1_950_000).x0 > 0.3);
+        assert_eq!(server.report(1_400_000).utilization, 0.0);
+        assert_eq!(server.report(1_600_000).utilization, 0.0);
+        assert!(server.report(1_950_000).utilization > 0.3);
     }
 }
--- a/crates/testbed/src/emulators/environment.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -19,11 +19,11 @@
 /// How large an environment is.
 #[derive(Clone, Debug)]
 pub struct EnvironmentSize {
-    /// The names of its sites.
-    pub sites: Vec<String>,
-    /// Endpoints in all, evenly over the sites.
+    /// The names of its zones.
+    pub zones: Vec<String>,
+    /// Endpoints in all, evenly over the zones.
     pub endpoints: usize,
-    /// Relays in all, evenly over the sites.
+    /// Relays in all, evenly over the zones.
     pub relays: usize,
     /// New clients a second in all.
     pub clients_per_second: f64,
@@ -59,11 +59,11 @@
     pub endpoint_observations: EndpointObservations,
     /// Attempts of each request, by its id.
     pub attempts: BTreeMap<String, RequestAttempts>,
-    /// Clients of each site that want a connection now.
-    pub wanting_clients: Vec<u64>,
-    /// The sites that the scenario does not touch.
-    pub unaffected_sites: Vec<usize>,
-    /// Arrivals of each site, against the usual.
+    /// Clients of each zone that want a connection now.
+    pub active_clients: Vec<u64>,
+    /// The zones that the scenario does not touch.
+    pub unaffected_zones: Vec<usize>,
+    /// Arrivals of each zone, against the usual.
     pub arrival_factor: Vec<f64>,
     /// How often each relay has been killed.
     pub relay_kills: Vec<u32>,
@@ -72,7 +72,7 @@
     /// What has happened, for people.
     pub events: Vec<(Micros, String)>,
     /// When the environment began.
-    pub began: Micros,
+    pub started_at: Micros,
     unix_start: Micros,
     clock: Instant,
     next_connection_number: u64,
@@ -92,9 +92,9 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix_start = since.as_micros() as Micros;
-        let sites = size.sites.len();
-        let endpoints = generate_endpoints(size.endpoints, sites, &mut rng);
-        let front_proxy = FrontProxy::new(size.relays, sites);
+        let zones = size.zones.len();
+        let endpoints = generate_endpoints(size.endpoints, zones, &mut rng);
+        let front_proxy = FrontProxy::new(size.relays, zones);
         let addresses = LoopbackAddresses::generate(&mut rng);
         let environment = Rc::new(RefCell::new(Environment {
             discovery: EmulatedDiscovery::default(),
@@ -102,13 +102,13 @@
             client_observations: ClientObservations::default(),
             endpoint_observations: EndpointObservations::default(),
             attempts: BTreeMap::new(),
-            wanting_clients: vec![0; sites],
-            unaffected_sites: (0..sites).collect(),
-            arrival_factor: vec![1.0; sites],
+            active_clients: vec![0; zones],
+            unaffected_zones: (0..zones).collect(),
+            arrival_factor: vec![1.0; zones],
             relay_kills: vec![0; size.relays],
             closing: false,
             events: Vec::new(),
-            began: unix_start,
+            started_at: unix_start,
             unix_start,
             clock: Instant::now(),
             next_connection_number: 0,
@@ -159,8 +159,8 @@
     }
 
     /// Records an event, for people.
-    pub fn event(&mut self, text: impl Into<String>) {
-        let at = self.now() - self.began;
+    pub fn record_event(&mut self, text: impl Into<String>) {
+        let at = self.now() - self.started_at;
         self.events.push((at, text.into()));
     }
 
@@ -172,22 +172,22 @@
             entries.push(EndpointEntry {
                 index: *index,
                 id: endpoint.id.clone(),
-                site: self.size.sites[endpoint.site].clone(),
+                zone: self.size.zones[endpoint.zone].clone(),
                 weight: endpoint.model.parameters().weight,
-                started_ms: endpoint.model.started() / 1_000,
+                started_ms: endpoint.model.started_at() / 1_000,
                 state,
             });
         }
-        self.discovery.change(entries);
+        self.discovery.update_entries(entries);
     }
 
-    /// Returns the endpoints of a site.
-    pub fn site_endpoints(&self, site: usize) -> Vec<usize> {
-        (0..self.endpoints.len()).filter(|i| self.endpoints[*i].site == site).collect()
+    /// Returns the endpoints of a zone.
+    pub fn zone_endpoints(&self, zone: usize) -> Vec<usize> {
+        (0..self.endpoints.len()).filter(|i| self.endpoints[*i].zone == zone).collect()
     }
 
     /// Returns how many endpoints have collapsed and not ended since.
-    pub fn collapsed(&self) -> u64 {
+    pub fn collapsed_endpoints(&self) -> u64 {
         self.endpoints.iter().filter(|c| c.model.collapsed()).count() as u64
     }
 
@@ -198,32 +198,32 @@
 
     /// Returns whether an endpoint's process ended a moment ago: breaks of its connections may only be seen now.
     pub fn recently_ended(&self, index: usize) -> bool {
-        self.now() < self.endpoints[index].ended + RECENTLY
+        self.now() < self.endpoints[index].ended_at + RECENTLY
     }
 
     /// Starts an endpoint's process anew.
-    pub fn restart(&mut self, index: usize) {
+    pub fn restart_endpoint(&mut self, index: usize) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
         endpoint.model = EndpointModel::new(endpoint.model.parameters().clone(), now);
-        endpoint.returned = true;
+        endpoint.has_restarted = true;
         endpoint.draining.send_replace(false);
         endpoint.process_state.send_replace(ProcessState::Serving);
     }
 
     /// Ends an endpoint's process, or lets its machine vanish.
-    pub fn end(&mut self, index: usize, process_state: ProcessState) {
+    pub fn stop_endpoint(&mut self, index: usize, process_state: ProcessState) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
         if endpoint.model.collapsed() {
             self.endpoint_observations.endpoints_collapsed += 1;
         }
-        self.endpoint_observations.worst_return_multiple = match endpoint.returned {
-            true => self.endpoint_observations.worst_return_multiple.max(endpoint.model.max_rate_multiple()),
+        self.endpoint_observations.worst_return_multiple = match endpoint.has_restarted {
+            true => self.endpoint_observations.worst_return_multiple.max(endpoint.model.max_overload()),
             false => self.endpoint_observations.worst_return_multiple,
         };
-        endpoint.ended = now;
+        endpoint.ended_at = now;
         endpoint.process_state.send_replace(process_state);
-        endpoint.model = EndpointModel::new(endpoint.model.parameters().clone(), endpoint.model.started());
+        endpoint.model = EndpointModel::new(endpoint.model.parameters().clone(), endpoint.model.started_at());
     }
 }
--- a/crates/testbed/src/emulators/protocol.rs
+++ b/crates/testbed/src/emulators/protocol.rs
@@ -61,8 +61,8 @@
 
 /// An endpoint's answer to a health check.
 fn load_report_line(report: &LoadReport) -> String {
-    let LoadReport { util, latency_ms, x0 } = report;
-    format!("PONG util={util:.3},latency_ms={latency_ms:.1},x0={x0:.3}\r\n")
+    let LoadReport { cpu_utilization, latency_ms, utilization } = report;
+    format!("PONG util={cpu_utilization:.3},latency_ms={latency_ms:.1},x0={utilization:.3}\r\n")
 }
 
 /// A figure of a connection's first line.
--- a/crates/testbed/src/emulators/relay_process.rs
+++ b/crates/testbed/src/emulators/relay_process.rs
@@ -20,8 +20,8 @@
 pub struct RelayLauncher {
     program: PathBuf,
     folder: PathBuf,
-    /// The operator file for sites; none where that part is off.
-    sites: Option<PathBuf>,
+    /// The operator file for zones; none where that part is off.
+    sites_file: Option<PathBuf>,
     /// What discovery said when the environment began: all that a relay knows when it comes back.
     initial_endpoints: Vec<Value>,
 }
@@ -41,10 +41,10 @@
 }
 
 /// The settings of a relay of this number, of a fleet of so many, as the platform tells them.
-pub fn relay_settings(relays: usize, me: usize, site: &str, sites: &[String]) -> Value {
+pub fn relay_settings(relay_count: usize, relay_index: usize, zone: &str, zones: &[String]) -> Value {
     json!({
-        "family": "conn", "discovery": "on_request", "fleetSize": relays, "me": me,
-        "zone": site, "zones": sites, "weights": "nominal", "roundUs": 5000,
+        "family": "conn", "discovery": "on_request", "fleetSize": relay_count, "me": relay_index,
+        "zone": zone, "zones": zones, "weights": "nominal", "roundUs": 5000,
         "telemetry": {"source": "pull"},
         "familyInfo": {"groups": true, "messageAimUs": [150_000.0], "mode": "proxy",
             "tellsLoad": true, "tellsDelay": true},
@@ -60,7 +60,7 @@
 impl RelayLauncher {
     /// Relays of `program` that keep their files in `folder`.
     pub fn new(
-        environment: &SharedEnvironment, program: PathBuf, folder: &Path, sites: Option<PathBuf>,
+        environment: &SharedEnvironment, program: PathBuf, folder: &Path, sites_file: Option<PathBuf>,
     ) -> RelayLauncher {
         let environment = environment.borrow();
         let initial_endpoints = (0..environment.size.relays)
@@ -70,12 +70,12 @@
                     .list(None, |endpoint| environment.endpoint_address(endpoint, relay).to_string())
             })
             .collect();
-        RelayLauncher { program, folder: folder.to_owned(), sites, initial_endpoints }
+        RelayLauncher { program, folder: folder.to_owned(), sites_file, initial_endpoints }
     }
 
     fn config(&self, environment: &SharedEnvironment, relay: usize, incarnation: u32) -> Value {
         let environment = environment.borrow();
-        let site = &environment.size.sites[environment.front_proxy.site_of(relay)];
+        let zone = &environment.size.zones[environment.front_proxy.zone_of(relay)];
         json!({
             "name": format!("n{relay}"),
             "listen": environment.relay_address(relay).to_string(),
@@ -83,7 +83,7 @@
             "seed": format!("{:x}", environment.seed() ^ (relay as u64) << 32 ^ u64::from(incarnation)),
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 4096},
             "known": self.initial_endpoints[relay],
-            "settings": relay_settings(environment.size.relays, relay, site, &environment.size.sites),
+            "settings": relay_settings(environment.size.relays, relay, zone, &environment.size.zones),
         })
     }
 
@@ -101,8 +101,8 @@
         for name in ["EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "HONEYKNOT_SITES", "HONEYKNOT_NEIGHBORS"] {
             command.env_remove(name);
         }
-        if let Some(sites) = &self.sites {
-            command.arg("--sites").arg(sites);
+        if let Some(sites_file) = &self.sites_file {
+            command.arg("--sites").arg(sites_file);
         }
         let file = File::create(&log).map_err(describe)?;
         command.stdout(file.try_clone().map_err(describe)?).stderr(file);
--- a/crates/testbed/src/fleet/endpoints.rs
+++ b/crates/testbed/src/fleet/endpoints.rs
@@ -106,8 +106,8 @@
             endpoint.event_log.record(Event::EndpointState {
                 endpoint: endpoint.number,
                 open_connections: endpoint.open_connections,
-                utilization: endpoint.model.x0(super::now()),
-                max_overload: endpoint.model.max_rate_multiple(),
+                utilization: endpoint.model.utilization(super::now()),
+                max_overload: endpoint.model.max_overload(),
                 has_failed: endpoint.model.collapsed(),
             });
         }
@@ -140,7 +140,7 @@
         if endpoint.is_draining {
             return false;
         }
-        let load = ConnectionLoad { load: 1.0, affinity_group, foreign: false, relay_site: 0 };
+        let load = ConnectionLoad { load: 1.0, affinity_group, is_cross_zone: false, relay_zone: 0 };
         let is_admitted = endpoint.model.open(super::now(), model_id, load) != Admission::Rejected;
         if is_admitted {
             self.model_id = Some(model_id);
--- a/crates/testbed/src/report/observations.rs
+++ b/crates/testbed/src/report/observations.rs
@@ -10,13 +10,14 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClientObservations {
     /// Opening lines whose last byte was written to a relay.
-    pub clients_asked: u64,
+    #[serde(rename = "clients_asked")]
+    pub requests: u64,
     /// Answered `UP`.
     pub served: u64,
     /// Answered `BUSY`.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Of those, clients of the sites that are not lost.
+    /// Of those, clients of the zones that are not lost.
     #[serde(rename = "refused_others")]
     pub rejected_unaffected: u64,
     /// Answered by any other line, or by a close without a word.
@@ -26,9 +27,11 @@
     /// Asked of a relay that was killed before it answered: it owes nothing any more.
     pub relay_died: u64,
     /// More than one final answer to one opening line.
-    pub double_answers: u64,
+    #[serde(rename = "double_answers")]
+    pub duplicate_answers: u64,
     /// Connections that could not be made, as the front proxy still sent to a dead relay.
-    pub front_sent_to_dead: u64,
+    #[serde(rename = "front_sent_to_dead")]
+    pub connects_to_dead_relays: u64,
     /// Clients that were migrated.
     #[serde(rename = "moves")]
     pub migrations: u64,
@@ -60,8 +63,8 @@
     }
 
     /// Every opening line must have had exactly one end.
-    pub fn adds_up(&self) -> bool {
-        self.clients_asked == self.served + self.rejected + self.failed + self.unanswered + self.relay_died
+    pub fn counts_are_consistent(&self) -> bool {
+        self.requests == self.served + self.rejected + self.failed + self.unanswered + self.relay_died
     }
 }
 
@@ -80,10 +83,11 @@
     /// Cold endpoints that collapsed.
     #[serde(rename = "servers_pushed_over")]
     pub endpoints_collapsed: u64,
-    /// The largest share of a receiving site's capacity that foreign connections held in any second.
+    /// The largest share of a receiving zone's capacity that foreign connections held in any second.
     pub worst_spill: f64,
-    /// The site of that.
-    pub worst_spill_site: String,
+    /// The zone of that.
+    #[serde(rename = "worst_spill_site")]
+    pub worst_spill_zone: String,
     /// The largest work sent to a returning endpoint over its present capacity within the rule's window.
     pub worst_return_multiple: f64,
     /// Connection seconds that clients wanted, that were well served, and that capacity allowed at the most.
@@ -91,8 +95,9 @@
     /// See `wanted_s`.
     pub well_served_s: f64,
     /// See `wanted_s`.
-    pub allowed_s: f64,
-    /// The same for clients of the sites that are not lost.
+    #[serde(rename = "allowed_s")]
+    pub attainable_s: f64,
+    /// The same for clients of the zones that are not lost.
     #[serde(rename = "others_wanted_s")]
     pub unaffected_wanted_s: f64,
     /// See `unaffected_wanted_s`.
--- a/crates/testbed/src/report/site.rs
+++ b/crates/testbed/src/report/site.rs
@@ -20,8 +20,9 @@
     pub scenario: String,
     /// With this seed.
     pub seed: u64,
-    /// The part for sites was on.
-    pub sites_on: bool,
+    /// The part for zones was on.
+    #[serde(rename = "sites_on")]
+    pub zone_failover_enabled: bool,
     /// Relays and endpoints.
     pub relays: usize,
     /// See `relays`.
@@ -33,17 +34,19 @@
     /// What endpoints have seen.
     #[serde(flatten)]
     pub endpoint_observations: EndpointObservations,
-    /// The limit on spill that is stated, as a part of a receiving site's capacity.
+    /// The limit on spill that is stated, as a part of a receiving zone's capacity.
     pub spill_limit: f64,
     /// Share of wanted connection seconds that were well served.
     pub well_served: f64,
     /// The share that capacity allowed at the most.
-    pub ceiling: f64,
-    /// The same for clients of the sites that are not lost.
+    #[serde(rename = "ceiling")]
+    pub attainable_share: f64,
+    /// The same for clients of the zones that are not lost.
     #[serde(rename = "well_served_others")]
     pub well_served_unaffected: f64,
     /// The rules that were broken; empty if all held.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 impl Report {
@@ -52,21 +55,21 @@
         let (clients, endpoints) =
             (environment.client_observations.clone(), environment.endpoint_observations.clone());
         let wanted = endpoints.wanted_s.max(1e-9);
-        let broken = broken_rules(run, &clients, &endpoints);
+        let violations = broken_rules(run, &clients, &endpoints);
         Report {
             scenario: format!("{:?}", run.scenario).to_lowercase(),
             seed: run.seed,
-            sites_on: run.sites_file.is_some(),
+            zone_failover_enabled: run.sites_file.is_some(),
             relays: environment.size.relays,
             endpoints: environment.size.endpoints,
             spill_limit: run.spill_limit,
             well_served: endpoints.well_served_s / wanted,
             well_served_unaffected: endpoints.unaffected_well_served_s
                 / endpoints.unaffected_wanted_s.max(1e-9),
-            ceiling: endpoints.allowed_s / wanted,
+            attainable_share: endpoints.attainable_s / wanted,
             client_observations: clients,
             endpoint_observations: endpoints,
-            broken,
+            violations,
         }
     }
 }
@@ -75,15 +78,15 @@
 fn broken_rules(
     run: &ScenarioRun, clients: &ClientObservations, endpoints: &EndpointObservations,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut require = |held: bool, rule: String| {
         if !held {
-            broken.push(rule);
+            violations.push(rule);
         }
     };
-    require(clients.adds_up(), "every head has exactly one end in the clients' book".into());
+    require(clients.counts_are_consistent(), "every head has exactly one end in the clients' book".into());
     require(clients.unanswered == 0, format!("{} requests without an answer", clients.unanswered));
-    require(clients.double_answers == 0, format!("{} second answers", clients.double_answers));
+    require(clients.duplicate_answers == 0, format!("{} second answers", clients.duplicate_answers));
     require(
         clients.connections_cut_off == 0,
         format!("{} sessions cut off without MOVE", clients.connections_cut_off),
@@ -113,8 +116,8 @@
         let limit = run.spill_limit + SPILL_SLACK;
         require(
             endpoints.worst_spill <= limit,
-            format!("spill of {:.3} at {}", endpoints.worst_spill, endpoints.worst_spill_site),
+            format!("spill of {:.3} at {}", endpoints.worst_spill, endpoints.worst_spill_zone),
         );
     }
-    broken
+    violations
 }
--- a/crates/testbed/src/scenarios/fault_injector.rs
+++ b/crates/testbed/src/scenarios/fault_injector.rs
@@ -77,39 +77,39 @@
         let events = self.environment.borrow().events.len() as u64;
         let mut rng = self.environment.borrow().rng(RNG_PART + events);
         match step {
-            FaultStep::Kill { site, survivors } => self.kill_endpoints(site, survivors, &mut rng),
-            FaultStep::Silence(site) => self.silence_endpoints(site),
-            FaultStep::Return { site, max_count, in_one_update } => {
-                self.return_endpoints(site, max_count, in_one_update, &mut rng);
+            FaultStep::Kill { zone, survivors } => self.kill_endpoints(zone, survivors, &mut rng),
+            FaultStep::Silence(zone) => self.silence_endpoints(zone),
+            FaultStep::Return { zone, max_count, in_one_update } => {
+                self.return_endpoints(zone, max_count, in_one_update, &mut rng);
             }
             FaultStep::KillRelays(downtime) => self.kill_relays(downtime, &mut rng).await,
-            FaultStep::Surge(site, factor) => self.change_arrivals(site, factor),
-            FaultStep::Drain(site) => self.drain_endpoint(site),
+            FaultStep::Surge(zone, factor) => self.change_arrivals(zone, factor),
+            FaultStep::Drain(zone) => self.drain_endpoint(zone),
         }
     }
 
-    fn kill_endpoints(&self, site: usize, survivors: usize, rng: &mut Pcg64Mcg) {
+    fn kill_endpoints(&self, zone: usize, survivors: usize, rng: &mut Pcg64Mcg) {
         let endpoints: Vec<usize> =
-            self.environment.borrow().site_endpoints(site).into_iter().skip(survivors).collect();
-        self.record_event(site, &format!("{} card servers die", endpoints.len()));
+            self.environment.borrow().zone_endpoints(zone).into_iter().skip(survivors).collect();
+        self.record_event(zone, &format!("{} card servers die", endpoints.len()));
         self.end_endpoints(&endpoints, ProcessState::Dead);
         self.publish_later(endpoints, "left", random_delay(rng, DEATH_NOTICE_S), ProcessState::Dead);
     }
 
-    fn silence_endpoints(&self, site: usize) {
-        let endpoints = self.environment.borrow().site_endpoints(site);
-        self.record_event(site, &format!("{} card servers fall silent", endpoints.len()));
+    fn silence_endpoints(&self, zone: usize) {
+        let endpoints = self.environment.borrow().zone_endpoints(zone);
+        self.record_event(zone, &format!("{} card servers fall silent", endpoints.len()));
         self.end_endpoints(&endpoints, ProcessState::Silent);
         self.publish_later(endpoints, "left", SILENCE_NOTICE, ProcessState::Silent);
     }
 
-    fn return_endpoints(&self, site: usize, max_count: usize, in_one_update: bool, rng: &mut Pcg64Mcg) {
-        let endpoints = self.environment.borrow().site_endpoints(site);
+    fn return_endpoints(&self, zone: usize, max_count: usize, in_one_update: bool, rng: &mut Pcg64Mcg) {
+        let endpoints = self.environment.borrow().zone_endpoints(zone);
         let down = |endpoint: &usize| self.process_state(*endpoint) != ProcessState::Serving;
         let endpoints: Vec<usize> = endpoints.into_iter().filter(down).take(max_count).collect();
-        self.record_event(site, &format!("{} card servers come back", endpoints.len()));
+        self.record_event(zone, &format!("{} card servers come back", endpoints.len()));
         for endpoint in &endpoints {
-            self.environment.borrow_mut().restart(*endpoint);
+            self.environment.borrow_mut().restart_endpoint(*endpoint);
         }
         let updates: Vec<Vec<usize>> = match in_one_update {
             true => vec![endpoints],
@@ -121,11 +121,11 @@
         }
     }
 
-    /// Kills every second relay, the lost site's own among them, and starts them again after `downtime`.
+    /// Kills every second relay, the lost zone's own among them, and starts them again after `downtime`.
     async fn kill_relays(self: &Rc<Self>, downtime: Duration, rng: &mut Pcg64Mcg) {
         let all = self.environment.borrow().size.relays;
         let victims: Vec<usize> = (0..all).filter(|relay| relay % 2 == 0).collect();
-        self.environment.borrow_mut().event(format!("{} of {all} relays are killed", victims.len()));
+        self.environment.borrow_mut().record_event(format!("{} of {all} relays are killed", victims.len()));
         for relay in victims {
             let child = self.relays.borrow_mut().remove(&relay);
             self.environment.borrow_mut().relay_kills[relay] += 1;
@@ -143,35 +143,35 @@
         sleep(downtime.saturating_sub(noticed_after)).await;
         let incarnation = self.environment.borrow().relay_kills[relay];
         match self.start_relay(relay, incarnation).await {
-            Ok(()) => self.environment.borrow_mut().event(format!("relay n{relay} is back")),
-            Err(error) => self.environment.borrow_mut().event(error),
+            Ok(()) => self.environment.borrow_mut().record_event(format!("relay n{relay} is back")),
+            Err(error) => self.environment.borrow_mut().record_event(error),
         }
     }
 
-    fn change_arrivals(&self, site: usize, factor: f64) {
-        self.record_event(site, &format!("traffic is {factor} times the usual"));
-        self.environment.borrow_mut().arrival_factor[site] = factor;
+    fn change_arrivals(&self, zone: usize, factor: f64) {
+        self.record_event(zone, &format!("traffic is {factor} times the usual"));
+        self.environment.borrow_mut().arrival_factor[zone] = factor;
     }
 
-    fn drain_endpoint(&self, site: usize) {
-        let endpoint = self.environment.borrow().site_endpoints(site).into_iter().next();
+    fn drain_endpoint(&self, zone: usize) {
+        let endpoint = self.environment.borrow().zone_endpoints(zone).into_iter().next();
         let Some(endpoint) = endpoint else { return };
-        self.record_event(site, "a card server drains");
+        self.record_event(zone, "a card server drains");
         self.environment.borrow_mut().publish(&[endpoint], "leaving");
         let environment = self.environment.clone();
         spawn_local(async move {
             sleep(DRAIN_DELAY).await;
             environment.borrow().endpoints[endpoint].draining.send_replace(true);
             sleep(DRAIN_DURATION).await;
-            environment.borrow_mut().end(endpoint, ProcessState::Dead);
+            environment.borrow_mut().stop_endpoint(endpoint, ProcessState::Dead);
             environment.borrow_mut().publish(&[endpoint], "left");
         });
     }
 
-    fn record_event(&self, site: usize, text: &str) {
+    fn record_event(&self, zone: usize, text: &str) {
         let mut environment = self.environment.borrow_mut();
-        let event = format!("{}: {text}", environment.size.sites[site]);
-        environment.event(event);
+        let event = format!("{}: {text}", environment.size.zones[zone]);
+        environment.record_event(event);
     }
 
     fn process_state(&self, endpoint: usize) -> ProcessState {
@@ -180,7 +180,7 @@
 
     fn end_endpoints(&self, endpoints: &[usize], process_state: ProcessState) {
         for endpoint in endpoints {
-            self.environment.borrow_mut().end(*endpoint, process_state);
+            self.environment.borrow_mut().stop_endpoint(*endpoint, process_state);
         }
     }
 
--- a/crates/testbed/src/scenarios/mod.rs
+++ b/crates/testbed/src/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios in which a site is lost and regained: with real relays, and on a virtual clock.
+//! Scenarios in which a zone is lost and regained: with real relays, and on a virtual clock.
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 mod fault_injector;
--- a/crates/testbed/src/scenarios/run.rs
+++ b/crates/testbed/src/scenarios/run.rs
@@ -30,14 +30,14 @@
     pub scenario: Scenario,
     /// Seeds the environment, the clients and the relays.
     pub seed: u64,
-    /// The operator file for sites; none where that part is off.
+    /// The operator file for zones; none where that part is off.
     pub sites_file: Option<PathBuf>,
     /// The spill limit that the operator file states, a part of 1.
     pub spill_limit: f64,
     /// Ends the run earlier.
-    pub length: Option<Duration>,
+    pub max_duration: Option<Duration>,
     /// Keeps the relays' logs in this folder.
-    pub logs: Option<PathBuf>,
+    pub log_folder: Option<PathBuf>,
 }
 
 /// Why the observation of a run ended.
@@ -59,28 +59,28 @@
     let program = relay_program()?;
     let folder = tempfile::tempdir().map_err(|e| format!("no folder for the relays' files: {e}"))?;
     let environment = Environment::new(run.size.clone(), run.seed);
-    let log_folder = run.logs.clone().unwrap_or_else(|| folder.path().to_owned());
+    let log_folder = run.log_folder.clone().unwrap_or_else(|| folder.path().to_owned());
     std::fs::create_dir_all(&log_folder).map_err(|e| format!("{}: {e}", log_folder.display()))?;
     let launcher = RelayLauncher::new(&environment, program, &log_folder, run.sites_file.clone());
     start_emulators(&environment, &run.size).await?;
     let injector = Rc::new(FaultInjector::new(environment.clone(), launcher));
     injector.start_relays(run.size.relays).await?;
-    for site in 0..run.size.sites.len() {
-        spawn_local(client::generate_clients(environment.clone(), site));
+    for zone in 0..run.size.zones.len() {
+        spawn_local(client::generate_clients(environment.clone(), zone));
     }
     let (steps, scenario_length) = run.scenario.steps();
     environment
         .borrow_mut()
-        .unaffected_sites
-        .retain(|site| !steps.iter().any(|(_, step)| step.kills_endpoints_of(*site)));
+        .unaffected_zones
+        .retain(|zone| !steps.iter().any(|(_, step)| step.kills_endpoints_of(*zone)));
     let began = Instant::now();
-    let length = run.length.map_or(scenario_length, |max_length| scenario_length.min(max_length));
+    let length = run.max_duration.map_or(scenario_length, |max_duration| scenario_length.min(max_duration));
     spawn_local(inject_faults(injector.clone(), began, steps));
     let end = observe(&environment, began + length, on_observed, stop).await;
     // Answers that are still owed come before the relays end.
     environment.borrow_mut().closing = true;
     sleep(if end == RunEnd::Stopped { STOPPED_ANSWER_TIME } else { ANSWER_TIME }).await;
-    let collapsed = environment.borrow().collapsed();
+    let collapsed = environment.borrow().collapsed_endpoints();
     environment.borrow_mut().endpoint_observations.endpoints_collapsed += collapsed;
     let report = Report::new(run, &environment.borrow());
     injector.kill_all_relays().await;
@@ -120,7 +120,7 @@
             _ = ticks.tick() => {
                 let passed = last.elapsed();
                 last = Instant::now();
-                environment.borrow_mut().observe(passed);
+                environment.borrow_mut().record_observations(passed);
                 on_observed(&environment.borrow());
                 if Instant::now() >= end {
                     return RunEnd::Finished;
--- a/crates/testbed/src/scenarios/scenario.rs
+++ b/crates/testbed/src/scenarios/scenario.rs
@@ -4,10 +4,10 @@
 
 use clap::ValueEnum;
 
-/// A run on which a site is lost and regained.
+/// A run on which a zone is lost and regained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// A site's endpoints die at once; they come back one after another.
+    /// A zone's endpoints die at once; they come back one after another.
     Lost,
     /// They fall silent; discovery lists them for 11 s more.
     Silent,
@@ -17,15 +17,15 @@
     Together,
     /// It is lost and regained twice within a minute, and lost again in the middle of its way back.
     Flap,
-    /// Two sites are lost together.
+    /// Two zones are lost together.
     Two,
     /// Half of the relays are killed during the way back, and return with an old roll.
     Relays,
-    /// Traffic at a receiving site jumps to 2.2 times the usual while it holds spill, and one of its endpoints drains.
+    /// Traffic at a receiving zone jumps to 2.2 times the usual while it holds spill, and one of its endpoints drains.
     Surge,
     /// Nothing goes wrong.
     Calm,
-    /// A site is lost and regained within seconds, for tests.
+    /// A zone is lost and regained within seconds, for tests.
     Short,
     /// The same, and time to look at it.
     Show,
@@ -34,19 +34,19 @@
 /// Something that happens to the environment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultStep {
-    /// Endpoints of a site die, all but so many.
+    /// Endpoints of a zone die, all but so many.
     Kill {
-        /// The site.
-        site: usize,
+        /// The zone.
+        zone: usize,
         /// How many live on.
         survivors: usize,
     },
-    /// A site's endpoints fall silent.
+    /// A zone's endpoints fall silent.
     Silence(usize),
-    /// The first so many of a site's endpoints that are down come back.
+    /// The first so many of a zone's endpoints that are down come back.
     Return {
-        /// The site.
-        site: usize,
+        /// The zone.
+        zone: usize,
         /// How many come back at the most.
         max_count: usize,
         /// Discovery learns of all at once.
@@ -54,40 +54,40 @@
     },
     /// Half of the relays are killed, and come back later.
     KillRelays(Duration),
-    /// A site's arrivals are this multiple of the usual.
+    /// A zone's arrivals are this multiple of the usual.
     Surge(usize, f64),
-    /// One of a site's endpoints drains, and stops after a while.
+    /// One of a zone's endpoints drains, and stops after a while.
     Drain(usize),
 }
 
 impl FaultStep {
-    /// Whether endpoints of a site are lost by it.
-    pub fn kills_endpoints_of(&self, site: usize) -> bool {
-        matches!(self, FaultStep::Kill { site: s, .. } | FaultStep::Silence(s) if *s == site)
+    /// Whether endpoints of a zone are lost by it.
+    pub fn kills_endpoints_of(&self, zone: usize) -> bool {
+        matches!(self, FaultStep::Kill { zone: s, .. } | FaultStep::Silence(s) if *s == zone)
     }
 }
 
 impl Scenario {
-    /// Its steps, for an environment of four sites or more in which the third is the one that is lost. `end` is how long it lasts.
+    /// Its steps, for an environment of four zones or more in which the third is the one that is lost. `end` is how long it lasts.
     pub fn steps(self) -> (Vec<(Duration, FaultStep)>, Duration) {
         const LOST: usize = 2;
         const OTHER: usize = 3;
         const NEAR: usize = 1;
         let at = Duration::from_secs;
-        let back = |site| FaultStep::Return { site, max_count: usize::MAX, in_one_update: false };
-        let kill = |site| FaultStep::Kill { site, survivors: 0 };
+        let back = |zone| FaultStep::Return { zone, max_count: usize::MAX, in_one_update: false };
+        let kill = |zone| FaultStep::Kill { zone, survivors: 0 };
         match self {
             Scenario::Lost => (vec![(at(12), kill(LOST)), (at(28), back(LOST))], at(65)),
             Scenario::Silent => (vec![(at(12), FaultStep::Silence(LOST)), (at(32), back(LOST))], at(70)),
             Scenario::Partial => {
-                (vec![(at(12), FaultStep::Kill { site: LOST, survivors: 1 }), (at(30), back(LOST))], at(65))
+                (vec![(at(12), FaultStep::Kill { zone: LOST, survivors: 1 }), (at(30), back(LOST))], at(65))
             }
             Scenario::Together => {
-                let back = FaultStep::Return { site: LOST, max_count: usize::MAX, in_one_update: true };
+                let back = FaultStep::Return { zone: LOST, max_count: usize::MAX, in_one_update: true };
                 (vec![(at(12), kill(LOST)), (at(28), back)], at(65))
             }
             Scenario::Flap => {
-                let half = FaultStep::Return { site: LOST, max_count: 2, in_one_update: true };
+                let half = FaultStep::Return { zone: LOST, max_count: 2, in_one_update: true };
                 let steps =
                     [(10, kill(LOST)), (16, half), (22, kill(LOST)), (30, back(LOST)), (36, kill(LOST))];
                 let mut steps: Vec<_> = steps.into_iter().map(|(s, step)| (at(s), step)).collect();
--- a/crates/testbed/src/scenarios/simulation/arrivals.rs
+++ b/crates/testbed/src/scenarios/simulation/arrivals.rs
@@ -13,9 +13,9 @@
 const MIN_CONNECTION_S: f64 = 2.0;
 /// The heaviest connection, in usual connections.
 const MAX_CONNECTION_LOAD: f64 = 4.0;
-/// Neighbouring sites whose clients share affinity groups.
-const SITES_PER_AFFINITY_GROUP: usize = 4;
-/// Affinity groups for each endpoint of the sites that share them.
+/// Neighbouring zones whose clients share affinity groups.
+const ZONES_PER_AFFINITY_GROUP: usize = 4;
+/// Affinity groups for each endpoint of the zones that share them.
 const AFFINITY_GROUPS_PER_ENDPOINT: f64 = 0.8;
 /// The fewest affinity groups.
 const MIN_AFFINITY_GROUPS: f64 = 4.0;
@@ -32,8 +32,8 @@
 impl ClientGenerator {
     /// Creates the distributions for a fleet of that capacity, in usual connections.
     pub(super) fn new(simulation: &Simulation, capacity: f64) -> Result<ClientGenerator, String> {
-        let affinity_groups = (simulation.endpoints as f64 / simulation.sites as f64
-            * SITES_PER_AFFINITY_GROUP as f64
+        let affinity_groups = (simulation.endpoints as f64 / simulation.zones as f64
+            * ZONES_PER_AFFINITY_GROUP as f64
             * AFFINITY_GROUPS_PER_ENDPOINT)
             .max(MIN_AFFINITY_GROUPS);
         Ok(ClientGenerator {
@@ -45,13 +45,13 @@
     }
 
     /// Draws a client of a relay of `site` that comes at `now`.
-    fn client(&self, rng: &mut Pcg64Mcg, now: Micros, relay: usize, site: usize) -> Client {
+    fn client(&self, rng: &mut Pcg64Mcg, now: Micros, relay: usize, zone: usize) -> Client {
         let seconds = self.duration_s.sample(rng).clamp(MIN_CONNECTION_S, 4.0 * MEAN_CONNECTION_S);
         Client {
             relay,
             until: now + (seconds * 1e6) as Micros,
             load: f64::min(self.load.sample(rng), MAX_CONNECTION_LOAD),
-            affinity_group: ((site / SITES_PER_AFFINITY_GROUP) as u64) << 24
+            affinity_group: ((zone / ZONES_PER_AFFINITY_GROUP) as u64) << 24
                 | self.affinity_group.sample(rng) as u64,
         }
     }
@@ -61,14 +61,14 @@
     /// Draws the clients that come in this step of the clock, and lets them ask.
     pub(super) fn connect_new_clients(&mut self, clients: &ClientGenerator) {
         for relay in 0..self.relays.len() {
-            let site = self.home_site(relay);
-            let mean = clients.clients_per_second / self.sites() as f64 / self.relays_of(site).max(1) as f64
-                * self.arrival_factor[site]
+            let zone = self.home_zone(relay);
+            let mean = clients.clients_per_second / self.zones() as f64 / self.relays_of(zone).max(1) as f64
+                * self.arrival_factor[zone]
                 * CLOCK_STEP as f64
                 / 1e6;
             let count = Poisson::new(mean).map_or(0.0, |p| p.sample(&mut self.rng)) as usize;
             for _ in 0..count {
-                let client = clients.client(&mut self.rng, self.now, relay, site);
+                let client = clients.client(&mut self.rng, self.now, relay, zone);
                 self.request_connection(client);
             }
         }
--- a/crates/testbed/src/scenarios/simulation/connections.rs
+++ b/crates/testbed/src/scenarios/simulation/connections.rs
@@ -32,7 +32,7 @@
 impl SimulationRun {
     /// Asks the client's relay for a connection.
     pub(super) fn request_connection(&mut self, client: Client) {
-        self.report.clients_asked += 1;
+        self.report.requests += 1;
         let affinity_group = AffinityGroup(format!("{:x}", client.affinity_group).into());
         let began = Instant::now();
         let decision = self.relays[client.relay].admit(self.now, Some(&affinity_group));
@@ -53,7 +53,7 @@
         let (id, relay) = (RequestId(self.serial as u32), client.relay);
         let endpoint_id = self.endpoints[endpoint].id.clone();
         self.relays[relay].attempt_started(self.now, id, &endpoint_id, Some(affinity_group));
-        let home = self.home_site(relay);
+        let home = self.home_zone(relay);
         if !self.endpoints[endpoint].up {
             let mut out = Vec::new();
             self.relays[relay].connection_ended(id);
@@ -69,8 +69,8 @@
         let connection = ConnectionLoad {
             load: client.load,
             affinity_group: client.affinity_group,
-            foreign: self.endpoints[endpoint].site != home,
-            relay_site: home,
+            is_cross_zone: self.endpoints[endpoint].zone != home,
+            relay_zone: home,
         };
         let number = connection_number(relay, id);
         if self.endpoints[endpoint].model.open(self.now, number, connection) == Admission::Rejected {
@@ -122,29 +122,29 @@
     fn choose_endpoint(
         &mut self, relay: usize, allowed_zones: ZoneSet, affinity_group: u64,
     ) -> Option<usize> {
-        let site = self.choose_site(relay, allowed_zones)?;
-        let endpoints = &self.by_site[site];
+        let zone = self.choose_zone(relay, allowed_zones)?;
+        let endpoints = &self.by_zone[zone];
         let rank = |n: &usize| (*n as u64 ^ affinity_group << 32).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
         let mut ranked: Vec<(u64, usize)> = endpoints.iter().map(|n| (rank(n), *n)).collect();
         ranked.sort_unstable();
         let spare_capacity = |n: &usize| {
             let model = &self.endpoints[*n].model;
-            (REJECT_LOAD - model.x0(self.now)) * model.capacity(self.now)
+            (REJECT_LOAD - model.utilization(self.now)) * model.capacity(self.now)
         };
-        let lightly_loaded = |n: &usize| self.endpoints[*n].model.x0(self.now) < PREFERRED_MAX_LOAD;
+        let lightly_loaded = |n: &usize| self.endpoints[*n].model.utilization(self.now) < PREFERRED_MAX_LOAD;
         let first = ranked.iter().map(|(_, n)| *n).take(PREFERRED_ENDPOINTS).find(lightly_loaded);
         let random = (0..RANDOM_CANDIDATES).map(|_| endpoints[self.rng.random_range(0..endpoints.len())]);
         first.or_else(|| random.max_by(|a, b| spare_capacity(a).total_cmp(&spare_capacity(b))))
     }
 
-    /// Chooses the relay's own site if that is allowed, else a random allowed one.
-    fn choose_site(&mut self, relay: usize, allowed_zones: ZoneSet) -> Option<usize> {
-        let home = self.home_site(relay);
+    /// Chooses the relay's own zone if that is allowed, else a random allowed one.
+    fn choose_zone(&mut self, relay: usize, allowed_zones: ZoneSet) -> Option<usize> {
+        let home = self.home_zone(relay);
         if allowed_zones.contains(Some(ZoneId(home))) {
             return Some(home);
         }
         let allowed: Vec<usize> =
-            (0..self.sites()).filter(|site| allowed_zones.contains(Some(ZoneId(*site)))).collect();
+            (0..self.zones()).filter(|zone| allowed_zones.contains(Some(ZoneId(*zone)))).collect();
         allowed.get(self.rng.random_range(0..allowed.len().max(1))).copied()
     }
 }
--- a/crates/testbed/src/scenarios/simulation/endpoint_updates.rs
+++ b/crates/testbed/src/scenarios/simulation/endpoint_updates.rs
@@ -53,8 +53,8 @@
                 id: endpoint.id.clone(),
                 machine_type: None,
                 weight: endpoint.model.parameters().weight,
-                started_at: endpoint.model.started(),
-                zone: Some(ZoneId(endpoint.site)),
+                started_at: endpoint.model.started_at(),
+                zone: Some(ZoneId(endpoint.zone)),
                 cell: CellId(0),
                 state,
             }
--- a/crates/testbed/src/scenarios/simulation/faults.rs
+++ b/crates/testbed/src/scenarios/simulation/faults.rs
@@ -9,19 +9,19 @@
 impl SimulationRun {
     /// Applies one step of the scenario.
     pub(super) fn apply(&mut self, step: FaultStep) {
-        let sites = self.sites();
+        let zones = self.zones();
         match step {
-            FaultStep::Kill { site, survivors } => {
-                let down: Vec<usize> = self.by_site[site % sites].iter().copied().skip(survivors).collect();
+            FaultStep::Kill { zone, survivors } => {
+                let down: Vec<usize> = self.by_zone[zone % zones].iter().copied().skip(survivors).collect();
                 self.end(&down);
                 self.publish(&down, EndpointState::Removed, false);
             }
-            FaultStep::Silence(site) => {
-                let down = self.by_site[site % sites].clone();
+            FaultStep::Silence(zone) => {
+                let down = self.by_zone[zone % zones].clone();
                 self.end(&down);
             }
-            FaultStep::Return { site, max_count, in_one_update } => {
-                let back = self.by_site[site % sites].iter().copied().filter(|n| !self.endpoints[*n].up);
+            FaultStep::Return { zone, max_count, in_one_update } => {
+                let back = self.by_zone[zone % zones].iter().copied().filter(|n| !self.endpoints[*n].up);
                 let back: Vec<usize> = back.take(max_count).collect();
                 for endpoint in &back {
                     let endpoint = &mut self.endpoints[*endpoint];
@@ -32,9 +32,9 @@
             }
             // `simulate` rejects the scenarios that have it.
             FaultStep::KillRelays(_) => {}
-            FaultStep::Surge(site, factor) => self.arrival_factor[site % sites] = factor,
-            FaultStep::Drain(site) => {
-                let one: Vec<usize> = self.by_site[site % sites].iter().copied().take(1).collect();
+            FaultStep::Surge(zone, factor) => self.arrival_factor[zone % zones] = factor,
+            FaultStep::Drain(zone) => {
+                let one: Vec<usize> = self.by_zone[zone % zones].iter().copied().take(1).collect();
                 self.publish(&one, EndpointState::Draining, true);
             }
         }
@@ -60,7 +60,7 @@
         for endpoint in endpoints {
             let endpoint = &mut self.endpoints[*endpoint];
             endpoint.model =
-                EndpointModel::new(endpoint.model.parameters().clone(), endpoint.model.started());
+                EndpointModel::new(endpoint.model.parameters().clone(), endpoint.model.started_at());
         }
     }
 }
--- a/crates/testbed/src/scenarios/simulation/mod.rs
+++ b/crates/testbed/src/scenarios/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions on sites at size: many relays' zone failover in one process on a virtual clock, without sockets.
+//! The decisions on zones at size: many relays' zone failover in one process on a virtual clock, without sockets.
 //!
 //! Each relay receives endpoint updates at a time of its own and load reports late; within the zones that its zone failover
 //! allows, an endpoint is chosen without the balancer. So what holds here is held by `crates/zone-failover` alone.
@@ -31,8 +31,8 @@
 /// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Simulation {
-    /// Sites, the third of which is lost.
-    pub sites: usize,
+    /// Zones, the third of which is lost.
+    pub zones: usize,
     /// Endpoints in all.
     pub endpoints: usize,
     /// Relays in all.
@@ -41,7 +41,7 @@
     pub load: f64,
     /// What goes wrong.
     pub scenario: Scenario,
-    /// The operator configuration; names of sites in it are not used.
+    /// The operator configuration; names of zones in it are not used.
     pub config: ZoneFailoverConfig,
     /// The seed.
     pub seed: u64,
@@ -91,7 +91,7 @@
             if self.now.is_multiple_of(TICK_INTERVAL) {
                 self.tick();
             }
-            self.observe();
+            self.record_observations();
         }
         Ok(())
     }
--- a/crates/testbed/src/scenarios/simulation/relays.rs
+++ b/crates/testbed/src/scenarios/simulation/relays.rs
@@ -6,11 +6,11 @@
 use super::TICK_INTERVAL;
 use super::state::SimulationRun;
 
-/// Interval at which relays receive the load reports of their own site.
+/// Interval at which relays receive the load reports of their own zone.
 const REPORT_INTERVAL: Micros = 1_500_000;
 
 impl SimulationRun {
-    /// Runs every relay's zone failover, and gives it its own site's load reports where they are due.
+    /// Runs every relay's zone failover, and gives it its own zone's load reports where they are due.
     pub(super) fn tick(&mut self) {
         for relay in 0..self.relays.len() {
             if (self.now + relay as Micros * TICK_INTERVAL).is_multiple_of(REPORT_INTERVAL) {
@@ -23,11 +23,11 @@
     }
 
     fn report_home_loads(&mut self, relay: usize) {
-        for endpoint in self.by_site[self.home_site(relay)].clone() {
+        for endpoint in self.by_zone[self.home_zone(relay)].clone() {
             if self.endpoints[endpoint].up {
                 let report = self.endpoints[endpoint].model.report(self.now);
                 let id = self.endpoints[endpoint].id.clone();
-                self.relays[relay].load_reported(self.now, &id, report.x0);
+                self.relays[relay].load_reported(self.now, &id, report.utilization);
             }
         }
     }
@@ -58,7 +58,7 @@
         self.relays[relay].endpoint_signal_received(self.now, id, signal, &mut out);
         if alive {
             let report = self.endpoints[endpoint].model.report(self.now);
-            self.relays[relay].load_reported(self.now, id, report.x0);
+            self.relays[relay].load_reported(self.now, id, report.utilization);
         }
         self.perform(relay, out);
     }
--- a/crates/testbed/src/scenarios/simulation/report.rs
+++ b/crates/testbed/src/scenarios/simulation/report.rs
@@ -11,15 +11,17 @@
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// Sites.
-    pub sites: usize,
+    /// Zones.
+    #[serde(rename = "sites")]
+    pub zones: usize,
     /// Endpoints.
     #[serde(rename = "servers")]
     pub endpoints: usize,
     /// Relays.
     pub relays: usize,
     /// Requests.
-    pub clients_asked: u64,
+    #[serde(rename = "clients_asked")]
+    pub requests: u64,
     /// Requests that were served.
     pub served: u64,
     /// Requests that were rejected.
@@ -28,9 +30,9 @@
     /// The most connections at any time.
     #[serde(rename = "most_sessions")]
     pub max_connections: usize,
-    /// The configured limit of spill, as a part of a receiving site's capacity.
+    /// The configured limit of spill, as a part of a receiving zone's capacity.
     pub spill_limit: f64,
-    /// The largest share of a site's capacity that connections of other sites held.
+    /// The largest share of a zone's capacity that connections of other zones held.
     pub worst_spill: f64,
     /// Endpoints that collapsed while they warmed up.
     #[serde(rename = "servers_pushed_over")]
@@ -65,10 +67,10 @@
         SimulationReport {
             scenario: format!("{:?}", simulation.scenario).to_lowercase(),
             seed: simulation.seed,
-            sites: simulation.sites,
+            zones: simulation.zones,
             endpoints: simulation.endpoints,
             relays: simulation.relays,
-            clients_asked: 0,
+            requests: 0,
             served: 0,
             rejected: 0,
             max_connections: 0,
--- a/crates/testbed/src/scenarios/simulation/state.rs
+++ b/crates/testbed/src/scenarios/simulation/state.rs
@@ -15,7 +15,7 @@
 use crate::emulators::emulated_endpoint::{AFFINITY_GROUP_COST, MAX_WARM_UP};
 use crate::emulators::endpoint_model::{EndpointModel, EndpointParameters};
 
-/// Weights of the endpoints of a site, dealt out in turn.
+/// Weights of the endpoints of a zone, dealt out in turn.
 const WEIGHTS: [f64; 3] = [1.6, 1.0, 0.6];
 /// Usual connections that fill a warm endpoint of weight 1.
 const CAPACITY: f64 = 34.0;
@@ -25,7 +25,7 @@
 /// A simulated endpoint.
 pub(super) struct SimulatedEndpoint {
     pub(super) id: EndpointId,
-    pub(super) site: usize,
+    pub(super) zone: usize,
     pub(super) model: EndpointModel,
     /// Its process runs.
     pub(super) up: bool,
@@ -70,7 +70,7 @@
     pub(super) rng: Pcg64Mcg,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     pub(super) by_id: BTreeMap<EndpointId, usize>,
-    pub(super) by_site: Vec<Vec<usize>>,
+    pub(super) by_zone: Vec<Vec<usize>>,
     pub(super) relays: Vec<ZoneFailover>,
     pub(super) updates: BinaryHeap<Reverse<PendingUpdate>>,
     pub(super) published: Vec<Arc<Vec<Endpoint>>>,
@@ -87,7 +87,7 @@
     wanted_s: f64,
     /// Connection seconds that were well served.
     well_served_s: f64,
-    /// Arrivals of each site, against the usual.
+    /// Arrivals of each zone, against the usual.
     pub(super) arrival_factor: Vec<f64>,
     pub(super) max_update_delay: Micros,
 }
@@ -100,13 +100,13 @@
     pub(super) fn new(simulation: &Simulation) -> Result<SimulationRun, String> {
         let mut rng = Pcg64Mcg::seed_from_u64(simulation.seed);
         let endpoints = generate_endpoints(simulation, &mut rng);
-        let mut by_site = vec![Vec::new(); simulation.sites];
-        endpoints.iter().enumerate().for_each(|(index, endpoint)| by_site[endpoint.site].push(index));
+        let mut by_zone = vec![Vec::new(); simulation.zones];
+        endpoints.iter().enumerate().for_each(|(index, endpoint)| by_zone[endpoint.zone].push(index));
         Ok(SimulationRun {
             now: START,
             by_id: endpoints.iter().enumerate().map(|(index, e)| (e.id.clone(), index)).collect(),
             endpoints,
-            by_site,
+            by_zone,
             relays: create_relays(simulation)?,
             updates: BinaryHeap::new(),
             published: Vec::new(),
@@ -119,25 +119,25 @@
             decision_ns: Histogram::new_with_bounds(1, MAX_DECISION_NS, 3).map_err(|e| e.to_string())?,
             wanted_s: 0.0,
             well_served_s: 0.0,
-            arrival_factor: vec![1.0; simulation.sites],
+            arrival_factor: vec![1.0; simulation.zones],
             max_update_delay: simulation.max_update_delay.as_micros() as Micros,
             rng,
         })
     }
 
-    /// Returns the number of sites.
-    pub(super) fn sites(&self) -> usize {
-        self.by_site.len()
+    /// Returns the number of zones.
+    pub(super) fn zones(&self) -> usize {
+        self.by_zone.len()
     }
 
-    /// Returns a relay's own site.
-    pub(super) fn home_site(&self, relay: usize) -> usize {
-        relay % self.sites()
+    /// Returns a relay's own zone.
+    pub(super) fn home_zone(&self, relay: usize) -> usize {
+        relay % self.zones()
     }
 
-    /// Returns the number of relays of a site.
-    pub(super) fn relays_of(&self, site: usize) -> usize {
-        self.relays.len() / self.sites() + usize::from(site < self.relays.len() % self.sites())
+    /// Returns the number of relays of a zone.
+    pub(super) fn relays_of(&self, zone: usize) -> usize {
+        self.relays.len() / self.zones() + usize::from(zone < self.relays.len() % self.zones())
     }
 
     /// Returns the capacity of all endpoints once they are warm, in usual connections.
@@ -146,24 +146,24 @@
     }
 
     /// Adds up one step of the clock.
-    pub(super) fn observe(&mut self) {
+    pub(super) fn record_observations(&mut self) {
         let step = CLOCK_STEP as f64 / 1e6;
         let waiting = self.reconnecting.values().filter(|c| c.until > self.now).count();
         self.wanted_s += (self.established.len() + waiting) as f64 * step;
         self.report.max_connections = self.report.max_connections.max(self.established.len());
-        let mut sites = vec![(0.0, 0.0); self.sites()];
+        let mut zones = vec![(0.0, 0.0); self.zones()];
         for endpoint in self.endpoints.iter().filter(|s| s.up) {
             let model = &endpoint.model;
             self.well_served_s += model.connections() as f64 * model.in_time_fraction(self.now) * step;
-            sites[endpoint.site].0 += model.foreign_load();
-            sites[endpoint.site].1 += model.capacity(self.now);
-            if model.started() > 0 {
+            zones[endpoint.zone].0 += model.cross_zone_load();
+            zones[endpoint.zone].1 += model.capacity(self.now);
+            if model.started_at() > 0 {
                 let worst = &mut self.report.worst_return_multiple;
-                *worst = worst.max(model.max_rate_multiple());
+                *worst = worst.max(model.max_overload());
             }
         }
-        for (foreign, capacity) in sites.into_iter().filter(|s| s.1 > 0.0) {
-            self.report.worst_spill = self.report.worst_spill.max(foreign / capacity);
+        for (cross_zone_load, capacity) in zones.into_iter().filter(|s| s.1 > 0.0) {
+            self.report.worst_spill = self.report.worst_spill.max(cross_zone_load / capacity);
         }
     }
 
@@ -180,11 +180,11 @@
     }
 }
 
-/// Draws the endpoints, dealt out evenly over the sites.
+/// Draws the endpoints, dealt out evenly over the zones.
 fn generate_endpoints(simulation: &Simulation, rng: &mut Pcg64Mcg) -> Vec<SimulatedEndpoint> {
     (0..simulation.endpoints)
         .map(|number| {
-            let weight = WEIGHTS[number / simulation.sites % 3];
+            let weight = WEIGHTS[number / simulation.zones % 3];
             let parameters = EndpointParameters {
                 weight,
                 capacity: CAPACITY * weight * rng.random_range(0.94..1.06),
@@ -197,7 +197,7 @@
             let id = EndpointId(format!("s-{number:06x}").into());
             SimulatedEndpoint {
                 id,
-                site: number % simulation.sites,
+                zone: number % simulation.zones,
                 model: EndpointModel::new(parameters, 0),
                 up: true,
             }
@@ -207,12 +207,12 @@
 
 /// Creates the zone failover of each relay.
 fn create_relays(simulation: &Simulation) -> Result<Vec<ZoneFailover>, String> {
-    let zone_names: Vec<String> = (0..simulation.sites).map(|n| format!("site-{n}")).collect();
+    let zone_names: Vec<String> = (0..simulation.zones).map(|n| format!("site-{n}")).collect();
     let relays = (0..simulation.relays).map(|number| {
         let setup = ZoneFailoverSetup {
             config: simulation.config.clone(),
             zone_names: zone_names.clone(),
-            home_zone: ZoneId(number % simulation.sites),
+            home_zone: ZoneId(number % simulation.zones),
             fleet_size: simulation.relays as u32,
             slow_start_duration: MAX_WARM_UP,
             initial_capacity: 0.32,
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -11,7 +11,7 @@
 
 fn size() -> EnvironmentSize {
     EnvironmentSize {
-        sites: ["accra-north", "accra-east", "tema", "kasoa"].map(str::to_owned).to_vec(),
+        zones: ["accra-north", "accra-east", "tema", "kasoa"].map(str::to_owned).to_vec(),
         endpoints: 16,
         relays: 4,
         clients_per_second: 5.0,
@@ -20,7 +20,7 @@
     }
 }
 
-fn run(scenario: Scenario, sites: bool) -> Report {
+fn run(scenario: Scenario, zone_failover: bool) -> Report {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("sites.conf");
     std::fs::write(&file, include_str!("../sites.conf")).expect("a file");
@@ -28,10 +28,10 @@
         size: size(),
         scenario,
         seed: 11,
-        sites_file: sites.then_some(file),
+        sites_file: zone_failover.then_some(file),
         spill_limit: 0.25,
-        length: None,
-        logs: None,
+        max_duration: None,
+        log_folder: None,
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let never = std::future::pending::<()>();
@@ -39,11 +39,11 @@
     result.expect("a run")
 }
 
-/// A site is lost, its clients are served elsewhere within the limit, and it is regained.
+/// A zone is lost, its clients are served elsewhere within the limit, and it is regained.
 #[test]
-fn lost_site_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
+fn lost_zone_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
     let report = run(Scenario::Short, true);
-    assert!(report.broken.is_empty(), "{:?}", report.broken);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
     assert!(
         report.client_observations.served > 40 && report.endpoint_observations.worst_spill > 0.0,
         "{report:?}"
@@ -52,7 +52,7 @@
 
 fn simulation(scenario: Scenario, seed: u64) -> Simulation {
     Simulation {
-        sites: 4,
+        zones: 4,
         endpoints: 32,
         relays: 8,
         load: 0.45,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Without a ramp the returning site's cold endpoints are sent more than they bear: the model notices.
+/// Without a ramp the returning zone's cold endpoints are sent more than they bear: the model notices.
 #[test]
 fn simulated_scenario_without_limits_exceeds_spill_limit() {
     let config = ZoneFailoverConfig {
