--- a/crates/testbed/src/commands/cold_start.rs
+++ b/crates/testbed/src/commands/cold_start.rs
@@ -1,4 +1,4 @@
-//! `cold-start`: a whole fleet of processes that starts at once, with faults between them.
+//! `cold-start`: starts a fleet of processes at once and injects faults.
 
 use std::path::{Path, PathBuf};
 
@@ -11,31 +11,31 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct ColdStartArgs {
-    /// What goes wrong while the relays start.
+    /// The faults that are injected while the relays start.
     #[arg(long, value_enum, default_value = "healthy")]
     scenario: ColdStart,
-    /// Relays in all.
+    /// Number of relays.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u16).range(1..=1_600))]
     relays: u16,
-    /// The fleet size that each relay is configured with; without it, the true one.
+    /// Fleet size in the relays' configuration; default: the number of relays.
     #[arg(long = "told", value_name = "TOLD")]
     configured_fleet_size: Option<u32>,
-    /// Endpoints in all.
+    /// Number of endpoints.
     #[arg(long = "cards", value_name = "CARDS", default_value_t = 40, value_parser = clap::value_parser!(u16).range(1..=200))]
     endpoints: u16,
-    /// What a full endpoint list costs discovery, in milliseconds.
+    /// Time that discovery takes to produce a full endpoint list, in milliseconds.
     #[arg(long = "call-ms", value_name = "CALL_MS", default_value_t = 20, value_parser = clap::value_parser!(u64).range(0..=10_000))]
     full_list_ms: u64,
-    /// Clients of each relay.
+    /// Number of clients per relay.
     #[arg(long, default_value_t = 4)]
     clients: u16,
-    /// Endpoints start with the run and warm up.
+    /// Start the endpoints together with the relays, so that they have to warm up.
     #[arg(long = "cold")]
     cold_endpoints: bool,
-    /// Seeds the generated script, the clients and the relays.
+    /// Random seed of the generated fault script, the clients and the relays.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A fault script instead of the scenario's own.
+    /// File with a fault script that replaces the one of the scenario.
     #[arg(long = "faults", value_name = "SCRIPT")]
     fault_script: Option<PathBuf>,
     #[command(flatten)]
@@ -47,16 +47,17 @@
         usize::from(self.relays)
     }
 
-    /// Returns the fault script: the file that was named, or the scenario's own.
+    /// Returns the fault script given by `--faults`, else the one of the scenario.
     fn script(&self) -> Result<fleet::script::Script, String> {
         let Some(file) = &self.fault_script else {
             return self.scenario.script(self.relay_count(), self.full_list_ms, self.seed);
         };
-        let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
+        let text = std::fs::read_to_string(file)
+            .map_err(|error| format!("cannot read the fault script {}: {error}", file.display()))?;
         fleet::script::read(&file.display().to_string(), &text)
     }
 
-    /// Returns the fleet's plan, on the loopback network of that number.
+    /// Returns the plan of the fleet, with addresses in the loopback network `net`.
     fn plan(&self, net: &fleet::run::Net, folder: PathBuf) -> Result<fleet::Plan, String> {
         let relays = self.relay_count();
         Ok(fleet::Plan {
@@ -77,21 +78,24 @@
         })
     }
 
-    /// Prints the generated script of a run that broke a promise, so that it can be replayed.
+    /// Prints the generated fault script of a failed run so that it can be replayed.
     fn print_generated_script(&self) {
         if self.scenario == ColdStart::Drawn && self.fault_script.is_none() {
             let text = self.scenario.text(self.relay_count(), self.full_list_ms, self.seed);
-            eprintln!("seed {}; --faults with these lines replays the script:\n{text}", self.seed);
+            eprintln!(
+                "seed {}: to replay this run, write these lines to a file and pass it with --faults:\n{text}",
+                self.seed
+            );
         }
     }
 }
 
-/// Runs a cold start; `own_folder` holds its event logs unless a folder was named.
+/// Runs a cold start. Event logs are written to the folder given by `--logs`, else to `default_folder`.
 ///
 /// # Errors
-/// A text where the run could not be done.
-pub(crate) async fn run(args: ColdStartArgs, own_folder: &Path) -> Result<Outcome, String> {
-    let folder = args.run.event_log_folder(own_folder)?;
+/// Returns a message if an argument is invalid or the run fails.
+pub(crate) async fn run(args: ColdStartArgs, default_folder: &Path) -> Result<Outcome, String> {
+    let folder = args.run.event_log_folder(default_folder)?;
     let script = args.script()?;
     let net = fleet::run::Net::take(args.seed)?;
     let plan = args.plan(&net, folder)?;
--- a/crates/testbed/src/commands/leases.rs
+++ b/crates/testbed/src/commands/leases.rs
@@ -1,4 +1,4 @@
-//! `leases`: lease servers and lease holders as processes, with faults between them.
+//! `leases`: runs lease servers and lease holders as processes and injects faults.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,40 +12,40 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct LeaseArgs {
-    /// What goes wrong while leases are held.
+    /// The faults that are injected.
     #[arg(long, value_enum, default_value = "steady")]
     scenario: leases::run::Scenario,
-    /// Lease servers.
+    /// Number of lease servers.
     #[arg(long = "keepers", value_name = "KEEPERS", default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=7))]
     lease_servers: u8,
-    /// Lease holders.
+    /// Number of lease holders.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u16).range(1..=400))]
     relays: u16,
-    /// Tasks; the far side checks the tokens of every second one.
+    /// Number of tasks; the recording server checks the fencing tokens of every second task.
     #[arg(long, default_value_t = 6)]
     tasks: u16,
-    /// How long a lease lasts, in milliseconds.
+    /// Lease duration in milliseconds.
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(500..=60_000))]
     lease_ms: u64,
-    /// How long the run is, in seconds.
+    /// Duration of the run in seconds.
     #[arg(long = "length", value_name = "LENGTH", default_value_t = 30, value_parser = clap::value_parser!(u64).range(10..=600))]
     length_s: u64,
-    /// Seeds the faults and what holders do.
+    /// Random seed of the faults and of the holders.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Inject a fault, which the run must show.
+    /// Inject a fault into the lease implementation; the run must detect it.
     #[arg(long = "planted", value_name = "NAME", value_parser = leases::parse_fault)]
     injected_fault: Option<InjectedFault>,
     #[command(flatten)]
     run: ProcessRunArgs,
 }
 
-/// Runs a scenario of leases; `own_folder` holds its event logs unless a folder was named.
+/// Runs a lease scenario. Event logs are written to the folder given by `--logs`, else to `default_folder`.
 ///
 /// # Errors
-/// A text where the run could not be done.
-pub(crate) async fn run(args: LeaseArgs, own_folder: &Path) -> Result<Outcome, String> {
-    let folder = args.run.event_log_folder(own_folder)?;
+/// Returns a message if an argument is invalid or the run fails.
+pub(crate) async fn run(args: LeaseArgs, default_folder: &Path) -> Result<Outcome, String> {
+    let folder = args.run.event_log_folder(default_folder)?;
     let net = fleet::run::Net::take(args.seed)?;
     let plan = fleet::Plan {
         net: net.number,
--- a/crates/testbed/src/commands/live_view.rs
+++ b/crates/testbed/src/commands/live_view.rs
@@ -1,15 +1,15 @@
-//! The live view of an environment: a table that is drawn again on a terminal, a line a second elsewhere.
+//! Shows the state of a running environment: as a table that is redrawn on a terminal, else as lines of text.
 
 use std::io::IsTerminal;
 
 use honeyknot_testbed::emulators::environment::Environment;
 
-/// Without a terminal a line is printed once in so many calls.
+/// Number of calls per printed line if standard output is not a terminal.
 const CALLS_PER_LINE: usize = 8;
-/// Events shown below the table.
+/// Number of latest events shown below the table.
 const RECENT_EVENTS: usize = 4;
 
-/// What has been printed so far.
+/// The live view, with what it has printed so far.
 #[derive(Debug, Default)]
 pub(super) struct LiveView {
     drawn_lines: usize,
@@ -18,7 +18,7 @@
 }
 
 impl LiveView {
-    /// Prints the present state of the environment.
+    /// Prints the current state of the environment.
     pub(super) fn show(&mut self, environment: &Environment) {
         self.calls += 1;
         if std::io::stdout().is_terminal() {
@@ -63,7 +63,7 @@
         .collect();
     let clients = &environment.client_observations;
     println!(
-        "{:>5.1} s  {}  served {} refused {} failed {} moved {}",
+        "{:>5.1} s  {}  served {} rejected {} failed {} migrated {}",
         elapsed_s(environment),
         zones.join("  "),
         clients.served,
@@ -81,14 +81,14 @@
         "up",
         "silent",
         "dead",
-        "sessions",
+        "conns",
         "load",
-        "foreign"
+        "spill"
     )];
     lines.extend((0..environment.size.zones.len()).map(|zone| zone_row(environment, zone)));
     let clients = &environment.client_observations;
     lines.push(format!(
-        "          {} want a session; {} served, {} refused, {} failed, {} moved",
+        "          {} clients want a connection; {} served, {} rejected, {} failed, {} migrated",
         environment.active_clients.iter().sum::<u64>(),
         clients.served,
         clients.rejected,
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Sub-commands: each module parses its arguments, runs one scenario and prints its figures.
+//! The sub-commands. Each module defines the arguments of one, runs it and prints its results.
 
 mod arguments;
 mod cold_start;
@@ -22,48 +22,52 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Run a whole environment and look at it while it loses and regains a zone.
+    /// Run an environment and show its state while a zone fails and recovers.
     Try(TryArgs),
-    /// Run a scenario in which a zone is lost, with real relays, and print figures counted by clients and endpoints.
+    /// Run a scenario in which a zone fails, with real relays, and print what clients and endpoints counted.
     Site(SiteArgs),
-    /// Start a whole fleet of processes at once, with faults between them, and print what the far side counted.
+    /// Start a fleet of processes at once, inject faults, and print what clients, endpoints and discovery
+    /// counted.
     ColdStart(ColdStartArgs),
-    /// Run lease servers and lease holders as processes, with faults between them, and print what their far side counted.
+    /// Run lease servers and lease holders as processes, inject faults, and print what the recording
+    /// server counted.
     Leases(LeaseArgs),
-    /// Run a part of a fleet.
+    /// Run one process of a fleet.
     #[command(hide = true)]
     Part(PartArgs),
 }
 
-/// Whether every promise of a run held.
+/// Whether a run passed all its checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Every promise held.
-    Held,
-    /// At least one promise was broken, or the run does not count.
-    Broken,
+    /// All checks passed.
+    Passed,
+    /// At least one check failed, or the run does not count.
+    Failed,
 }
 
 impl Outcome {
-    fn from_held(held: bool) -> Outcome {
-        if held { Outcome::Held } else { Outcome::Broken }
+    fn from_passed(passed: bool) -> Outcome {
+        if passed { Outcome::Passed } else { Outcome::Failed }
     }
 }
 
 /// Runs a sub-command.
 ///
 /// # Errors
-/// A text for the operator where the run could not be done.
+/// Returns a message for the operator if an argument is invalid or the run fails.
 pub(crate) async fn run(command: Command) -> Result<Outcome, String> {
     if let Command::Part(args) = command {
-        // Before any folder is made: a part may be killed at any time.
+        // Runs before the temporary folder is created: this process may be killed at any time, which would
+        // leave it behind.
         part::run(args).await?;
-        // A blocking read of standard input still occupies a thread of the runtime.
+        // Exits the process, because a blocking read of standard input would keep the runtime from shutting
+        // down.
         std::process::exit(0);
     }
-    let folder = tempfile::tempdir().map_err(|error| format!("no folder for files: {error}"))?;
+    let folder = tempfile::tempdir().map_err(|error| format!("cannot create a temporary folder: {error}"))?;
     match command {
-        Command::Part(_) => Ok(Outcome::Held),
+        Command::Part(_) => Ok(Outcome::Passed),
         Command::Try(args) => try_environment::run(args, folder.path()).await,
         Command::Site(args) => site::run(args, folder.path()).await,
         Command::ColdStart(args) => cold_start::run(args, folder.path()).await,
@@ -71,7 +75,8 @@
     }
 }
 
-/// Resolves at Ctrl-C or SIGTERM; the relays are ended either way.
+/// Resolves at Ctrl-C or SIGTERM, so that the run ends and its relays are killed. Never resolves if the
+/// signal handlers cannot be installed.
 async fn interrupted() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
--- a/crates/testbed/src/commands/part.rs
+++ b/crates/testbed/src/commands/part.rs
@@ -1,16 +1,16 @@
-//! `part`: one process of a fleet, which the testbed starts itself.
+//! `part`: one process of a fleet. The testbed starts these processes itself.
 
 use clap::{Args, ValueEnum};
 use honeyknot_testbed::{fleet, leases};
 
 #[derive(Debug, Args)]
 pub(crate) struct PartArgs {
-    /// Which.
+    /// The process to run.
     #[arg(value_enum)]
     kind: PartKind,
 }
 
-/// The process that is run; the value names are what the testbed passes to itself.
+/// The processes of a fleet. The value names are the arguments that the testbed passes when it starts them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum PartKind {
     #[value(name = "list")]
@@ -28,10 +28,10 @@
     LeaseServer,
 }
 
-/// Runs the part until its standard input ends.
+/// Runs the process until its standard input is closed.
 ///
 /// # Errors
-/// A text where the part does not start.
+/// Returns a message if the process cannot start.
 pub(crate) async fn run(args: PartArgs) -> Result<(), String> {
     match args.kind {
         PartKind::Discovery => fleet::run_part(fleet::discovery::start).await,
--- a/crates/testbed/src/commands/process_run.rs
+++ b/crates/testbed/src/commands/process_run.rs
@@ -1,4 +1,4 @@
-//! What the sub-commands that run a fleet of processes share: arguments, the folder of event logs, the verdict.
+//! Shared by the sub-commands that run a fleet of processes: arguments, the event log folder, the verdict.
 
 use std::path::{Path, PathBuf};
 
@@ -9,10 +9,10 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct ProcessRunArgs {
-    /// The program of relays and lease servers; without it, the one beside this program.
+    /// The honeyknot-relay program, for relays and lease servers; default: the one next to this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Keep event logs, logs and lease servers' folders in this folder, which must be new or empty.
+    /// Keep the event logs, process logs and lease servers' data in this folder, which must be new or empty.
     #[arg(long, value_name = "FOLDER")]
     logs: Option<PathBuf>,
     /// Print one JSON object as the last line.
@@ -21,22 +21,28 @@
 }
 
 impl ProcessRunArgs {
-    /// Returns the relay's program: the one that was named, or the one beside this program.
+    /// Returns the path of the relay program: the one given by `--program`, else the one next to this
+    /// program.
+    ///
+    /// # Errors
+    /// Returns a message if `--program` is not given and the program is not found.
     pub(crate) fn program(&self) -> Result<PathBuf, String> {
         self.program.clone().map_or_else(honeyknot_testbed::emulators::relay_process::relay_program, Ok)
     }
 
-    /// Returns the folder of the run's event logs: the one that was named, created where it is missing, or `default`.
+    /// Returns the event log folder: the one given by `--logs`, else `default`. It is created if it does not
+    /// exist.
     ///
     /// # Errors
-    /// The folder cannot be made or read, or holds files already.
+    /// Returns a message if the folder cannot be created or read, or is not empty.
     pub(crate) fn event_log_folder(&self, default: &Path) -> Result<PathBuf, String> {
         let folder = self.logs.clone().unwrap_or_else(|| default.to_owned());
-        let describe = |error: std::io::Error| format!("{}: {error}", folder.display());
-        std::fs::create_dir_all(&folder).map_err(describe)?;
-        if std::fs::read_dir(&folder).map_err(describe)?.next().is_some() {
+        let folder_error =
+            |error: std::io::Error| format!("cannot use {} for event logs: {error}", folder.display());
+        std::fs::create_dir_all(&folder).map_err(folder_error)?;
+        if std::fs::read_dir(&folder).map_err(folder_error)?.next().is_some() {
             return Err(format!(
-                "{}: not empty; books of another day would be read as this one's",
+                "{}: not empty; event logs of an earlier run would be read as part of this run; name a new or empty folder",
                 folder.display()
             ));
         }
@@ -44,38 +50,43 @@
     }
 }
 
-/// Returns the path of this program, which starts the parts.
+/// Returns the path of this program, which is also started for the processes of a fleet.
+///
+/// # Errors
+/// Returns a message if the path cannot be determined.
 pub(crate) fn own_program() -> Result<PathBuf, String> {
-    std::env::current_exe().map_err(|error| format!("this program's place is unknown: {error}"))
+    std::env::current_exe().map_err(|error| format!("cannot determine the path of this program: {error}"))
 }
 
-/// What a report says of the run's promises.
+/// The verdict of a report on the properties that a run checks.
 #[derive(Debug)]
 pub(crate) struct Verdict<'a> {
-    /// The promises that were broken.
+    /// The properties that were violated.
     pub(crate) broken: &'a [String],
-    /// Milliseconds that a part ran late, where that is too long for the run to count.
+    /// Lag of a process in milliseconds if it was too long for the run to count, else `None`.
     pub(crate) lag_ms: Option<u64>,
 }
 
 impl Verdict<'_> {
-    /// Prints the report's figures and whether its promises held.
+    /// Prints the report and the verdict.
     ///
     /// # Errors
-    /// The report cannot be written as JSON.
+    /// Returns a message if the report cannot be serialized as JSON.
     pub(crate) fn print(&self, report: &impl Serialize, json: bool) -> Result<Outcome, String> {
         if let Some(lag_ms) = self.lag_ms {
-            eprintln!("a part ran {lag_ms} ms late: the machine was the limit, and this day does not count");
+            eprintln!(
+                "a process of the fleet lagged by {lag_ms} ms because the machine was overloaded: this run does not count; repeat it on an idle machine"
+            );
         }
         if json {
             println!("{}", serde_json::to_string(report).map_err(|error| error.to_string())?);
         } else {
             println!("{}", serde_json::to_string_pretty(report).map_err(|error| error.to_string())?);
             match self.broken.is_empty() {
-                true => println!("all promises held"),
+                true => println!("all checks passed"),
                 false => println!("BROKEN: {}", self.broken.join("; ")),
             }
         }
-        Ok(Outcome::from_held(self.broken.is_empty() && self.lag_ms.is_none()))
+        Ok(Outcome::from_passed(self.broken.is_empty() && self.lag_ms.is_none()))
     }
 }
--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -1,51 +1,57 @@
-//! `site --simulated`: the pure decisions of many relays on a virtual clock.
+//! `site --simulated`: simulates the zone failover of many relays on a virtual clock.
 
 use std::time::Duration;
 
 use honeyknot_testbed::report::site::SPILL_SLACK;
-use honeyknot_testbed::scenarios::simulation::{Simulation, SimulationReport as Figures, simulate};
+use honeyknot_testbed::scenarios::simulation::{Simulation, SimulationReport as Report, simulate};
 use honeyknot_zone_failover::ZoneFailoverConfig;
 
 use super::Outcome;
 use super::site::SiteArgs;
 
-/// The highest load of a simulated fleet, as a part of its capacity.
+/// Maximum load of a simulated fleet, as a share of its capacity.
 const MAX_LOAD: f64 = 2.0;
-/// The longest that an endpoint update takes to a relay.
+/// Maximum delay until an endpoint update reaches a relay.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(2_500);
-/// Standard deviations above the mean that the migrations of a second may reach, as relays migrate out of step.
+/// Number of standard deviations by which the migrations in one second may exceed the configured rate,
+/// because the relays do not coordinate their migrations.
 const MIGRATION_DEVIATIONS: f64 = 4.0;
 
-/// Simulates the scenario and prints its figures.
+/// Simulates the scenario and prints its results.
 ///
 /// # Errors
-/// An argument does not fit a simulated environment, or the simulation cannot be done.
+/// Returns a message if an argument is invalid for a simulation, or the scenario cannot be simulated.
 pub(super) fn run(args: &SiteArgs) -> Result<Outcome, String> {
     let simulation = simulation(args)?;
     let config = simulation.config.clone();
-    let figures = simulate(&simulation)?;
-    let held = limits_held(&figures, &config);
+    let report = simulate(&simulation)?;
+    let passed = limits_hold(&report, &config);
     if args.json {
-        println!("{}", serde_json::to_string(&figures).map_err(|error| error.to_string())?);
+        println!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?);
     } else {
-        print_figures(&figures, config.spill_limit);
-        println!("{}", if held { "the limits held" } else { "BROKEN: a limit did not hold" });
+        print_report(&report, config.spill_limit);
+        println!("{}", if passed { "all limits held" } else { "BROKEN: a limit was exceeded" });
     }
-    Ok(Outcome::from_held(held))
+    Ok(Outcome::from_passed(passed))
 }
 
 fn simulation(args: &SiteArgs) -> Result<Simulation, String> {
     let environment = &args.environment;
     if let Some(path) = &environment.sites_file {
-        return Err(format!("--plan {}: a simulated world has zones of its own", path.display()));
+        return Err(format!(
+            "--plan {}: cannot be combined with --simulated, which generates its own zones",
+            path.display()
+        ));
     }
     if !(args.load > 0.0 && args.load <= MAX_LOAD) {
-        return Err(format!("--load {}: allowed is above 0 and up to {MAX_LOAD}", args.load));
+        return Err(format!("--load {}: must be above 0 and at most {MAX_LOAD}", args.load));
     }
     let zones = usize::from(args.zone_count);
     let (endpoints, relays) = (usize::from(environment.endpoints), usize::from(environment.relays));
     if endpoints < zones || relays < zones {
-        return Err(format!("{zones} zones need as many card servers and relays at least"));
+        return Err(format!(
+            "--sites-count {zones}: needs at least as many endpoints (--servers {endpoints}) and relays (--relays {relays})"
+        ));
     }
     Ok(Simulation {
         zones,
@@ -64,38 +70,37 @@
     })
 }
 
-/// Returns whether spill, slow start and the pace of migrations stayed within their limits.
-fn limits_held(figures: &Figures, config: &ZoneFailoverConfig) -> bool {
-    let mean = config.migrations_per_second;
-    let paced = figures.max_migrations_per_second as f64 <= mean + MIGRATION_DEVIATIONS * mean.sqrt();
-    figures.worst_spill <= config.spill_limit + SPILL_SLACK && figures.endpoints_collapsed == 0 && paced
+/// Returns whether spill and the rate of migrations stayed within their limits, and no endpoint collapsed.
+fn limits_hold(report: &Report, config: &ZoneFailoverConfig) -> bool {
+    let mean_rate = config.migrations_per_second;
+    let migrations_within_limit =
+        report.max_migrations_per_second as f64 <= mean_rate + MIGRATION_DEVIATIONS * mean_rate.sqrt();
+    report.worst_spill <= config.spill_limit + SPILL_SLACK
+        && report.endpoints_collapsed == 0
+        && migrations_within_limit
 }
 
-fn print_figures(figures: &Figures, spill_limit: f64) {
+fn print_report(report: &Report, spill_limit: f64) {
     println!(
-        "{} zones, {} card servers, {} relays, {} sessions at most",
-        figures.zones, figures.endpoints, figures.relays, figures.max_connections
+        "{} zones, {} endpoints, {} relays, at most {} connections",
+        report.zones, report.endpoints, report.relays, report.max_connections
     );
-    println!("{} asked: {} served, {} refused", figures.requests, figures.served, figures.rejected);
+    println!("{} requests: {} served, {} rejected", report.requests, report.served, report.rejected);
     println!(
-        "worst spill {:.1}% (limit {:.0}%); {:.2} times a returning server's capacity, {} fell over",
-        figures.worst_spill * 100.0,
+        "maximum spill {:.1}% (limit {:.0}%); restarted endpoints were sent at most {:.2} times the load they can take, {} collapsed",
+        report.worst_spill * 100.0,
         spill_limit * 100.0,
-        figures.worst_return_multiple,
-        figures.endpoints_collapsed
+        report.worst_return_multiple,
+        report.endpoints_collapsed
     );
     println!(
-        "{} moves, {} in the worst second; {:.1}% of wanted seconds well served",
-        figures.migrations,
-        figures.max_migrations_per_second,
-        figures.well_served * 100.0
+        "{} migrations, at most {} per second; {:.1}% of the wanted connection time served well",
+        report.migrations,
+        report.max_migrations_per_second,
+        report.well_served * 100.0
     );
     println!(
-        "a newcomer's decision took {} ns (p50), {} ns (p99); {:.0} s in {:.1} s, {} MiB at the most",
-        figures.decision_p50_ns,
-        figures.decision_p99_ns,
-        figures.simulated_s,
-        figures.wall_s,
-        figures.peak_mib
+        "admission decisions took {} ns (p50), {} ns (p99); simulated {:.0} s in {:.1} s with at most {} MiB of memory",
+        report.decision_p50_ns, report.decision_p99_ns, report.simulated_s, report.wall_s, report.peak_mib
     );
 }
--- a/crates/testbed/src/commands/site_report.rs
+++ b/crates/testbed/src/commands/site_report.rs
@@ -1,12 +1,12 @@
-//! The report of a scenario run as text for people.
+//! Prints the report of a scenario run as text for people.
 
 use honeyknot_testbed::report::site::Report;
 
-/// Prints the figures of a report and the rules that were broken.
+/// Prints the results of a report and the rules that were violated.
 pub(super) fn print_summary(report: &Report) {
     let (clients, endpoints) = (&report.client_observations, &report.endpoint_observations);
     println!(
-        "{} clients asked: {} served, {} refused, {} failed, {} unanswered, {} answered twice, {} lost with a relay",
+        "{} requests: {} served, {} rejected, {} failed, {} unanswered, {} answered twice, {} lost when a relay was killed",
         clients.requests,
         clients.served,
         clients.rejected,
@@ -16,14 +16,14 @@
         clients.relay_died
     );
     println!(
-        "{} attempts at card servers: {} overlapping, {} late to a draining one; {} cold ones fell over",
+        "{} attempts at endpoints: {} overlapping, {} too late to a draining endpoint; {} endpoints collapsed while they warmed up",
         endpoints.attempts,
         endpoints.overlapping_attempts,
         endpoints.late_sends_to_draining,
         endpoints.endpoints_collapsed
     );
     println!(
-        "{} moves, {} in the worst second; worst spill {:.1}% at {} (limit {:.0}%); {:.2} times a returning server's capacity",
+        "{} migrations, at most {} per second; maximum spill {:.1}% of the capacity of {} (limit {:.0}%); restarted endpoints were sent at most {:.2} times the load they can take",
         clients.migrations,
         clients.max_migrations_per_second,
         endpoints.worst_spill * 100.0,
@@ -32,7 +32,7 @@
         endpoints.worst_return_multiple
     );
     println!(
-        "{:.1}% of wanted seconds well served, {:.1}% for clients of other zones; capacity allowed {:.1}%",
+        "{:.1}% of the wanted connection time served well, {:.1}% for clients of zones without faults; the capacity allowed {:.1}%",
         report.well_served * 100.0,
         report.well_served_unaffected * 100.0,
         report.attainable_share * 100.0
--- a/crates/testbed/src/emulators/accounting.rs
+++ b/crates/testbed/src/emulators/accounting.rs
@@ -1,33 +1,33 @@
-//! Adds up what endpoints do in the observations, and the state of a zone for people.
+//! Accumulates what the endpoints do in the observations, and summarizes the state of a zone for people.
 
 use std::time::Duration;
 
 use super::emulated_endpoint::ProcessState;
 use super::environment::Environment;
 
-/// Load over capacity up to which endpoints answer in time.
-const FULL_LOAD: f64 = 0.85;
+/// Utilization up to which endpoints answer all messages in time.
+const FULL_SERVICE_UTILIZATION: f64 = 0.85;
 
 impl Environment {
-    /// Adds a span of time to the observations.
+    /// Adds the time since the last call, `span`, to the observations.
     pub fn record_observations(&mut self, span: Duration) {
         let (now, span) = (self.now(), span.as_secs_f64());
         let wanted = self.active_clients.iter().sum::<u64>() as f64;
         let unaffected_clients =
             self.unaffected_zones.iter().map(|s| self.active_clients[*s]).sum::<u64>() as f64;
-        let mut unaffected_good = 0.0;
-        let (mut good, mut load, mut load_held, mut capacity) = (0.0, 0.0, 0.0, 0.0);
+        let mut unaffected_well_served = 0.0;
+        let (mut well_served, mut connections, mut total_load, mut capacity) = (0.0, 0.0, 0.0, 0.0);
         let mut zones = vec![(0.0, 0.0); self.size.zones.len()];
         for endpoint in &self.endpoints {
             if *endpoint.process_state.borrow() != ProcessState::Serving {
                 continue;
             }
             let model = &endpoint.model;
-            good += model.connections() as f64 * model.in_time_fraction(now);
+            well_served += model.connections() as f64 * model.in_time_fraction(now);
             let unaffected: usize = self.unaffected_zones.iter().map(|s| model.connections_from(*s)).sum();
-            unaffected_good += unaffected as f64 * model.in_time_fraction(now);
-            load += model.connections() as f64;
-            load_held += model.total_load();
+            unaffected_well_served += unaffected as f64 * model.in_time_fraction(now);
+            connections += model.connections() as f64;
+            total_load += model.total_load();
             capacity += model.capacity(now);
             zones[endpoint.zone].0 += model.cross_zone_load();
             zones[endpoint.zone].1 += model.capacity(now);
@@ -38,13 +38,16 @@
         }
         self.endpoint_observations.wanted_s += wanted * span;
         self.endpoint_observations.unaffected_wanted_s += unaffected_clients * span;
-        self.endpoint_observations.unaffected_well_served_s += unaffected_good.min(unaffected_clients) * span;
-        self.endpoint_observations.well_served_s += good.min(wanted) * span;
-        // What a connection costs with its part of the affinity groups, as things stand.
-        let cost = if load >= 1.0 { (load_held / load).max(1.0) } else { 1.0 };
-        self.endpoint_observations.attainable_s += wanted.min(capacity * FULL_LOAD / cost) * span;
+        self.endpoint_observations.unaffected_well_served_s +=
+            unaffected_well_served.min(unaffected_clients) * span;
+        self.endpoint_observations.well_served_s += well_served.min(wanted) * span;
+        // Current load per connection, including its share of the cost of affinity groups.
+        let cost = if connections >= 1.0 { (total_load / connections).max(1.0) } else { 1.0 };
+        self.endpoint_observations.attainable_s +=
+            wanted.min(capacity * FULL_SERVICE_UTILIZATION / cost) * span;
         for (zone, (cross_zone_load, capacity)) in zones.into_iter().enumerate() {
-            // A zone that is just coming back is judged by the rule on cold endpoints.
+            // A zone without capacity counts as 0: `worst_return_multiple` checks the load on its restarted
+            // endpoints.
             let share = if capacity > 0.0 { cross_zone_load / capacity } else { 0.0 };
             if share > self.endpoint_observations.worst_spill {
                 self.endpoint_observations.worst_spill = share;
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Returns the state of a zone, for people.
+    /// Returns a summary of a zone for people.
     pub fn zone_state(&self, zone: usize) -> ZoneState {
         let now = self.now();
         let mut state = ZoneState::default();
@@ -74,21 +77,21 @@
     }
 }
 
-/// What a zone holds.
+/// A summary of a zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneState {
-    /// Endpoints that serve, are silent, are dead.
+    /// Number of endpoints that serve connections.
     pub serving: usize,
-    /// See `serving`.
+    /// Number of endpoints that do not respond.
     pub silent: usize,
-    /// See `serving`.
+    /// Number of endpoints whose process has died.
     pub dead: usize,
-    /// Connections.
+    /// Number of connections to the zone's endpoints.
     pub connections: usize,
-    /// Load with affinity groups, that of foreign connections, and capacity, in usual connections.
+    /// Load including affinity groups, in average connections.
     pub load: f64,
-    /// See `load`.
+    /// Load of connections from relays of other zones, in average connections.
     pub cross_zone_load: f64,
-    /// See `load`.
+    /// Capacity of the endpoints that serve, in average connections.
     pub capacity: f64,
 }
--- a/crates/testbed/src/emulators/client.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -1,5 +1,5 @@
-//! Clients: each wants a connection for a while, asks through the front proxy, comes back when it is rejected, moved or
-//! cut off, and counts every answer.
+//! Emulated clients. Each wants a connection for a while, requests it from a relay that the front proxy
+//! selects, reconnects when it is rejected, migrated or cut off, and records every answer.
 
 use std::time::Duration;
 
@@ -14,18 +14,20 @@
 use super::emulated_endpoint::ProcessState;
 use super::environment::{Environment, SharedEnvironment};
 
-/// How long a client waits for an answer, and how much longer the observations do.
+/// The deadline that a client sends with its request.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_200);
+/// How long after the deadline an answer is still accepted.
 const ANSWER_GRACE: Duration = Duration::from_millis(150);
-/// A connection's client sends a line this often, and one that brings nothing back for so long is given up.
+/// Interval at which a client sends lines on its connection.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// A client gives up its connection if a line is not answered for this time.
 const LINE_TIMEOUT: Duration = Duration::from_secs(7);
-/// The heaviest connection, in usual ones.
+/// Maximum load of a connection, in average connections.
 const MAX_CONNECTION_LOAD: f64 = 4.0;
-/// How popular affinity groups differ.
+/// Exponent of the Zipf distribution of clients over affinity groups.
 const AFFINITY_GROUP_ZIPF_EXPONENT: f64 = 1.0;
 
-/// Sends clients of a zone at its rate, until the environment closes.
+/// Generates the clients of a zone at its rate, until the run ends.
 pub async fn generate_clients(environment: SharedEnvironment, zone: usize) {
     let (mut rng, clients_per_second, mean_connection_s, affinity_groups) = {
         let environment = environment.borrow();
@@ -37,14 +39,19 @@
             environment.size.affinity_groups,
         )
     };
-    let (gap, stay) = (Exp::new(clients_per_second.max(1e-9)), Exp::new(1.0 / mean_connection_s.max(1e-9)));
+    let (arrival_interval, connection_time) =
+        (Exp::new(clients_per_second.max(1e-9)), Exp::new(1.0 / mean_connection_s.max(1e-9)));
     let (affinity_group, load) =
         (Zipf::new(affinity_groups.max(1) as f64, AFFINITY_GROUP_ZIPF_EXPONENT), LogNormal::new(-0.18, 0.6));
-    let (Ok(gap), Ok(stay), Ok(affinity_group), Ok(load)) = (gap, stay, affinity_group, load) else { return };
+    let (Ok(arrival_interval), Ok(connection_time), Ok(affinity_group), Ok(load)) =
+        (arrival_interval, connection_time, affinity_group, load)
+    else {
+        return;
+    };
     let mut number = 0u64;
     loop {
         let arrival_factor = environment.borrow().arrival_factor[zone].max(1e-3);
-        sleep(Duration::from_secs_f64(gap.sample(&mut rng) / arrival_factor)).await;
+        sleep(Duration::from_secs_f64(arrival_interval.sample(&mut rng) / arrival_factor)).await;
         if environment.borrow().closing {
             return;
         }
@@ -54,8 +61,10 @@
             key: (zone as u64) << 48 | number,
             affinity_group: affinity_group.sample(&mut rng) as u64,
             load: f64::min(load.sample(&mut rng), MAX_CONNECTION_LOAD),
-            until: Instant::now()
-                + Duration::from_secs_f64(stay.sample(&mut rng).clamp(2.0, 4.0 * mean_connection_s)),
+            wanted_until: Instant::now()
+                + Duration::from_secs_f64(
+                    connection_time.sample(&mut rng).clamp(2.0, 4.0 * mean_connection_s),
+                ),
             rng: environment.borrow().rng((zone as u64) << 40 | number),
             attempts: 0,
         };
@@ -68,30 +77,30 @@
     key: u64,
     affinity_group: u64,
     load: f64,
-    until: Instant,
+    wanted_until: Instant,
     rng: Pcg64Mcg,
     attempts: u32,
 }
 
-/// How one connection of a client ended.
-enum End {
-    /// Its time is over.
+/// What a client does after its connection or request ended.
+enum NextStep {
+    /// The client no longer needs a connection.
     Done,
-    /// It comes back after this.
+    /// The client reconnects after this time.
     Reconnect(Duration),
 }
 
-/// A relay's answer to an opening line.
+/// The answer of a relay to the first line of a connection.
 enum Answer {
-    /// The connection stands, at this endpoint if its receipt tells.
+    /// The connection is established; with the index of its endpoint, if the answer's receipt contains it.
     Established(Option<usize>),
-    /// Rejected, perhaps with a time to come back.
+    /// The request is rejected, with the time to wait before a retry, if given.
     Rejected(Option<Duration>),
-    /// Any other line, or a close without one.
+    /// The relay sent any other line, or closed the connection without an answer.
     Failed,
-    /// None in time.
+    /// The relay did not answer in time.
     Timeout,
-    /// None, as the relay was killed.
+    /// The relay was killed before it answered.
     RelayDied,
 }
 
@@ -108,22 +117,24 @@
 impl Client {
     async fn run(mut self, environment: SharedEnvironment) {
         environment.borrow_mut().active_clients[self.zone] += 1;
-        let mut again = false;
-        while Instant::now() < self.until && !environment.borrow().closing {
-            match self.connect(&environment, again).await {
-                End::Done => break,
-                End::Reconnect(wait) => sleep_until((Instant::now() + wait).min(self.until)).await,
+        let mut is_retry = false;
+        while Instant::now() < self.wanted_until && !environment.borrow().closing {
+            match self.connect(&environment, is_retry).await {
+                NextStep::Done => break,
+                NextStep::Reconnect(wait) => {
+                    sleep_until((Instant::now() + wait).min(self.wanted_until)).await
+                }
             }
-            again = true;
+            is_retry = true;
         }
         environment.borrow_mut().active_clients[self.zone] -= 1;
     }
 
-    fn reconnect_later(&mut self) -> End {
-        End::Reconnect(Duration::from_millis(self.rng.random_range(52..520)))
+    fn reconnect_later(&mut self) -> NextStep {
+        NextStep::Reconnect(Duration::from_millis(self.rng.random_range(52..520)))
     }
 
-    async fn connect(&mut self, environment: &SharedEnvironment, again: bool) -> End {
+    async fn connect(&mut self, environment: &SharedEnvironment, is_retry: bool) -> NextStep {
         let relay = environment.borrow_mut().front_proxy.select_relay(self.zone);
         let Some(relay) = relay else { return self.reconnect_later() };
         let address = environment.borrow().relay_address(relay);
@@ -136,7 +147,7 @@
         };
         let _ = stream.set_nodelay(true);
         self.attempts += 1;
-        let head = format!(
+        let opening_line = format!(
             "OPEN {:x}-{:x} {:016x} c=study-session,d={},g={:x},w={:.3}{}\r\n",
             self.key,
             self.attempts,
@@ -144,46 +155,47 @@
             ANSWER_DEADLINE.as_millis(),
             self.affinity_group,
             self.load,
-            if again { ",again=1" } else { "" }
+            if is_retry { ",again=1" } else { "" }
         );
         let mut stream = BufReader::new(stream);
-        if stream.write_all(head.as_bytes()).await.is_err() {
+        if stream.write_all(opening_line.as_bytes()).await.is_err() {
             environment.borrow_mut().client_observations.connects_to_dead_relays += 1;
             return self.reconnect_later();
         }
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         environment.borrow_mut().client_observations.requests += 1;
         let incarnation = environment.borrow().relay_incarnation(relay);
         let mut line = String::new();
-        let read = timeout_at(asked + ANSWER_DEADLINE + ANSWER_GRACE, stream.read_line(&mut line)).await;
-        let died = environment.borrow().relay_incarnation(relay) != incarnation;
+        let read =
+            timeout_at(requested_at + ANSWER_DEADLINE + ANSWER_GRACE, stream.read_line(&mut line)).await;
+        let relay_died = environment.borrow().relay_incarnation(relay) != incarnation;
         let answer = match read {
-            Err(_) if died => Answer::RelayDied,
+            Err(_) if relay_died => Answer::RelayDied,
             Err(_) => Answer::Timeout,
-            Ok(Ok(0) | Err(_)) if died => Answer::RelayDied,
+            Ok(Ok(0) | Err(_)) if relay_died => Answer::RelayDied,
             Ok(Ok(0) | Err(_)) => Answer::Failed,
             Ok(Ok(_)) => Answer::read(line.trim_end()),
         };
-        self.record_answer(&mut environment.borrow_mut(), &answer, asked.elapsed());
+        self.record_answer(&mut environment.borrow_mut(), &answer, requested_at.elapsed());
         match answer {
             Answer::RelayDied | Answer::Timeout => self.reconnect_later(),
             Answer::Established(endpoint) => {
                 self.keep_connection(environment, stream, relay, incarnation, endpoint).await
             }
             Answer::Rejected(wait) => {
-                self.no_second_answer(environment, stream).await;
-                wait.map_or_else(|| self.reconnect_later(), End::Reconnect)
+                self.check_no_second_answer(environment, stream).await;
+                wait.map_or_else(|| self.reconnect_later(), NextStep::Reconnect)
             }
             Answer::Failed => {
-                self.no_second_answer(environment, stream).await;
+                self.check_no_second_answer(environment, stream).await;
                 self.reconnect_later()
             }
         }
     }
 
-    /// Enters the answer to an opening line in the observations.
+    /// Records the answer to a request in the observations.
     fn record_answer(&self, environment: &mut Environment, answer: &Answer, took: Duration) {
-        let other = environment.unaffected_zones.contains(&self.zone);
+        let is_unaffected = environment.unaffected_zones.contains(&self.zone);
         let observations = &mut environment.client_observations;
         match answer {
             Answer::RelayDied => observations.relay_died += 1,
@@ -192,7 +204,7 @@
             Answer::Established(_) => observations.served += 1,
             Answer::Rejected(wait) => {
                 observations.rejected += 1;
-                observations.rejected_unaffected += u64::from(other);
+                observations.rejected_unaffected += u64::from(is_unaffected);
                 observations.max_rejection_ms = observations.max_rejection_ms.max(took.as_millis() as u64);
                 let wait = wait.unwrap_or_default().as_millis() as u64;
                 observations.max_retry_after_ms = observations.max_retry_after_ms.max(wait);
@@ -200,8 +212,10 @@
         }
     }
 
-    /// After a final answer nothing more may come.
-    async fn no_second_answer(&self, environment: &SharedEnvironment, mut stream: BufReader<TcpStream>) {
+    /// Waits for a second answer after a final one, which must not come, and records it.
+    async fn check_no_second_answer(
+        &self, environment: &SharedEnvironment, mut stream: BufReader<TcpStream>,
+    ) {
         let mut more = String::new();
         let read = timeout(Duration::from_millis(500), stream.read_line(&mut more)).await;
         if matches!(read, Ok(Ok(n)) if n > 0) {
@@ -209,16 +223,17 @@
         }
     }
 
-    /// The connection stands: lines go and come until one side ends it.
+    /// Sends lines on an established connection and reads the answers, until one side ends it.
     async fn keep_connection(
         &mut self, environment: &SharedEnvironment, mut stream: BufReader<TcpStream>, relay: usize,
         relay_incarnation: u32, endpoint: Option<usize>,
-    ) -> End {
-        let mut next = Instant::now() + LINE_INTERVAL;
-        let mut waiting: Option<Instant> = None;
+    ) -> NextStep {
+        let mut next_line_at = Instant::now() + LINE_INTERVAL;
+        let mut unanswered_since: Option<Instant> = None;
         let mut line = String::new();
         loop {
-            let lost = waiting.map_or(self.until + LINE_TIMEOUT, |since| since + LINE_TIMEOUT);
+            let line_deadline =
+                unanswered_since.map_or(self.wanted_until + LINE_TIMEOUT, |since| since + LINE_TIMEOUT);
             tokio::select! {
                 biased;
                 read = stream.read_line(&mut line) => {
@@ -231,24 +246,24 @@
                             let mut environment = environment.borrow_mut();
                             let now = environment.now();
                             environment.client_observations.record_migration(now);
-                            return End::Reconnect(Duration::from_millis(self.rng.random_range(20..200)));
+                            return NextStep::Reconnect(Duration::from_millis(self.rng.random_range(20..200)));
                         }
                         Some("LOAD") => {}
                         Some("UP") => environment.borrow_mut().client_observations.duplicate_answers += 1,
-                        _ => waiting = None,
+                        _ => unanswered_since = None,
                     }
                     line.clear();
                 }
-                () = sleep_until(self.until) => return End::Done,
-                () = sleep_until(lost) => {
+                () = sleep_until(self.wanted_until) => return NextStep::Done,
+                () = sleep_until(line_deadline) => {
                     let mut environment = environment.borrow_mut();
                     let endpoint_serves = endpoint.is_some_and(|s| *environment.endpoints[s].process_state.borrow() == ProcessState::Serving);
                     environment.client_observations.unanswered_lines += u64::from(endpoint_serves);
-                    return End::Reconnect(Duration::from_millis(self.rng.random_range(52..520)));
+                    return NextStep::Reconnect(Duration::from_millis(self.rng.random_range(52..520)));
                 }
-                () = sleep_until(next) => {
-                    next += LINE_INTERVAL;
-                    waiting.get_or_insert_with(Instant::now);
+                () = sleep_until(next_line_at) => {
+                    next_line_at += LINE_INTERVAL;
+                    unanswered_since.get_or_insert_with(Instant::now);
                     if stream.write_all(b"next\r\n").await.is_err() {
                         return self.connection_lost(environment, relay, relay_incarnation, endpoint);
                     }
@@ -260,15 +275,15 @@
     fn connection_lost(
         &mut self, environment: &SharedEnvironment, relay: usize, relay_incarnation: u32,
         endpoint: Option<usize>,
-    ) -> End {
+    ) -> NextStep {
         let mut borrowed = environment.borrow_mut();
         let endpoint_serves = endpoint.is_some_and(|s| {
             *borrowed.endpoints[s].process_state.borrow() == ProcessState::Serving
-                && !borrowed.recently_ended(s)
+                && !borrowed.recently_stopped(s)
         });
-        let cut =
+        let was_cut_off =
             endpoint_serves && borrowed.relay_incarnation(relay) == relay_incarnation && !borrowed.closing;
-        borrowed.client_observations.connections_cut_off += u64::from(cut);
+        borrowed.client_observations.connections_cut_off += u64::from(was_cut_off);
         drop(borrowed);
         self.reconnect_later()
     }
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -1,4 +1,5 @@
-//! Emulated discovery: the endpoint list over HTTP, with watches. The scenario decides when it learns of a change.
+//! Emulated discovery: serves the endpoint list over HTTP, with long polling for changes. The scenario
+//! decides when a change is published.
 
 use std::collections::BTreeMap;
 
@@ -15,29 +16,30 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint's number.
+    /// Index of the endpoint.
     pub index: usize,
-    /// Its id.
+    /// Id of the endpoint.
     pub id: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its size.
+    /// Its weight, proportional to its capacity.
     pub weight: f64,
-    /// When it started, in Unix milliseconds; 0 is long ago.
+    /// When it started, in Unix milliseconds; 0 if it has been running for a long time.
     pub started_ms: u64,
-    /// `active`, `leaving` or `left`.
+    /// Its state: `active`, `leaving` or `left`.
     pub state: &'static str,
 }
 
-/// The endpoint list, and when each relay was notified of its changes.
+/// The endpoint list, and the times at which relays were notified of draining and removed endpoints.
 #[derive(Debug)]
 pub struct EmulatedDiscovery {
     version: watch::Sender<u64>,
     entries: BTreeMap<usize, EndpointEntry>,
+    /// Version in which the entry of each endpoint last changed, by endpoint index.
     changed: BTreeMap<usize, u64>,
-    /// When a relay was notified that an endpoint drains or is removed, by relay and endpoint.
+    /// When each relay was first notified that an endpoint drains or is removed, by relay and endpoint index.
     notified_at: BTreeMap<(usize, usize), Micros>,
-    /// It closes connections without an answer.
+    /// Whether discovery closes connections without an answer.
     pub down: bool,
 }
 
@@ -49,7 +51,7 @@
 }
 
 impl EmulatedDiscovery {
-    /// Changes some entries, in one version.
+    /// Updates or adds entries, all in one new version of the list.
     pub fn update_entries(&mut self, entries: Vec<EndpointEntry>) {
         let version = *self.version.borrow() + 1;
         for entry in entries {
@@ -59,22 +61,24 @@
         self.version.send_replace(version);
     }
 
-    /// Returns when a relay was notified that an endpoint takes nothing new; none if it does.
+    /// Returns when a relay was notified that an endpoint accepts no new connections, in Unix microseconds;
+    /// `None` if the relay was not notified of that.
     pub fn notified_at(&self, relay: usize, index: usize) -> Option<Micros> {
         self.notified_at.get(&(relay, index)).copied()
     }
 
-    /// Forgets what a relay was notified of, as it has started anew.
+    /// Forgets what a relay was notified of, because it restarts.
     pub fn forget_relay(&mut self, relay: usize) {
         self.notified_at.retain(|(r, _), _| *r != relay);
     }
 
-    /// Returns the whole endpoint list, or what has changed since a version, as one relay sees it.
+    /// Returns the whole endpoint list or, if `since` is given, the changes since that version, as JSON.
+    /// `address` returns the address of an endpoint for the relay that asked.
     pub fn list(&self, since: Option<u64>, address: impl Fn(usize) -> String) -> serde_json::Value {
-        let new = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
-        let shown = self.entries.values().filter(|e| new(&e.index));
-        let shown = shown.filter(|e| since.is_some() || e.state != "left");
-        let servers: Vec<_> = shown
+        let has_changed = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
+        let listed = self.entries.values().filter(|e| has_changed(&e.index));
+        let listed = listed.filter(|e| since.is_some() || e.state != "left");
+        let servers: Vec<_> = listed
             .map(|e| {
                 json!({"id": e.id, "addr": address(e.index), "zone": e.zone, "kind": "m", "cell": 0,
                     "state": e.state, "weight": e.weight, "started_ms": e.started_ms})
@@ -83,7 +87,7 @@
         json!({"version": *self.version.borrow(), "full": since.is_none(), "servers": servers})
     }
 
-    /// Records that an answer has been written to a relay.
+    /// Records that a relay has been sent the changes after version `since`, up to version `upto`.
     fn record_notified(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
         for entry in self.entries.values() {
             let changed = self.changed[&entry.index];
@@ -102,7 +106,7 @@
 /// Serves discovery to one relay.
 ///
 /// # Errors
-/// The relay's discovery address cannot be bound.
+/// Returns an error if the relay's discovery address cannot be bound.
 pub async fn serve(environment: SharedEnvironment, relay: usize) -> std::io::Result<()> {
     let address = environment.borrow().discovery_address(relay);
     let listener = TcpListener::bind(address).await?;
--- a/crates/testbed/src/emulators/emulated_endpoint.rs
+++ b/crates/testbed/src/emulators/emulated_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as the environment knows it, and how endpoints are generated.
+//! The state of an emulated endpoint, and the generation of the endpoints of an environment.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -6,69 +6,70 @@
 
 use super::endpoint_model::{EndpointModel, EndpointParameters, Micros};
 
-/// The longest warm-up of an endpoint.
+/// Maximum warm-up time of an endpoint, in microseconds.
 pub const MAX_WARM_UP: Micros = 9_000_000;
-/// The shortest warm-up of an endpoint.
+/// Minimum warm-up time of an endpoint, in microseconds.
 const MIN_WARM_UP: Micros = 6_000_000;
-/// What an affinity group costs on each endpoint that holds it, in usual connections.
+/// Load of an affinity group on each endpoint that has connections of it, in average connections.
 pub const AFFINITY_GROUP_COST: f64 = 3.0;
 
-/// A kind of machine that endpoints run on.
-struct MachineKind {
-    /// The part of all endpoints that run on it.
+/// A machine type on which endpoints run.
+struct MachineType {
+    /// Share of all endpoints that run on this machine type.
     share: f64,
     weight: f64,
-    /// Usual connections that fill it once it is warm.
+    /// Capacity when warm, in average connections.
     capacity: f64,
-    /// The part of its capacity that it starts with.
+    /// Share of the capacity that is available right after the start.
     cold_capacity_fraction: f64,
 }
 
-const MACHINE_KINDS: [MachineKind; 3] = [
-    MachineKind { share: 0.41, weight: 1.6, capacity: 54.0, cold_capacity_fraction: 0.42 },
-    MachineKind { share: 0.38, weight: 1.0, capacity: 34.0, cold_capacity_fraction: 0.45 },
-    MachineKind { share: 0.21, weight: 0.6, capacity: 20.0, cold_capacity_fraction: 0.46 },
+const MACHINE_TYPES: [MachineType; 3] = [
+    MachineType { share: 0.41, weight: 1.6, capacity: 54.0, cold_capacity_fraction: 0.42 },
+    MachineType { share: 0.38, weight: 1.0, capacity: 34.0, cold_capacity_fraction: 0.45 },
+    MachineType { share: 0.21, weight: 0.6, capacity: 20.0, cold_capacity_fraction: 0.46 },
 ];
 
-/// What an endpoint's process does.
+/// The state of an endpoint's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It serves.
+    /// The process runs and serves connections.
     Serving,
-    /// Its machine has vanished: connections stay open and silent, new ones are never answered.
+    /// The machine has become unreachable: connections stay open without traffic, new ones are never
+    /// answered.
     Silent,
-    /// Its process has died: connections are reset, new ones rejected.
+    /// The process has died: connections are reset, new ones refused.
     Dead,
 }
 
 /// An endpoint of the environment.
 #[derive(Debug)]
 pub struct EmulatedEndpoint {
-    /// Its id in discovery.
+    /// Id in discovery.
     pub id: String,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its model.
+    /// The model of its capacity and load.
     pub model: EndpointModel,
-    /// What its process does; its tasks follow it.
+    /// State of its process, watched by the tasks that serve its connections.
     pub process_state: watch::Sender<ProcessState>,
-    /// It drains.
+    /// Whether it drains: it migrates its connections and rejects new ones.
     pub draining: watch::Sender<bool>,
-    /// When its process last ended.
+    /// When its process last stopped, in Unix microseconds; 0 if it never did.
     pub ended_at: Micros,
-    /// It has come back at least once: the rule on cold endpoints is judged for it.
+    /// Whether it has restarted at least once, so that the load sent to it during its warm-up is checked.
     pub has_restarted: bool,
 }
 
-/// Draws the endpoints of an environment, evenly over its zones.
+/// Generates the endpoints of an environment, distributed evenly over its zones.
 pub(super) fn generate_endpoints(count: usize, zones: usize, rng: &mut Pcg64Mcg) -> Vec<EmulatedEndpoint> {
     (0..count)
         .map(|number| {
-            let kind = machine_kind(number, zones);
+            let machine = machine_type(number, zones);
             let parameters = EndpointParameters {
-                weight: kind.weight,
-                capacity: kind.capacity * rng.random_range(0.92..1.08),
-                cold_capacity_fraction: kind.cold_capacity_fraction * rng.random_range(0.9..1.1),
+                weight: machine.weight,
+                capacity: machine.capacity * rng.random_range(0.92..1.08),
+                cold_capacity_fraction: machine.cold_capacity_fraction * rng.random_range(0.9..1.1),
                 warm_up: rng.random_range(MIN_WARM_UP..MAX_WARM_UP),
                 affinity_group_cost: AFFINITY_GROUP_COST,
                 report_interval: rng.random_range(370_000..840_000),
@@ -87,13 +88,13 @@
         .collect()
 }
 
-/// Returns the kind of machine of an endpoint, so that every zone has its share of each, whatever the seed.
-fn machine_kind(number: usize, zones: usize) -> &'static MachineKind {
-    let place = ((number / zones) as f64 * 0.37 + (number % zones) as f64 * 0.21).fract();
-    let mut sum = 0.0;
-    let found = MACHINE_KINDS.iter().find(|kind| {
-        sum += kind.share;
-        place < sum
+/// Returns the machine type of an endpoint. Every zone gets its share of each type, independent of the seed.
+fn machine_type(number: usize, zones: usize) -> &'static MachineType {
+    let position = ((number / zones) as f64 * 0.37 + (number % zones) as f64 * 0.21).fract();
+    let mut cumulative_share = 0.0;
+    let machine = MACHINE_TYPES.iter().find(|machine| {
+        cumulative_share += machine.share;
+        position < cumulative_share
     });
-    found.unwrap_or(&MACHINE_KINDS[2])
+    machine.unwrap_or(&MACHINE_TYPES[2])
 }
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -1,4 +1,5 @@
-//! The sockets of emulated endpoints: opening lines, lines, health checks, and ways to fail.
+//! Serves the connections of emulated endpoints: requests, lines on established connections and health
+//! checks. An endpoint can also drain, stop responding or die.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,15 +14,15 @@
 use super::environment::SharedEnvironment;
 use super::protocol::{affinity_group, attribute, read_opening_line};
 
-/// Nothing new may be sent to an endpoint later than this after the notice of its drain: the rule's 500 ms and the
-/// 50 ms that sockets are given.
+/// Time after the notification of a drain from which a relay must not send new connections, in microseconds:
+/// the 500 ms of the setting `stopSendingWithinUs`, plus 50 ms for socket delays.
 const DRAIN_GRACE: Micros = 550_000;
-/// Work a second of a usual connection, in the unit that `LOAD` tells.
-const USUAL_LOAD_PER_SECOND: f64 = 58_000.0;
-/// How long a set-up takes.
+/// Load of an average connection in the unit of `LOAD` lines.
+const AVERAGE_CONNECTION_LOAD: f64 = 58_000.0;
+/// How long an endpoint takes to establish a connection.
 const SETUP_TIME: Duration = Duration::from_millis(8);
 
-/// Starts an endpoint's listeners, one for each relay.
+/// Starts the listeners of an endpoint, one for each relay.
 pub fn start(environment: &SharedEnvironment, index: usize) {
     let relays = environment.borrow().size.relays;
     for relay in 0..relays {
@@ -42,7 +43,9 @@
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
             Err(e) => {
-                environment.borrow_mut().record_event(format!("{address}: {e}"));
+                environment
+                    .borrow_mut()
+                    .record_event(format!("endpoint {index} cannot listen on {address}, retrying: {e}"));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -51,7 +54,7 @@
             let state = *process_state.borrow_and_update();
             match state {
                 ProcessState::Dead => break,
-                // The kernel still takes connections; nobody ever speaks.
+                // The kernel still accepts connections, but they are never answered.
                 ProcessState::Silent => {
                     if process_state.changed().await.is_err() {
                         return;
@@ -63,7 +66,7 @@
                 ProcessState::Serving => tokio::select! {
                     biased;
                     changed = process_state.changed() => if changed.is_err() { return },
-                    came = listener.accept() => if let Ok((stream, _)) = came {
+                    accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                         spawn_local(serve(environment.clone(), index, relay, stream));
                     },
                 },
@@ -72,7 +75,8 @@
     }
 }
 
-/// A connection: it is served while the endpoint lives, then reset, or held silently until it is back.
+/// Serves a connection until the endpoint stops. A dead endpoint resets it; a silent one keeps it open
+/// without answering until the endpoint restarts or dies.
 async fn serve(environment: SharedEnvironment, index: usize, relay: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
@@ -89,17 +93,19 @@
     let _ = stream.get_ref().set_zero_linger();
 }
 
-/// Closes a connection's entries in the endpoint's model and in the observations when it is dropped.
+/// Removes a connection from the endpoint's model, and its attempt from the attempts in flight, when it is
+/// dropped.
 struct ConnectionGuard {
     environment: SharedEnvironment,
     index: usize,
-    /// The request whose attempt is out.
+    /// Id of the request whose attempt has not been answered yet.
     request: Option<String>,
+    /// Number of the connection in the endpoint's model, once it is established.
     connection: Option<u64>,
 }
 
 impl ConnectionGuard {
-    fn answered(&mut self) {
+    fn mark_answered(&mut self) {
         if let Some(request) = self.request.take()
             && let Some(attempts) = self.environment.borrow_mut().attempts.get_mut(&request)
         {
@@ -110,9 +116,9 @@
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.answered();
-        if let Some(serve_connection) = self.connection {
-            self.environment.borrow_mut().endpoints[self.index].model.close(serve_connection);
+        self.mark_answered();
+        if let Some(connection) = self.connection {
+            self.environment.borrow_mut().endpoints[self.index].model.close(connection);
         }
     }
 }
@@ -160,12 +166,12 @@
     };
     if admission == Admission::Rejected {
         let _ = stream.write_all(b"BUSY\r\n").await;
-        guard.answered();
+        guard.mark_answered();
         return;
     }
     guard.connection = Some(number);
-    let up = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * USUAL_LOAD_PER_SECOND);
-    guard.answered();
+    let up = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * AVERAGE_CONNECTION_LOAD);
+    guard.mark_answered();
     if stream.write_all(up.as_bytes()).await.is_err() {
         return;
     }
@@ -190,7 +196,7 @@
     }
 }
 
-/// Records an opening line in the observations.
+/// Records an attempt, the first line of a connection, in the observations.
 fn record_attempt(environment: &SharedEnvironment, index: usize, relay: usize, id: &str) {
     let mut environment = environment.borrow_mut();
     let now = environment.now();
--- a/crates/testbed/src/emulators/endpoint_model.rs
+++ b/crates/testbed/src/emulators/endpoint_model.rs
@@ -1,75 +1,78 @@
-//! The model of an endpoint: what it can do, what it holds, when it collapses. Pure: time is passed in.
+//! A model of an endpoint: its capacity, its load, and when it collapses. It reads no clock: callers pass the
+//! time.
 //!
-//! Loads are in usual connections: an endpoint of capacity 40 is full with 40 connections of usual load, each affinity group that is
-//! held there counting as some connections more. All times are Unix microseconds.
+//! Loads and capacities are measured in average connections: 40 connections of average load use the full
+//! capacity of an endpoint of capacity 40. Each affinity group with connections at the endpoint adds a fixed
+//! load. All times are in Unix microseconds.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// Multiple of its present rate of new connections above which a warming endpoint collapses.
+/// Overload at which an endpoint that warms up collapses: the rate of new work, as a multiple of the rate
+/// that the endpoint can take at present.
 pub const COLLAPSE_OVERLOAD: f64 = 3.0;
-/// Window over which that rate is taken, in microseconds.
+/// Window over which the rate of new work is measured, in microseconds.
 pub const COLLAPSE_WINDOW: Micros = 2_000_000;
-/// Work within the window up to which no endpoint collapses, in usual connections.
+/// Work within the window up to which no endpoint collapses, in average connections.
 const MIN_COLLAPSE_WORK: f64 = 4.0;
-/// Load over capacity at which messages begin to be late.
-const FIRST_LATE_LOAD: f64 = 0.85;
-/// Load over capacity at which all messages are late.
-const ALL_LATE_LOAD: f64 = 1.15;
-/// Load over capacity at which new connections are rejected.
-const REJECT_LOAD: f64 = 1.5;
+/// Utilization above which some messages are late.
+const FIRST_LATE_UTILIZATION: f64 = 0.85;
+/// Utilization from which all messages are late.
+const ALL_LATE_UTILIZATION: f64 = 1.15;
+/// Utilization from which new connections are rejected.
+const REJECT_UTILIZATION: f64 = 1.5;
 
 /// The parameters of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointParameters {
-    /// Its size in discovery.
+    /// Weight in discovery.
     pub weight: f64,
-    /// Usual connections that fill it once it is warm.
+    /// Capacity when warm, in average connections.
     pub capacity: f64,
-    /// The part of its capacity that it starts with.
+    /// Share of the capacity that is available right after the start.
     pub cold_capacity_fraction: f64,
-    /// The time that it takes to warm up evenly.
+    /// Time in which the available capacity rises linearly to the full capacity.
     pub warm_up: Micros,
-    /// What each affinity group costs that it holds, in usual connections.
+    /// Load of each affinity group that has connections here, in average connections.
     pub affinity_group_cost: f64,
-    /// How often its load reports are refreshed.
+    /// Interval at which the load report is refreshed.
     pub report_interval: Micros,
-    /// How late reports are.
+    /// Delay until a refreshed load report is returned to health checks.
     pub report_delay: Micros,
 }
 
-/// A connection as its endpoint knows it.
+/// A connection at an endpoint.
 #[derive(Clone, Debug)]
 pub struct ConnectionLoad {
-    /// Its load in usual connections.
+    /// Load in average connections.
     pub load: f64,
-    /// Its affinity group.
+    /// Affinity group.
     pub affinity_group: u64,
-    /// It came by a relay of another zone.
+    /// Whether it comes from a relay of another zone.
     pub is_cross_zone: bool,
-    /// The zone of that relay.
+    /// Index of the relay's zone.
     pub relay_zone: usize,
 }
 
 /// The endpoint's answer to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is established.
+    /// The connection is established.
     Accepted,
-    /// It is rejected.
+    /// The connection is rejected.
     Rejected,
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The part of its cores in use.
+    /// Share of the CPU in use, 0 to 1.
     pub cpu_utilization: f64,
-    /// Milliseconds of work a message takes.
+    /// Time to process a message, in milliseconds.
     pub latency_ms: f64,
-    /// Load asked over what it can do.
+    /// Load divided by the present capacity; above 1 if the endpoint is overloaded.
     pub utilization: f64,
 }
 
@@ -77,11 +80,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct AffinityGroupUse {
     connections: u32,
-    /// Connections that came by relays of other zones.
+    /// Number of these connections that come from relays of other zones.
     cross_zone_connections: u32,
 }
 
-/// The model of one endpoint.
+/// A model of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointModel {
     parameters: EndpointParameters,
@@ -96,7 +99,8 @@
 }
 
 impl EndpointModel {
-    /// An endpoint that has just started, or long ago (`started_at` 0).
+    /// Creates an endpoint without connections. `started_at` 0 means that it has been running for a long time
+    /// and is warm.
     pub fn new(parameters: EndpointParameters, started_at: Micros) -> EndpointModel {
         EndpointModel {
             parameters,
@@ -111,17 +115,17 @@
         }
     }
 
-    /// Returns its parameters.
+    /// Returns the parameters of the endpoint.
     pub fn parameters(&self) -> &EndpointParameters {
         &self.parameters
     }
 
-    /// Returns when it started, in Unix microseconds; 0 is long ago.
+    /// Returns when the endpoint started, in Unix microseconds; 0 if it has been running for a long time.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Returns the part of its capacity that it has now.
+    /// Returns the share of the capacity that is available at `now`: below 1 while the endpoint warms up.
     pub fn warm_fraction(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= self.parameters.warm_up {
@@ -131,17 +135,18 @@
             + (1.0 - self.parameters.cold_capacity_fraction) * age as f64 / self.parameters.warm_up as f64
     }
 
-    /// Returns the usual connections that it can carry now.
+    /// Returns the available capacity in average connections; 0 if the endpoint has collapsed.
     pub fn capacity(&self, now: Micros) -> f64 {
         if self.collapsed { 0.0 } else { self.parameters.capacity * self.warm_fraction(now) }
     }
 
-    /// Returns the load that it holds, affinity groups included, in usual connections.
+    /// Returns the load of all connections and affinity groups, in average connections.
     pub fn total_load(&self) -> f64 {
         self.load + self.affinity_groups.len() as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Returns what connections of other zones hold: their load, and the affinity groups that no other connection here has.
+    /// Returns the load of connections from other zones, including that of affinity groups which only such
+    /// connections use.
     pub fn cross_zone_load(&self) -> f64 {
         let load: f64 = self.connections.values().filter(|s| s.is_cross_zone).map(|s| s.load).sum();
         let affinity_groups = self
@@ -152,7 +157,7 @@
         load + affinity_groups as f64 * self.parameters.affinity_group_cost
     }
 
-    /// Returns the number of connections of relays of a zone.
+    /// Returns the number of connections from relays of a zone.
     pub fn connections_from(&self, zone: usize) -> usize {
         self.connections.values().filter(|s| s.relay_zone == zone).count()
     }
@@ -162,26 +167,27 @@
         self.connections.len()
     }
 
-    /// Returns the load asked over what it can do.
+    /// Returns the load divided by the available capacity.
     pub fn utilization(&self, now: Micros) -> f64 {
         self.total_load() / self.capacity(now).max(1e-9)
     }
 
-    /// Returns the share of messages that it answers in time.
+    /// Returns the share of messages that are answered in time.
     pub fn in_time_fraction(&self, now: Micros) -> f64 {
         if self.collapsed {
             return 0.0;
         }
-        ((ALL_LATE_LOAD - self.utilization(now)) / (ALL_LATE_LOAD - FIRST_LATE_LOAD)).clamp(0.0, 1.0)
+        ((ALL_LATE_UTILIZATION - self.utilization(now)) / (ALL_LATE_UTILIZATION - FIRST_LATE_UTILIZATION))
+            .clamp(0.0, 1.0)
     }
 
-    /// Handles a new connection's opening line. Every one is work that was sent, whether it is accepted or not.
+    /// Handles a request for a new connection. Every request counts as work, also one that is rejected.
     pub fn open(&mut self, now: Micros, id: u64, connection: ConnectionLoad) -> Admission {
         if self.collapsed {
             return Admission::Rejected;
         }
         self.record_work(now, connection.load);
-        if self.collapsed || self.utilization(now) >= REJECT_LOAD {
+        if self.collapsed || self.utilization(now) >= REJECT_UTILIZATION {
             return Admission::Rejected;
         }
         let affinity_group = self.affinity_groups.entry(connection.affinity_group).or_default();
@@ -192,8 +198,9 @@
         Admission::Accepted
     }
 
-    /// Applies the rule on warming endpoints: the work sent within the window against present capacity, which is the rate of
-    /// new connections that fills it over its warm-up, times the part of its capacity that it has.
+    /// Adds work to the window and lets an endpoint that warms up collapse if it is overloaded. The rate of
+    /// new work that it can take is the rate that fills its capacity over its warm-up time, times the share
+    /// of the capacity that is available.
     fn record_work(&mut self, now: Micros, load: f64) {
         if self.warm_fraction(now) >= 1.0 {
             return;
@@ -203,19 +210,20 @@
             self.recent_work.pop_front();
         }
         let recent_work: f64 = self.recent_work.iter().map(|(_, load)| load).sum();
-        let pace =
+        let sustainable_rate =
             self.parameters.capacity / (self.parameters.warm_up as f64 / 1e6) * self.warm_fraction(now);
-        let multiple = recent_work / (pace * COLLAPSE_WINDOW as f64 / 1e6);
-        self.max_overload = self.max_overload.max(multiple);
-        self.collapsed |= recent_work > MIN_COLLAPSE_WORK && multiple > COLLAPSE_OVERLOAD;
+        let overload = recent_work / (sustainable_rate * COLLAPSE_WINDOW as f64 / 1e6);
+        self.max_overload = self.max_overload.max(overload);
+        self.collapsed |= recent_work > MIN_COLLAPSE_WORK && overload > COLLAPSE_OVERLOAD;
     }
 
-    /// Returns the largest multiple of its present rate that it was sent while it warmed up.
+    /// Returns the maximum overload during the warm-up: the rate of new work, as a multiple of the rate that
+    /// the endpoint could take at that time.
     pub fn max_overload(&self) -> f64 {
         self.max_overload
     }
 
-    /// Returns whether it has collapsed; it stays down.
+    /// Returns whether the endpoint has collapsed. It does not recover unless it is restarted.
     pub fn collapsed(&self) -> bool {
         self.collapsed
     }
@@ -233,7 +241,7 @@
         }
     }
 
-    /// Returns the load report that a health check gets: refreshed at intervals, and late.
+    /// Returns the load report for a health check. It is refreshed at intervals, and returned with a delay.
     pub fn report(&mut self, now: Micros) -> LoadReport {
         if self.reports.back().is_none_or(|(at, _)| now >= at + self.parameters.report_interval) {
             let utilization = self.utilization(now).min(99.0);
@@ -273,40 +281,45 @@
 
     #[test]
     fn affinity_group_cost_counts_once_and_cross_zone_load_is_separate() {
-        let mut server = EndpointModel::new(parameters(), 0);
+        let mut endpoint = EndpointModel::new(parameters(), 0);
         for (id, affinity_group, is_cross_zone) in [(1, 7, true), (2, 7, false), (3, 8, true), (4, 8, true)] {
-            assert_eq!(server.open(1, id, connection(affinity_group, is_cross_zone)), Admission::Accepted);
+            assert_eq!(endpoint.open(1, id, connection(affinity_group, is_cross_zone)), Admission::Accepted);
         }
-        assert_eq!((server.total_load(), server.cross_zone_load()), (10.0, 6.0));
-        server.close(2);
-        assert_eq!(server.cross_zone_load(), 9.0);
-        (1..=4).for_each(|id| server.close(id));
-        assert_eq!((server.total_load(), server.cross_zone_load(), server.connections()), (0.0, 0.0, 0));
+        assert_eq!((endpoint.total_load(), endpoint.cross_zone_load()), (10.0, 6.0));
+        endpoint.close(2);
+        assert_eq!(endpoint.cross_zone_load(), 9.0);
+        (1..=4).for_each(|id| endpoint.close(id));
+        assert_eq!(
+            (endpoint.total_load(), endpoint.cross_zone_load(), endpoint.connections()),
+            (0.0, 0.0, 0)
+        );
     }
 
     #[test]
-    fn cold_endpoint_collapses_at_three_times_its_rate_and_warm_one_does_not() {
-        // It fills at 4 connections a second times the part of its capacity that it has of a half: 4 in 2 s, and 12 are too many.
+    fn cold_endpoint_collapses_above_three_times_its_rate_and_warm_one_does_not() {
+        // The endpoint can take 36 connections / 9 s times half its capacity: 4 in the window of 2 s. It
+        // collapses above 12.
         let start = 1_000_000_000;
-        let mut warm_up = EndpointModel::new(parameters(), start);
-        let stood = (0..20)
-            .filter(|id| warm_up.open(start, *id, connection(1, false)) == Admission::Accepted)
-            .count();
-        assert_eq!((stood, warm_up.collapsed()), (12, true));
+        let mut cold = EndpointModel::new(parameters(), start);
+        let accepted =
+            (0..20).filter(|id| cold.open(start, *id, connection(1, false)) == Admission::Accepted).count();
+        assert_eq!((accepted, cold.collapsed()), (12, true));
         let mut warm = EndpointModel::new(parameters(), 0);
         assert!((0..20).all(|id| warm.open(start, id, connection(1, false)) == Admission::Accepted));
-        let mut slow = EndpointModel::new(parameters(), start);
+        let mut slowly_loaded = EndpointModel::new(parameters(), start);
         let at = |id: u64| start + id * 250_000;
-        assert!((0..20).all(|id| slow.open(at(id), id, connection(1, false)) == Admission::Accepted));
+        assert!(
+            (0..20).all(|id| slowly_loaded.open(at(id), id, connection(1, false)) == Admission::Accepted)
+        );
     }
 
     #[test]
     fn load_report_is_delayed() {
-        let mut server = EndpointModel::new(parameters(), 0);
-        assert_eq!(server.report(1_000_000).utilization, 0.0);
-        assert!((0..9).all(|id| server.open(1_000_000, id, connection(1, false)) == Admission::Accepted));
-        assert_eq!(server.report(1_400_000).utilization, 0.0);
-        assert_eq!(server.report(1_600_000).utilization, 0.0);
-        assert!(server.report(1_950_000).utilization > 0.3);
+        let mut endpoint = EndpointModel::new(parameters(), 0);
+        assert_eq!(endpoint.report(1_000_000).utilization, 0.0);
+        assert!((0..9).all(|id| endpoint.open(1_000_000, id, connection(1, false)) == Admission::Accepted));
+        assert_eq!(endpoint.report(1_400_000).utilization, 0.0);
+        assert_eq!(endpoint.report(1_600_000).utilization, 0.0);
+        assert!(endpoint.report(1_950_000).utilization > 0.3);
     }
 }
--- a/crates/testbed/src/emulators/environment.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -1,4 +1,4 @@
-//! The environment on loopback that the emulators share: its size, endpoints, discovery, front proxy and observations.
+//! The environment on loopback that all emulators share: endpoints, discovery, front proxy and observations.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,62 +16,62 @@
 use super::front_proxy::FrontProxy;
 use crate::report::observations::{ClientObservations, EndpointObservations};
 
-/// How large an environment is.
+/// The size of an environment.
 #[derive(Clone, Debug)]
 pub struct EnvironmentSize {
-    /// The names of its zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Endpoints in all, evenly over the zones.
+    /// Number of endpoints, distributed evenly over the zones.
     pub endpoints: usize,
-    /// Relays in all, evenly over the zones.
+    /// Number of relays, distributed evenly over the zones.
     pub relays: usize,
-    /// New clients a second in all.
+    /// New clients per second in all zones.
     pub clients_per_second: f64,
-    /// How long a client wants its connection on average, in seconds.
+    /// Mean time for which a client wants its connection, in seconds.
     pub mean_connection_s: f64,
-    /// Affinity groups that clients share.
+    /// Number of affinity groups.
     pub affinity_groups: u64,
 }
 
-/// How often a request has been sent to endpoints.
+/// The attempts of one request at endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestAttempts {
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub total: u32,
-    /// Attempts that no endpoint has answered yet.
+    /// Number of attempts that have not been answered yet.
     pub in_flight: u32,
 }
 
-/// What all emulators share.
+/// The state that all emulators share.
 #[derive(Debug)]
 pub struct Environment {
-    /// Its size.
+    /// Size of the environment.
     pub size: EnvironmentSize,
-    /// Endpoints.
+    /// The endpoints, by index.
     pub endpoints: Vec<EmulatedEndpoint>,
-    /// The endpoint list.
+    /// Discovery, with the endpoint list.
     pub discovery: EmulatedDiscovery,
     /// The front proxy.
     pub front_proxy: FrontProxy,
-    /// The clients' observations.
+    /// What the clients have observed.
     pub client_observations: ClientObservations,
-    /// The endpoints' observations.
+    /// What the endpoints and discovery have observed.
     pub endpoint_observations: EndpointObservations,
-    /// Attempts of each request, by its id.
+    /// Attempts of each request, by request id.
     pub attempts: BTreeMap<String, RequestAttempts>,
-    /// Clients of each zone that want a connection now.
+    /// Number of clients in each zone that have or want a connection.
     pub active_clients: Vec<u64>,
-    /// The zones that the scenario does not touch.
+    /// Indices of the zones in which the scenario makes no endpoints fail.
     pub unaffected_zones: Vec<usize>,
-    /// Arrivals of each zone, against the usual.
+    /// Rate of new clients of each zone, as a multiple of the normal rate.
     pub arrival_factor: Vec<f64>,
     /// How often each relay has been killed.
     pub relay_kills: Vec<u32>,
-    /// No more clients come.
+    /// Whether the run is ending, so that no more clients are generated.
     pub closing: bool,
-    /// What has happened, for people.
+    /// Log of events for people, with the time of each in microseconds since the start.
     pub events: Vec<(Micros, String)>,
-    /// When the environment began.
+    /// When the environment was created, in Unix microseconds.
     pub started_at: Micros,
     unix_start: Micros,
     clock: Instant,
@@ -80,14 +80,14 @@
     seed: u64,
 }
 
-/// How long after its end an endpoint counts as recently ended.
-const RECENTLY: Micros = 8_000_000;
+/// How long after it stopped an endpoint counts as recently stopped, in microseconds.
+const RECENTLY_STOPPED: Micros = 8_000_000;
 
-/// The environment as its parts share it. No borrow is held across an await.
+/// The environment, shared by all emulators. No borrow may be held across an `await`.
 pub type SharedEnvironment = Rc<RefCell<Environment>>;
 
 impl Environment {
-    /// Creates an environment of that size; all random numbers follow from the seed.
+    /// Creates an environment in which all endpoints run; all random numbers derive from `seed`.
     pub fn new(size: EnvironmentSize, seed: u64) -> SharedEnvironment {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -122,49 +122,51 @@
         environment
     }
 
-    /// Returns the time in Unix microseconds.
+    /// Returns the current time in Unix microseconds.
     pub fn now(&self) -> Micros {
         self.unix_start + self.clock.elapsed().as_micros() as Micros
     }
 
-    /// Returns a random number generator of its own for each part of the environment.
-    pub fn rng(&self, part: u64) -> Pcg64Mcg {
-        Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part)
+    /// Returns the random number generator of a stream. Each stream of the environment uses its own stream.
+    pub fn rng(&self, stream: u64) -> Pcg64Mcg {
+        Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream)
     }
 
-    /// Returns the seed.
+    /// Returns the random seed.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Returns where one relay reaches an endpoint. Every relay has addresses of its own, so that an opening line tells whose it is.
+    /// Returns the address at which a relay reaches an endpoint. It differs for each relay, so that the
+    /// endpoint knows which relay a connection comes from.
     pub fn endpoint_address(&self, index: usize, relay: usize) -> SocketAddr {
         self.addresses.endpoint(index, relay)
     }
 
-    /// Returns where one relay reaches discovery.
+    /// Returns the address at which a relay reaches discovery.
     pub fn discovery_address(&self, relay: usize) -> SocketAddr {
         self.addresses.discovery(relay)
     }
 
-    /// Returns where clients reach a relay.
+    /// Returns the address at which clients reach a relay.
     pub fn relay_address(&self, relay: usize) -> SocketAddr {
         self.addresses.relay(relay)
     }
 
-    /// Returns a new number for a connection.
+    /// Returns a unique number for a new connection.
     pub fn next_connection_number(&mut self) -> u64 {
         self.next_connection_number += 1;
         self.next_connection_number
     }
 
-    /// Records an event, for people.
+    /// Adds an event to the log for people.
     pub fn record_event(&mut self, text: impl Into<String>) {
         let at = self.now() - self.started_at;
         self.events.push((at, text.into()));
     }
 
-    /// Publishes these endpoints in this state, in one version of the endpoint list.
+    /// Publishes these endpoints with `state` (`active`, `leaving` or `left`), in one new version of the
+    /// endpoint list.
     pub fn publish(&mut self, endpoints: &[usize], state: &'static str) {
         let mut entries = Vec::new();
         for index in endpoints {
@@ -181,27 +183,28 @@
         self.discovery.update_entries(entries);
     }
 
-    /// Returns the endpoints of a zone.
+    /// Returns the indices of a zone's endpoints.
     pub fn zone_endpoints(&self, zone: usize) -> Vec<usize> {
         (0..self.endpoints.len()).filter(|i| self.endpoints[*i].zone == zone).collect()
     }
 
-    /// Returns how many endpoints have collapsed and not ended since.
+    /// Returns the number of running endpoints that have collapsed.
     pub fn collapsed_endpoints(&self) -> u64 {
         self.endpoints.iter().filter(|c| c.model.collapsed()).count() as u64
     }
 
-    /// Returns how often a relay has been killed so far.
+    /// Returns the incarnation of a relay: how often it has been killed so far.
     pub fn relay_incarnation(&self, relay: usize) -> u32 {
         self.relay_kills[relay]
     }
 
-    /// Returns whether an endpoint's process ended a moment ago: breaks of its connections may only be seen now.
-    pub fn recently_ended(&self, index: usize) -> bool {
-        self.now() < self.endpoints[index].ended_at + RECENTLY
+    /// Returns whether an endpoint stopped recently, so that clients may only now notice that their
+    /// connections broke.
+    pub fn recently_stopped(&self, index: usize) -> bool {
+        self.now() < self.endpoints[index].ended_at + RECENTLY_STOPPED
     }
 
-    /// Starts an endpoint's process anew.
+    /// Restarts an endpoint that has stopped.
     pub fn restart_endpoint(&mut self, index: usize) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
@@ -211,7 +214,7 @@
         endpoint.process_state.send_replace(ProcessState::Serving);
     }
 
-    /// Ends an endpoint's process, or lets its machine vanish.
+    /// Stops an endpoint: it becomes dead or silent, as `process_state` says.
     pub fn stop_endpoint(&mut self, index: usize, process_state: ProcessState) {
         let now = self.now();
         let endpoint = &mut self.endpoints[index];
--- a/crates/testbed/src/emulators/front_proxy.rs
+++ b/crates/testbed/src/emulators/front_proxy.rs
@@ -1,6 +1,7 @@
-//! The emulated front proxy: sends clients to the relays of their zone in turn, and notices late that one has died.
+//! The emulated front proxy: distributes clients round-robin over the relays of their zone, and detects the
+//! death of a relay with a delay.
 
-/// The front proxy, with the relays that it believes alive.
+/// The front proxy, with its view of which relays are alive.
 #[derive(Debug)]
 pub struct FrontProxy {
     zones: usize,
@@ -9,31 +10,33 @@
 }
 
 impl FrontProxy {
-    /// Creates a front proxy for that many relays, evenly over the zones; it believes none alive yet.
+    /// Creates a front proxy for `relays` relays, distributed evenly over the zones; none is believed alive
+    /// yet.
     pub fn new(relays: usize, zones: usize) -> FrontProxy {
         FrontProxy { zones, believed_alive: vec![false; relays], next: 0 }
     }
 
-    /// Returns the zone of a relay.
+    /// Returns the index of a relay's zone.
     pub fn zone_of(&self, relay: usize) -> usize {
         relay % self.zones
     }
 
-    /// Sets whether a relay is believed alive.
+    /// Sets whether the front proxy believes a relay to be alive.
     pub fn set_believed_alive(&mut self, relay: usize, alive: bool) {
         self.believed_alive[relay] = alive;
     }
 
-    /// Chooses the relay for a client: those of its own zone in turn, of any zone where there is none.
+    /// Selects the relay for a client: round-robin over the relays of the client's zone that are believed
+    /// alive, or of all zones if its zone has none. Returns `None` if no relay is believed alive.
     pub fn select_relay(&mut self, zone: usize) -> Option<usize> {
         self.next += 1;
-        let near: Vec<usize> = (0..self.believed_alive.len())
+        let same_zone: Vec<usize> = (0..self.believed_alive.len())
             .filter(|r| self.believed_alive[*r] && r % self.zones == zone % self.zones)
             .collect();
-        let any: Vec<usize> = match near.is_empty() {
+        let candidates: Vec<usize> = match same_zone.is_empty() {
             true => (0..self.believed_alive.len()).filter(|r| self.believed_alive[*r]).collect(),
-            false => near,
+            false => same_zone,
         };
-        (!any.is_empty()).then(|| any[self.next % any.len()])
+        (!candidates.is_empty()).then(|| candidates[self.next % candidates.len()])
     }
 }
--- a/crates/testbed/src/emulators/mod.rs
+++ b/crates/testbed/src/emulators/mod.rs
@@ -1,10 +1,12 @@
-//! Emulators of endpoints, clients, discovery and the front proxy, and relays as real processes.
+//! Emulators of endpoints, clients, discovery and the front proxy, and a launcher of real relay processes.
 //!
-//! All but the relays live in one thread of this process and share one environment; each can be made to fail on command.
+//! All emulators run in one thread of this process and share one [`environment::Environment`]; faults can be
+//! injected into each of them.
 //!
-//! [`crate::fleet`] has emulators of endpoints, clients and discovery of its own, one process each (`cards`, `clients`, `list`,
-//! `relays`). They share [`endpoint_model`], [`protocol`] and the relay's settings with this module; listeners, the life of a
-//! connection and the watch of discovery still stand twice.
+//! [`crate::fleet`] has its own emulators of endpoints, clients and discovery, each in a separate process
+//! (`cards`, `clients`, `list`). They share [`endpoint_model`], [`protocol`] and
+//! [`relay_process::relay_settings`] with this module; the listeners, the handling of connections and the
+//! watches of discovery are still duplicated.
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 pub mod accounting;
--- a/crates/testbed/src/emulators/protocol.rs
+++ b/crates/testbed/src/emulators/protocol.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of discovery and of endpoints read, and what endpoints say of themselves.
+//! The protocols of discovery and of endpoints, as all emulators of them read and answer requests.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 
 use super::endpoint_model::LoadReport;
 
-/// A request to discovery.
+/// A request to discovery for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryRequest {
-    /// Changes are asked for from this version on; else the whole list.
+    /// Requests the changes after this version; `None` requests the whole list.
     pub since: Option<u64>,
-    /// How long it may wait for them.
+    /// How long discovery may wait for a change before it answers.
     pub wait: Duration,
 }
 
-/// Reads the next request from a connection; none at its end.
+/// Reads the next request from a connection. Returns `None` if the connection is closed or the request is too
+/// long.
 pub async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<DiscoveryRequest> {
     let mut head = String::new();
     loop {
@@ -37,8 +38,8 @@
     Some(DiscoveryRequest { since: number("index"), wait })
 }
 
-/// Answers pings and health checks on a connection to an endpoint until a connection's first line comes: its id and attributes; none where the
-/// connection ends before.
+/// Answers pings and health checks on a connection until a request (`OPEN`) is received, and returns its id
+/// and attributes. Returns `None` if the connection ends before that.
 pub async fn read_opening_line(
     stream: &mut BufReader<TcpStream>, mut report: impl FnMut() -> LoadReport,
 ) -> Option<(String, String)> {
@@ -59,18 +60,18 @@
     }
 }
 
-/// An endpoint's answer to a health check.
+/// Formats the answer of an endpoint to a health check.
 fn load_report_line(report: &LoadReport) -> String {
     let LoadReport { cpu_utilization, latency_ms, utilization } = report;
     format!("PONG util={cpu_utilization:.3},latency_ms={latency_ms:.1},x0={utilization:.3}\r\n")
 }
 
-/// A figure of a connection's first line.
+/// Returns the value of an attribute of a request, or `None` if the request doesn't have it.
 pub fn attribute<'a>(attributes: &'a str, name: &str) -> Option<&'a str> {
     attributes.split(',').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
-/// The affinity group that a connection's first line names; 0 where it names none.
+/// Returns the affinity group of a request, or 0 if it has none.
 pub fn affinity_group(attributes: &str) -> u64 {
     attribute(attributes, "g").and_then(|g| u64::from_str_radix(g, 16).ok()).unwrap_or(0)
 }
--- a/crates/testbed/src/emulators/relay_process.rs
+++ b/crates/testbed/src/emulators/relay_process.rs
@@ -1,4 +1,4 @@
-//! Relays as real processes of the program `honeyknot-relay`.
+//! Starts relays as processes of the program `honeyknot-relay`.
 
 use std::fs::File;
 use std::io;
@@ -15,32 +15,38 @@
 use super::emulated_endpoint::MAX_WARM_UP;
 use super::environment::SharedEnvironment;
 
-/// What starts relays.
+/// Starts relay processes for an environment.
 #[derive(Debug)]
 pub struct RelayLauncher {
     program: PathBuf,
     folder: PathBuf,
-    /// The operator file for zones; none where that part is off.
+    /// Path of the `sites.conf` operator file; `None` if the relays run without zone failover.
     sites_file: Option<PathBuf>,
-    /// What discovery said when the environment began: all that a relay knows when it comes back.
+    /// Endpoint list of each relay when the environment was created. A relay starts with this list, also
+    /// after it was killed.
     initial_endpoints: Vec<Value>,
 }
 
-/// Where the relay's program is: beside this one.
+/// Returns the path of the relay program, which is next to this program or one folder above it.
+///
+/// # Errors
+/// Returns a message if the relay program is not found there.
 pub fn relay_program() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("this program's place is unknown: {e}"))?;
+    let own =
+        std::env::current_exe().map_err(|e| format!("cannot determine the path of this program: {e}"))?;
     let folders = own.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("honeyknot-relay")).find(|p| p.is_file());
     found.ok_or_else(|| {
         let profile = if cfg!(debug_assertions) { "" } else { " --release" };
         format!(
-            "the relay's program is not beside {}; build it with: cargo build{profile} --locked -p honeyknot-relay",
+            "honeyknot-relay is not in the folder of {} or the one above; build it with: cargo build{profile} --locked -p honeyknot-relay",
             own.display()
         )
     })
 }
 
-/// The settings of a relay of this number, of a fleet of so many, as the platform tells them.
+/// Returns the settings that the platform gives to the relay with index `relay_index` of a fleet of
+/// `relay_count`.
 pub fn relay_settings(relay_count: usize, relay_index: usize, zone: &str, zones: &[String]) -> Value {
     json!({
         "family": "conn", "discovery": "on_request", "fleetSize": relay_count, "me": relay_index,
@@ -58,7 +64,7 @@
 }
 
 impl RelayLauncher {
-    /// Relays of `program` that keep their files in `folder`.
+    /// Creates a launcher of `program`; configuration files and logs are written to `folder`.
     pub fn new(
         environment: &SharedEnvironment, program: PathBuf, folder: &Path, sites_file: Option<PathBuf>,
     ) -> RelayLauncher {
@@ -87,14 +93,20 @@
         })
     }
 
-    /// Starts a relay and waits until it answers. Its log goes to a file in the folder.
+    /// Starts a relay and waits until it answers. Its log is written to a file in the launcher's folder.
+    ///
+    /// # Errors
+    /// Returns a message if a file cannot be written, or the relay exits or does not answer.
     pub async fn start(
         &self, environment: &SharedEnvironment, relay: usize, incarnation: u32,
     ) -> Result<Child, String> {
         let path = self.folder.join(format!("n{relay}.json"));
         let log = self.folder.join(format!("n{relay}-{incarnation}.log"));
-        let describe = |e: io::Error| format!("{}: {e}", path.display());
-        std::fs::write(&path, self.config(environment, relay, incarnation).to_string()).map_err(describe)?;
+        let file_error = |e: io::Error| {
+            format!("cannot write the relay configuration {} or the log next to it: {e}", path.display())
+        };
+        std::fs::write(&path, self.config(environment, relay, incarnation).to_string())
+            .map_err(file_error)?;
         environment.borrow_mut().discovery.forget_relay(relay);
         let mut command = Command::new(&self.program);
         command.arg("serve").env("EDGE_CONFIG", &path).stdin(Stdio::null()).kill_on_drop(true);
@@ -104,31 +116,35 @@
         if let Some(sites_file) = &self.sites_file {
             command.arg("--sites").arg(sites_file);
         }
-        let file = File::create(&log).map_err(describe)?;
-        command.stdout(file.try_clone().map_err(describe)?).stderr(file);
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
+        let file = File::create(&log).map_err(file_error)?;
+        command.stdout(file.try_clone().map_err(file_error)?).stderr(file);
+        let mut child =
+            command.spawn().map_err(|e| format!("cannot start {}: {e}", self.program.display()))?;
         let address = environment.borrow().relay_address(relay);
         for _ in 0..250 {
             if let Ok(Some(status)) = child.try_wait() {
                 let text = std::fs::read_to_string(&log).unwrap_or_default();
-                return Err(format!("relay n{relay} ended at its start ({status}): {}", text.trim()));
+                return Err(format!(
+                    "relay n{relay} exited during startup ({status}); its output: {}",
+                    text.trim()
+                ));
             }
-            if ready(address).await {
+            if is_ready(address).await {
                 return Ok(child);
             }
             sleep(Duration::from_millis(20)).await;
         }
-        Err(format!("relay n{relay} does not answer at {address}"))
+        Err(format!("relay n{relay} runs but does not answer PING at {address}"))
     }
 }
 
-async fn ready(address: std::net::SocketAddr) -> bool {
-    let ask = async {
+async fn is_ready(address: std::net::SocketAddr) -> bool {
+    let ping = async {
         let mut stream = BufReader::new(TcpStream::connect(address).await?);
         stream.write_all(b"PING\r\n").await?;
         let mut line = String::new();
         stream.read_line(&mut line).await?;
         io::Result::Ok(line == "PONG\r\n")
     };
-    timeout(Duration::from_millis(300), ask).await.is_ok_and(|describe| describe.unwrap_or(false))
+    timeout(Duration::from_millis(300), ping).await.is_ok_and(|result| result.unwrap_or(false))
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,10 @@
 #![forbid(unsafe_code)]
-//! honeyknot's testbed: emulated endpoints, discovery, front proxy and clients on loopback, and scenarios on them.
+//! honeyknot's testbed: emulators of endpoints, discovery, the front proxy and clients on loopback, and test
+//! scenarios.
 //!
-//! The emulators fail on command; relays are real processes of the program `honeyknot-relay`. The emulators count what
-//! they have seen ([`report`]), and every verdict rests on those counts alone. Nothing of this is linked into the relay.
+//! Faults can be injected into the emulators. Relays are real processes of the program `honeyknot-relay`. The
+//! emulators count what they observe ([`report`]), and the checks of a run use those counts alone. The relay does
+//! not link this crate.
 
 pub mod emulators;
 pub mod fleet;
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What clients and endpoints have seen, and the verdict on it.
+//! The observations of clients, endpoints and discovery, and the report that checks them against the rules.
 #![deny(unreachable_pub, missing_debug_implementations, clippy::wildcard_imports, clippy::too_many_lines)]
 
 pub mod observations;
--- a/crates/testbed/src/report/observations.rs
+++ b/crates/testbed/src/report/observations.rs
@@ -1,4 +1,5 @@
-//! The observations of the far side: what clients, endpoints and discovery have seen. Verdicts rest on these alone.
+//! What emulated clients, endpoints and discovery have observed. Reports are based on these observations
+//! alone, not on figures of the relays.
 
 use std::collections::BTreeMap;
 
@@ -6,47 +7,47 @@
 
 use crate::emulators::endpoint_model::Micros;
 
-/// What clients have seen.
+/// What the clients have observed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClientObservations {
-    /// Opening lines whose last byte was written to a relay.
+    /// Requests that were written completely to a relay.
     #[serde(rename = "clients_asked")]
     pub requests: u64,
-    /// Answered `UP`.
+    /// Requests answered with `UP`.
     pub served: u64,
-    /// Answered `BUSY`.
+    /// Requests answered with `BUSY`.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Of those, clients of the zones that are not lost.
+    /// Rejected requests of clients in zones in which no endpoints failed.
     #[serde(rename = "refused_others")]
     pub rejected_unaffected: u64,
-    /// Answered by any other line, or by a close without a word.
+    /// Requests answered with any other line, or by closing the connection.
     pub failed: u64,
-    /// No answer before the client's time and the grace were over, though the relay lived.
+    /// Requests not answered before the client's deadline and a grace period, although the relay was running.
     pub unanswered: u64,
-    /// Asked of a relay that was killed before it answered: it owes nothing any more.
+    /// Requests to a relay that was killed before it answered. They don't count as unanswered.
     pub relay_died: u64,
-    /// More than one final answer to one opening line.
+    /// Requests that got more than one final answer.
     #[serde(rename = "double_answers")]
     pub duplicate_answers: u64,
-    /// Connections that could not be made, as the front proxy still sent to a dead relay.
+    /// Connection attempts that failed because the front proxy selected a dead relay.
     #[serde(rename = "front_sent_to_dead")]
     pub connects_to_dead_relays: u64,
-    /// Clients that were migrated.
+    /// Migrations of clients.
     #[serde(rename = "moves")]
     pub migrations: u64,
-    /// The most migrations in any second.
+    /// Maximum number of migrations in one second.
     #[serde(rename = "worst_moves_per_s")]
     pub max_migrations_per_second: u64,
-    /// Connections cut off without `MOVE` though endpoint and relay lived.
+    /// Connections closed without `MOVE` although the endpoint and the relay were running.
     #[serde(rename = "cut_off")]
     pub connections_cut_off: u64,
-    /// Client lines that no line came back to within 7 s from an endpoint that lived.
+    /// Client lines not answered within 7 s although the endpoint was running.
     pub unanswered_lines: u64,
-    /// The longest that a client was told to stay away, in milliseconds.
+    /// Longest retry delay sent with a rejection, in milliseconds.
     #[serde(rename = "longest_away_ms")]
     pub max_retry_after_ms: u64,
-    /// The longest wait for a refusal, in milliseconds.
+    /// Longest time until a rejection was received, in milliseconds.
     #[serde(rename = "slowest_refusal_ms")]
     pub max_rejection_ms: u64,
     #[serde(skip)]
@@ -54,7 +55,7 @@
 }
 
 impl ClientObservations {
-    /// A client was migrated.
+    /// Records the migration of a client at `now`.
     pub fn record_migration(&mut self, now: Micros) {
         self.migrations += 1;
         let count = self.migrations_by_second.entry(now / 1_000_000).or_default();
@@ -62,45 +63,46 @@
         self.max_migrations_per_second = self.max_migrations_per_second.max(*count);
     }
 
-    /// Every opening line must have had exactly one end.
+    /// Returns whether every request is counted with exactly one outcome.
     pub fn counts_are_consistent(&self) -> bool {
         self.requests == self.served + self.rejected + self.failed + self.unanswered + self.relay_died
     }
 }
 
-/// What endpoints and discovery have seen.
+/// What the endpoints and discovery have observed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EndpointObservations {
-    /// Opening lines that endpoints got.
+    /// Attempts: requests that endpoints received.
     pub attempts: u64,
-    /// Opening lines of a request while another attempt of it was out.
+    /// Attempts received while another attempt of the same request was not answered yet.
     pub overlapping_attempts: u64,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "most_attempts")]
     pub max_attempts: u32,
-    /// Opening lines that came later than the grace after the relay was told that the endpoint leaves.
+    /// Attempts received later than the grace period after the relay was notified that the endpoint drains.
     pub late_sends_to_draining: u64,
-    /// Cold endpoints that collapsed.
+    /// Endpoints that collapsed under load while they warmed up.
     #[serde(rename = "servers_pushed_over")]
     pub endpoints_collapsed: u64,
-    /// The largest share of a receiving zone's capacity that foreign connections held in any second.
+    /// Maximum share of a zone's capacity that was used by connections from relays of other zones.
     pub worst_spill: f64,
-    /// The zone of that.
+    /// Name of the zone in which `worst_spill` occurred; empty if there was no spill.
     #[serde(rename = "worst_spill_site")]
     pub worst_spill_zone: String,
-    /// The largest work sent to a returning endpoint over its present capacity within the rule's window.
+    /// Maximum rate of new work sent to a restarted endpoint while it warmed up, as a multiple of the rate it
+    /// could take.
     pub worst_return_multiple: f64,
-    /// Connection seconds that clients wanted, that were well served, and that capacity allowed at the most.
+    /// Seconds of connection time that clients wanted.
     pub wanted_s: f64,
-    /// See `wanted_s`.
+    /// Seconds of connection time in which endpoints answered in time.
     pub well_served_s: f64,
-    /// See `wanted_s`.
+    /// Seconds of well served connection time that the capacity allowed at most.
     #[serde(rename = "allowed_s")]
     pub attainable_s: f64,
-    /// The same for clients of the zones that are not lost.
+    /// `wanted_s` of clients in zones in which no endpoints failed.
     #[serde(rename = "others_wanted_s")]
     pub unaffected_wanted_s: f64,
-    /// See `unaffected_wanted_s`.
+    /// `well_served_s` of clients in zones in which no endpoints failed.
     #[serde(rename = "others_well_served_s")]
     pub unaffected_well_served_s: f64,
     /// Health checks that endpoints answered.
--- a/crates/testbed/src/report/site.rs
+++ b/crates/testbed/src/report/site.rs
@@ -1,4 +1,4 @@
-//! The report of a scenario run with real relays.
+//! The report of a scenario run with real relays (the sub-commands `site` and `try`).
 
 use serde::Serialize;
 
@@ -6,56 +6,57 @@
 use crate::report::observations::{ClientObservations, EndpointObservations};
 use crate::scenarios::run::ScenarioRun;
 
-/// The stated limit is on what relays can know: loads that change, and reports that are late, are given this much.
+/// Tolerance above the configured spill limit. Relays can enforce the limit only for the loads that they
+/// know, and load reports are delayed.
 pub const SPILL_SLACK: f64 = 0.03;
-/// The most attempts of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 6;
-/// The largest multiple of a returning endpoint's present capacity that it may be sent.
+/// Maximum rate of new work for a restarted endpoint that warms up, as a multiple of the rate it can take.
 const MAX_RETURN_MULTIPLE: f64 = 3.0;
 
-/// The run's figures, all counted by clients, endpoints and discovery.
+/// The results of a run, all counted by clients, endpoints and discovery.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// With this seed.
+    /// Random seed.
     pub seed: u64,
-    /// The part for zones was on.
+    /// Whether the relays ran with zone failover.
     #[serde(rename = "sites_on")]
     pub zone_failover_enabled: bool,
-    /// Relays and endpoints.
+    /// Number of relays.
     pub relays: usize,
-    /// See `relays`.
+    /// Number of endpoints.
     #[serde(rename = "servers")]
     pub endpoints: usize,
-    /// What clients have seen.
+    /// What the clients have observed.
     #[serde(flatten)]
     pub client_observations: ClientObservations,
-    /// What endpoints have seen.
+    /// What the endpoints and discovery have observed.
     #[serde(flatten)]
     pub endpoint_observations: EndpointObservations,
-    /// The limit on spill that is stated, as a part of a receiving zone's capacity.
+    /// Configured spill limit, as a share of a receiving zone's capacity.
     pub spill_limit: f64,
-    /// Share of wanted connection seconds that were well served.
+    /// Share of the wanted connection time in which endpoints answered in time.
     pub well_served: f64,
-    /// The share that capacity allowed at the most.
+    /// Maximum of `well_served` that the capacity allowed.
     #[serde(rename = "ceiling")]
     pub attainable_share: f64,
-    /// The same for clients of the zones that are not lost.
+    /// `well_served` of clients in zones in which no endpoints failed.
     #[serde(rename = "well_served_others")]
     pub well_served_unaffected: f64,
-    /// The rules that were broken; empty if all held.
+    /// The rules that were violated, each as a message with its value; empty if all held.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
 impl Report {
-    /// Adds up the observations of a run and judges its rules.
+    /// Creates the report of a run from the observations, and checks the rules.
     pub(crate) fn new(run: &ScenarioRun, environment: &Environment) -> Report {
         let (clients, endpoints) =
             (environment.client_observations.clone(), environment.endpoint_observations.clone());
         let wanted = endpoints.wanted_s.max(1e-9);
-        let violations = broken_rules(run, &clients, &endpoints);
+        let violations = violated_rules(run, &clients, &endpoints);
         Report {
             scenario: format!("{:?}", run.scenario).to_lowercase(),
             seed: run.seed,
@@ -74,49 +75,64 @@
     }
 }
 
-/// Returns the rules that a run has broken, each as a text with its figure.
-fn broken_rules(
+/// Returns a message with the measured value for each rule that a run violated.
+fn violated_rules(
     run: &ScenarioRun, clients: &ClientObservations, endpoints: &EndpointObservations,
 ) -> Vec<String> {
     let mut violations = Vec::new();
-    let mut require = |held: bool, rule: String| {
-        if !held {
-            violations.push(rule);
+    let mut require = |holds: bool, message: String| {
+        if !holds {
+            violations.push(message);
         }
     };
-    require(clients.counts_are_consistent(), "every head has exactly one end in the clients' book".into());
+    require(
+        clients.counts_are_consistent(),
+        "the outcomes that clients counted do not add up to their requests".into(),
+    );
     require(clients.unanswered == 0, format!("{} requests without an answer", clients.unanswered));
-    require(clients.duplicate_answers == 0, format!("{} second answers", clients.duplicate_answers));
+    require(
+        clients.duplicate_answers == 0,
+        format!("{} requests with a second answer", clients.duplicate_answers),
+    );
     require(
         clients.connections_cut_off == 0,
-        format!("{} sessions cut off without MOVE", clients.connections_cut_off),
+        format!("{} connections cut off without MOVE", clients.connections_cut_off),
+    );
+    require(
+        clients.unanswered_lines == 0,
+        format!("{} client lines without an answer", clients.unanswered_lines),
     );
-    require(clients.unanswered_lines == 0, format!("{} lines without an answer", clients.unanswered_lines));
     require(
         endpoints.overlapping_attempts == 0,
-        format!("{} overlapping attempts", endpoints.overlapping_attempts),
+        format!("{} attempts overlapped another attempt of their request", endpoints.overlapping_attempts),
     );
     require(
         endpoints.max_attempts <= MAX_ATTEMPTS,
-        format!("{} attempts of one request", endpoints.max_attempts),
+        format!("{} attempts of one request, more than {MAX_ATTEMPTS}", endpoints.max_attempts),
     );
     require(
         endpoints.late_sends_to_draining == 0,
-        format!("{} late sends to draining card servers", endpoints.late_sends_to_draining),
+        format!("{} attempts sent too late to draining endpoints", endpoints.late_sends_to_draining),
     );
     require(
         endpoints.endpoints_collapsed == 0,
-        format!("{} cold card servers fell over", endpoints.endpoints_collapsed),
+        format!("{} endpoints collapsed while they warmed up", endpoints.endpoints_collapsed),
     );
     require(
         endpoints.worst_return_multiple <= MAX_RETURN_MULTIPLE,
-        format!("{:.2} times a returning server's capacity", endpoints.worst_return_multiple),
+        format!(
+            "a restarted endpoint was sent {:.2} times the load it can take, more than {MAX_RETURN_MULTIPLE}",
+            endpoints.worst_return_multiple
+        ),
     );
     if run.sites_file.is_some() {
         let limit = run.spill_limit + SPILL_SLACK;
         require(
             endpoints.worst_spill <= limit,
-            format!("spill of {:.3} at {}", endpoints.worst_spill, endpoints.worst_spill_zone),
+            format!(
+                "spill of {:.3} of the capacity of {}, more than {limit:.3}",
+                endpoints.worst_spill, endpoints.worst_spill_zone
+            ),
         );
     }
     violations
--- a/crates/testbed/src/scenarios/fault_injector.rs
+++ b/crates/testbed/src/scenarios/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Applies the steps of a scenario to an environment and to the relays' processes.
+//! Applies the fault steps of a scenario to an environment and to the relay processes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,39 +17,39 @@
 use crate::emulators::relay_process::RelayLauncher;
 use crate::scenarios::scenario::FaultStep;
 
-/// Seconds after which discovery lists a dead endpoint as removed.
-const DEATH_NOTICE_S: Range<f64> = 1.5..5.8;
-/// Seconds after which discovery lists a returned endpoint as active.
-const RETURN_NOTICE_S: Range<f64> = 0.4..2.1;
-/// Seconds after which the front proxy notices that a relay is dead.
-const FRONT_PROXY_NOTICE_S: Range<f64> = 1.0..3.8;
-/// How long discovery goes on listing a silent endpoint.
-const SILENCE_NOTICE: Duration = Duration::from_secs(11);
-/// From the notice of a drain until the endpoint drains, and from there until it ends.
+/// Seconds from the death of an endpoint until discovery lists it as removed.
+const DEATH_DISCOVERY_DELAY_S: Range<f64> = 1.5..5.8;
+/// Seconds from the restart of an endpoint until discovery lists it as active.
+const RETURN_DISCOVERY_DELAY_S: Range<f64> = 0.4..2.1;
+/// Seconds from the death of a relay until the front proxy stops selecting it.
+const FRONT_PROXY_DETECTION_DELAY_S: Range<f64> = 1.0..3.8;
+/// How long discovery still lists an endpoint that has stopped responding.
+const SILENCE_DISCOVERY_DELAY: Duration = Duration::from_secs(11);
+/// Time from the publication of a drain until the endpoint begins to drain.
 const DRAIN_DELAY: Duration = Duration::from_millis(800);
-/// See `DRAIN_DELAY`.
+/// How long an endpoint drains before it stops.
 const DRAIN_DURATION: Duration = Duration::from_secs(4);
-/// Separates the random draws of steps from those of other parts.
-const RNG_PART: u64 = 0x57e9;
+/// First random number stream of the fault steps; other parts of the environment use other streams.
+const RNG_STREAM: u64 = 0x57e9;
 
-/// Injects faults into an environment; owns the relays' processes.
+/// Injects faults into an environment and owns the relay processes.
 pub(super) struct FaultInjector {
     environment: SharedEnvironment,
     launcher: RelayLauncher,
-    /// The relays' processes by number; one that is killed is missing.
+    /// The running relay processes, by relay index.
     relays: RefCell<BTreeMap<usize, Child>>,
 }
 
 impl FaultInjector {
-    /// Creates an injector without relays.
+    /// Creates a fault injector; no relays are started yet.
     pub(super) fn new(environment: SharedEnvironment, launcher: RelayLauncher) -> FaultInjector {
         FaultInjector { environment, launcher, relays: RefCell::default() }
     }
 
-    /// Starts relays one after another, each once the one before answers.
+    /// Starts `count` relays one after another; each must answer before the next one is started.
     ///
     /// # Errors
-    /// A text where a relay does not start.
+    /// Returns a message if a relay does not start.
     pub(super) async fn start_relays(&self, count: usize) -> Result<(), String> {
         for relay in 0..count {
             self.start_relay(relay, 0).await?;
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// Kills all relays that are left.
+    /// Kills all running relays.
     pub(super) async fn kill_all_relays(&self) {
         let children: Vec<Child> = self.relays.take().into_values().collect();
         for mut child in children {
@@ -72,10 +72,10 @@
         Ok(())
     }
 
-    /// Applies one step; what follows later from it runs in tasks of its own.
+    /// Applies one step. Delayed effects, such as updates of the endpoint list, run in background tasks.
     pub(super) async fn apply(self: &Rc<Self>, step: FaultStep) {
         let events = self.environment.borrow().events.len() as u64;
-        let mut rng = self.environment.borrow().rng(RNG_PART + events);
+        let mut rng = self.environment.borrow().rng(RNG_STREAM + events);
         match step {
             FaultStep::Kill { zone, survivors } => self.kill_endpoints(zone, survivors, &mut rng),
             FaultStep::Silence(zone) => self.silence_endpoints(zone),
@@ -91,23 +91,23 @@
     fn kill_endpoints(&self, zone: usize, survivors: usize, rng: &mut Pcg64Mcg) {
         let endpoints: Vec<usize> =
             self.environment.borrow().zone_endpoints(zone).into_iter().skip(survivors).collect();
-        self.record_event(zone, &format!("{} card servers die", endpoints.len()));
+        self.record_event(zone, &format!("{} endpoints die", endpoints.len()));
         self.end_endpoints(&endpoints, ProcessState::Dead);
-        self.publish_later(endpoints, "left", random_delay(rng, DEATH_NOTICE_S), ProcessState::Dead);
+        self.publish_later(endpoints, "left", random_delay(rng, DEATH_DISCOVERY_DELAY_S), ProcessState::Dead);
     }
 
     fn silence_endpoints(&self, zone: usize) {
         let endpoints = self.environment.borrow().zone_endpoints(zone);
-        self.record_event(zone, &format!("{} card servers fall silent", endpoints.len()));
+        self.record_event(zone, &format!("{} endpoints stop responding", endpoints.len()));
         self.end_endpoints(&endpoints, ProcessState::Silent);
-        self.publish_later(endpoints, "left", SILENCE_NOTICE, ProcessState::Silent);
+        self.publish_later(endpoints, "left", SILENCE_DISCOVERY_DELAY, ProcessState::Silent);
     }
 
     fn return_endpoints(&self, zone: usize, max_count: usize, in_one_update: bool, rng: &mut Pcg64Mcg) {
         let endpoints = self.environment.borrow().zone_endpoints(zone);
         let down = |endpoint: &usize| self.process_state(*endpoint) != ProcessState::Serving;
         let endpoints: Vec<usize> = endpoints.into_iter().filter(down).take(max_count).collect();
-        self.record_event(zone, &format!("{} card servers come back", endpoints.len()));
+        self.record_event(zone, &format!("{} endpoints restart", endpoints.len()));
         for endpoint in &endpoints {
             self.environment.borrow_mut().restart_endpoint(*endpoint);
         }
@@ -116,47 +116,49 @@
             false => endpoints.into_iter().map(|endpoint| vec![endpoint]).collect(),
         };
         for update in updates {
-            let delay = random_delay(rng, RETURN_NOTICE_S);
+            let delay = random_delay(rng, RETURN_DISCOVERY_DELAY_S);
             self.publish_later(update, "active", delay, ProcessState::Serving);
         }
     }
 
-    /// Kills every second relay, the lost zone's own among them, and starts them again after `downtime`.
+    /// Kills every second relay, including relays of the zone that fails, and restarts them after `downtime`.
     async fn kill_relays(self: &Rc<Self>, downtime: Duration, rng: &mut Pcg64Mcg) {
         let all = self.environment.borrow().size.relays;
-        let victims: Vec<usize> = (0..all).filter(|relay| relay % 2 == 0).collect();
-        self.environment.borrow_mut().record_event(format!("{} of {all} relays are killed", victims.len()));
-        for relay in victims {
+        let killed_relays: Vec<usize> = (0..all).filter(|relay| relay % 2 == 0).collect();
+        self.environment
+            .borrow_mut()
+            .record_event(format!("{} of {all} relays are killed", killed_relays.len()));
+        for relay in killed_relays {
             let child = self.relays.borrow_mut().remove(&relay);
             self.environment.borrow_mut().relay_kills[relay] += 1;
             if let Some(mut child) = child {
                 let _ = child.kill().await;
             }
-            let noticed_after = random_delay(rng, FRONT_PROXY_NOTICE_S);
-            spawn_local(self.clone().restart_relay(relay, downtime, noticed_after));
+            let detection_delay = random_delay(rng, FRONT_PROXY_DETECTION_DELAY_S);
+            spawn_local(self.clone().restart_relay(relay, downtime, detection_delay));
         }
     }
 
-    async fn restart_relay(self: Rc<Self>, relay: usize, downtime: Duration, noticed_after: Duration) {
-        sleep(noticed_after.min(downtime)).await;
+    async fn restart_relay(self: Rc<Self>, relay: usize, downtime: Duration, detection_delay: Duration) {
+        sleep(detection_delay.min(downtime)).await;
         self.environment.borrow_mut().front_proxy.set_believed_alive(relay, false);
-        sleep(downtime.saturating_sub(noticed_after)).await;
+        sleep(downtime.saturating_sub(detection_delay)).await;
         let incarnation = self.environment.borrow().relay_kills[relay];
         match self.start_relay(relay, incarnation).await {
-            Ok(()) => self.environment.borrow_mut().record_event(format!("relay n{relay} is back")),
+            Ok(()) => self.environment.borrow_mut().record_event(format!("relay n{relay} has restarted")),
             Err(error) => self.environment.borrow_mut().record_event(error),
         }
     }
 
     fn change_arrivals(&self, zone: usize, factor: f64) {
-        self.record_event(zone, &format!("traffic is {factor} times the usual"));
+        self.record_event(zone, &format!("the rate of new clients is now {factor} times the normal rate"));
         self.environment.borrow_mut().arrival_factor[zone] = factor;
     }
 
     fn drain_endpoint(&self, zone: usize) {
         let endpoint = self.environment.borrow().zone_endpoints(zone).into_iter().next();
         let Some(endpoint) = endpoint else { return };
-        self.record_event(zone, "a card server drains");
+        self.record_event(zone, "an endpoint drains");
         self.environment.borrow_mut().publish(&[endpoint], "leaving");
         let environment = self.environment.clone();
         spawn_local(async move {
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Publishes a state of endpoints after a delay, of those that are then still in the process state `expected`.
+    /// After `delay`, publishes `state` for those of the endpoints whose process state is still `expected`.
     fn publish_later(
         &self, endpoints: Vec<usize>, state: &'static str, delay: Duration, expected: ProcessState,
     ) {
--- a/crates/testbed/src/scenarios/run.rs
+++ b/crates/testbed/src/scenarios/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario on an environment with real relays and gathers the observations.
+//! Runs a scenario with real relays in an emulated environment and collects the observations.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -14,53 +14,57 @@
 use crate::scenarios::fault_injector::FaultInjector;
 use crate::scenarios::scenario::{FaultStep, Scenario};
 
-/// How often the observations are added up.
+/// Interval at which the observations are updated.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the relays go on after the scenario, so that requests in flight are answered.
-const ANSWER_TIME: Duration = Duration::from_millis(1_600);
-/// The same where the run was stopped early.
-const STOPPED_ANSWER_TIME: Duration = Duration::from_millis(100);
+/// How long the relays keep running after the scenario, so that requests in flight are still answered.
+const FINAL_ANSWER_WAIT: Duration = Duration::from_millis(1_600);
+/// How long the relays keep running after a run that was stopped early.
+const STOPPED_FINAL_ANSWER_WAIT: Duration = Duration::from_millis(100);
 
-/// A scenario and the environment it runs in.
+/// A scenario, and the environment in which it runs.
 #[derive(Clone, Debug)]
 pub struct ScenarioRun {
-    /// The environment's size.
+    /// Size of the environment.
     pub size: EnvironmentSize,
-    /// What goes wrong.
+    /// The scenario.
     pub scenario: Scenario,
-    /// Seeds the environment, the clients and the relays.
+    /// Random seed of the environment, the clients and the relays.
     pub seed: u64,
-    /// The operator file for zones; none where that part is off.
+    /// Path of the `sites.conf` operator file; `None` if the relays run without zone failover.
     pub sites_file: Option<PathBuf>,
-    /// The spill limit that the operator file states, a part of 1.
+    /// Spill limit of the operator file, as a share (0 to 1) of a receiving zone's capacity.
     pub spill_limit: f64,
-    /// Ends the run earlier.
+    /// Ends the run after this time if the scenario lasts longer; `None` to run the whole scenario.
     pub max_duration: Option<Duration>,
-    /// Keeps the relays' logs in this folder.
+    /// Folder in which the relays' logs are kept; `None` to delete them after the run.
     pub log_folder: Option<PathBuf>,
 }
 
-/// Why the observation of a run ended.
+/// Why a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunEnd {
-    /// The scenario is over.
+    /// The scenario has finished.
     Finished,
-    /// The caller has stopped it.
+    /// The caller stopped the run.
     Stopped,
 }
 
-/// Runs a scenario; `on_observed` is called with the environment every 250 ms, and `stop` ends the run early.
+/// Runs a scenario. `on_observed` is called with the environment every 250 ms; the run ends early when `stop`
+/// resolves.
 ///
 /// # Errors
-/// A text where the relay's program is missing, a file cannot be written, an address is taken or a relay does not start.
+/// Returns a message if the relay program is missing, a file cannot be written, an address is already in use
+/// or a relay does not start.
 pub async fn run_scenario(
     run: &ScenarioRun, on_observed: impl FnMut(&Environment), stop: impl Future<Output = ()>,
 ) -> Result<Report, String> {
     let program = relay_program()?;
-    let folder = tempfile::tempdir().map_err(|e| format!("no folder for the relays' files: {e}"))?;
+    let folder = tempfile::tempdir()
+        .map_err(|e| format!("cannot create a temporary folder for the relays' files: {e}"))?;
     let environment = Environment::new(run.size.clone(), run.seed);
     let log_folder = run.log_folder.clone().unwrap_or_else(|| folder.path().to_owned());
-    std::fs::create_dir_all(&log_folder).map_err(|e| format!("{}: {e}", log_folder.display()))?;
+    std::fs::create_dir_all(&log_folder)
+        .map_err(|e| format!("cannot create the log folder {}: {e}", log_folder.display()))?;
     let launcher = RelayLauncher::new(&environment, program, &log_folder, run.sites_file.clone());
     start_emulators(&environment, &run.size).await?;
     let injector = Rc::new(FaultInjector::new(environment.clone(), launcher));
@@ -77,9 +81,9 @@
     let length = run.max_duration.map_or(scenario_length, |max_duration| scenario_length.min(max_duration));
     spawn_local(inject_faults(injector.clone(), began, steps));
     let end = observe(&environment, began + length, on_observed, stop).await;
-    // Answers that are still owed come before the relays end.
+    // Requests in flight are answered before the relays are killed.
     environment.borrow_mut().closing = true;
-    sleep(if end == RunEnd::Stopped { STOPPED_ANSWER_TIME } else { ANSWER_TIME }).await;
+    sleep(if end == RunEnd::Stopped { STOPPED_FINAL_ANSWER_WAIT } else { FINAL_ANSWER_WAIT }).await;
     let collapsed = environment.borrow().collapsed_endpoints();
     environment.borrow_mut().endpoint_observations.endpoints_collapsed += collapsed;
     let report = Report::new(run, &environment.borrow());
@@ -87,19 +91,21 @@
     Ok(report)
 }
 
-/// Starts the endpoints' listeners and a discovery address for each relay.
+/// Starts the listeners of all endpoints, and one discovery listener for each relay.
 async fn start_emulators(environment: &SharedEnvironment, size: &EnvironmentSize) -> Result<(), String> {
     for index in 0..size.endpoints {
         endpoint::start(environment, index);
     }
     for relay in 0..size.relays {
         let served = discovery::serve(environment.clone(), relay).await;
-        served.map_err(|e| format!("the roll at {}: {e}", environment.borrow().discovery_address(relay)))?;
+        served.map_err(|e| {
+            format!("cannot start discovery at {}: {e}", environment.borrow().discovery_address(relay))
+        })?;
     }
     Ok(())
 }
 
-/// Takes each step of a scenario at its time after `began`.
+/// Applies each step of a scenario at its time after `began`.
 async fn inject_faults(injector: Rc<FaultInjector>, began: Instant, steps: Vec<(Duration, FaultStep)>) {
     for (at, step) in steps {
         sleep_until(began + at).await;
@@ -107,7 +113,7 @@
     }
 }
 
-/// Adds up the observations until `end`, or until `stop` resolves.
+/// Updates the observations at intervals until `end`, or until `stop` resolves.
 async fn observe(
     environment: &SharedEnvironment, end: Instant, mut on_observed: impl FnMut(&Environment),
     stop: impl Future<Output = ()>,
@@ -118,9 +124,9 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                let passed = last.elapsed();
+                let elapsed = last.elapsed();
                 last = Instant::now();
-                environment.borrow_mut().record_observations(passed);
+                environment.borrow_mut().record_observations(elapsed);
                 on_observed(&environment.borrow());
                 if Instant::now() >= end {
                     return RunEnd::Finished;
--- a/crates/testbed/src/scenarios/scenario.rs
+++ b/crates/testbed/src/scenarios/scenario.rs
@@ -1,124 +1,140 @@
-//! What goes wrong, and when: each scenario is a list of steps at times.
+//! The scenarios: each is a list of fault steps, with the time at which each step is applied.
 
 use std::time::Duration;
 
 use clap::ValueEnum;
 
-/// A run on which a zone is lost and regained.
+/// A scenario, usually one in which a zone fails and recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// A zone's endpoints die at once; they come back one after another.
+    /// All endpoints of a zone die at once and return one by one.
     Lost,
-    /// They fall silent; discovery lists them for 11 s more.
+    /// All endpoints of a zone stop responding; discovery lists them for another 11 s.
     Silent,
-    /// All but one of them die.
+    /// All but one of a zone's endpoints die and return one by one.
     Partial,
-    /// Discovery names all that come back in one version, to all relays in the same instant.
+    /// A zone's endpoints die and return in a single endpoint list update, sent to all relays at the same
+    /// time.
     Together,
-    /// It is lost and regained twice within a minute, and lost again in the middle of its way back.
+    /// A zone fails three times in a row, each time before it has fully recovered.
     Flap,
-    /// Two zones are lost together.
+    /// Two zones fail at the same time.
     Two,
-    /// Half of the relays are killed during the way back, and return with an old roll.
+    /// Half of the relays are killed while a zone recovers, and restart with an outdated endpoint list.
     Relays,
-    /// Traffic at a receiving zone jumps to 2.2 times the usual while it holds spill, and one of its endpoints drains.
+    /// While a zone is down, traffic in a zone that receives its spill rises to 2.2 times the normal rate,
+    /// and an endpoint of a third zone drains.
     Surge,
-    /// Nothing goes wrong.
+    /// No faults.
     Calm,
-    /// A zone is lost and regained within seconds, for tests.
+    /// A zone fails after 4 s and returns after 10 s, for tests.
     Short,
-    /// The same, and time to look at it.
+    /// The same faults as `short`, in a longer run for watching.
     Show,
 }
 
-/// Something that happens to the environment.
+/// A fault, or its end, applied to the environment. Zones are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultStep {
-    /// Endpoints of a zone die, all but so many.
+    /// Kills the endpoints of a zone, except `survivors` of them.
     Kill {
-        /// The zone.
+        /// Index of the zone.
         zone: usize,
-        /// How many live on.
+        /// Number of endpoints that keep running.
         survivors: usize,
     },
-    /// A zone's endpoints fall silent.
+    /// The endpoints of a zone stop responding without closing their connections.
     Silence(usize),
-    /// The first so many of a zone's endpoints that are down come back.
+    /// Restarts the endpoints of a zone that are down, at most `max_count` of them.
     Return {
-        /// The zone.
+        /// Index of the zone.
         zone: usize,
-        /// How many come back at the most.
+        /// Maximum number of endpoints that are restarted.
         max_count: usize,
-        /// Discovery learns of all at once.
+        /// Whether discovery publishes all of them in one update instead of one by one.
         in_one_update: bool,
     },
-    /// Half of the relays are killed, and come back later.
+    /// Kills half of the relays and restarts them after this time.
     KillRelays(Duration),
-    /// A zone's arrivals are this multiple of the usual.
+    /// Sets the rate of new clients in a zone to this multiple of the normal rate.
     Surge(usize, f64),
-    /// One of a zone's endpoints drains, and stops after a while.
+    /// Drains one endpoint of a zone and then stops it.
     Drain(usize),
 }
 
 impl FaultStep {
-    /// Whether endpoints of a zone are lost by it.
+    /// Returns whether this step makes endpoints of `zone` fail.
     pub fn kills_endpoints_of(&self, zone: usize) -> bool {
         matches!(self, FaultStep::Kill { zone: s, .. } | FaultStep::Silence(s) if *s == zone)
     }
 }
 
 impl Scenario {
-    /// Its steps, for an environment of four zones or more in which the third is the one that is lost. `end` is how long it lasts.
+    /// Returns the steps, each with its time since the start, and the duration of the scenario.
+    ///
+    /// The environment must have at least four zones; the third one fails.
     pub fn steps(self) -> (Vec<(Duration, FaultStep)>, Duration) {
-        const LOST: usize = 2;
-        const OTHER: usize = 3;
-        const NEAR: usize = 1;
+        const LOST_ZONE: usize = 2;
+        const SECOND_LOST_ZONE: usize = 3;
+        const RECEIVING_ZONE: usize = 1;
         let at = Duration::from_secs;
-        let back = |zone| FaultStep::Return { zone, max_count: usize::MAX, in_one_update: false };
+        let restore = |zone| FaultStep::Return { zone, max_count: usize::MAX, in_one_update: false };
         let kill = |zone| FaultStep::Kill { zone, survivors: 0 };
         match self {
-            Scenario::Lost => (vec![(at(12), kill(LOST)), (at(28), back(LOST))], at(65)),
-            Scenario::Silent => (vec![(at(12), FaultStep::Silence(LOST)), (at(32), back(LOST))], at(70)),
-            Scenario::Partial => {
-                (vec![(at(12), FaultStep::Kill { zone: LOST, survivors: 1 }), (at(30), back(LOST))], at(65))
+            Scenario::Lost => (vec![(at(12), kill(LOST_ZONE)), (at(28), restore(LOST_ZONE))], at(65)),
+            Scenario::Silent => {
+                (vec![(at(12), FaultStep::Silence(LOST_ZONE)), (at(32), restore(LOST_ZONE))], at(70))
             }
+            Scenario::Partial => (
+                vec![
+                    (at(12), FaultStep::Kill { zone: LOST_ZONE, survivors: 1 }),
+                    (at(30), restore(LOST_ZONE)),
+                ],
+                at(65),
+            ),
             Scenario::Together => {
-                let back = FaultStep::Return { zone: LOST, max_count: usize::MAX, in_one_update: true };
-                (vec![(at(12), kill(LOST)), (at(28), back)], at(65))
+                let restore =
+                    FaultStep::Return { zone: LOST_ZONE, max_count: usize::MAX, in_one_update: true };
+                (vec![(at(12), kill(LOST_ZONE)), (at(28), restore)], at(65))
             }
             Scenario::Flap => {
-                let half = FaultStep::Return { zone: LOST, max_count: 2, in_one_update: true };
-                let steps =
-                    [(10, kill(LOST)), (16, half), (22, kill(LOST)), (30, back(LOST)), (36, kill(LOST))];
+                let restore_two = FaultStep::Return { zone: LOST_ZONE, max_count: 2, in_one_update: true };
+                let steps = [
+                    (10, kill(LOST_ZONE)),
+                    (16, restore_two),
+                    (22, kill(LOST_ZONE)),
+                    (30, restore(LOST_ZONE)),
+                    (36, kill(LOST_ZONE)),
+                ];
                 let mut steps: Vec<_> = steps.into_iter().map(|(s, step)| (at(s), step)).collect();
-                steps.push((at(42), back(LOST)));
+                steps.push((at(42), restore(LOST_ZONE)));
                 (steps, at(85))
             }
             Scenario::Two => {
                 let steps = vec![
-                    (at(12), kill(LOST)),
-                    (at(12), kill(OTHER)),
-                    (at(30), back(LOST)),
-                    (at(32), back(OTHER)),
+                    (at(12), kill(LOST_ZONE)),
+                    (at(12), kill(SECOND_LOST_ZONE)),
+                    (at(30), restore(LOST_ZONE)),
+                    (at(32), restore(SECOND_LOST_ZONE)),
                 ];
                 (steps, at(75))
             }
             Scenario::Relays => {
                 let relays = FaultStep::KillRelays(Duration::from_millis(3_000));
-                (vec![(at(12), kill(LOST)), (at(27), back(LOST)), (at(31), relays)], at(70))
+                (vec![(at(12), kill(LOST_ZONE)), (at(27), restore(LOST_ZONE)), (at(31), relays)], at(70))
             }
             Scenario::Surge => {
                 let steps = vec![
-                    (at(12), kill(LOST)),
-                    (at(18), FaultStep::Surge(NEAR, 2.2)),
+                    (at(12), kill(LOST_ZONE)),
+                    (at(18), FaultStep::Surge(RECEIVING_ZONE, 2.2)),
                     (at(20), FaultStep::Drain(0)),
-                    (at(27), FaultStep::Surge(NEAR, 1.0)),
-                    (at(34), back(LOST)),
+                    (at(27), FaultStep::Surge(RECEIVING_ZONE, 1.0)),
+                    (at(34), restore(LOST_ZONE)),
                 ];
                 (steps, at(70))
             }
-            Scenario::Short => (vec![(at(4), kill(LOST)), (at(10), back(LOST))], at(18)),
-            Scenario::Show => (vec![(at(4), kill(LOST)), (at(10), back(LOST))], at(60)),
+            Scenario::Short => (vec![(at(4), kill(LOST_ZONE)), (at(10), restore(LOST_ZONE))], at(18)),
+            Scenario::Show => (vec![(at(4), kill(LOST_ZONE)), (at(10), restore(LOST_ZONE))], at(60)),
             Scenario::Calm => (Vec::new(), at(40)),
         }
     }
--- a/crates/testbed/src/scenarios/simulation/arrivals.rs
+++ b/crates/testbed/src/scenarios/simulation/arrivals.rs
@@ -1,4 +1,4 @@
-//! New clients of a simulation.
+//! Generates the new clients of a simulation.
 
 use honeyknot_balancer::Micros;
 use rand_distr::{Distribution, Exp, LogNormal, Poisson, Zipf};
@@ -7,22 +7,22 @@
 use super::state::{Client, SimulationRun};
 use super::{CLOCK_STEP, Simulation};
 
-/// How long a client wants its connection on average, in seconds.
+/// Mean time for which a client wants its connection, in seconds.
 const MEAN_CONNECTION_S: f64 = 35.0;
-/// The shortest time that a client wants its connection, in seconds.
+/// Minimum time for which a client wants its connection, in seconds.
 const MIN_CONNECTION_S: f64 = 2.0;
-/// The heaviest connection, in usual connections.
+/// Maximum load of a connection, in average connections.
 const MAX_CONNECTION_LOAD: f64 = 4.0;
-/// Neighbouring zones whose clients share affinity groups.
+/// Number of adjacent zones whose clients share affinity groups.
 const ZONES_PER_AFFINITY_GROUP: usize = 4;
-/// Affinity groups for each endpoint of the zones that share them.
+/// Number of affinity groups per endpoint of the zones that share them.
 const AFFINITY_GROUPS_PER_ENDPOINT: f64 = 0.8;
-/// The fewest affinity groups.
+/// Minimum number of affinity groups.
 const MIN_AFFINITY_GROUPS: f64 = 4.0;
 
-/// The distributions that new clients are drawn from.
+/// The random distributions from which new clients are drawn.
 pub(super) struct ClientGenerator {
-    /// New clients a second in all.
+    /// New clients per second in all zones.
     clients_per_second: f64,
     duration_s: Exp<f64>,
     affinity_group: Zipf<f64>,
@@ -30,7 +30,7 @@
 }
 
 impl ClientGenerator {
-    /// Creates the distributions for a fleet of that capacity, in usual connections.
+    /// Creates the distributions for a fleet of the given capacity, in average connections.
     pub(super) fn new(simulation: &Simulation, capacity: f64) -> Result<ClientGenerator, String> {
         let affinity_groups = (simulation.endpoints as f64 / simulation.zones as f64
             * ZONES_PER_AFFINITY_GROUP as f64
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Draws a client of a relay of `site` that comes at `now`.
+    /// Draws a client that connects to `relay` in `zone` at `now`.
     fn client(&self, rng: &mut Pcg64Mcg, now: Micros, relay: usize, zone: usize) -> Client {
         let seconds = self.duration_s.sample(rng).clamp(MIN_CONNECTION_S, 4.0 * MEAN_CONNECTION_S);
         Client {
@@ -58,7 +58,7 @@
 }
 
 impl SimulationRun {
-    /// Draws the clients that come in this step of the clock, and lets them ask.
+    /// Draws the new clients of this clock step and requests a connection for each.
     pub(super) fn connect_new_clients(&mut self, clients: &ClientGenerator) {
         for relay in 0..self.relays.len() {
             let zone = self.home_zone(relay);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Lets the clients ask again whose time to reconnect has come.
+    /// Requests a new connection for each client whose reconnect delay has passed.
     pub(super) fn reconnect_due_clients(&mut self) {
         while let Some(entry) = self.reconnecting.first_entry() {
             if entry.key().0 > self.now {
--- a/crates/testbed/src/scenarios/simulation/connections.rs
+++ b/crates/testbed/src/scenarios/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! How a simulated client gets, loses and asks again for a connection.
+//! Opens, ends and retries the connections of simulated clients.
 
 use std::cmp::Reverse;
 use std::ops::Range;
@@ -11,26 +11,26 @@
 use super::state::{Client, ConnectionEnd, EstablishedConnection, SimulationRun};
 use crate::emulators::endpoint_model::{Admission, ConnectionLoad};
 
-/// What a client waits for that an endpoint has rejected.
+/// Delay before a client retries after an endpoint rejected it, in microseconds.
 const REJECTED_RETRY_AFTER: Micros = 300_000;
-/// What a client waits for whose connection broke or was migrated.
+/// Delay before a client reconnects after its connection broke or was migrated, in microseconds.
 const RECONNECT_DELAY: Range<Micros> = 52_000..520_000;
-/// Endpoints that an affinity group prefers.
+/// Number of endpoints that an affinity group prefers.
 const PREFERRED_ENDPOINTS: usize = 4;
-/// Load over capacity up to which a preferred endpoint is chosen.
-const PREFERRED_MAX_LOAD: f64 = 0.65;
-/// Endpoints that are compared where no preferred one is chosen.
+/// Utilization below which a preferred endpoint is chosen.
+const PREFERRED_MAX_UTILIZATION: f64 = 0.65;
+/// Number of random endpoints to compare if no preferred one is chosen.
 const RANDOM_CANDIDATES: usize = 3;
-/// Load over capacity at which endpoints reject.
-const REJECT_LOAD: f64 = 1.5;
+/// Utilization from which endpoints reject connections.
+const REJECT_UTILIZATION: f64 = 1.5;
 
-/// Returns the number by which an endpoint's model knows a connection.
+/// Returns the number that identifies a connection in the model of its endpoint.
 fn connection_number(relay: usize, id: RequestId) -> u64 {
     u64::from(id.0) << 16 | relay as u64
 }
 
 impl SimulationRun {
-    /// Asks the client's relay for a connection.
+    /// Requests a connection from the client's relay.
     pub(super) fn request_connection(&mut self, client: Client) {
         self.report.requests += 1;
         let affinity_group = AffinityGroup(format!("{:x}", client.affinity_group).into());
@@ -47,23 +47,23 @@
         self.open_connection(client, endpoint, &affinity_group);
     }
 
-    /// Opens a connection at the chosen endpoint, or lets the client come back later.
+    /// Opens a connection at the chosen endpoint; if that fails, the client reconnects later.
     fn open_connection(&mut self, client: Client, endpoint: usize, affinity_group: &AffinityGroup) {
         self.serial += 1;
         let (id, relay) = (RequestId(self.serial as u32), client.relay);
         let endpoint_id = self.endpoints[endpoint].id.clone();
         self.relays[relay].attempt_started(self.now, id, &endpoint_id, Some(affinity_group));
         let home = self.home_zone(relay);
-        if !self.endpoints[endpoint].up {
-            let mut out = Vec::new();
+        if !self.endpoints[endpoint].is_running {
+            let mut actions = Vec::new();
             self.relays[relay].connection_ended(id);
             self.relays[relay].endpoint_signal_received(
                 self.now,
                 &endpoint_id,
                 EndpointSignal::Unresponsive,
-                &mut out,
+                &mut actions,
             );
-            self.perform(relay, out);
+            self.perform(relay, actions);
             return self.reconnect_later(client);
         }
         let connection = ConnectionLoad {
@@ -80,17 +80,17 @@
         self.report.served += 1;
         self.relays[relay].connection_established(self.now, id);
         self.relays[relay].connection_load_reported(id, client.load * 1e3);
-        self.ends.push(Reverse(ConnectionEnd { due: client.until, relay, id }));
+        self.connection_ends.push(Reverse(ConnectionEnd { due: client.until, relay, id }));
         self.established.insert((relay, id), EstablishedConnection { client, endpoint });
     }
 
-    /// Ends the connections whose clients have had what they wanted.
+    /// Ends the connections that their clients no longer need.
     pub(super) fn end_due_connections(&mut self) {
-        while let Some(Reverse(ConnectionEnd { due, relay, id })) = self.ends.peek().copied() {
+        while let Some(Reverse(ConnectionEnd { due, relay, id })) = self.connection_ends.peek().copied() {
             if due > self.now {
                 return;
             }
-            self.ends.pop();
+            self.connection_ends.pop();
             self.remove(relay, id);
         }
     }
@@ -103,22 +103,23 @@
         Some(established.client)
     }
 
-    /// Counts a rejection; the client comes back after `retry_after`.
+    /// Counts a rejection; the client retries after `retry_after`.
     fn reject(&mut self, client: Client, retry_after: Micros) {
         self.report.rejected += 1;
         self.serial += 1;
         self.reconnecting.insert((self.now + retry_after, self.serial), client);
     }
 
-    /// Lets a client come back after a random delay.
+    /// Lets a client reconnect after a random delay.
     pub(super) fn reconnect_later(&mut self, client: Client) {
         self.serial += 1;
         let wait = self.rng.random_range(RECONNECT_DELAY);
         self.reconnecting.insert((self.now + wait, self.serial), client);
     }
 
-    /// Chooses an endpoint of the allowed zones: the first of the affinity group's that is lightly loaded, or the one of some
-    /// random ones that has most spare capacity. The affinity group's rank first by a hash that all relays share.
+    /// Chooses an endpoint in one of the allowed zones: the first of the affinity group's preferred endpoints
+    /// that is lightly loaded, else the one with the most spare capacity among some random ones. The order of
+    /// preference is a hash of endpoint and affinity group, the same for all relays.
     fn choose_endpoint(
         &mut self, relay: usize, allowed_zones: ZoneSet, affinity_group: u64,
     ) -> Option<usize> {
@@ -129,15 +130,16 @@
         ranked.sort_unstable();
         let spare_capacity = |n: &usize| {
             let model = &self.endpoints[*n].model;
-            (REJECT_LOAD - model.utilization(self.now)) * model.capacity(self.now)
+            (REJECT_UTILIZATION - model.utilization(self.now)) * model.capacity(self.now)
         };
-        let lightly_loaded = |n: &usize| self.endpoints[*n].model.utilization(self.now) < PREFERRED_MAX_LOAD;
+        let lightly_loaded =
+            |n: &usize| self.endpoints[*n].model.utilization(self.now) < PREFERRED_MAX_UTILIZATION;
         let first = ranked.iter().map(|(_, n)| *n).take(PREFERRED_ENDPOINTS).find(lightly_loaded);
         let random = (0..RANDOM_CANDIDATES).map(|_| endpoints[self.rng.random_range(0..endpoints.len())]);
         first.or_else(|| random.max_by(|a, b| spare_capacity(a).total_cmp(&spare_capacity(b))))
     }
 
-    /// Chooses the relay's own zone if that is allowed, else a random allowed one.
+    /// Chooses the home zone of the relay if it is allowed, else a random allowed zone.
     fn choose_zone(&mut self, relay: usize, allowed_zones: ZoneSet) -> Option<usize> {
         let home = self.home_zone(relay);
         if allowed_zones.contains(Some(ZoneId(home))) {
--- a/crates/testbed/src/scenarios/simulation/faults.rs
+++ b/crates/testbed/src/scenarios/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The steps of a scenario, applied to simulated endpoints.
+//! Applies the fault steps of a scenario to simulated endpoints.
 
 use honeyknot_balancer::{EndpointState, RequestId};
 
@@ -12,44 +12,46 @@
         let zones = self.zones();
         match step {
             FaultStep::Kill { zone, survivors } => {
-                let down: Vec<usize> = self.by_zone[zone % zones].iter().copied().skip(survivors).collect();
-                self.end(&down);
-                self.publish(&down, EndpointState::Removed, false);
+                let stopped: Vec<usize> =
+                    self.by_zone[zone % zones].iter().copied().skip(survivors).collect();
+                self.stop_endpoints(&stopped);
+                self.publish(&stopped, EndpointState::Removed, false);
             }
             FaultStep::Silence(zone) => {
-                let down = self.by_zone[zone % zones].clone();
-                self.end(&down);
+                let stopped = self.by_zone[zone % zones].clone();
+                self.stop_endpoints(&stopped);
             }
             FaultStep::Return { zone, max_count, in_one_update } => {
-                let back = self.by_zone[zone % zones].iter().copied().filter(|n| !self.endpoints[*n].up);
-                let back: Vec<usize> = back.take(max_count).collect();
-                for endpoint in &back {
+                let returning =
+                    self.by_zone[zone % zones].iter().copied().filter(|n| !self.endpoints[*n].is_running);
+                let returning: Vec<usize> = returning.take(max_count).collect();
+                for endpoint in &returning {
                     let endpoint = &mut self.endpoints[*endpoint];
                     endpoint.model = EndpointModel::new(endpoint.model.parameters().clone(), self.now);
-                    endpoint.up = true;
+                    endpoint.is_running = true;
                 }
-                self.publish(&back, EndpointState::Ready, in_one_update);
+                self.publish(&returning, EndpointState::Ready, in_one_update);
             }
-            // `simulate` rejects the scenarios that have it.
+            // `simulate` rejects scenarios with this step.
             FaultStep::KillRelays(_) => {}
             FaultStep::Surge(zone, factor) => self.arrival_factor[zone % zones] = factor,
             FaultStep::Drain(zone) => {
-                let one: Vec<usize> = self.by_zone[zone % zones].iter().copied().take(1).collect();
-                self.publish(&one, EndpointState::Draining, true);
+                let drained: Vec<usize> = self.by_zone[zone % zones].iter().copied().take(1).collect();
+                self.publish(&drained, EndpointState::Draining, true);
             }
         }
     }
 
-    /// Ends the processes of endpoints and breaks their connections.
-    fn end(&mut self, endpoints: &[usize]) {
+    /// Stops these endpoints and breaks their connections.
+    fn stop_endpoints(&mut self, endpoints: &[usize]) {
         for endpoint in endpoints {
             self.report.endpoints_collapsed += u64::from(self.endpoints[*endpoint].model.collapsed());
-            self.endpoints[*endpoint].up = false;
+            self.endpoints[*endpoint].is_running = false;
         }
         let broken: Vec<(usize, RequestId)> = self
             .established
             .iter()
-            .filter(|(_, s)| !self.endpoints[s.endpoint].up)
+            .filter(|(_, s)| !self.endpoints[s.endpoint].is_running)
             .map(|(key, _)| *key)
             .collect();
         for (relay, id) in broken {
--- a/crates/testbed/src/scenarios/simulation/mod.rs
+++ b/crates/testbed/src/scenarios/simulation/mod.rs
@@ -1,7 +1,9 @@
-//! The decisions on zones at size: many relays' zone failover in one process on a virtual clock, without sockets.
+//! Simulates the zone failover of a large fleet: many relays in one process on a virtual clock, without
+//! sockets.
 //!
-//! Each relay receives endpoint updates at a time of its own and load reports late; within the zones that its zone failover
-//! allows, an endpoint is chosen without the balancer. So what holds here is held by `crates/zone-failover` alone.
+//! Each relay receives endpoint updates with its own delay, and load reports late. Within the zones that zone
+//! failover allows, an endpoint is chosen without the balancer, so the limits that hold here are enforced by
+//! `crates/zone-failover` alone.
 
 mod arrivals;
 mod connections;
@@ -21,43 +23,44 @@
 pub use report::SimulationReport;
 use state::SimulationRun;
 
-/// The virtual clock's step.
+/// Step of the virtual clock, in microseconds.
 const CLOCK_STEP: Micros = 50_000;
-/// Interval at which relays run their zone failover.
+/// Interval at which relays run their zone failover, in microseconds.
 const TICK_INTERVAL: Micros = 250_000;
-/// The clock does not begin at 0: start times of 0 mean long ago.
+/// Time at which the virtual clock starts, in microseconds. Not 0, because a start time of 0 means that an
+/// endpoint has been running for a long time.
 const START: Micros = 1_000_000_000;
 
 /// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Simulation {
-    /// Zones, the third of which is lost.
+    /// Number of zones; the third one fails.
     pub zones: usize,
-    /// Endpoints in all.
+    /// Number of endpoints in all zones.
     pub endpoints: usize,
-    /// Relays in all.
+    /// Number of relays in all zones.
     pub relays: usize,
-    /// Load of the fleet when nothing is wrong, affinity groups left out.
+    /// Load of the fleet without faults, as a share of its capacity, not counting the cost of affinity
+    /// groups.
     pub load: f64,
-    /// What goes wrong.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The operator configuration; names of zones in it are not used.
+    /// Zone failover configuration of all relays; zone names in it are not used.
     pub config: ZoneFailoverConfig,
-    /// The seed.
+    /// Random seed.
     pub seed: u64,
-    /// The longest that an endpoint update takes to a relay.
+    /// Maximum delay until an endpoint update reaches a relay.
     pub max_update_delay: Duration,
 }
 
-/// Simulates a scenario. Equal parameters give equal reports but for the figures of time and memory.
+/// Simulates a scenario. Equal parameters give equal reports, except for real time and memory.
 ///
 /// # Errors
-/// A text where the scenario needs the balancer, or a relay's setup is invalid.
+/// Returns a message if the scenario cannot be simulated, or if a relay's configuration is invalid.
 pub fn simulate(simulation: &Simulation) -> Result<SimulationReport, String> {
     if matches!(simulation.scenario, Scenario::Partial | Scenario::Relays | Scenario::Surge) {
         return Err(
-            "this scenario turns on the decision module's choice of card servers: play it with real relays"
-                .into(),
+            "this scenario depends on the balancer's choice of endpoints; run it without --simulated".into(),
         );
     }
     let began = Instant::now();
--- a/crates/testbed/src/scenarios/simulation/relays.rs
+++ b/crates/testbed/src/scenarios/simulation/relays.rs
@@ -1,4 +1,4 @@
-//! What simulated relays do at intervals and at the request of their zone failover.
+//! Runs the zone failover of simulated relays at intervals and performs the actions that it returns.
 
 use honeyknot_balancer::{EndpointId, Micros};
 use honeyknot_zone_failover::{EndpointSignal, ZoneAction};
@@ -6,11 +6,12 @@
 use super::TICK_INTERVAL;
 use super::state::SimulationRun;
 
-/// Interval at which relays receive the load reports of their own zone.
+/// Interval at which relays receive the load reports of their home zone, in microseconds.
 const REPORT_INTERVAL: Micros = 1_500_000;
 
 impl SimulationRun {
-    /// Runs every relay's zone failover, and gives it its own zone's load reports where they are due.
+    /// Runs the zone failover of every relay, and delivers the load reports of its home zone when they are
+    /// due.
     pub(super) fn tick(&mut self) {
         for relay in 0..self.relays.len() {
             if (self.now + relay as Micros * TICK_INTERVAL).is_multiple_of(REPORT_INTERVAL) {
@@ -24,7 +25,7 @@
 
     fn report_home_loads(&mut self, relay: usize) {
         for endpoint in self.by_zone[self.home_zone(relay)].clone() {
-            if self.endpoints[endpoint].up {
+            if self.endpoints[endpoint].is_running {
                 let report = self.endpoints[endpoint].model.report(self.now);
                 let id = self.endpoints[endpoint].id.clone();
                 self.relays[relay].load_reported(self.now, &id, report.utilization);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Carries out what a relay's zone failover asks for.
+    /// Performs the actions returned by a relay's zone failover.
     pub(super) fn perform(&mut self, relay: usize, actions: Vec<ZoneAction>) {
         for action in actions {
             match action {
@@ -49,17 +50,17 @@
         }
     }
 
-    /// Checks an endpoint's health at once.
+    /// Checks the health of an endpoint; the result is available immediately.
     fn check_health(&mut self, relay: usize, id: &EndpointId) {
         let Some(endpoint) = self.by_id.get(id).copied() else { return };
-        let alive = self.endpoints[endpoint].up;
+        let alive = self.endpoints[endpoint].is_running;
         let signal = if alive { EndpointSignal::Responsive } else { EndpointSignal::Unresponsive };
-        let mut out = Vec::new();
-        self.relays[relay].endpoint_signal_received(self.now, id, signal, &mut out);
+        let mut actions = Vec::new();
+        self.relays[relay].endpoint_signal_received(self.now, id, signal, &mut actions);
         if alive {
             let report = self.endpoints[endpoint].model.report(self.now);
             self.relays[relay].load_reported(self.now, id, report.utilization);
         }
-        self.perform(relay, out);
+        self.perform(relay, actions);
     }
 }
--- a/crates/testbed/src/scenarios/simulation/report.rs
+++ b/crates/testbed/src/scenarios/simulation/report.rs
@@ -1,51 +1,51 @@
-//! The figures of a simulation.
+//! The report of a simulation.
 
 use serde::Serialize;
 
 use super::Simulation;
 
-/// The figures of a simulation.
+/// The results of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulationReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Random seed.
     pub seed: u64,
-    /// Zones.
+    /// Number of zones.
     #[serde(rename = "sites")]
     pub zones: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     #[serde(rename = "servers")]
     pub endpoints: usize,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Requests.
+    /// Number of connection requests, repeated ones included.
     #[serde(rename = "clients_asked")]
     pub requests: u64,
-    /// Requests that were served.
+    /// Number of requests that got a connection.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// The most connections at any time.
+    /// Maximum number of simultaneous connections.
     #[serde(rename = "most_sessions")]
     pub max_connections: usize,
-    /// The configured limit of spill, as a part of a receiving zone's capacity.
+    /// Configured spill limit, as a share of a receiving zone's capacity.
     pub spill_limit: f64,
-    /// The largest share of a zone's capacity that connections of other zones held.
+    /// Maximum share of a zone's capacity that was used by connections from other zones.
     pub worst_spill: f64,
-    /// Endpoints that collapsed while they warmed up.
+    /// Number of endpoints that collapsed under load while they warmed up.
     #[serde(rename = "servers_pushed_over")]
     pub endpoints_collapsed: u64,
-    /// The largest multiple of its present capacity that a warming endpoint was sent.
+    /// Maximum rate of new work sent to an endpoint that warmed up, as a multiple of the rate it could take.
     pub worst_return_multiple: f64,
-    /// Migrated connections.
+    /// Number of migrated connections.
     #[serde(rename = "moves")]
     pub migrations: u64,
-    /// The most migrations in any second.
+    /// Maximum number of migrations in one second.
     #[serde(rename = "worst_moves_per_s")]
     pub max_migrations_per_second: u64,
-    /// Share of the wanted seconds that were well served.
+    /// Share of the connection time wanted by clients in which their endpoint answered in time.
     pub well_served: f64,
     /// Median time of an admission decision, in nanoseconds.
     #[serde(rename = "ask_p50_ns")]
@@ -53,16 +53,16 @@
     /// 99th percentile of the time of an admission decision, in nanoseconds.
     #[serde(rename = "ask_p99_ns")]
     pub decision_p99_ns: u64,
-    /// Simulated seconds.
+    /// Simulated time in seconds.
     pub simulated_s: f64,
-    /// Real seconds.
+    /// Real time that the simulation took, in seconds.
     pub wall_s: f64,
-    /// The most memory that this process has held so far, in MiB; 0 where it is not known.
+    /// Peak memory of this process so far, in MiB; 0 if unknown.
     pub peak_mib: u64,
 }
 
 impl SimulationReport {
-    /// Creates the report of a simulation in which nothing has happened yet.
+    /// Creates the report of a simulation that has not started yet.
     pub(super) fn new(simulation: &Simulation) -> SimulationReport {
         SimulationReport {
             scenario: format!("{:?}", simulation.scenario).to_lowercase(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Returns the most memory that this process has held, in MiB; 0 where the system does not say.
+/// Returns the peak memory of this process in MiB, or 0 if the system does not report it.
 pub(super) fn peak_mib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
--- a/crates/testbed/src/scenarios/simulation/state.rs
+++ b/crates/testbed/src/scenarios/simulation/state.rs
@@ -15,11 +15,11 @@
 use crate::emulators::emulated_endpoint::{AFFINITY_GROUP_COST, MAX_WARM_UP};
 use crate::emulators::endpoint_model::{EndpointModel, EndpointParameters};
 
-/// Weights of the endpoints of a zone, dealt out in turn.
+/// Weights of the endpoints of a zone, assigned round-robin.
 const WEIGHTS: [f64; 3] = [1.6, 1.0, 0.6];
-/// Usual connections that fill a warm endpoint of weight 1.
+/// Capacity of a warm endpoint of weight 1, in average connections.
 const CAPACITY: f64 = 34.0;
-/// The longest admission decision that is told apart, in nanoseconds.
+/// Upper bound of the histogram of admission decision times, in nanoseconds.
 const MAX_DECISION_NS: u64 = 10_000_000;
 
 /// A simulated endpoint.
@@ -27,36 +27,37 @@
     pub(super) id: EndpointId,
     pub(super) zone: usize,
     pub(super) model: EndpointModel,
-    /// Its process runs.
-    pub(super) up: bool,
+    /// Whether its process runs.
+    pub(super) is_running: bool,
 }
 
-/// A client: its relay, and what it wants.
+/// A client that has or wants a connection.
 #[derive(Clone)]
 pub(super) struct Client {
     pub(super) relay: usize,
+    /// Time until which the client wants its connection.
     pub(super) until: Micros,
-    /// In usual connections.
+    /// Load of its connection, in average connections.
     pub(super) load: f64,
     pub(super) affinity_group: u64,
 }
 
-/// A connection that a client has to an endpoint.
+/// An established connection between a client and an endpoint.
 pub(super) struct EstablishedConnection {
     pub(super) client: Client,
     pub(super) endpoint: usize,
 }
 
-/// An endpoint update on its way to a relay.
+/// An endpoint update that has not reached a relay yet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PendingUpdate {
     pub(super) due: Micros,
     pub(super) relay: usize,
-    /// The update's place among the published ones.
+    /// Index of the update in `SimulationRun::published`.
     pub(super) number: usize,
 }
 
-/// The end of a connection whose client will have had what it wanted.
+/// The time at which a client no longer needs its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionEnd {
     pub(super) due: Micros,
@@ -64,7 +65,7 @@
     pub(super) id: RequestId,
 }
 
-/// A simulation that runs.
+/// A running simulation.
 pub(super) struct SimulationRun {
     pub(super) now: Micros,
     pub(super) rng: Pcg64Mcg,
@@ -72,22 +73,22 @@
     pub(super) by_id: BTreeMap<EndpointId, usize>,
     pub(super) by_zone: Vec<Vec<usize>>,
     pub(super) relays: Vec<ZoneFailover>,
-    pub(super) updates: BinaryHeap<Reverse<PendingUpdate>>,
+    pub(super) pending_updates: BinaryHeap<Reverse<PendingUpdate>>,
     pub(super) published: Vec<Arc<Vec<Endpoint>>>,
-    /// Clients that come back, by time and order.
+    /// Clients that wait to reconnect, by due time and serial number.
     pub(super) reconnecting: BTreeMap<(Micros, u64), Client>,
-    /// Connections by relay and id.
+    /// Established connections, by relay and id.
     pub(super) established: BTreeMap<(usize, RequestId), EstablishedConnection>,
-    pub(super) ends: BinaryHeap<Reverse<ConnectionEnd>>,
+    pub(super) connection_ends: BinaryHeap<Reverse<ConnectionEnd>>,
     pub(super) serial: u64,
     pub(super) report: SimulationReport,
     pub(super) migrations_by_second: BTreeMap<Micros, u64>,
     pub(super) decision_ns: Histogram<u64>,
-    /// Connection seconds that clients wanted.
+    /// Seconds of connection time that clients wanted.
     wanted_s: f64,
-    /// Connection seconds that were well served.
+    /// Seconds of connection time in which endpoints answered in time.
     well_served_s: f64,
-    /// Arrivals of each zone, against the usual.
+    /// Rate of new clients of each zone, as a multiple of the normal rate.
     pub(super) arrival_factor: Vec<f64>,
     pub(super) max_update_delay: Micros,
 }
@@ -96,7 +97,7 @@
     /// Creates the endpoints and relays of a simulation.
     ///
     /// # Errors
-    /// A text where a relay's setup is invalid.
+    /// Returns a message if a relay's configuration is invalid.
     pub(super) fn new(simulation: &Simulation) -> Result<SimulationRun, String> {
         let mut rng = Pcg64Mcg::seed_from_u64(simulation.seed);
         let endpoints = generate_endpoints(simulation, &mut rng);
@@ -108,11 +109,11 @@
             endpoints,
             by_zone,
             relays: create_relays(simulation)?,
-            updates: BinaryHeap::new(),
+            pending_updates: BinaryHeap::new(),
             published: Vec::new(),
             reconnecting: BTreeMap::new(),
             established: BTreeMap::new(),
-            ends: BinaryHeap::new(),
+            connection_ends: BinaryHeap::new(),
             serial: 0,
             report: SimulationReport::new(simulation),
             migrations_by_second: BTreeMap::new(),
@@ -130,29 +131,29 @@
         self.by_zone.len()
     }
 
-    /// Returns a relay's own zone.
+    /// Returns the home zone of a relay.
     pub(super) fn home_zone(&self, relay: usize) -> usize {
         relay % self.zones()
     }
 
-    /// Returns the number of relays of a zone.
+    /// Returns the number of relays in a zone.
     pub(super) fn relays_of(&self, zone: usize) -> usize {
         self.relays.len() / self.zones() + usize::from(zone < self.relays.len() % self.zones())
     }
 
-    /// Returns the capacity of all endpoints once they are warm, in usual connections.
+    /// Returns the capacity of all endpoints when warm, in average connections.
     pub(super) fn total_capacity(&self) -> f64 {
         self.endpoints.iter().map(|endpoint| endpoint.model.parameters().capacity).sum()
     }
 
-    /// Adds up one step of the clock.
+    /// Adds the current clock step to the observations.
     pub(super) fn record_observations(&mut self) {
         let step = CLOCK_STEP as f64 / 1e6;
         let waiting = self.reconnecting.values().filter(|c| c.until > self.now).count();
         self.wanted_s += (self.established.len() + waiting) as f64 * step;
         self.report.max_connections = self.report.max_connections.max(self.established.len());
         let mut zones = vec![(0.0, 0.0); self.zones()];
-        for endpoint in self.endpoints.iter().filter(|s| s.up) {
+        for endpoint in self.endpoints.iter().filter(|s| s.is_running) {
             let model = &endpoint.model;
             self.well_served_s += model.connections() as f64 * model.in_time_fraction(self.now) * step;
             zones[endpoint.zone].0 += model.cross_zone_load();
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Returns the report, but for the figures of real time and memory.
+    /// Returns the report; real time and memory are not filled in.
     pub(super) fn into_report(self) -> SimulationReport {
         let mut report = self.report;
         report.endpoints_collapsed += self.endpoints.iter().filter(|e| e.model.collapsed()).count() as u64;
@@ -180,7 +181,7 @@
     }
 }
 
-/// Draws the endpoints, dealt out evenly over the zones.
+/// Generates the endpoints, distributed evenly over the zones.
 fn generate_endpoints(simulation: &Simulation, rng: &mut Pcg64Mcg) -> Vec<SimulatedEndpoint> {
     (0..simulation.endpoints)
         .map(|number| {
@@ -199,15 +200,18 @@
                 id,
                 zone: number % simulation.zones,
                 model: EndpointModel::new(parameters, 0),
-                up: true,
+                is_running: true,
             }
         })
         .collect()
 }
 
 /// Creates the zone failover of each relay.
+///
+/// # Errors
+/// Returns a message if the configuration is invalid.
 fn create_relays(simulation: &Simulation) -> Result<Vec<ZoneFailover>, String> {
-    let zone_names: Vec<String> = (0..simulation.zones).map(|n| format!("site-{n}")).collect();
+    let zone_names: Vec<String> = (0..simulation.zones).map(|n| format!("zone-{n}")).collect();
     let relays = (0..simulation.relays).map(|number| {
         let setup = ZoneFailoverSetup {
             config: simulation.config.clone(),
