--- a/crates/testbed/src/commands/leases.rs
+++ b/crates/testbed/src/commands/leases.rs
@@ -46,9 +46,9 @@
 /// Returns a message if an argument is invalid or the run fails.
 pub(crate) async fn run(args: LeaseArgs, default_folder: &Path) -> Result<Outcome, String> {
     let folder = args.run.event_log_folder(default_folder)?;
-    let net = fleet::run::Net::take(args.seed)?;
+    let network = fleet::run::LoopbackNetwork::reserve(args.seed)?;
     let plan = fleet::Plan {
-        net: net.number,
+        network: network.number,
         seed: args.seed,
         relays: usize::from(args.relays),
         folder,
@@ -63,7 +63,11 @@
         ..fleet::Plan::default()
     };
     let length = Duration::from_secs(args.length_s);
-    let report = leases::run::play(plan, args.scenario, length, own_program()?, interrupted()).await?;
-    let verdict = Verdict { broken: &report.broken, lag_ms: report.starved.then_some(report.lag_ms) };
+    let report =
+        leases::run::run_scenario(plan, args.scenario, length, own_program()?, interrupted()).await?;
+    let verdict = Verdict {
+        violations: &report.violations,
+        lag_ms: report.machine_overloaded.then_some(report.lag_ms),
+    };
     verdict.print(&report, args.run.json)
 }
--- a/crates/testbed/src/commands/process_run.rs
+++ b/crates/testbed/src/commands/process_run.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) struct Verdict<'a> {
     /// The properties that were violated.
-    pub(crate) broken: &'a [String],
+    pub(crate) violations: &'a [String],
     /// Lag of a process in milliseconds if it was too long for the run to count, else `None`.
     pub(crate) lag_ms: Option<u64>,
 }
@@ -82,11 +82,11 @@
             println!("{}", serde_json::to_string(report).map_err(|error| error.to_string())?);
         } else {
             println!("{}", serde_json::to_string_pretty(report).map_err(|error| error.to_string())?);
-            match self.broken.is_empty() {
+            match self.violations.is_empty() {
                 true => println!("all checks passed"),
-                false => println!("BROKEN: {}", self.broken.join("; ")),
+                false => println!("BROKEN: {}", self.violations.join("; ")),
             }
         }
-        Ok(Outcome::from_passed(self.broken.is_empty() && self.lag_ms.is_none()))
+        Ok(Outcome::from_passed(self.violations.is_empty() && self.lag_ms.is_none()))
     }
 }
--- a/src/lease_client/config.rs
+++ b/src/lease_client/config.rs
@@ -26,7 +26,7 @@
 pub struct LeaseConfig {
     /// Name of the fleet. Lease servers reject connections from other fleets.
     pub fleet: String,
-    /// Address of each lease server by its number. Numbers are from 1, without a gap.
+    /// Address of each lease server by its number. Numbers start at 1 and have no gap.
     pub servers: BTreeMap<ReplicaId, SocketAddr>,
     /// Parameters of all leases.
     pub parameters: LeaseParameters,
@@ -70,7 +70,7 @@
         let tree = parse(file, text)?;
         let errors = RefCell::default();
         let config = LeaseConfig::from_section(Section::file(file, &tree, &errors));
-        Section::errors(errors).map(|()| config)
+        Section::into_result(errors).map(|()| config)
     }
 
     /// Returns the number of lease servers.
@@ -83,7 +83,7 @@
         let parameters = read_parameters(&mut section);
         let election_timeout =
             section.value("election", duration_units(100, 60)).unwrap_or(DEFAULT_ELECTION_TIMEOUT);
-        let plain_network = section.bare("plain-network");
+        let plain_network = section.flag("plain-network");
         let servers = read_servers(&mut section, plain_network);
         check_durations(&mut section, &parameters, election_timeout);
         section.finish();
@@ -98,7 +98,7 @@
 fn read_parameters(section: &mut Section) -> LeaseParameters {
     let lease_duration = section.value("lease", duration_units(500, 3_600)).unwrap_or(DEFAULT_LEASE_DURATION);
     let mut parameters = LeaseParameters::new(lease_duration);
-    if let Some(drift) = section.value("clock-drift", units::share(0.0..=0.1)) {
+    if let Some(drift) = section.value("clock-drift", units::percentage(0.0..=0.1)) {
         parameters.drift_ppm = (drift * 1e6).round() as u64;
     }
     if let Some(margin) = section.value("margin", duration_units(0, 3_600)) {
@@ -109,15 +109,15 @@
 
 fn read_servers(section: &mut Section, plain_network: bool) -> BTreeMap<ReplicaId, SocketAddr> {
     let mut servers = BTreeMap::new();
-    let directives = section.each("keeper");
+    let directives = section.directives("keeper");
     for directive in &directives {
-        section.no_block(directive);
+        section.reject_block(directive);
         let [number, address] = &directive.words[..] else {
             section.error(&directive.name, "`keeper` takes a number and an address".into());
             continue;
         };
-        let number = section.word("keeper", number, units::number(SERVER_IDS));
-        let address = section.word("keeper", address, units::address()).filter(|address: &SocketAddr| {
+        let number = section.parse_word("keeper", number, units::number(SERVER_IDS));
+        let address = section.parse_word("keeper", address, units::address()).filter(|address: &SocketAddr| {
             let allowed = address.ip().is_loopback() || plain_network;
             if !allowed {
                 let problem = "is not a loopback address: traffic of lease servers is neither encrypted nor \
@@ -136,8 +136,10 @@
     if let Some(directive) = directives.first()
         && (!ALLOWED_SERVER_COUNTS.contains(&directives.len()) || has_gap)
     {
-        let problem =
-            format!("expected 1, 3, 5 or 7 `keeper` directives, numbered from 1; found {}", directives.len());
+        let problem = format!(
+            "expected 1, 3, 5 or 7 `keeper` directives, numbered from 1 without a gap; found {}",
+            directives.len()
+        );
         section.error(&directive.name, problem);
     }
     if directives.is_empty() {
@@ -150,7 +152,7 @@
 fn check_durations(section: &mut Section, parameters: &LeaseParameters, election_timeout: Micros) {
     let lease_duration = parameters.lease_duration;
     if parameters.usable_duration() < lease_duration / 2
-        && let Some(directive) = section.only("margin").or_else(|| section.only("clock-drift"))
+        && let Some(directive) = section.single("margin").or_else(|| section.single("clock-drift"))
     {
         section.error(
             &directive.name,
@@ -158,7 +160,7 @@
         );
     }
     if election_timeout > lease_duration / 3
-        && let Some(directive) = section.only("election").or_else(|| section.only("lease"))
+        && let Some(directive) = section.single("election").or_else(|| section.single("lease"))
     {
         let problem =
             "`election` is longer than a third of `lease`: holders lose leases when the leader changes";
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Output;
 
-use process::{Relay, ScratchDirectory, config, first_answer, relay_command, unused_address};
+use process::{Relay, ScratchDirectory, config, first_answer_line, relay_command, unused_address};
 use serde_json::json;
 
 fn failure(output: &Output) -> (Option<i32>, String) {
@@ -25,9 +25,7 @@
     };
     let output = checked(&good);
     assert!(output.status.success(), "{:?}", failure(&output));
-    assert!(
-        String::from_utf8_lossy(&output.stdout).contains("zone failover: up to 20% of a zone's capacity")
-    );
+    assert!(String::from_utf8_lossy(&output.stdout).contains("sites: up to 20% of a zone's capacity"));
     let bad = folder.write("bad.conf", "spill-limit 20\nprefer accra {\n  tier kasoa\n}\nspread soon\n");
     let (code, text) = failure(&checked(&bad));
     assert_eq!(code, Some(2));
@@ -63,7 +61,7 @@
         (&json!("relay"), &json!("n0"), &json!("INFO"))
     );
     // It still serves: without endpoints a request is rejected at once, with a retry time.
-    let line = first_answer(listen, "OPEN 1 2 c=study,d=1200\r\n");
+    let line = first_answer_line(listen, "OPEN 1 2 c=study,d=1200\r\n");
     assert!(line.starts_with("BUSY"), "{line}");
 }
 
@@ -74,8 +72,10 @@
     let output = run(&["metrics", "names"]);
     let names = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(names.contains("refused\ttotal\trequests\treason\tdecisions,site_limit"), "{names}");
-    let state =
-        honeyknot_metrics::MetricsRegistry::new(1).stored("n0", 5_000_000, 2).encode().expect("a snapshot");
+    let state = honeyknot_metrics::MetricsRegistry::new(1)
+        .to_stored("n0", 5_000_000, 2)
+        .encode()
+        .expect("a snapshot");
     let file = folder.0.join("state");
     fs::write(&file, &state).expect("a file");
     let output = run(&["metrics", "decode", &file.display().to_string()]);
@@ -83,7 +83,7 @@
     fs::write(&file, &state[..state.len() - 1]).expect("a file");
     let (code, text) = failure(&run(&["metrics", "decode", &file.display().to_string()]));
     assert!(code == Some(2) && text.contains("the snapshot has"), "{text}");
-    let packet = honeyknot_metrics::collectd::packets(
+    let packet = honeyknot_metrics::collectd::encode_packets(
         "n0",
         "relay",
         &honeyknot_metrics::MetricsRegistry::new(1).snapshot(5_000_000),
