--- a/crates/testbed/src/commands/part.rs
+++ b/crates/testbed/src/commands/part.rs
@@ -18,7 +18,8 @@
     #[value(name = "cards")]
     Endpoints,
     Clients,
-    Links,
+    #[value(name = "links")]
+    FaultProxy,
     Relays,
     #[value(name = "far")]
     RecordingServer,
@@ -37,7 +38,7 @@
         PartKind::Discovery => fleet::run_process(fleet::discovery::start).await,
         PartKind::Endpoints => fleet::run_process(fleet::endpoints::start).await,
         PartKind::Clients => fleet::run_process(fleet::clients::start).await,
-        PartKind::Links => fleet::run_process(fleet::fault_proxy::start).await,
+        PartKind::FaultProxy => fleet::run_process(fleet::fault_proxy::start).await,
         PartKind::Relays => fleet::run_process(fleet::relays::start).await,
         PartKind::RecordingServer => fleet::run_process(leases::recording_server::start).await,
         PartKind::LeaseHolder => fleet::run_process(leases::holder::start).await,
--- a/crates/testbed/src/emulators/accounting.rs
+++ b/crates/testbed/src/emulators/accounting.rs
@@ -14,7 +14,7 @@
         let (now, span) = (self.now(), span.as_secs_f64());
         let wanted = self.active_clients.iter().sum::<u64>() as f64;
         let unaffected_clients =
-            self.unaffected_zones.iter().map(|s| self.active_clients[*s]).sum::<u64>() as f64;
+            self.unaffected_zones.iter().map(|zone| self.active_clients[*zone]).sum::<u64>() as f64;
         let mut unaffected_well_served = 0.0;
         let (mut well_served, mut connections, mut total_load, mut capacity) = (0.0, 0.0, 0.0, 0.0);
         let mut zones = vec![(0.0, 0.0); self.size.zones.len()];
@@ -24,7 +24,8 @@
             }
             let model = &endpoint.model;
             well_served += model.connections() as f64 * model.in_time_fraction(now);
-            let unaffected: usize = self.unaffected_zones.iter().map(|s| model.connections_from(*s)).sum();
+            let unaffected: usize =
+                self.unaffected_zones.iter().map(|zone| model.connections_from(*zone)).sum();
             unaffected_well_served += unaffected as f64 * model.in_time_fraction(now);
             connections += model.connections() as f64;
             total_load += model.total_load();
@@ -60,7 +61,7 @@
     pub fn zone_state(&self, zone: usize) -> ZoneState {
         let now = self.now();
         let mut state = ZoneState::default();
-        for endpoint in self.endpoints.iter().filter(|c| c.zone == zone) {
+        for endpoint in self.endpoints.iter().filter(|endpoint| endpoint.zone == zone) {
             match *endpoint.process_state.borrow() {
                 ProcessState::Serving => {
                     state.serving += 1;
--- a/crates/testbed/src/emulators/client.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -14,9 +14,9 @@
 use super::emulated_endpoint::ProcessState;
 use super::environment::{Environment, SharedEnvironment};
 
-/// The deadline that a client sends with its request.
+/// Time from a request to its deadline, which the client sends with the request.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_200);
-/// How long after the deadline an answer is still accepted.
+/// How long after the deadline an answer still counts as in time.
 const ANSWER_GRACE: Duration = Duration::from_millis(150);
 /// Interval at which a client sends lines on its connection.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
@@ -73,12 +73,17 @@
 }
 
 struct Client {
+    /// Index of the client's zone.
     zone: usize,
+    /// Number of the client, unique in the environment.
     key: u64,
     affinity_group: u64,
+    /// Load of its connection, in average connections.
     load: f64,
+    /// Time until which the client wants a connection.
     wanted_until: Instant,
     rng: Pcg64Mcg,
+    /// Number of requests so far.
     attempts: u32,
 }
 
@@ -134,6 +139,7 @@
         NextStep::Reconnect(Duration::from_millis(self.rng.random_range(52..520)))
     }
 
+    /// Requests a connection from a relay; if it is established, keeps it until it ends.
     async fn connect(&mut self, environment: &SharedEnvironment, is_retry: bool) -> NextStep {
         let relay = environment.borrow_mut().front_proxy.select_relay(self.zone);
         let Some(relay) = relay else { return self.reconnect_later() };
@@ -257,7 +263,7 @@
                 () = sleep_until(self.wanted_until) => return NextStep::Done,
                 () = sleep_until(line_deadline) => {
                     let mut environment = environment.borrow_mut();
-                    let endpoint_serves = endpoint.is_some_and(|s| *environment.endpoints[s].process_state.borrow() == ProcessState::Serving);
+                    let endpoint_serves = endpoint.is_some_and(|index| *environment.endpoints[index].process_state.borrow() == ProcessState::Serving);
                     environment.client_observations.unanswered_lines += u64::from(endpoint_serves);
                     return NextStep::Reconnect(Duration::from_millis(self.rng.random_range(52..520)));
                 }
@@ -272,14 +278,15 @@
         }
     }
 
+    /// Handles a broken connection: it counts as cut off if the endpoint and the relay kept running.
     fn connection_lost(
         &mut self, environment: &SharedEnvironment, relay: usize, relay_incarnation: u32,
         endpoint: Option<usize>,
     ) -> NextStep {
         let mut borrowed = environment.borrow_mut();
-        let endpoint_serves = endpoint.is_some_and(|s| {
-            *borrowed.endpoints[s].process_state.borrow() == ProcessState::Serving
-                && !borrowed.recently_stopped(s)
+        let endpoint_serves = endpoint.is_some_and(|index| {
+            *borrowed.endpoints[index].process_state.borrow() == ProcessState::Serving
+                && !borrowed.recently_stopped(index)
         });
         let was_cut_off =
             endpoint_serves && borrowed.relay_incarnation(relay) == relay_incarnation && !borrowed.closing;
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -36,7 +36,7 @@
     version: watch::Sender<u64>,
     entries: BTreeMap<usize, EndpointEntry>,
     /// Version in which the entry of each endpoint last changed, by endpoint index.
-    changed: BTreeMap<usize, u64>,
+    changed_in_version: BTreeMap<usize, u64>,
     /// When each relay was first notified that an endpoint drains or is removed, by relay and endpoint index.
     notified_at: BTreeMap<(usize, usize), Micros>,
     /// Whether discovery closes connections without an answer.
@@ -45,8 +45,14 @@
 
 impl Default for EmulatedDiscovery {
     fn default() -> EmulatedDiscovery {
-        let (entries, changed, notified_at) = Default::default();
-        EmulatedDiscovery { version: watch::Sender::new(0), entries, changed, notified_at, down: false }
+        let (entries, changed_in_version, notified_at) = Default::default();
+        EmulatedDiscovery {
+            version: watch::Sender::new(0),
+            entries,
+            changed_in_version,
+            notified_at,
+            down: false,
+        }
     }
 }
 
@@ -55,7 +61,7 @@
     pub fn update_entries(&mut self, entries: Vec<EndpointEntry>) {
         let version = *self.version.borrow() + 1;
         for entry in entries {
-            self.changed.insert(entry.index, version);
+            self.changed_in_version.insert(entry.index, version);
             self.entries.insert(entry.index, entry);
         }
         self.version.send_replace(version);
@@ -75,7 +81,7 @@
     /// Returns the whole endpoint list or, if `since` is given, the changes since that version, as JSON.
     /// `address` returns the address of an endpoint for the relay that asked.
     pub fn list(&self, since: Option<u64>, address: impl Fn(usize) -> String) -> serde_json::Value {
-        let has_changed = |index: &usize| since.is_none_or(|since| self.changed[index] > since);
+        let has_changed = |index: &usize| since.is_none_or(|since| self.changed_in_version[index] > since);
         let listed = self.entries.values().filter(|e| has_changed(&e.index));
         let listed = listed.filter(|e| since.is_some() || e.state != "left");
         let servers: Vec<_> = listed
@@ -87,11 +93,11 @@
         json!({"version": *self.version.borrow(), "full": since.is_none(), "servers": servers})
     }
 
-    /// Records that a relay has been sent the changes after version `since`, up to version `upto`.
-    fn record_notified(&mut self, relay: usize, since: Option<u64>, upto: u64, now: Micros) {
+    /// Records that a relay has been sent the changes after version `since`, up to version `last_version`.
+    fn record_notified(&mut self, relay: usize, since: Option<u64>, last_version: u64, now: Micros) {
         for entry in self.entries.values() {
-            let changed = self.changed[&entry.index];
-            if changed > upto || since.is_some_and(|since| changed <= since) {
+            let changed_in_version = self.changed_in_version[&entry.index];
+            if changed_in_version > last_version || since.is_some_and(|since| changed_in_version <= since) {
                 continue;
             }
             let key = (relay, entry.index);
@@ -118,6 +124,7 @@
     Ok(())
 }
 
+/// Answers the requests of one connection until it is closed.
 async fn answer(environment: SharedEnvironment, relay: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
@@ -129,13 +136,13 @@
         if environment.borrow().discovery.down {
             return;
         }
-        let (body, upto) = {
+        let (body, last_version) = {
             let environment = environment.borrow();
-            let upto = *environment.discovery.version.borrow();
+            let last_version = *environment.discovery.version.borrow();
             let list = environment
                 .discovery
                 .list(since, |index| environment.endpoint_address(index, relay).to_string());
-            (list.to_string(), upto)
+            (list.to_string(), last_version)
         };
         let text = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
@@ -146,6 +153,6 @@
         }
         let mut environment = environment.borrow_mut();
         let now = environment.now();
-        environment.discovery.record_notified(relay, since, upto, now);
+        environment.discovery.record_notified(relay, since, last_version, now);
     }
 }
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -31,6 +31,7 @@
     }
 }
 
+/// Accepts the connections of one relay. The listener is closed while the endpoint is dead.
 async fn listen(environment: SharedEnvironment, index: usize, relay: usize, address: SocketAddr) {
     let mut process_state = environment.borrow().endpoints[index].process_state.subscribe();
     loop {
@@ -105,6 +106,7 @@
 }
 
 impl ConnectionGuard {
+    /// Removes the attempt from the attempts in flight.
     fn mark_answered(&mut self) {
         if let Some(request) = self.request.take()
             && let Some(attempts) = self.environment.borrow_mut().attempts.get_mut(&request)
@@ -123,6 +125,7 @@
     }
 }
 
+/// Answers health checks and then serves the connection, if one is requested.
 async fn serve_stream(
     environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
     guard: &mut ConnectionGuard,
@@ -138,6 +141,8 @@
     }
 }
 
+/// Admits or rejects a requested connection, and answers its lines until the client closes it or the endpoint
+/// drains.
 async fn serve_connection(
     environment: &SharedEnvironment, index: usize, relay: usize, stream: &mut BufReader<TcpStream>,
     guard: &mut ConnectionGuard, id: &str, attributes: &str,
@@ -170,9 +175,9 @@
         return;
     }
     guard.connection = Some(number);
-    let up = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * AVERAGE_CONNECTION_LOAD);
+    let answer = format!("UP r-{index}-{number}\r\nLOAD {:.1}\r\n", load * AVERAGE_CONNECTION_LOAD);
     guard.mark_answered();
-    if stream.write_all(up.as_bytes()).await.is_err() {
+    if stream.write_all(answer.as_bytes()).await.is_err() {
         return;
     }
     let mut line = String::new();
--- a/crates/testbed/src/emulators/endpoint_model.rs
+++ b/crates/testbed/src/emulators/endpoint_model.rs
@@ -10,7 +10,7 @@
 /// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// Overload at which an endpoint that warms up collapses: the rate of new work, as a multiple of the rate
+/// Overload above which an endpoint that warms up collapses: the rate of new work, as a multiple of the rate
 /// that the endpoint can take at present.
 pub const COLLAPSE_OVERLOAD: f64 = 3.0;
 /// Window over which the rate of new work is measured, in microseconds.
@@ -148,7 +148,12 @@
     /// Returns the load of connections from other zones, including that of affinity groups which only such
     /// connections use.
     pub fn cross_zone_load(&self) -> f64 {
-        let load: f64 = self.connections.values().filter(|s| s.is_cross_zone).map(|s| s.load).sum();
+        let load: f64 = self
+            .connections
+            .values()
+            .filter(|connection| connection.is_cross_zone)
+            .map(|connection| connection.load)
+            .sum();
         let affinity_groups = self
             .affinity_groups
             .values()
@@ -159,7 +164,7 @@
 
     /// Returns the number of connections from relays of a zone.
     pub fn connections_from(&self, zone: usize) -> usize {
-        self.connections.values().filter(|s| s.relay_zone == zone).count()
+        self.connections.values().filter(|connection| connection.relay_zone == zone).count()
     }
 
     /// Returns the number of connections.
@@ -255,7 +260,7 @@
         while self.reports.len() > 1 && due(self.reports[1].0) {
             self.reports.pop_front();
         }
-        self.reports.front().map(|r| r.1).unwrap_or_default()
+        self.reports.front().map(|entry| entry.1).unwrap_or_default()
     }
 }
 
--- a/crates/testbed/src/emulators/environment.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -185,12 +185,12 @@
 
     /// Returns the indices of a zone's endpoints.
     pub fn zone_endpoints(&self, zone: usize) -> Vec<usize> {
-        (0..self.endpoints.len()).filter(|i| self.endpoints[*i].zone == zone).collect()
+        (0..self.endpoints.len()).filter(|index| self.endpoints[*index].zone == zone).collect()
     }
 
     /// Returns the number of running endpoints that have collapsed.
     pub fn collapsed_endpoints(&self) -> u64 {
-        self.endpoints.iter().filter(|c| c.model.collapsed()).count() as u64
+        self.endpoints.iter().filter(|endpoint| endpoint.model.collapsed()).count() as u64
     }
 
     /// Returns the incarnation of a relay: how often it has been killed so far.
--- a/crates/testbed/src/emulators/front_proxy.rs
+++ b/crates/testbed/src/emulators/front_proxy.rs
@@ -31,10 +31,10 @@
     pub fn select_relay(&mut self, zone: usize) -> Option<usize> {
         self.next += 1;
         let same_zone: Vec<usize> = (0..self.believed_alive.len())
-            .filter(|r| self.believed_alive[*r] && r % self.zones == zone % self.zones)
+            .filter(|relay| self.believed_alive[*relay] && relay % self.zones == zone % self.zones)
             .collect();
         let candidates: Vec<usize> = match same_zone.is_empty() {
-            true => (0..self.believed_alive.len()).filter(|r| self.believed_alive[*r]).collect(),
+            true => (0..self.believed_alive.len()).filter(|relay| self.believed_alive[*relay]).collect(),
             false => same_zone,
         };
         (!candidates.is_empty()).then(|| candidates[self.next % candidates.len()])
--- a/crates/testbed/src/scenarios/fault_injector.rs
+++ b/crates/testbed/src/scenarios/fault_injector.rs
@@ -83,7 +83,7 @@
                 self.return_endpoints(zone, max_count, in_one_update, &mut rng);
             }
             FaultStep::KillRelays(downtime) => self.kill_relays(downtime, &mut rng).await,
-            FaultStep::Surge(zone, factor) => self.change_arrivals(zone, factor),
+            FaultStep::Surge(zone, factor) => self.change_arrival_rate(zone, factor),
             FaultStep::Drain(zone) => self.drain_endpoint(zone),
         }
     }
@@ -92,21 +92,21 @@
         let endpoints: Vec<usize> =
             self.environment.borrow().zone_endpoints(zone).into_iter().skip(survivors).collect();
         self.record_event(zone, &format!("{} endpoints die", endpoints.len()));
-        self.end_endpoints(&endpoints, ProcessState::Dead);
+        self.stop_endpoints(&endpoints, ProcessState::Dead);
         self.publish_later(endpoints, "left", random_delay(rng, DEATH_DISCOVERY_DELAY_S), ProcessState::Dead);
     }
 
     fn silence_endpoints(&self, zone: usize) {
         let endpoints = self.environment.borrow().zone_endpoints(zone);
         self.record_event(zone, &format!("{} endpoints stop responding", endpoints.len()));
-        self.end_endpoints(&endpoints, ProcessState::Silent);
+        self.stop_endpoints(&endpoints, ProcessState::Silent);
         self.publish_later(endpoints, "left", SILENCE_DISCOVERY_DELAY, ProcessState::Silent);
     }
 
     fn return_endpoints(&self, zone: usize, max_count: usize, in_one_update: bool, rng: &mut Pcg64Mcg) {
         let endpoints = self.environment.borrow().zone_endpoints(zone);
-        let down = |endpoint: &usize| self.process_state(*endpoint) != ProcessState::Serving;
-        let endpoints: Vec<usize> = endpoints.into_iter().filter(down).take(max_count).collect();
+        let is_down = |endpoint: &usize| self.process_state(*endpoint) != ProcessState::Serving;
+        let endpoints: Vec<usize> = endpoints.into_iter().filter(is_down).take(max_count).collect();
         self.record_event(zone, &format!("{} endpoints restart", endpoints.len()));
         for endpoint in &endpoints {
             self.environment.borrow_mut().restart_endpoint(*endpoint);
@@ -123,11 +123,11 @@
 
     /// Kills every second relay, including relays of the zone that fails, and restarts them after `downtime`.
     async fn kill_relays(self: &Rc<Self>, downtime: Duration, rng: &mut Pcg64Mcg) {
-        let all = self.environment.borrow().size.relays;
-        let killed_relays: Vec<usize> = (0..all).filter(|relay| relay % 2 == 0).collect();
+        let relay_count = self.environment.borrow().size.relays;
+        let killed_relays: Vec<usize> = (0..relay_count).filter(|relay| relay % 2 == 0).collect();
         self.environment
             .borrow_mut()
-            .record_event(format!("{} of {all} relays are killed", killed_relays.len()));
+            .record_event(format!("{} of {relay_count} relays are killed", killed_relays.len()));
         for relay in killed_relays {
             let child = self.relays.borrow_mut().remove(&relay);
             self.environment.borrow_mut().relay_kills[relay] += 1;
@@ -150,7 +150,7 @@
         }
     }
 
-    fn change_arrivals(&self, zone: usize, factor: f64) {
+    fn change_arrival_rate(&self, zone: usize, factor: f64) {
         self.record_event(zone, &format!("the rate of new clients is now {factor} times the normal rate"));
         self.environment.borrow_mut().arrival_factor[zone] = factor;
     }
@@ -180,7 +180,7 @@
         *self.environment.borrow().endpoints[endpoint].process_state.borrow()
     }
 
-    fn end_endpoints(&self, endpoints: &[usize], process_state: ProcessState) {
+    fn stop_endpoints(&self, endpoints: &[usize], process_state: ProcessState) {
         for endpoint in endpoints {
             self.environment.borrow_mut().stop_endpoint(*endpoint, process_state);
         }
--- a/crates/testbed/src/scenarios/run.rs
+++ b/crates/testbed/src/scenarios/run.rs
@@ -72,15 +72,16 @@
     for zone in 0..run.size.zones.len() {
         spawn_local(client::generate_clients(environment.clone(), zone));
     }
-    let (steps, scenario_length) = run.scenario.steps();
+    let (steps, scenario_duration) = run.scenario.steps();
     environment
         .borrow_mut()
         .unaffected_zones
         .retain(|zone| !steps.iter().any(|(_, step)| step.kills_endpoints_of(*zone)));
-    let began = Instant::now();
-    let length = run.max_duration.map_or(scenario_length, |max_duration| scenario_length.min(max_duration));
-    spawn_local(inject_faults(injector.clone(), began, steps));
-    let end = observe(&environment, began + length, on_observed, stop).await;
+    let started_at = Instant::now();
+    let duration =
+        run.max_duration.map_or(scenario_duration, |max_duration| scenario_duration.min(max_duration));
+    spawn_local(inject_faults(injector.clone(), started_at, steps));
+    let end = observe(&environment, started_at + duration, on_observed, stop).await;
     // Requests in flight are answered before the relays are killed.
     environment.borrow_mut().closing = true;
     sleep(if end == RunEnd::Stopped { STOPPED_FINAL_ANSWER_WAIT } else { FINAL_ANSWER_WAIT }).await;
@@ -97,18 +98,18 @@
         endpoint::start(environment, index);
     }
     for relay in 0..size.relays {
-        let served = discovery::serve(environment.clone(), relay).await;
-        served.map_err(|e| {
+        let result = discovery::serve(environment.clone(), relay).await;
+        result.map_err(|e| {
             format!("cannot start discovery at {}: {e}", environment.borrow().discovery_address(relay))
         })?;
     }
     Ok(())
 }
 
-/// Applies each step of a scenario at its time after `began`.
-async fn inject_faults(injector: Rc<FaultInjector>, began: Instant, steps: Vec<(Duration, FaultStep)>) {
+/// Applies each step of a scenario at its time after `started_at`.
+async fn inject_faults(injector: Rc<FaultInjector>, started_at: Instant, steps: Vec<(Duration, FaultStep)>) {
     for (at, step) in steps {
-        sleep_until(began + at).await;
+        sleep_until(started_at + at).await;
         injector.apply(step).await;
     }
 }
--- a/crates/testbed/src/scenarios/scenario.rs
+++ b/crates/testbed/src/scenarios/scenario.rs
@@ -65,7 +65,7 @@
 impl FaultStep {
     /// Returns whether this step makes endpoints of `zone` fail.
     pub fn kills_endpoints_of(&self, zone: usize) -> bool {
-        matches!(self, FaultStep::Kill { zone: s, .. } | FaultStep::Silence(s) if *s == zone)
+        matches!(self, FaultStep::Kill { zone: failing, .. } | FaultStep::Silence(failing) if *failing == zone)
     }
 }
 
@@ -106,7 +106,8 @@
                     (30, restore(LOST_ZONE)),
                     (36, kill(LOST_ZONE)),
                 ];
-                let mut steps: Vec<_> = steps.into_iter().map(|(s, step)| (at(s), step)).collect();
+                let mut steps: Vec<_> =
+                    steps.into_iter().map(|(seconds, step)| (at(seconds), step)).collect();
                 steps.push((at(42), restore(LOST_ZONE)));
                 (steps, at(85))
             }
--- a/crates/testbed/src/scenarios/simulation/faults.rs
+++ b/crates/testbed/src/scenarios/simulation/faults.rs
@@ -22,8 +22,10 @@
                 self.stop_endpoints(&stopped);
             }
             FaultStep::Return { zone, max_count, in_one_update } => {
-                let returning =
-                    self.by_zone[zone % zones].iter().copied().filter(|n| !self.endpoints[*n].is_running);
+                let returning = self.by_zone[zone % zones]
+                    .iter()
+                    .copied()
+                    .filter(|index| !self.endpoints[*index].is_running);
                 let returning: Vec<usize> = returning.take(max_count).collect();
                 for endpoint in &returning {
                     let endpoint = &mut self.endpoints[*endpoint];
@@ -51,7 +53,7 @@
         let broken: Vec<(usize, RequestId)> = self
             .established
             .iter()
-            .filter(|(_, s)| !self.endpoints[s.endpoint].is_running)
+            .filter(|(_, connection)| !self.endpoints[connection.endpoint].is_running)
             .map(|(key, _)| *key)
             .collect();
         for (relay, id) in broken {
--- a/crates/testbed/src/scenarios/simulation/state.rs
+++ b/crates/testbed/src/scenarios/simulation/state.rs
@@ -149,11 +149,11 @@
     /// Adds the current clock step to the observations.
     pub(super) fn record_observations(&mut self) {
         let step = CLOCK_STEP as f64 / 1e6;
-        let waiting = self.reconnecting.values().filter(|c| c.until > self.now).count();
+        let waiting = self.reconnecting.values().filter(|client| client.until > self.now).count();
         self.wanted_s += (self.established.len() + waiting) as f64 * step;
         self.report.max_connections = self.report.max_connections.max(self.established.len());
         let mut zones = vec![(0.0, 0.0); self.zones()];
-        for endpoint in self.endpoints.iter().filter(|s| s.is_running) {
+        for endpoint in self.endpoints.iter().filter(|endpoint| endpoint.is_running) {
             let model = &endpoint.model;
             self.well_served_s += model.connections() as f64 * model.in_time_fraction(self.now) * step;
             zones[endpoint.zone].0 += model.cross_zone_load();
@@ -163,7 +163,7 @@
                 *worst = worst.max(model.max_overload());
             }
         }
-        for (cross_zone_load, capacity) in zones.into_iter().filter(|s| s.1 > 0.0) {
+        for (cross_zone_load, capacity) in zones.into_iter().filter(|zone| zone.1 > 0.0) {
             self.report.worst_spill = self.report.worst_spill.max(cross_zone_load / capacity);
         }
     }
@@ -171,7 +171,8 @@
     /// Returns the report; real time and memory are not filled in.
     pub(super) fn into_report(self) -> SimulationReport {
         let mut report = self.report;
-        report.endpoints_collapsed += self.endpoints.iter().filter(|e| e.model.collapsed()).count() as u64;
+        report.endpoints_collapsed +=
+            self.endpoints.iter().filter(|endpoint| endpoint.model.collapsed()).count() as u64;
         report.max_migrations_per_second = self.migrations_by_second.values().copied().max().unwrap_or(0);
         report.well_served = self.well_served_s / self.wanted_s.max(1e-9);
         report.decision_p50_ns = self.decision_ns.value_at_quantile(0.5);
