--- a/crates/testbed/src/commands/simulated_site.rs
+++ b/crates/testbed/src/commands/simulated_site.rs
@@ -50,7 +50,7 @@
     let (endpoints, relays) = (usize::from(environment.endpoints), usize::from(environment.relays));
     if endpoints < zones || relays < zones {
         return Err(format!(
-            "--sites-count {zones}: needs at least as many endpoints (--servers {endpoints}) and relays (--relays {relays})"
+            "--sites-count {zones}: each zone needs at least one endpoint and one relay; found --servers {endpoints} and --relays {relays}"
         ));
     }
     Ok(Simulation {
