--- a/src/relay/descriptors.rs
+++ b/src/relay/descriptors.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns how many descriptors the process's limit leaves without those for operators' connections; the
-/// reserve of `RESERVED_DESCRIPTORS` is still included.
+/// Returns the process's limit on descriptors less those for operators' connections. The reserve of
+/// `RESERVED_DESCRIPTORS` is not subtracted.
 pub(in crate::relay) fn connection_descriptor_limit(process_limit: usize, admin_enabled: bool) -> usize {
     process_limit.saturating_sub(if admin_enabled { admin::server::MAX_DESCRIPTORS } else { 0 })
 }
@@ -61,9 +61,10 @@
         self.max_descriptors.saturating_sub(self.listener_ownership.predecessor_descriptors()).max(min_share)
     }
 
-    /// Returns a permit for one descriptor, or `None` if too few are free.
+    /// Returns a permit for one descriptor.
     ///
-    /// If only the reserve is left, an idle connection is evicted for each permit.
+    /// If only the reserve of `RESERVED_DESCRIPTORS` is left, an idle connection is evicted for each permit.
+    /// Returns `None` if no connection is idle then, or if no more than `MIN_FREE_DESCRIPTORS` are free.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         let in_use = self.descriptors_in_use.get();
         let descriptor_limit = self.descriptor_limit();
--- a/src/relay/endpoints/discovery_client/list_codec.rs
+++ b/src/relay/endpoints/discovery_client/list_codec.rs
@@ -59,8 +59,8 @@
 /// Parses an endpoint list.
 ///
 /// # Errors
-/// If a required field is missing or a value is invalid. An unknown kind or zone is not an error: the
-/// endpoint then has none.
+/// If a required field is missing or a value is invalid. An unknown `kind` or `zone` is not an error:
+/// the endpoint then has no machine type or zone.
 pub fn parse_endpoint_list(
     value: &Value, names: &NameTable,
 ) -> Result<EndpointListUpdate, EndpointListError> {
@@ -99,7 +99,7 @@
     };
     Ok(Endpoint {
         id: EndpointId(id.into()),
-        machine_type: text("kind").and_then(|kind| names.kind(kind)),
+        machine_type: text("kind").and_then(|name| names.machine_type(name)),
         weight: number("weight", 1.0)?,
         started_at: (number("started_ms", 0.0)? * 1e3) as Micros,
         zone: text("zone").and_then(|zone| names.zone(zone)),
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -30,7 +30,7 @@
     ("cell", DeduplicationScope::Cell),
 ];
 
-/// Interval between events, in microseconds, where the settings give none.
+/// Least time between two events, in microseconds, if the settings contain none.
 const DEFAULT_EVENT_INTERVAL: Micros = 1_000;
 
 /// Parses the settings object of a simulator's instance or of the relay's configuration. Returns the settings
@@ -83,7 +83,7 @@
         classes: classes.iter().map(name).collect(),
         tenants: tenants.iter().map(name).collect(),
         zones: reader.names("zones")?,
-        kinds: reader.names("shapes")?,
+        machine_types: reader.names("shapes")?,
         reports_connections: reader.str("family")? == "conn",
     })
 }
