--- a/crates/testbed/src/commands/live_view.rs
+++ b/crates/testbed/src/commands/live_view.rs
@@ -1,15 +1,15 @@
-//! The live view of an environment: a table that is drawn again on a terminal, a line a second elsewhere.
+//! Shows the state of a running environment: as a table that is redrawn on a terminal, else as lines of text.
 
 use std::io::IsTerminal;
 
 use honeyknot_testbed::emulators::environment::Environment;
 
-/// Without a terminal a line is printed once in so many calls.
+/// Number of calls per printed line if standard output is not a terminal.
 const CALLS_PER_LINE: usize = 8;
-/// Events shown below the table.
+/// Number of latest events shown below the table.
 const RECENT_EVENTS: usize = 4;
 
-/// What has been printed so far.
+/// The live view, with what it has printed so far.
 #[derive(Debug, Default)]
 pub(super) struct LiveView {
     drawn_lines: usize,
@@ -18,7 +18,7 @@
 }
 
 impl LiveView {
-    /// Prints the present state of the environment.
+    /// Prints the current state of the environment.
     pub(super) fn show(&mut self, environment: &Environment) {
         self.calls += 1;
         if std::io::stdout().is_terminal() {
@@ -51,21 +51,21 @@
 }
 
 fn elapsed_s(environment: &Environment) -> f64 {
-    (environment.now() - environment.began) as f64 / 1e6
+    (environment.now() - environment.started_at) as f64 / 1e6
 }
 
 fn print_line(environment: &Environment) {
-    let sites: Vec<String> = (0..environment.size.sites.len())
-        .map(|site| {
-            let state = environment.site_state(site);
-            format!("{} {}up/{}", environment.size.sites[site], state.serving, state.connections)
+    let zones: Vec<String> = (0..environment.size.zones.len())
+        .map(|zone| {
+            let state = environment.zone_state(zone);
+            format!("{} {}up/{}", environment.size.zones[zone], state.serving, state.connections)
         })
         .collect();
     let clients = &environment.client_observations;
     println!(
-        "{:>5.1} s  {}  served {} refused {} failed {} moved {}",
+        "{:>5.1} s  {}  served {} rejected {} failed {} migrated {}",
         elapsed_s(environment),
-        sites.join("  "),
+        zones.join("  "),
         clients.served,
         clients.rejected,
         clients.failed,
@@ -77,19 +77,19 @@
     let mut lines = vec![format!(
         "{:>5.1} s   {:<13}{:>4}{:>8}{:>6}{:>10}{:>8}{:>9}",
         elapsed_s(environment),
-        "site",
+        "zone",
         "up",
         "silent",
         "dead",
-        "sessions",
+        "conns",
         "load",
-        "foreign"
+        "spill"
     )];
-    lines.extend((0..environment.size.sites.len()).map(|site| site_row(environment, site)));
+    lines.extend((0..environment.size.zones.len()).map(|zone| zone_row(environment, zone)));
     let clients = &environment.client_observations;
     lines.push(format!(
-        "          {} want a session; {} served, {} refused, {} failed, {} moved",
-        environment.wanting_clients.iter().sum::<u64>(),
+        "          {} clients want a connection; {} served, {} rejected, {} failed, {} migrated",
+        environment.active_clients.iter().sum::<u64>(),
         clients.served,
         clients.rejected,
         clients.failed,
@@ -100,17 +100,17 @@
     lines
 }
 
-fn site_row(environment: &Environment, site: usize) -> String {
-    let state = environment.site_state(site);
+fn zone_row(environment: &Environment, zone: usize) -> String {
+    let state = environment.zone_state(zone);
     let percent = |load: f64| if state.capacity > 0.0 { load / state.capacity * 100.0 } else { 0.0 };
     format!(
         "          {:<13}{:>4}{:>8}{:>6}{:>10}{:>7.0}%{:>8.0}%",
-        environment.size.sites[site],
+        environment.size.zones[zone],
         state.serving,
         state.silent,
         state.dead,
         state.connections,
         percent(state.load),
-        percent(state.foreign)
+        percent(state.cross_zone_load)
     )
 }
--- a/crates/testbed/src/emulators/front_proxy.rs
+++ b/crates/testbed/src/emulators/front_proxy.rs
@@ -1,39 +1,42 @@
-//! The emulated front proxy: sends clients to the relays of their site in turn, and notices late that one has died.
+//! The emulated front proxy: distributes clients round-robin over the relays of their zone, and detects the
+//! death of a relay with a delay.
 
-/// The front proxy, with the relays that it believes alive.
+/// The front proxy, with its view of which relays are alive.
 #[derive(Debug)]
 pub struct FrontProxy {
-    sites: usize,
+    zones: usize,
     believed_alive: Vec<bool>,
     next: usize,
 }
 
 impl FrontProxy {
-    /// Creates a front proxy for that many relays, evenly over the sites; it believes none alive yet.
-    pub fn new(relays: usize, sites: usize) -> FrontProxy {
-        FrontProxy { sites, believed_alive: vec![false; relays], next: 0 }
+    /// Creates a front proxy for `relays` relays, distributed evenly over the zones; none is believed alive
+    /// yet.
+    pub fn new(relays: usize, zones: usize) -> FrontProxy {
+        FrontProxy { zones, believed_alive: vec![false; relays], next: 0 }
     }
 
-    /// Returns the site of a relay.
-    pub fn site_of(&self, relay: usize) -> usize {
-        relay % self.sites
+    /// Returns the index of a relay's zone.
+    pub fn zone_of(&self, relay: usize) -> usize {
+        relay % self.zones
     }
 
-    /// Sets whether a relay is believed alive.
+    /// Sets whether the front proxy believes a relay to be alive.
     pub fn set_believed_alive(&mut self, relay: usize, alive: bool) {
         self.believed_alive[relay] = alive;
     }
 
-    /// Chooses the relay for a client: those of its own site in turn, of any site where there is none.
-    pub fn pick(&mut self, site: usize) -> Option<usize> {
+    /// Selects the relay for a client: round-robin over the relays of the client's zone that are believed
+    /// alive, or of all zones if its zone has none. Returns `None` if no relay is believed alive.
+    pub fn select_relay(&mut self, zone: usize) -> Option<usize> {
         self.next += 1;
-        let near: Vec<usize> = (0..self.believed_alive.len())
-            .filter(|r| self.believed_alive[*r] && r % self.sites == site % self.sites)
+        let same_zone: Vec<usize> = (0..self.believed_alive.len())
+            .filter(|relay| self.believed_alive[*relay] && relay % self.zones == zone % self.zones)
             .collect();
-        let any: Vec<usize> = match near.is_empty() {
-            true => (0..self.believed_alive.len()).filter(|r| self.believed_alive[*r]).collect(),
-            false => near,
+        let candidates: Vec<usize> = match same_zone.is_empty() {
+            true => (0..self.believed_alive.len()).filter(|relay| self.believed_alive[*relay]).collect(),
+            false => same_zone,
         };
-        (!any.is_empty()).then(|| any[self.next % any.len()])
+        (!candidates.is_empty()).then(|| candidates[self.next % candidates.len()])
     }
 }
