--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -53,7 +53,7 @@
     pub started_at: Micros,
     /// Zone of the endpoint; `None` if unknown.
     pub zone: Option<ZoneId>,
-    /// Cell of the endpoint.
+    /// Cell of the endpoint; the endpoints of a cell share their record of idempotency keys.
     pub cell: CellId,
     /// Whether the endpoint is ready, draining or removed.
     pub state: EndpointState,
--- a/crates/balancer/src/fleet_estimate.rs
+++ b/crates/balancer/src/fleet_estimate.rs
@@ -7,7 +7,8 @@
 use crate::unreported_load::{self, is_unreported};
 use crate::{Micros, Settings};
 
-/// Time after a balancer's start before the load of a connection is estimated from its own connections.
+/// Time after a balancer's start before it estimates the load of a connection from the number of its own
+/// connections, in microseconds.
 const SETTLE_TIME: Micros = 5_000_000;
 /// Added to the number of this balancer's connections when the fleet's connections are estimated from it, so
 /// that a few connections have little effect.
--- a/crates/balancer/src/ranking.rs
+++ b/crates/balancer/src/ranking.rs
@@ -104,8 +104,8 @@
         candidates
     }
 
-    /// Returns the candidates with spare capacity that the request's group may use. The first ones, as many
-    /// as the group needs, are sorted by client score.
+    /// Returns the candidates with spare capacity that the request's group may use. If the group needs `n`
+    /// endpoints, only the first `n` of them are sorted by client score.
     fn select_candidates<'a>(
         &self, candidates: &'a [Candidate<'a>], state: &RequestState, now: Micros,
     ) -> Vec<&'a Candidate<'a>> {
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -190,7 +190,7 @@
     pub peer_message: f64,
     /// Price of health checks, per first attempt.
     pub health_check: f64,
-    /// Price of work that served no client, as a fraction of the offered work.
+    /// Price of work that served no client, by its fraction of the offered work.
     pub wasted_work: f64,
 }
 
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -22,7 +22,7 @@
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 /// Lower limit of a rate where it is a divisor, in connections per microsecond.
 const MIN_RATE: f64 = 1e-12;
-/// Lower limit of a connection's load where it is a divisor.
+/// Lower limit of the load of a mean connection on an endpoint of weight 1 where it is a divisor.
 const MIN_CONNECTION_LOAD: f64 = 1e-6;
 
 /// Returns the least fraction of its full capacity that an endpoint has now; 1 after its slow start.
--- a/crates/discovery/src/backoff.rs
+++ b/crates/discovery/src/backoff.rs
@@ -53,8 +53,8 @@
     /// Decides whether the next request is made without backoff.
     ///
     /// This is the case after a timeout, because the changes that the request missed are about to count as
-    /// notified. It is also the case after the failures that follow, unless they show that the service is
-    /// down or overloaded.
+    /// notified, see [`notification_deadline`](crate::notification_deadline). It is also the case after the
+    /// failures that follow, unless they show that the service is down or overloaded.
     fn retries_immediately(&mut self, error: DiscoveryErrorKind, elapsed: Micros) -> bool {
         let immediately = match error {
             DiscoveryErrorKind::Timeout => {
--- a/crates/lease-consensus/src/client.rs
+++ b/crates/lease-consensus/src/client.rs
@@ -21,7 +21,7 @@
 pub enum Response {
     /// The results of committed commands, one for each.
     Results(Vec<CommandResult>),
-    /// All leases, linearizable.
+    /// All leases, from a linearizable read.
     Leases(Vec<LeaseView>),
     /// The replica is not the leader, or it lost its leadership while the request was pending and the
     /// commands may or may not be committed. Has the leader, or `None` if the replica does not know it.
--- a/crates/lease/src/lease_holder.rs
+++ b/crates/lease/src/lease_holder.rs
@@ -76,7 +76,7 @@
     /// Permits one action of at most `max_duration` microseconds.
     ///
     /// # Errors
-    /// [`PermitError::NotHeld`] without a lease, [`PermitError::LeaseTooShort`] if it ends before the action.
+    /// [`PermitError::NotHeld`] without a lease, [`PermitError::LeaseTooShort`] if it could expire first.
     pub fn permit(&self, now: Micros, max_duration: Micros) -> Result<Permit, PermitError> {
         let held = self.held.ok_or(PermitError::NotHeld)?;
         let valid_until = now.saturating_add(max_duration);
--- a/crates/lease/src/permit.rs
+++ b/crates/lease/src/permit.rs
@@ -13,8 +13,8 @@
     /// No lease of the task is held.
     #[error("no lease of the task is held")]
     NotHeld,
-    /// The lease ends before the action would.
-    #[error("the lease ends before the action would")]
+    /// The lease could expire before the action is complete.
+    #[error("the lease could expire before the action is complete")]
     LeaseTooShort,
     /// An action is in progress.
     #[error("an action is in progress")]
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -67,7 +67,7 @@
     /// Capacity that the zone usually has, in endpoint weights: a decaying maximum.
     usual_capacity: f64,
     usual_capacity_updated_at: Micros,
-    /// Decaying number of losses, each counted as a flap.
+    /// Number of flaps, that is, of times that the zone was lost, as of `flaps_updated_at`; decays over time.
     flaps: f64,
     flaps_updated_at: Micros,
     /// Since when the zone has had enough capacity not to be lost but less than a recovery needs; `None`
--- a/src/lease_server/storage.rs
+++ b/src/lease_server/storage.rs
@@ -29,7 +29,7 @@
     pub tokens_from: u64,
     /// Random id of this database.
     pub database_id: u64,
-    /// Database id with which each of the other servers has connected.
+    /// Database id that each of the other servers presented when it first connected.
     pub peer_database_ids: BTreeMap<ReplicaId, u64>,
 }
 
--- a/src/relay/connections/opening.rs
+++ b/src/relay/connections/opening.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Reports an attempt after which the client is still owed a response.
+    /// Reports a failed attempt; the client still waits for its response.
     fn attempt_failed(&self, outcome: Outcome, report: Option<LoadReport>) {
         self.relay.borrow_mut().attempt_ended(self.guard.id, outcome, false, report);
     }
--- a/src/relay/connections/protocol/error.rs
+++ b/src/relay/connections/protocol/error.rs
@@ -5,8 +5,8 @@
 /// A violation of the line protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A line feed does not follow a carriage return.
-    #[error("a line feed (LF) does not follow a carriage return (CR)")]
+    /// A line feed is not preceded by a carriage return.
+    #[error("a line feed (LF) is not preceded by a carriage return (CR)")]
     LineWithoutCarriageReturn,
     /// A line is longer than [`MAX_LINE_BYTES`](super::MAX_LINE_BYTES).
     #[error("a line exceeds the maximum length")]
--- a/src/relay/connections/protocol/mod.rs
+++ b/src/relay/connections/protocol/mod.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the line is too long or its line feed does not follow a carriage return.
+/// Fails if the line is too long or its line feed is not preceded by a carriage return.
 pub fn first_line_end(bytes: &[u8]) -> Result<Option<usize>, ProtocolError> {
     match bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some(end + 1)),
--- a/src/relay/metrics/spool.rs
+++ b/src/relay/metrics/spool.rs
@@ -16,7 +16,7 @@
 
 /// The largest segment, in bytes, unless its only record is larger.
 const MAX_SEGMENT_BYTES: u64 = 1 << 20;
-/// The largest number of bytes that are read of a segment: its limit and one record of the largest size.
+/// The most bytes that are read of a segment: [`MAX_SEGMENT_BYTES`] and one record of the largest size.
 const MAX_READ_BYTES: u64 =
     MAX_SEGMENT_BYTES + (spool_record::MAX_FRAME_BYTES + spool_record::HEADER_BYTES) as u64;
 
--- a/tests/compatibility/relay/hot_restart.rs
+++ b/tests/compatibility/relay/hot_restart.rs
@@ -46,7 +46,8 @@
     serde_json::to_string(message).expect("the message can be encoded")
 }
 
-/// Returns the value of `say` that identifies a message. A new message needs a fixture, too.
+/// Returns the value of the field `say`, which identifies a message. A new variant does not compile until it
+/// is added here; add a fixture for it, too.
 fn tag(message: &HotRestartMessage) -> &'static str {
     match message {
         HotRestartMessage::Hello => "hello",
