--- a/crates/lease/src/lease_holder.rs
+++ b/crates/lease/src/lease_holder.rs
@@ -76,7 +76,8 @@
     /// Permits one action of at most `max_duration` microseconds.
     ///
     /// # Errors
-    /// [`PermitError::NotHeld`] without a lease, [`PermitError::LeaseTooShort`] if it could expire first.
+    /// [`PermitError::NotHeld`] without a lease, [`PermitError::LeaseTooShort`] if the lease could expire
+    /// before the action is complete.
     pub fn permit(&self, now: Micros, max_duration: Micros) -> Result<Permit, PermitError> {
         let held = self.held.ok_or(PermitError::NotHeld)?;
         let valid_until = now.saturating_add(max_duration);
