--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 .PHONY: try build test lint run check-config
 
-# A whole world on loopback that loses and regains a site while one looks. ARGS="--for 20s" ends it by itself.
+# Runs relays, endpoints and clients on loopback; a zone fails and recovers. ARGS="--for 20s" ends the run after 20 s.
 try:
 	cargo build --release --locked -p honeyknot-relay -p honeyknot-testbed
 	target/release/honeyknot-testbed try $(ARGS)
@@ -16,7 +16,7 @@
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
-# EDGE_CONFIG names the configuration's file.
+# The EDGE_CONFIG environment variable names the relay's configuration file.
 run: build
 	target/release/honeyknot-relay serve
 
