--- a/crates/testbed/src/emulators/client.rs
+++ b/crates/testbed/src/emulators/client.rs
@@ -14,9 +14,10 @@
 use super::emulated_endpoint::ProcessState;
 use super::environment::{Environment, SharedEnvironment};
 
-/// Time from a request to its deadline, which the client sends with the request.
+/// How long a client waits for the answer to a request, and for its TCP connection to the relay. The request
+/// tells the relay this time.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_200);
-/// How long after the deadline an answer still counts as in time.
+/// How much longer than the deadline the client waits before it counts a request as unanswered.
 const ANSWER_GRACE: Duration = Duration::from_millis(150);
 /// Interval at which a client sends lines on its connection.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -93,7 +93,8 @@
         json!({"version": *self.version.borrow(), "full": since.is_none(), "servers": servers})
     }
 
-    /// Records that a relay has been sent the changes after version `since`, up to version `last_version`.
+    /// Records that a relay has been sent the changes after version `since`, up to version `last_version`;
+    /// `since` is `None` if it was sent the whole list.
     fn record_notified(&mut self, relay: usize, since: Option<u64>, last_version: u64, now: Micros) {
         for entry in self.entries.values() {
             let changed_in_version = self.changed_in_version[&entry.index];
--- a/crates/testbed/src/emulators/endpoint.rs
+++ b/crates/testbed/src/emulators/endpoint.rs
@@ -17,7 +17,7 @@
 /// Time after the notification of a drain from which a relay must not send new connections, in microseconds:
 /// the 500 ms of the setting `stopSendingWithinUs`, plus 50 ms for socket delays.
 const DRAIN_GRACE: Micros = 550_000;
-/// Load of an average connection in the unit of `LOAD` lines.
+/// Work per second of an average connection, in the unit of `LOAD` lines.
 const AVERAGE_CONNECTION_LOAD: f64 = 58_000.0;
 /// How long an endpoint takes to establish a connection.
 const SETUP_TIME: Duration = Duration::from_millis(8);
--- a/crates/testbed/src/emulators/environment.rs
+++ b/crates/testbed/src/emulators/environment.rs
@@ -61,7 +61,7 @@
     pub attempts: BTreeMap<String, RequestAttempts>,
     /// Number of clients in each zone that have or want a connection.
     pub active_clients: Vec<u64>,
-    /// Indices of the zones in which the scenario makes no endpoints fail.
+    /// Indices of the zones in which the scenario makes no endpoints die or stop responding.
     pub unaffected_zones: Vec<usize>,
     /// Rate of new clients of each zone, as a multiple of the normal rate.
     pub arrival_factor: Vec<f64>,
@@ -127,7 +127,8 @@
         self.unix_start + self.clock.elapsed().as_micros() as Micros
     }
 
-    /// Returns the random number generator of a stream. Each stream of the environment uses its own stream.
+    /// Returns a random number generator for `stream`. Each user passes a different stream number, because
+    /// equal numbers give equal random sequences.
     pub fn rng(&self, stream: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream)
     }
--- a/crates/testbed/src/report/site.rs
+++ b/crates/testbed/src/report/site.rs
@@ -6,8 +6,8 @@
 use crate::report::observations::{ClientObservations, EndpointObservations};
 use crate::scenarios::run::ScenarioRun;
 
-/// Tolerance above the configured spill limit. Relays can enforce the limit only for the loads that they
-/// know, and load reports are delayed.
+/// Tolerance above the configured spill limit. Relays enforce the limit on the loads that they know; the
+/// actual loads change meanwhile, because load reports are delayed.
 pub const SPILL_SLACK: f64 = 0.03;
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 6;
--- a/crates/testbed/src/scenarios/scenario.rs
+++ b/crates/testbed/src/scenarios/scenario.rs
@@ -7,23 +7,23 @@
 /// A scenario, usually one in which a zone fails and recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// All endpoints of a zone die at once and return one by one.
+    /// All endpoints of a zone die at once; after their restart discovery lists them one by one.
     Lost,
     /// All endpoints of a zone stop responding; discovery lists them for another 11 s.
     Silent,
-    /// All but one of a zone's endpoints die and return one by one.
+    /// All but one of a zone's endpoints die; after their restart discovery lists them one by one.
     Partial,
     /// A zone's endpoints die and return in a single endpoint list update, sent to all relays at the same
     /// time.
     Together,
-    /// A zone fails three times in a row, each time before it has fully recovered.
+    /// A zone fails three times within 26 s: the second and third failures hit it while it recovers.
     Flap,
     /// Two zones fail at the same time.
     Two,
     /// Half of the relays are killed while a zone recovers, and restart with an outdated endpoint list.
     Relays,
     /// While a zone is down, traffic in a zone that receives its spill rises to 2.2 times the normal rate,
-    /// and an endpoint of a third zone drains.
+    /// and an endpoint of the first zone drains.
     Surge,
     /// No faults.
     Calm,
