--- a/crates/testbed/src/commands/part.rs
+++ b/crates/testbed/src/commands/part.rs
@@ -1,16 +1,16 @@
-//! `part`: one process of a fleet, which the testbed starts itself.
+//! `part`: one process of a fleet. The testbed starts these processes itself.
 
 use clap::{Args, ValueEnum};
 use honeyknot_testbed::{fleet, leases};
 
 #[derive(Debug, Args)]
 pub(crate) struct PartArgs {
-    /// Which.
+    /// The process to run.
     #[arg(value_enum)]
     kind: PartKind,
 }
 
-/// The process that is run; the value names are what the testbed passes to itself.
+/// The processes of a fleet. The value names are the arguments that the testbed passes when it starts them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum PartKind {
     #[value(name = "list")]
@@ -18,7 +18,8 @@
     #[value(name = "cards")]
     Endpoints,
     Clients,
-    Links,
+    #[value(name = "links")]
+    FaultProxy,
     Relays,
     #[value(name = "far")]
     RecordingServer,
@@ -28,16 +29,16 @@
     LeaseServer,
 }
 
-/// Runs the part until its standard input ends.
+/// Runs the process until its standard input is closed.
 ///
 /// # Errors
-/// A text where the part does not start.
+/// Returns a message if the process cannot start.
 pub(crate) async fn run(args: PartArgs) -> Result<(), String> {
     match args.kind {
         PartKind::Discovery => fleet::run_process(fleet::discovery::start).await,
         PartKind::Endpoints => fleet::run_process(fleet::endpoints::start).await,
         PartKind::Clients => fleet::run_process(fleet::clients::start).await,
-        PartKind::Links => fleet::run_process(fleet::fault_proxy::start).await,
+        PartKind::FaultProxy => fleet::run_process(fleet::fault_proxy::start).await,
         PartKind::Relays => fleet::run_process(fleet::relays::start).await,
         PartKind::RecordingServer => fleet::run_process(leases::recording_server::start).await,
         PartKind::LeaseHolder => fleet::run_process(leases::holder::start).await,
--- a/crates/testbed/tests/site.rs
+++ b/crates/testbed/tests/site.rs
@@ -12,7 +12,7 @@
 
 fn size() -> EnvironmentSize {
     EnvironmentSize {
-        sites: ["accra-north", "accra-east", "tema", "kasoa"].map(str::to_owned).to_vec(),
+        zones: ["accra-north", "accra-east", "tema", "kasoa"].map(str::to_owned).to_vec(),
         endpoints: 16,
         relays: 4,
         clients_per_second: 5.0,
@@ -31,8 +31,8 @@
         seed: 11,
         sites_file: zone_failover.then_some(file),
         spill_limit: 0.25,
-        length: None,
-        logs: None,
+        max_duration: None,
+        log_folder: None,
     };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
@@ -45,7 +45,7 @@
 #[test]
 fn lost_zone_is_served_elsewhere_within_limits_and_recovers_with_real_relays() {
     let report = run(Scenario::Short, true);
-    assert!(report.broken.is_empty(), "{:?}", report.broken);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
     assert!(
         report.client_observations.served > 40 && report.endpoint_observations.worst_spill > 0.0,
         "{report:?}"
@@ -54,7 +54,7 @@
 
 fn simulation(scenario: Scenario, seed: u64) -> Simulation {
     Simulation {
-        sites: 4,
+        zones: 4,
         endpoints: 32,
         relays: 8,
         load: 0.45,
